--- a/daemon/internal/process/mirror/outage_test.go
+++ b/daemon/internal/process/mirror/breaker_test.go
@@ -14,16 +14,16 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// TestOneFollowerAsksForAllInAnOutage: three followers of a process whose store is gone for
-// 6 s make little more calls than one alone, and all have read it soon after its return.
-func TestOneFollowerAsksForAllInAnOutage(t *testing.T) {
-	calls := func(followers int, outage *mirror.Outage) int64 {
+// TestOneFollowerProbesForAllDuringAnOutage checks that followers that share a breaker make
+// far fewer failing calls than independent ones, and all read the store soon after it recovers.
+func TestOneFollowerProbesForAllDuringAnOutage(t *testing.T) {
+	calls := func(followers int, breaker *mirror.Outage) int64 {
 		var failed, answered atomic.Int64
 		synctest.Test(t, func(t *testing.T) {
-			const gone = 6 * time.Second
-			began := time.Now()
+			const outage = 6 * time.Second
+			started := time.Now()
 			list := func(context.Context, string) (provider.Listing, error) {
-				if time.Since(began) < gone {
+				if time.Since(started) < outage {
 					failed.Add(1)
 					return provider.Listing{}, errors.New("gone")
 				}
@@ -34,26 +34,26 @@
 			for range followers {
 				f := &mirror.Follower{
 					Store: provider.Store{List: list, ListStale: list}, Table: &mirror.Table{}, ListEvery: func() time.Duration { return time.Minute },
-					Outage: outage, Now: time.Now,
+					Outage: breaker, Now: time.Now,
 				}
 				f.Start()
 				all = append(all, f)
 			}
-			<-time.After(gone + 3*time.Second) // simulated
-			assert.Equal(t, int64(followers), answered.Load(), "all have read it")
+			<-time.After(outage + 3*time.Second)
+			assert.Equal(t, int64(followers), answered.Load(), "all followers have read the store")
 			for _, f := range all {
 				f.Stop()
 			}
 		})
 		return failed.Load()
 	}
-	alone, apart, shared := int64(0), int64(0), int64(0)
-	const outages = 40 // pauses are drawn
+	single, separate, shared := int64(0), int64(0), int64(0)
+	const outages = 40 // averages out the random pauses
 	for range outages {
-		alone += calls(1, nil)
-		apart += calls(3, nil)
+		single += calls(1, nil)
+		separate += calls(3, nil)
 		shared += calls(3, &mirror.Outage{})
 	}
-	t.Logf("calls in vain in %d outages: %d of one follower, %d of three, %d of three that share", outages, alone, apart, shared)
-	assert.Less(t, 2*shared, apart)
+	t.Logf("failed calls in %d outages: %d of one follower, %d of three, %d of three that share a breaker", outages, single, separate, shared)
+	assert.Less(t, 2*shared, separate)
 }
--- a/daemon/internal/process/mirror/needs.go
+++ b/daemon/internal/process/mirror/engineconfig.go
@@ -7,22 +7,22 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// EngineNeeds is what a configuration says that concerns one engine's loader.
+// EngineNeeds is the part of the configuration that the loader of an engine needs.
 type EngineNeeds struct {
 	Engine provider.EngineSpec `json:"engine"`
-	// Origin is where weights come from.
+	// Origin is the address of the origin of weights.
 	Origin netip.AddrPort `json:"origin"`
-	// OriginRate is the bytes that its link carries in a second, 0 where not declared.
+	// OriginRate is the rate of the origin's link in bytes per second, 0 if not declared.
 	OriginRate float64 `json:"originRate,omitempty"`
 }
 
-// Complete reports whether a loader can work by it.
+// Complete reports whether a loader can work with it.
 func (n *EngineNeeds) Complete() bool { return n.Engine.Model != "" && n.Origin.IsValid() }
 
-// ErrNoEngine says that a configuration lacks what a loader needs.
-var ErrNoEngine = errors.New("the configuration has no engine service of this name, or no origin")
+// ErrNoEngine is returned when a configuration lacks what a loader needs.
+var ErrNoEngine = errors.New("configuration has no engine service of this name or no origin")
 
-// NeedsOf reads a configuration for the loaders of a service.
+// NeedsOf returns the part of a configuration that the loaders of a service need.
 func NeedsOf(configuration *provider.Configuration, service string) (EngineNeeds, error) {
 	var needs EngineNeeds
 	for _, declared := range configuration.Services {
--- a/daemon/internal/process/mirror/needs_test.go
+++ b/daemon/internal/process/mirror/engineconfig_test.go
@@ -11,16 +11,16 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// TestNeedsAreThoseOfTheService: of a configuration with several services a loader gets its
-// own engine and the origin, or nothing where one of them is missing.
-func TestNeedsAreThoseOfTheService(t *testing.T) {
+// TestEngineConfigIsThatOfTheService checks that a loader gets its own engine and the origin
+// from a configuration with several services, or an error if either is missing.
+func TestEngineConfigIsThatOfTheService(t *testing.T) {
 	origin := netip.MustParseAddrPort("10.0.0.1:80")
 	engine := provider.Service{Name: "s", Engine: &provider.EngineSpec{Model: "m", Places: 4}}
 	other := provider.Service{Name: "t", Engine: &provider.EngineSpec{Model: "n"}}
 	weights := provider.Service{Name: "o", Origin: origin, OriginRate: 5e5}
-	needs, err := mirror.NeedsOf(&provider.Configuration{Services: []provider.Service{other, engine, weights}}, "s")
+	config, err := mirror.NeedsOf(&provider.Configuration{Services: []provider.Service{other, engine, weights}}, "s")
 	require.NoError(t, err)
-	assert.Equal(t, mirror.EngineNeeds{Engine: *engine.Engine, Origin: origin, OriginRate: 5e5}, needs)
+	assert.Equal(t, mirror.EngineNeeds{Engine: *engine.Engine, Origin: origin, OriginRate: 5e5}, config)
 	for _, services := range [][]provider.Service{{other, weights}, {engine}, nil} {
 		_, err := mirror.NeedsOf(&provider.Configuration{Services: services}, "s")
 		require.ErrorIs(t, err, mirror.ErrNoEngine)
--- a/daemon/internal/process/mirror/lapse_test.go
+++ b/daemon/internal/process/mirror/expiry_test.go
@@ -12,63 +12,63 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// TestLapsedUpstreamsAreUsedOn: an entry that goes while the store is away, or
-// right after, says little. One that is not back in time is gone; one that was
-// leaving, or goes while the store answers, is gone at once.
-func TestLapsedUpstreamsAreUsedOn(t *testing.T) {
+// TestExpiredUpstreamsStayInUseForAGrace checks that an upstream whose entry is removed
+// while the store is unreachable stays in use for a while. One that was leaving, or whose
+// entry is removed while the store answers, is dropped at once.
+func TestExpiredUpstreamsStayInUseForAGrace(t *testing.T) {
 	now := time.Unix(1000, 0)
-	away, leaving := true, false
+	unreachable, leaving := true, false
 	table := &mirror.Table{}
 	compiler := &mirror.Compiler{
 		Decode: func(entry provider.Entry) (provider.Record, error) {
 			return provider.Record{Upstream: &provider.Upstream{ID: entry.Key, Service: "s", Leaving: leaving}}, nil
 		},
-		Lapses: func() bool { return away },
+		Lapses: func() bool { return unreachable },
 		Now:    func() time.Time { return now },
 	}
 	table.OnChange = compiler.Take
 	revision := provider.Revision(0)
-	tell := func(key string, gone bool) {
+	apply := func(key string, gone bool) {
 		revision++
 		table.Apply([]provider.Entry{{Key: key, Revision: revision, Gone: gone}})
 	}
-	used := func() int { return len(compiler.View().Upstreams["s"]) }
+	inUse := func() int { return len(compiler.View().Upstreams["s"]) }
 
-	tell("a", false)
-	tell("a", true)
-	assert.Equal(t, 1, used(), "it may only have lapsed")
+	apply("a", false)
+	apply("a", true)
+	assert.Equal(t, 1, inUse(), "the entry may only have expired")
 	require.True(t, compiler.Lapsed())
-	tell("a", false)
-	assert.Equal(t, 1, used(), "it is back, once")
+	apply("a", false)
+	assert.Equal(t, 1, inUse(), "registered again, listed once")
 	assert.False(t, compiler.Lapsed())
 
-	tell("a", true)
+	apply("a", true)
 	now = now.Add(time.Minute)
 	table.Recompile()
-	assert.Zero(t, used(), "it is not back")
+	assert.Zero(t, inUse(), "the grace is over")
 	assert.False(t, compiler.Lapsed())
 
 	leaving = true
-	tell("b", false)
-	tell("b", true)
-	assert.Zero(t, used(), "it was leaving")
+	apply("b", false)
+	apply("b", true)
+	assert.Zero(t, inUse(), "the upstream was leaving")
 
-	away, leaving = false, false
-	tell("c", false)
-	tell("c", true)
-	assert.Zero(t, used(), "the store answers")
+	unreachable, leaving = false, false
+	apply("c", false)
+	apply("c", true)
+	assert.Zero(t, inUse(), "the store answers")
 }
 
-// TestOneUpstreamAnAddress: of several entries that name an address the one created
-// last is used, whichever changed last; the others come back only without it.
-func TestOneUpstreamAnAddress(t *testing.T) {
+// TestOneUpstreamPerAddress checks that of several entries for one address the one created
+// last is used, whichever changed last, and the others only once it is removed.
+func TestOneUpstreamPerAddress(t *testing.T) {
 	table := &mirror.Table{}
 	compiler := &mirror.Compiler{Decode: func(entry provider.Entry) (provider.Record, error) {
 		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, 1}), 80)
 		return provider.Record{Upstream: &provider.Upstream{ID: entry.Key, Service: "s", Address: address}}, nil
 	}}
 	table.OnChange = compiler.Take
-	used := func() []string {
+	inUse := func() []string {
 		var ids []string
 		for _, upstream := range compiler.View().Upstreams["s"] {
 			ids = append(ids, upstream.ID)
@@ -76,9 +76,9 @@
 		return ids
 	}
 	table.Apply([]provider.Entry{{Key: "dead", Revision: 5, Created: 5}, {Key: "alive", Revision: 9, Created: 9}})
-	assert.Equal(t, []string{"alive"}, used())
+	assert.Equal(t, []string{"alive"}, inUse())
 	table.Apply([]provider.Entry{{Key: "dead", Revision: 12, Created: 5}})
-	assert.Equal(t, []string{"alive"}, used(), "a late write of the dead one")
+	assert.Equal(t, []string{"alive"}, inUse(), "a late write of the older entry")
 	table.Apply([]provider.Entry{{Key: "alive", Revision: 13, Gone: true}})
-	assert.Equal(t, []string{"dead"}, used())
+	assert.Equal(t, []string{"dead"}, inUse())
 }
--- a/daemon/internal/process/mirror/follower.go
+++ b/daemon/internal/process/mirror/follower.go
@@ -16,123 +16,123 @@
 )
 
 const (
-	// defaultWait is how long one watch waits. It bounds how long a watch that
-	// was cut in silence stays unnoticed, at the price of a call each time.
-	defaultWait = 2500 * time.Millisecond
-	// answerBegins is what the store may take until an answer begins, beyond the
-	// wait of a watch. It answers in 4 ms; the rest is for a busy link.
-	answerBegins = 700 * time.Millisecond
-	// firstBegins is the same for the lists of a start. All processes of a region start
-	// together after a loss of power, and a list that is given up and asked for again
-	// takes the link twice.
-	firstBegins = 1500 * time.Millisecond
-	// answerStalls is how long an answer may stop halfway: more than a lost packet
-	// takes to come again.
-	answerStalls = time.Second
-	// longestRead bounds a call whatever comes of its answer.
-	longestRead = 30 * time.Second
-	// firstPause and longestPause bound the pause after a failed call. The
-	// pause is drawn at random below its bound, so that daemons that fail
-	// together do not come back together.
-	firstPause   = 50 * time.Millisecond
-	longestPause = 1200 * time.Millisecond
-	// findFor bounds how long what is to be known first is looked for, and findAgain is
-	// the longest pause between two lists of it.
-	findFor   = 2 * time.Second
-	findAgain = 400 * time.Millisecond
+	// defaultWatchWait is the default duration of one watch. It bounds how long a
+	// broken connection stays undetected.
+	defaultWatchWait = 2500 * time.Millisecond
+	// firstByteTimeout bounds the time to the first byte of an answer, beyond the wait
+	// of a watch.
+	firstByteTimeout = 700 * time.Millisecond
+	// initialFirstByteTimeout replaces firstByteTimeout for the first lists. All
+	// processes of a region may start together after a power failure, and repeating a
+	// list that was given up doubles its load on the shared link.
+	initialFirstByteTimeout = 1500 * time.Millisecond
+	// stallTimeout bounds a gap within an answer. It exceeds the time to retransmit a
+	// lost packet.
+	stallTimeout = time.Second
+	// readTimeout bounds a call as a whole.
+	readTimeout = 30 * time.Second
+	// minBackoff and maxBackoff bound the backoff after a failed call. The pause is
+	// drawn at random below it, so that daemons that fail together do not retry together.
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 1200 * time.Millisecond
+	// bootstrapTimeout bounds the repeated listing of one bootstrap prefix, and
+	// maxBootstrapPause the pause between two lists of it.
+	bootstrapTimeout  = 2 * time.Second
+	maxBootstrapPause = 400 * time.Millisecond
 )
 
-// Follower keeps one prefix of a table in step with the store.
+// Follower keeps one prefix of a table in sync with the store, by lists and watches of
+// the store or by updates from another daemon.
 type Follower struct {
 	Store  provider.Store
 	Prefix string
 	Table  *Table
-	// Wait says how long one watch waits; nil means 2.5s.
+	// Wait returns the duration of one watch; nil means 2.5 s. It is unused where
+	// PulseEvery is set.
 	Wait func() time.Duration
-	// PulseEvery, where it is not 0, has watches wait longer, and is the interval at
-	// which the store is asked beside them whether it is there. Wait does not count then.
+	// PulseEvery, if not 0, is the interval at which the store is probed beside a
+	// watch. Watches wait longer then.
 	PulseEvery time.Duration
-	// PulseUnder is a prefix with few entries, which is listed for that.
+	// PulseUnder is the prefix that a probe lists. It should have few entries.
 	PulseUnder string
-	// Settle is the pause after a change before the next watch, so that changes
-	// that come together are heard together. Nil means none.
+	// Settle returns the pause between a change and the next watch, which batches
+	// changes. Nil means no pause.
 	Settle func() time.Duration
-	// ListEvery, where it is not nil, has the follower list the prefix at these
-	// intervals, from an answer that may be old, and never watch it. For what is
-	// not urgent that costs the store far less.
+	// ListEvery, if not nil, has the follower poll the prefix with stale lists at
+	// these intervals instead of watching it, which costs the store far less.
 	ListEvery func() time.Duration
-	// FirstStale has the first list come from the store, from an answer that may be old as
-	// well. What it lacks comes with the watch, which begins at the answer's revision, with
-	// the next list, or from a daemon near.
+	// FirstStale has the first list read the store before any peer and accept a stale
+	// answer. The watch, which begins at the answer's revision, the next list or a peer
+	// supplies what the answer lacks.
 	FirstStale bool
-	// Near asks a daemon near this one for what its copy has under a prefix above a
-	// revision, all of it where that is 0. ErrNoneNear has the store read instead;
-	// any other error has Near called again. It may be nil.
+	// Near queries a peer for the entries of its replica under a prefix above a
+	// revision; revision 0 asks for the complete replica. On ErrNoneNear the store is
+	// read instead; after any other error Near is called again. It may be nil.
 	Near func(ctx context.Context, prefix string, after provider.Revision) (News, error)
-	// NearTries is how many daemons near may give no answer, one after the other, until
-	// the store is read once; 0 means 2.
+	// NearTries is the number of consecutive failed calls of Near after which the store
+	// is read once; 0 means 2.
 	NearTries int
-	// LookEvery is how often, beside what else is done, the prefix is read from an answer of
-	// the store that may be old, and what is new in it is taken. A watch that did not tell of
-	// it is given up. 0 means never.
+	// LookEvery is the interval of stale lists beside watches or peer queries, which
+	// detect changes that those did not report. 0 means none.
 	LookEvery time.Duration
-	// Before holds prefixes that are listed one after the other before anything else: those
-	// of the records by which daemons near this one are found.
+	// Before holds prefixes that are listed in order before anything else: those of the
+	// records by which peers are found.
 	Before []string
-	// Found reports whether what was listed of one of them is new enough; where it is not,
-	// the prefix is listed again for up to findFor. Nil means that one list suffices.
+	// Found reports whether the list of a bootstrap prefix is recent enough. While it is
+	// not, the prefix is listed again for up to bootstrapTimeout. Nil means that one
+	// list suffices.
 	Found func() bool
-	// Enough reports whether the rest of Before need not be listed. Nil means never.
+	// Enough reports whether the remaining prefixes of Before can be skipped. Nil means
+	// never.
 	Enough func() bool
-	// Outage is shared with the other followers of the process; nil means with none.
+	// Outage is shared by the followers of a process; nil means that none is used.
 	Outage *Outage
-	// OnContact is called when the store answers after a failure, and the other
-	// way round, with the cause. It may be nil.
+	// OnContact is called with the error when calls to the store begin to fail, and with
+	// nil when the store answers again. It may be nil.
 	OnContact func(prefix string, lost error)
-	// OnBytes is called with the bytes of answers as they come. It may be nil.
+	// OnBytes is called with the number of bytes of each part of an answer. It may be nil.
 	OnBytes func(bytes int)
 	// Now is the clock; nil means clock.Now.
 	Now func() time.Time
 
-	// at is the revision up to which the prefix is known; 0 means not at all. It
-	// only rises.
-	at atomic.Uint64
-	// relist says that changes may have been missed since.
+	// revision is the revision up to which the replica is complete, or 0. It never
+	// decreases.
+	revision atomic.Uint64
+	// relist says that changes may have been missed, so that the prefix must be listed.
 	relist bool
-	// generation changes when the copy was read anew, because nothing was known or
-	// changes may have been missed. It starts anywhere, so that those who followed
-	// the process before this one at the same address notice.
+	// generation changes when the replica is rebuilt. It starts at a random value, so
+	// that peers detect a restart of the process at the same address.
 	generation atomic.Uint64
-	// nearFailed counts failed calls of Near since the last one that did not fail.
-	nearFailed int
-	// hops is how many daemons the news came through, 0 for one that reads the store.
+	// peerFailures counts the consecutive failed calls of Near.
+	peerFailures int
+	// hops is the number of daemons between this one and the store.
 	hops atomic.Int64
-	// listed is how many bytes the last list brought.
-	listed int
-	// overtaken says that a list costs less than a watch: the last watch brought more
-	// of states that newer ones in the same answer replace, or the list since then
-	// more news, than half of a list.
-	overtaken bool
-	// answered is when the store last answered, heard when a part of such an answer
-	// came last, and regained when it last answered after a failure; underWay is when
-	// a part came of the call under way, which may turn out to be a refusal. All are
-	// in nanoseconds of the steady clock since start; 0 means never.
-	answered, heard, regained, underWay atomic.Int64
-	// failures counts the calls to the store that failed since the last that did not.
+	// listBytes is the size of the last list.
+	listBytes int
+	// preferList says that a list is cheaper than a watch: more than half of a list's
+	// size were superseded states in the last watch, or new entries in the last list.
+	preferList bool
+	// lastAnswer is when the store last answered completely, lastData when a part of
+	// such an answer last arrived, and reconnectedAt when the store last answered after
+	// a failure. currentData is when a part of the call in progress last arrived; that
+	// answer may still prove to be an error. All are nanoseconds of the monotonic clock
+	// since start; 0 means never.
+	lastAnswer, lastData, reconnectedAt, currentData atomic.Int64
+	// failures counts the consecutive failed calls to the store.
 	failures atomic.Int64
 	start    time.Time
 	failing  bool
 	tomb     tomb.Tomb
 }
 
-// Start begins to follow; Stop ends it.
+// Start begins to follow the prefix.
 func (f *Follower) Start() {
 	f.start = f.now()
 	f.generation.Store(rand.Uint64())
 	f.tomb.Go(f.run)
 }
 
-// Stop ends the follower and waits for it.
+// Stop stops the follower and waits until it has ended.
 func (f *Follower) Stop() {
 	f.tomb.Kill(nil)
 	_ = f.tomb.Wait()
@@ -140,95 +140,95 @@
 
 func (f *Follower) now() time.Time { return helpers.Now(f.Now) }
 
-// elapsed is the time since the start.
+// elapsed returns the time since Start.
 func (f *Follower) elapsed() time.Duration { return f.now().Sub(f.start) }
 
-// Age is the time since the store last answered, or since the start.
+// Age returns the time since the store last answered, or since Start if it never did.
 func (f *Follower) Age() time.Duration {
-	return f.elapsed() - time.Duration(f.answered.Load())
+	return f.elapsed() - time.Duration(f.lastAnswer.Load())
 }
 
-// Regained is the time since the store last answered after a failure; false
-// where it never failed, or fails now.
+// Regained returns the time since the store last answered after a failure. It returns
+// false if there was no such answer.
 func (f *Follower) Regained() (time.Duration, bool) {
-	at := f.regained.Load()
+	at := f.reconnectedAt.Load()
 	return f.elapsed() - time.Duration(at), at != 0
 }
 
-// At returns the revision up to which the copy is complete, or 0.
-func (f *Follower) At() provider.Revision { return provider.Revision(f.at.Load()) }
+// At returns the revision up to which the replica is complete, or 0.
+func (f *Follower) At() provider.Revision { return provider.Revision(f.revision.Load()) }
 
-// Standing returns how well the copy keeps up with the store.
+// Standing returns how current the replica is.
 func (f *Follower) Standing() Standing {
 	now := f.elapsed()
-	heard := max(f.heard.Load(), f.underWay.Load())
+	data := max(f.lastData.Load(), f.currentData.Load())
 	return Standing{
-		At: f.At(), Answered: f.Age(), Heard: now - time.Duration(heard), Lost: f.failures.Load() >= lostAfter,
+		At: f.At(), Answered: f.Age(), Heard: now - time.Duration(data), Lost: f.failures.Load() >= disconnectFailures,
 		Generation: f.generation.Load(), Hops: int(f.hops.Load()),
 	}
 }
 
-// Known reports whether the prefix was ever read from the store.
-func (f *Follower) Known() bool { return f.answered.Load() != 0 }
+// Known reports whether the prefix was ever read from the store or a peer.
+func (f *Follower) Known() bool { return f.lastAnswer.Load() != 0 }
 
 func (f *Follower) run() error {
 	ctx := f.tomb.Context(nil) //nolint:staticcheck // nil asks the tomb for its own context
-	calls := provider.WithProgress(ctx, f.progress)
+	calls := provider.WithProgress(ctx, f.recordProgress)
 	for _, prefix := range f.Before {
-		if f.find(calls, prefix); f.Enough != nil && f.Enough() {
+		if f.bootstrap(calls, prefix); f.Enough != nil && f.Enough() {
 			break
 		}
 	}
-	pause := firstPause
+	backoff := minBackoff
 	if f.Near != nil && f.LookEvery > 0 {
 		f.tomb.Go(func() error {
-			f.lookBesideNear(calls)
+			f.recheckBesidePeers(calls)
 			return nil
 		})
 	}
 	for f.tomb.Alive() {
-		if !f.firstFromStore() && f.askNear(ctx) {
-			pause = firstPause
+		if !f.listsStoreFirst() && f.updateFromPeer(ctx) {
+			backoff = minBackoff
 			continue
 		}
-		f.Outage.leave(f)
+		f.Outage.wait(f)
 		err := f.step(calls)
-		f.underWay.Store(0)
-		f.note(err)
+		f.currentData.Store(0)
+		f.recordResult(err)
 		if err == nil || errors.Is(err, provider.ErrCompacted) {
-			pause = firstPause
+			backoff = minBackoff
 			continue
 		}
-		helpers.Pause(rand.N(pause), f.tomb.Dying())
-		pause = min(2*pause, longestPause)
+		helpers.Pause(rand.N(backoff), f.tomb.Dying())
+		backoff = min(2*backoff, maxBackoff)
 	}
 	return nil
 }
 
-// firstFromStore reports whether the prefix is to be listed from the store before a daemon
-// near is asked.
-func (f *Follower) firstFromStore() bool {
-	return f.FirstStale && f.At() == 0 && f.failures.Load() < lostAfter
+// listsStoreFirst reports whether the prefix must be listed from the store before a peer
+// is queried.
+func (f *Follower) listsStoreFirst() bool {
+	return f.FirstStale && f.At() == 0 && f.failures.Load() < disconnectFailures
 }
 
-// find lists a prefix that is to be known first until what it has is new enough.
-func (f *Follower) find(ctx context.Context, prefix string) {
+// bootstrap lists a bootstrap prefix until the list is recent enough.
+func (f *Follower) bootstrap(ctx context.Context, prefix string) {
 	started := f.now()
 	for {
-		err := f.listBefore(ctx, prefix)
-		f.note(err)
-		if f.Found == nil || err == nil && f.Found() || f.now().Sub(started) > findFor {
+		err := f.listBootstrapPrefix(ctx, prefix)
+		f.recordResult(err)
+		if f.Found == nil || err == nil && f.Found() || f.now().Sub(started) > bootstrapTimeout {
 			return
 		}
-		if !helpers.Pause(findAgain/2+rand.N(findAgain/2), f.tomb.Dying()) {
+		if !helpers.Pause(maxBootstrapPause/2+rand.N(maxBootstrapPause/2), f.tomb.Dying()) {
 			return
 		}
 	}
 }
 
-// listBefore lists a prefix that is to be known first, once.
-func (f *Follower) listBefore(ctx context.Context, prefix string) error {
-	ctx, end := firstLimit.Context(ctx)
+// listBootstrapPrefix lists a bootstrap prefix once.
+func (f *Follower) listBootstrapPrefix(ctx context.Context, prefix string) error {
+	ctx, end := initialReadLimit.Context(ctx)
 	defer end()
 	listing, err := f.Store.ListStale(ctx, prefix)
 	if err != nil {
@@ -238,13 +238,13 @@
 	return nil
 }
 
-// progress takes note of a part of an answer.
-func (f *Follower) progress(bytes int) {
-	f.underWay.Store(int64(f.elapsed()))
+// recordProgress records that a part of an answer arrived.
+func (f *Follower) recordProgress(bytes int) {
+	f.currentData.Store(int64(f.elapsed()))
 	f.countBytes(bytes)
 }
 
-// step makes one call: a list where nothing is known, a watch otherwise.
+// step makes one call to the store: a list if the replica is empty or polled, else a watch.
 func (f *Follower) step(ctx context.Context) error {
 	if f.ListEvery != nil {
 		_, err := f.list(ctx)
@@ -253,22 +253,21 @@
 		}
 		return err
 	}
-	if f.at.Load() == 0 || f.relist {
+	if f.revision.Load() == 0 || f.relist {
 		_, err := f.list(ctx)
 		return err
 	}
-	if f.overtaken {
+	if f.preferList {
 		return f.catchUp(ctx)
 	}
 	return f.watch(ctx)
 }
 
-// catchUp lists the prefix in place of a watch. A watch brings every state that a
-// key has had, so where a large entry changes often, all routers of a region
-// together ask more of the link to it than it bears, and fall behind further with
-// each answer. A list brings one state of each key, and the pause after it is as
-// long as it took, so that lists take half of the time at most. Watches go on once
-// little is new.
+// catchUp lists the prefix in place of a watch. A watch returns every intermediate state
+// of a key, so when a large entry changes often, the routers of a region together exceed
+// the capacity of the link they share and become more stale with each answer. A list
+// returns one state of each key, and the pause after it is as long as the list took,
+// which bounds lists to half of the time. Watches resume once few entries are new.
 func (f *Follower) catchUp(ctx context.Context) error {
 	started := clock.Now()
 	known := f.At()
@@ -276,67 +275,69 @@
 	if err != nil {
 		return err
 	}
-	news := 0
+	newBytes := 0
 	for _, entry := range listing.Entries {
 		if entry.Revision > known {
-			news += len(entry.Value)
+			newBytes += len(entry.Value)
 		}
 	}
-	f.overtaken = 2*news > f.listed
-	f.settle(clock.Since(started))
+	f.preferList = 2*newBytes > f.listBytes
+	f.debounce(clock.Since(started))
 	return nil
 }
 
-// settle pauses after a change, at least for some time.
-func (f *Follower) settle(least time.Duration) {
+// debounce pauses after a change, for at least minPause.
+func (f *Follower) debounce(minPause time.Duration) {
 	if f.Settle != nil {
-		least = max(least, f.Settle())
+		minPause = max(minPause, f.Settle())
 	}
-	helpers.Pause(least, f.tomb.Dying())
+	helpers.Pause(minPause, f.tomb.Dying())
 }
 
+// watch makes one watch and applies its changes.
 func (f *Follower) watch(ctx context.Context) error {
-	changes, err := f.await(ctx)
+	changes, err := f.watchStore(ctx)
 	if errors.Is(err, provider.ErrCompacted) {
 		f.relist = true
 	}
 	if err != nil {
 		return err
 	}
-	f.hear(0, 0)
+	f.recordAnswer(0, 0)
 	f.hops.Store(0)
 	f.Table.Apply(changes.Entries)
 	f.advance(changes.At)
-	f.overtaken = 2*replaced(changes.Entries) > f.listed
+	f.preferList = 2*supersededBytes(changes.Entries) > f.listBytes
 	if len(changes.Entries) > 0 {
-		f.settle(0)
+		f.debounce(0)
 	}
 	return nil
 }
 
-// await makes one call for changes, with pulses beside it.
-func (f *Follower) await(ctx context.Context) (provider.Listing, error) {
+// watchStore calls the store for changes, with probes and rechecks beside the call.
+func (f *Follower) watchStore(ctx context.Context) (provider.Listing, error) {
 	wait := f.watchWait()
-	ctx, endPulses := f.pulsing(ctx)
-	defer endPulses()
-	ctx, endLooks := f.looking(ctx)
-	defer endLooks()
+	ctx, endProbes := f.probing(ctx)
+	defer endProbes()
+	ctx, endRechecks := f.rechecking(ctx)
+	defer endRechecks()
 	ctx, end := readLimit(wait).Context(ctx)
 	defer end()
 	changes, err := f.Store.Watch(ctx, f.Prefix, f.At(), wait)
-	if cause := context.Cause(ctx); errors.Is(cause, errNoPulse) || errors.Is(cause, errDeaf) {
+	if cause := context.Cause(ctx); errors.Is(cause, errProbeFailed) || errors.Is(cause, errMissedChange) {
 		return changes, errors.Join(err, cause)
 	}
 	return changes, patience.Explain(ctx, err)
 }
 
-// readLimit bounds a call whose answer is held for up to some time.
-func readLimit(held time.Duration) patience.Limit {
-	return patience.Limit{First: held + answerBegins, Stall: answerStalls, Whole: longestRead}
+// readLimit returns the limit of a call that the store may hold for up to wait before it
+// answers.
+func readLimit(wait time.Duration) patience.Limit {
+	return patience.Limit{First: wait + firstByteTimeout, Stall: stallTimeout, Whole: readTimeout}
 }
 
-// replaced counts the bytes of states that a newer state of the same key follows.
-func replaced(entries []provider.Entry) int {
+// supersededBytes counts the bytes of states that a newer state of the same key follows.
+func supersededBytes(entries []provider.Entry) int {
 	last := make(map[string]int, len(entries))
 	bytes := 0
 	for _, entry := range entries {
@@ -346,26 +347,27 @@
 	return bytes
 }
 
-// firstLimit bounds a list at the start.
-var firstLimit = patience.Limit{First: firstBegins, Stall: answerStalls, Whole: longestRead}
+// initialReadLimit is the limit of a list while the process starts.
+var initialReadLimit = patience.Limit{First: initialFirstByteTimeout, Stall: stallTimeout, Whole: readTimeout}
 
+// list lists the prefix and replaces its part of the table.
 func (f *Follower) list(ctx context.Context) (provider.Listing, error) {
-	first := f.At() == 0
+	initial := f.At() == 0
 	limit := readLimit(0)
-	if first {
-		limit = firstLimit
+	if initial {
+		limit = initialReadLimit
 	}
 	ctx, end := limit.Context(ctx)
 	defer end()
 	list := f.Store.List
-	if first && f.FirstStale || f.ListEvery != nil {
+	if initial && f.FirstStale || f.ListEvery != nil {
 		list = f.Store.ListStale
 	}
 	listing, err := list(ctx, f.Prefix)
 	if err != nil {
 		return listing, patience.Explain(ctx, err)
 	}
-	f.hear(0, 0)
+	f.recordAnswer(0, 0)
 	f.hops.Store(0)
 	f.Table.Replace(f.Prefix, listing)
 	if f.relist || f.At() == 0 {
@@ -373,33 +375,34 @@
 	}
 	f.advance(listing.At)
 	f.relist = false
-	f.listed = 0
+	f.listBytes = 0
 	for _, entry := range listing.Entries {
-		f.listed += len(entry.Value)
+		f.listBytes += len(entry.Value)
 	}
 	return listing, nil
 }
 
-// hear notes an answer of the store before what it says is taken: that depends on
-// whether the store was away. It was given some time ago, and a part of one came
-// last some time ago.
-func (f *Follower) hear(answered, heard time.Duration) {
+// recordAnswer records an answer of the store, which was given answerAge ago and whose
+// last part arrived dataAge ago. It is called before the answer's entries are applied,
+// because how a removal is treated depends on whether the store was unreachable.
+func (f *Follower) recordAnswer(answerAge, dataAge time.Duration) {
 	now := f.elapsed()
-	f.answered.Store(max(f.answered.Load(), int64(now-answered), 1))
-	f.heard.Store(max(f.heard.Load(), int64(now-heard), 1))
+	f.lastAnswer.Store(max(f.lastAnswer.Load(), int64(now-answerAge), 1))
+	f.lastData.Store(max(f.lastData.Load(), int64(now-dataAge), 1))
 	if f.failing {
-		f.regained.Store(int64(now))
+		f.reconnectedAt.Store(int64(now))
 	}
 }
 
-func (f *Follower) note(err error) {
+// recordResult records the result of a call.
+func (f *Follower) recordResult(err error) {
 	failing := err != nil && !errors.Is(err, provider.ErrCompacted) && f.tomb.Alive()
 	if failing {
 		f.failures.Add(1)
-		f.Outage.failed(f)
+		f.Outage.recordFailure(f)
 	} else {
 		f.failures.Store(0)
-		f.Outage.answered()
+		f.Outage.recordSuccess()
 	}
 	if failing != f.failing && f.OnContact != nil {
 		f.OnContact(f.Prefix, err)
--- a/daemon/internal/process/mirror/follower_test.go
+++ b/daemon/internal/process/mirror/follower_test.go
@@ -13,25 +13,25 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// storm is a store whose one large entry changes at an interval, behind a link that
-// takes some time for each state of it.
-type storm struct {
-	began           time.Time
-	every, transfer time.Duration
-	// states counts those that were sent.
+// changingStore is a store whose only entry changes at an interval, behind a link that
+// takes some time to transfer each state of it.
+type changingStore struct {
+	started            time.Time
+	interval, transfer time.Duration
+	// states counts the states that were sent.
 	states int
 }
 
-func (s *storm) newest() provider.Revision {
-	return 1 + provider.Revision(time.Since(s.began)/s.every)
+func (s *changingStore) newest() provider.Revision {
+	return 1 + provider.Revision(time.Since(s.started)/s.interval)
 }
 
-func (s *storm) send(states int) {
+func (s *changingStore) send(states int) {
 	s.states += states
 	helpers.Pause(time.Duration(states)*s.transfer, nil)
 }
 
-func (s *storm) store() provider.Store {
+func (s *changingStore) store() provider.Store {
 	entry := func(revision provider.Revision) provider.Entry {
 		return provider.Entry{Key: "c", Value: []byte("state"), Revision: revision}
 	}
@@ -43,7 +43,7 @@
 		},
 		Watch: func(_ context.Context, _ string, after provider.Revision, _ time.Duration) (provider.Listing, error) {
 			at := max(s.newest(), after+1)
-			helpers.Pause(time.Until(s.began.Add(time.Duration(at-1)*s.every)), nil)
+			helpers.Pause(time.Until(s.started.Add(time.Duration(at-1)*s.interval)), nil)
 			listing := provider.Listing{At: at}
 			for revision := after + 1; revision <= at; revision++ {
 				listing.Entries = append(listing.Entries, entry(revision))
@@ -54,35 +54,35 @@
 	}
 }
 
-// TestOvertakenStatesAreNotWaitedFor: where an entry changes faster than its states
-// can be brought, a follower lists and stays a bounded time behind. By watches
-// alone it would be further behind with each.
-func TestOvertakenStatesAreNotWaitedFor(t *testing.T) {
+// TestStalenessIsBoundedUnderFastChanges checks that a follower switches to lists when an
+// entry changes faster than its states can be transferred. With watches alone its lag
+// would grow with each answer.
+func TestStalenessIsBoundedUnderFastChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
-			every    = 250 * time.Millisecond
+			interval = 250 * time.Millisecond
 			transfer = 300 * time.Millisecond
 			settle   = 500 * time.Millisecond
-			bound    = settle + 2*transfer + every
+			bound    = settle + 2*transfer + interval
 		)
-		s := &storm{began: time.Now(), every: every, transfer: transfer}
+		s := &changingStore{started: time.Now(), interval: interval, transfer: transfer}
 		table := &mirror.Table{}
 		follower := mirror.Follower{Store: s.store(), Table: table, Settle: func() time.Duration { return settle }}
 		follower.Start()
 		helpers.Pause(5*time.Second, nil)
 		for range 40 {
 			helpers.Pause(100*time.Millisecond, nil)
-			behind := time.Duration(s.newest()-table.Newest()) * every
-			assert.LessOrEqual(t, behind, bound)
+			lag := time.Duration(s.newest()-table.Newest()) * interval
+			assert.LessOrEqual(t, lag, bound)
 		}
 		follower.Stop()
 	})
 }
 
-// TestQuietChangesAreWatched: single changes are heard by watches, a state each.
-func TestQuietChangesAreWatched(t *testing.T) {
+// TestSlowChangesAreWatched checks that single changes arrive by watches, not by lists.
+func TestSlowChangesAreWatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &storm{began: time.Now(), every: 2 * time.Second, transfer: time.Millisecond}
+		s := &changingStore{started: time.Now(), interval: 2 * time.Second, transfer: time.Millisecond}
 		table := &mirror.Table{}
 		lists := 0
 		store := s.store()
@@ -100,8 +100,8 @@
 	})
 }
 
-// TestSmallChangesAreWatched: however often a small entry changes beside a large
-// one, that is no reason to list both.
+// TestSmallChangesAreWatched checks that frequent changes of a small entry do not cause
+// lists of a large one beside it.
 func TestSmallChangesAreWatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lists := 0
--- /dev/null
+++ b/daemon/internal/process/mirror/peer.go
@@ -0,0 +1,149 @@
+package mirror
+
+import (
+	"context"
+	"errors"
+	"math/rand/v2"
+	"time"
+
+	"github.com/wheelcleat/wheelcleat/daemon/internal/helpers"
+	"github.com/wheelcleat/wheelcleat/daemon/provider"
+)
+
+// ErrNoneNear is returned when there is no peer to query, so that the store must be read.
+var ErrNoneNear = errors.New("no peer to query")
+
+// ErrHold is returned when neither a peer nor the store should be called now: the peers
+// that read the store for this daemon do not reach it, and another reader would not help.
+var ErrHold = errors.New("the peers that read the store do not reach it; waiting")
+
+// ErrBehind is returned when a peer answers, but its replica is stale.
+var ErrBehind = errors.New("replica is stale")
+
+// holdPause is the pause after ErrHold.
+const holdPause = 100 * time.Millisecond
+
+// maxIncrementalAge is the maximum age of a replica that is updated incrementally. An
+// older one is read anew, because peers drop tombstones after tombstoneRetention.
+const maxIncrementalAge = tombstoneRetention / 2
+
+// defaultPeerAttempts is the default of Follower.NearTries. Many daemons of a hall may be
+// unreachable, and each attempt takes its time to fail.
+const defaultPeerAttempts = 2
+
+// disconnectFailures is the number of consecutive failed calls after which the store
+// counts as disconnected. A single call may fail like any connection.
+const disconnectFailures = 2
+
+// peerDebounce is the pause after an update from a peer. It is short, because such a
+// query costs the store nothing and the peer has batched its changes already.
+const peerDebounce = 50 * time.Millisecond
+
+// Standing is how current a replica is.
+type Standing struct {
+	// At is the revision up to which the replica is complete, or 0.
+	At provider.Revision
+	// Answered is the time since the store last answered completely, and Heard the time
+	// since a part of an answer last arrived, which is less while a long answer is in
+	// progress.
+	Answered, Heard time.Duration
+	// Lost says that calls to the store fail repeatedly.
+	Lost bool
+	// Hops is the number of daemons that the updates passed, 0 for a daemon that reads
+	// the store.
+	Hops int
+	// Generation changes when the replica was rebuilt because changes may have been
+	// missed. It may then have entries below a revision up to which daemons that
+	// followed it take their replicas for complete.
+	Generation uint64
+}
+
+// FreshWithin is the maximum time since a daemon that reads the store last received data
+// from it, for its replica to count as current. Such a daemon probes the store each
+// second, and pauses after a change.
+const FreshWithin = 2 * time.Second
+
+// HopWait is how long a daemon holds its answer to a peer while it has no update. The
+// state that it reports may be older by this at each hop.
+const HopWait = 500 * time.Millisecond
+
+// FreshFor returns the maximum time since data of the store last arrived, for the replica
+// to count as current.
+func (s Standing) FreshFor() time.Duration { return FreshWithin + time.Duration(s.Hops)*HopWait }
+
+// Behind reports whether the daemon receives nothing from the store, directly or through
+// peers.
+func (s Standing) Behind() bool { return s.Lost || s.Heard >= s.FreshFor() }
+
+// News holds the entries of a peer's replica above a revision, and the status of that
+// replica.
+type News struct {
+	Entries []provider.Entry
+	// After is the revision; 0 says that Entries is the complete replica.
+	After provider.Revision
+	Standing
+}
+
+// updateFromPeer queries a peer and applies its update. It returns false if the store
+// must be read.
+func (f *Follower) updateFromPeer(ctx context.Context) bool {
+	if f.Near == nil {
+		return false
+	}
+	after := f.At()
+	if f.relist || f.Age() > maxIncrementalAge {
+		after = 0
+	}
+	update, err := f.Near(ctx, f.Prefix, after)
+	switch {
+	case errors.Is(err, ErrNoneNear):
+		return false
+	case errors.Is(err, ErrHold):
+		helpers.Pause(holdPause, f.tomb.Dying())
+		return true
+	case errors.Is(err, ErrBehind):
+		helpers.Pause(rand.N(minBackoff), f.tomb.Dying())
+		return true
+	case err != nil:
+		f.peerFailures++
+		helpers.Pause(rand.N(minBackoff), f.tomb.Dying())
+		return f.peerFailures%helpers.OrDefault(f.NearTries, defaultPeerAttempts) != 0
+	}
+	f.peerFailures = 0
+	f.recordAnswer(update.Answered, update.Heard)
+	f.hops.Store(int64(update.Hops) + 1)
+	f.Adopt(update)
+	if update.After == 0 {
+		f.generation.Add(1)
+		f.relist = false
+	}
+	f.recordResult(nil)
+	if len(update.Entries) > 0 {
+		helpers.Pause(peerDebounce, f.tomb.Dying())
+	}
+	return true
+}
+
+// Adopt applies a peer's update, which holds the complete replica or what is above a
+// revision up to which this replica is complete. It returns the number of new entries
+// and may be called concurrently with a call to the store.
+func (f *Follower) Adopt(update News) int {
+	applied := 0
+	if update.After == 0 && update.At > 0 {
+		applied = f.Table.Replace(f.Prefix, provider.Listing{Entries: update.Entries, At: update.At})
+	} else {
+		applied = f.Table.Apply(update.Entries)
+	}
+	f.advance(update.At)
+	return applied
+}
+
+// advance raises the revision up to which the replica is complete.
+func (f *Follower) advance(to provider.Revision) {
+	for {
+		known := f.revision.Load()
+		if uint64(to) <= known || f.revision.CompareAndSwap(known, uint64(to)) {
+			return
+		}
+	}
+}
--- a/daemon/internal/process/mirror/urgency.go
+++ b/daemon/internal/process/mirror/priority.go
@@ -7,10 +7,10 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// urgencies returns, for each service, the priorities that its requests have,
-// most urgent first: those of its routes and, since an account's goes before
-// them, those of all accounts.
-func urgencies(configuration *provider.Configuration) map[string][]int {
+// servicePriorities returns the priorities that requests of each service may have, most
+// urgent first: those of the service's routes and those of all accounts, which override
+// the routes'.
+func servicePriorities(configuration *provider.Configuration) map[string][]int {
 	var ofAccounts []int
 	for _, account := range configuration.Accounts {
 		if account.Priority != nil {
@@ -31,9 +31,9 @@
 	return found
 }
 
-// objectives returns, for each service, the shortest objective of its routes; a
-// service without one is missing.
-func objectives(configuration *provider.Configuration) map[string]time.Duration {
+// serviceObjectives returns the shortest objective of each service's routes. Services
+// without an objective are missing.
+func serviceObjectives(configuration *provider.Configuration) map[string]time.Duration {
 	found := map[string]time.Duration{}
 	for _, route := range configuration.Routes {
 		for _, share := range route.Shares {
@@ -49,14 +49,14 @@
 // Objective returns the shortest objective of a service's routes, 0 for none.
 func (v *View) Objective(service string) time.Duration { return v.objectives[service] }
 
-// Rank returns the place of a request's priority among those of its service, 0
-// for the most urgent, and how many there are.
+// Rank returns the position of a request's priority among those of its service, 0 for
+// the most urgent, and the number of priorities.
 func (v *View) Rank(service string, route *provider.Route, account *provider.Account) (rank, ranks int) {
 	priority := route.Priority
 	if account != nil && account.Priority != nil {
 		priority = *account.Priority
 	}
 	priorities := v.priorities[service]
-	place, _ := slices.BinarySearch(priorities, priority)
-	return place, max(len(priorities), 1)
+	index, _ := slices.BinarySearch(priorities, priority)
+	return index, max(len(priorities), 1)
 }
--- a/daemon/internal/process/mirror/urgency_test.go
+++ b/daemon/internal/process/mirror/priority_test.go
@@ -9,8 +9,8 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// TestAccountsPriorityGoesBeforeTheRoutes, and ranks are those of one service.
-func TestAccountsPriorityGoesBeforeTheRoutes(t *testing.T) {
+// TestAccountPriorityOverridesTheRoutes also checks that ranks are counted per service.
+func TestAccountPriorityOverridesTheRoutes(t *testing.T) {
 	urgent := 0
 	routes := []provider.Route{
 		{Name: "a", Priority: 3, Shares: []provider.Share{{Service: "s", Weight: 1}}},
@@ -24,7 +24,7 @@
 		compiler.Take([]provider.Entry{{Key: "configuration", Revision: 1}})
 		return compiler.View()
 	}
-	plain, hasty := provider.Account{Name: "plain"}, provider.Account{Name: "hasty", Priority: &urgent}
+	plain, prioritized := provider.Account{Name: "plain"}, provider.Account{Name: "hasty", Priority: &urgent}
 	tests := []struct {
 		name        string
 		view        *mirror.View
@@ -33,13 +33,13 @@
 		account     *provider.Account
 		rank, ranks int
 	}{
-		{"the less urgent route", view(plain), "s", &routes[0], &plain, 1, 2},
-		{"the more urgent route", view(plain), "s", &routes[1], &plain, 0, 2},
-		{"the only one of a service", view(plain), "t", &routes[1], &plain, 0, 1},
+		{"less urgent route", view(plain), "s", &routes[0], &plain, 1, 2},
+		{"more urgent route", view(plain), "s", &routes[1], &plain, 0, 2},
+		{"only route of a service", view(plain), "t", &routes[1], &plain, 0, 1},
 		{"no account", view(), "s", &routes[0], nil, 1, 2},
-		{"an account with a priority", view(plain, hasty), "s", &routes[0], &hasty, 0, 3},
-		{"beside one", view(plain, hasty), "s", &routes[1], &plain, 1, 3},
-		{"an unknown service", view(), "u", &routes[0], nil, 0, 1},
+		{"account with a priority", view(plain, prioritized), "s", &routes[0], &prioritized, 0, 3},
+		{"account without a priority beside one", view(plain, prioritized), "s", &routes[1], &plain, 1, 3},
+		{"unknown service", view(), "u", &routes[0], nil, 0, 1},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/daemon/internal/process/mirror/mirror_test.go
+++ b/daemon/internal/process/mirror/replica_test.go
@@ -18,13 +18,12 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// TestHighestRevisionWins is a state machine: news reaches a table late, twice,
-// out of order, by watches, lists and peers; the oracle is each key's highest
-// revision heard.
+// TestHighestRevisionWins applies updates late, repeatedly and out of order, as watches,
+// lists and peers deliver them, and compares the table with each key's highest revision.
 func TestHighestRevisionWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := &mirror.Table{}
-		oracle := map[string]provider.Entry{}
+		want := map[string]provider.Entry{}
 		history := []provider.Entry{}
 		revision := provider.Revision(0)
 		write := func(t *rapid.T) {
@@ -38,9 +37,9 @@
 			}
 			history = append(history, entry)
 		}
-		hear := func(entry provider.Entry) {
-			if known, ok := oracle[entry.Key]; !ok || entry.Revision > known.Revision {
-				oracle[entry.Key] = entry
+		receive := func(entry provider.Entry) {
+			if known, ok := want[entry.Key]; !ok || entry.Revision > known.Revision {
+				want[entry.Key] = entry
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
@@ -49,10 +48,10 @@
 				if len(history) == 0 {
 					t.Skip()
 				}
-				some := rapid.SliceOfN(rapid.SampledFrom(history), 1, 5).Draw(t, "news")
-				table.Apply(some)
-				for _, entry := range some {
-					hear(entry)
+				update := rapid.SliceOfN(rapid.SampledFrom(history), 1, 5).Draw(t, "news")
+				table.Apply(update)
+				for _, entry := range update {
+					receive(entry)
 				}
 			},
 			"list": func(t *rapid.T) {
@@ -71,11 +70,11 @@
 				}
 				table.Replace("", listing)
 				for _, entry := range listing.Entries {
-					hear(entry)
+					receive(entry)
 				}
-				for key, known := range oracle {
+				for key, known := range want {
 					if entry, ok := newest[key]; (!ok || entry.Gone) && !known.Gone && known.Revision <= at {
-						oracle[key] = provider.Entry{Key: key, Revision: at, Gone: true}
+						want[key] = provider.Entry{Key: key, Revision: at, Gone: true}
 					}
 				}
 			},
@@ -84,22 +83,22 @@
 				for _, entry := range table.Since(0).Entries {
 					got[entry.Key] = entry
 				}
-				for key, want := range oracle {
-					require.Equal(t, want.Gone, got[key].Gone, key)
-					require.Equal(t, want.Value, got[key].Value, key)
+				for key, entry := range want {
+					require.Equal(t, entry.Gone, got[key].Gone, key)
+					require.Equal(t, entry.Value, got[key].Value, key)
 				}
 			},
 		})
 	})
 }
 
-// tableStore is a store for one follower, scripted by the test.
-type tableStore struct {
+// scriptedStore is a store for one follower whose answers the test provides.
+type scriptedStore struct {
 	lists   atomic.Int64
 	watches chan func() (provider.Listing, error)
 }
 
-func (s *tableStore) store(list func() provider.Listing) provider.Store {
+func (s *scriptedStore) store(list func() provider.Listing) provider.Store {
 	return provider.Store{
 		List: func(context.Context, string) (provider.Listing, error) {
 			s.lists.Add(1)
@@ -116,8 +115,8 @@
 	}
 }
 
-func TestFollowerListsAgainWhenHistoryIsGone(t *testing.T) {
-	s := &tableStore{watches: make(chan func() (provider.Listing, error))}
+func TestFollowerListsAgainAfterCompaction(t *testing.T) {
+	s := &scriptedStore{watches: make(chan func() (provider.Listing, error))}
 	table := &mirror.Table{}
 	follower := &mirror.Follower{Table: table, Prefix: "", Store: s.store(func() provider.Listing {
 		if s.lists.Load() == 1 {
@@ -134,12 +133,12 @@
 	for _, entry := range table.Since(0).Entries {
 		gone[entry.Key] = entry.Gone
 	}
-	assert.Equal(t, map[string]bool{"a": true, "b": false}, gone, "what was removed in the gap is gone")
+	assert.Equal(t, map[string]bool{"a": true, "b": false}, gone, "the key removed meanwhile has a tombstone")
 	assert.True(t, follower.Known())
 }
 
-func TestFollowerTellsOfLossAndReturn(t *testing.T) {
-	s := &tableStore{watches: make(chan func() (provider.Listing, error))}
+func TestFollowerReportsConnectionLossAndRecoveryOnce(t *testing.T) {
+	s := &scriptedStore{watches: make(chan func() (provider.Listing, error))}
 	contacts := make(chan error, 8)
 	follower := &mirror.Follower{
 		Table: &mirror.Table{}, Store: s.store(func() provider.Listing { return provider.Listing{At: 1} }),
@@ -152,13 +151,13 @@
 	require.ErrorIs(t, <-contacts, down)
 	s.watches <- func() (provider.Listing, error) { return provider.Listing{}, down }
 	s.watches <- func() (provider.Listing, error) { return provider.Listing{At: 1}, nil }
-	require.NoError(t, <-contacts, "one line for a loss, one for the return")
+	require.NoError(t, <-contacts, "one call for the loss, one for the recovery")
 }
 
-// TestAWatchThatHangsIsGivenUp: a store that says nothing is lost like one that
-// refuses, and what it says next is taken.
-func TestAWatchThatHangsIsGivenUp(t *testing.T) {
-	s := &tableStore{watches: make(chan func() (provider.Listing, error))}
+// TestHangingWatchTimesOut checks that a store that does not answer counts as disconnected,
+// and that its next answer is applied.
+func TestHangingWatchTimesOut(t *testing.T) {
+	s := &scriptedStore{watches: make(chan func() (provider.Listing, error))}
 	contacts := make(chan error, 8)
 	table := &mirror.Table{}
 	follower := &mirror.Follower{
@@ -175,29 +174,29 @@
 	assert.Len(t, table.Since(0).Entries, 1)
 }
 
-// TestTheReturnIsKnownBeforeTheNews: whether an entry that goes may have lapsed
-// hangs on the store's having been away.
-func TestTheReturnIsKnownBeforeTheNews(t *testing.T) {
-	s := &tableStore{watches: make(chan func() (provider.Listing, error))}
+// TestReconnectIsRecordedBeforeChangesApply checks the order on which the treatment of
+// removals depends: an entry removed right after a reconnect may only have expired.
+func TestReconnectIsRecordedBeforeChangesApply(t *testing.T) {
+	s := &scriptedStore{watches: make(chan func() (provider.Listing, error))}
 	table := &mirror.Table{}
 	follower := &mirror.Follower{Table: table, Store: s.store(func() provider.Listing { return provider.Listing{At: 1} })}
-	known := make(chan bool, 8)
+	reconnected := make(chan bool, 8)
 	table.OnChange = func([]provider.Entry) {
-		_, ever := follower.Regained()
-		known <- ever
+		_, ok := follower.Regained()
+		reconnected <- ok
 	}
 	follower.Start()
 	defer follower.Stop()
-	news := func(revision provider.Revision) func() (provider.Listing, error) {
+	change := func(revision provider.Revision) func() (provider.Listing, error) {
 		return func() (provider.Listing, error) {
 			return provider.Listing{At: revision, Entries: []provider.Entry{{Key: "a", Revision: revision}}}, nil
 		}
 	}
-	s.watches <- news(2)
-	assert.False(t, <-known, "the store was never away")
+	s.watches <- change(2)
+	assert.False(t, <-reconnected, "the store was never unreachable")
 	s.watches <- func() (provider.Listing, error) { return provider.Listing{}, errors.New("down") }
-	s.watches <- news(3)
-	assert.True(t, <-known)
+	s.watches <- change(3)
+	assert.True(t, <-reconnected)
 }
 
 func decode(entry provider.Entry) (provider.Record, error) {
@@ -213,14 +212,14 @@
 	return provider.Entry{Key: key, Value: data, Revision: revision}
 }
 
-func TestFaultyEntryLeavesTheLastGoodOne(t *testing.T) {
-	var beliefs []mirror.Belief
-	compiler := &mirror.Compiler{Decode: decode, OnBelief: func(b mirror.Belief) { beliefs = append(beliefs, b) }}
-	good := entry(t, "c", 1, provider.Record{Configuration: &provider.Configuration{
+func TestInvalidConfigurationLeavesTheLastValidOne(t *testing.T) {
+	var changes []mirror.Belief
+	compiler := &mirror.Compiler{Decode: decode, OnBelief: func(b mirror.Belief) { changes = append(changes, b) }}
+	valid := entry(t, "c", 1, provider.Record{Configuration: &provider.Configuration{
 		Version: 7, Routes: []provider.Route{{Name: "short", Host: "h", Prefix: "/a/"}, {Name: "long", Host: "h", Prefix: "/a/b/"}},
 		Accounts: []provider.Account{{Name: "x", Keys: []string{"k"}}},
 	}})
-	compiler.Take([]provider.Entry{good})
+	compiler.Take([]provider.Entry{valid})
 	compiler.Take([]provider.Entry{{Key: "c", Value: []byte("{"), Revision: 2}})
 	view := compiler.View()
 	assert.Equal(t, uint64(7), view.Configuration.Version)
@@ -228,44 +227,43 @@
 	assert.Equal(t, "short", view.Route("h", "/a/x").Name)
 	assert.Nil(t, view.Route("other", "/a/x"))
 	assert.Equal(t, "x", view.Account("k").Name)
-	require.Len(t, beliefs, 2)
-	require.Error(t, beliefs[1].Err)
+	require.Len(t, changes, 2)
+	require.Error(t, changes[1].Err)
 }
 
-// TestAnEntryThatCannotBeReadNamesNoUpstream: an entry was spoiled by another writer, and the
-// upstream that stood there before was used on (1 where 0 is right). The others hold, and
-// it is back with its next good entry.
-func TestAnEntryThatCannotBeReadNamesNoUpstream(t *testing.T) {
+// TestInvalidEntryDropsItsUpstream checks that an upstream whose entry was corrupted by another
+// writer is dropped, that others stay, and that its next valid entry restores it.
+func TestInvalidEntryDropsItsUpstream(t *testing.T) {
 	var last mirror.Belief
 	compiler := &mirror.Compiler{
 		Decode: decode, Lapses: func() bool { return true }, OnBelief: func(b mirror.Belief) { last = b },
 	}
-	used := func() int { return len(compiler.View().Upstreams["s"]) }
+	inUse := func() int { return len(compiler.View().Upstreams["s"]) }
 	list := func(key, address string, revision provider.Revision) {
 		record := provider.Record{Upstream: &provider.Upstream{ID: key, Service: "s", Address: netip.MustParseAddrPort(address)}}
 		compiler.Take([]provider.Entry{entry(t, key, revision, record)})
 	}
 	list("a", "10.0.0.1:80", 1)
 	list("b", "10.0.0.2:80", 2)
-	require.Equal(t, 2, used())
+	require.Equal(t, 2, inUse())
 
 	compiler.Take([]provider.Entry{{Key: "a", Value: []byte{0xff, 0}, Revision: 3}})
-	assert.Equal(t, 1, used())
+	assert.Equal(t, 1, inUse())
 	assert.True(t, last.Dropped)
 	require.Error(t, last.Err)
 	assert.False(t, compiler.Lapsed())
 
 	list("a", "10.0.0.1:80", 4)
-	assert.Equal(t, 2, used())
+	assert.Equal(t, 2, inUse())
 
 	compiler.Take([]provider.Entry{{Key: "c", Value: []byte("{"), Revision: 5}})
-	assert.False(t, last.Dropped, "nothing stood there")
-	assert.Equal(t, 2, used())
+	assert.False(t, last.Dropped, "the key named no upstream")
+	assert.Equal(t, 2, inUse())
 }
 
-func TestOlderDeclarationsKeepTheirTime(t *testing.T) {
+func TestEarlierDeclarationsKeepTheirDeadlines(t *testing.T) {
 	compiler := &mirror.Compiler{Decode: decode}
-	compiler.Take([]provider.Entry{entry(t, "c", 1, provider.Record{})}) // something was known before
+	compiler.Take([]provider.Entry{entry(t, "c", 1, provider.Record{})}) // the declarations are not part of the first state
 	for version := 2; version <= 9; version++ {
 		target := &provider.Target{Model: "m", Version: version}
 		compiler.Take([]provider.Entry{entry(t, "v/m", provider.Revision(version), provider.Record{Target: target})})
@@ -276,15 +274,15 @@
 		assert.Equal(t, 9-linked, d.Version)
 		linked++
 	}
-	assert.Equal(t, 4, linked, "a bounded history")
+	assert.Equal(t, 4, linked, "the history is bounded")
 
 	const grace, apply = 6 * time.Second, 8 * time.Second
 	now := declared.Learned
 	declared.Before.Learned = now.Add(-7 * time.Second)
-	assert.Equal(t, 8, declared.Required(now, grace, apply), "the older one's time is over, the newer one's is not")
+	assert.Equal(t, 8, declared.Required(now, grace, apply), "only the older deadline has passed")
 	assert.Equal(t, 9, declared.Required(now.Add(grace+time.Second), grace, apply))
 	declared.Before = nil
 	assert.Zero(t, declared.Required(now, grace, apply))
 	declared.Found = true
-	assert.Equal(t, 9, declared.Required(now.Add(2*time.Second), grace, apply), "one that was found may be old")
+	assert.Equal(t, 9, declared.Required(now.Add(2*time.Second), grace, apply), "a declaration of the first state may be old")
 }
--- a/daemon/internal/process/mirror/link_test.go
+++ b/daemon/internal/process/mirror/sharedlink_test.go
@@ -14,19 +14,19 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// sharedLink sends to all who read at the same time, each its part of the rate.
+// sharedLink divides its rate evenly among concurrent readers.
 type sharedLink struct {
-	// alone is how long one state takes while nobody else reads.
-	alone   time.Duration
-	readers atomic.Int64
+	// transfer is how long one state takes for a single reader.
+	transfer time.Duration
+	readers  atomic.Int64
 }
 
-// send sends some states and reports them as they go.
+// send sends states and reports progress.
 func (l *sharedLink) send(ctx context.Context, states int) error {
 	const step = 10 * time.Millisecond
 	l.readers.Add(1)
 	defer l.readers.Add(-1)
-	for sent := time.Duration(0); sent < time.Duration(states)*l.alone; sent += step / time.Duration(l.readers.Load()) {
+	for sent := time.Duration(0); sent < time.Duration(states)*l.transfer; sent += step / time.Duration(l.readers.Load()) {
 		if !helpers.Pause(step, ctx.Done()) {
 			return ctx.Err()
 		}
@@ -35,10 +35,10 @@
 	return nil
 }
 
-// linkedStore has one large entry that was changed at some moments, behind a link.
+// linkedStore has one large entry behind a shared link.
 type linkedStore struct {
 	link sharedLink
-	// changes are the moments of the entry's states, revisions 1 and up.
+	// changes holds the times of the entry's states, revisions 1 and up.
 	changes []time.Time
 }
 
@@ -76,25 +76,16 @@
 	return listing, s.link.send(ctx, len(listing.Entries))
 }
 
-// Symptom: routers outside the store's region had a changed configuration 2 to 16 s
-// late, and sent requests to upstreams that had left long before.
-//
-// Sequence: the configuration grew to 300 KB; 13 routers of a region read it over
-// one link of 24 Mbit/s, 1.8 s for all of them; it changed again meanwhile.
-//
-// Cause: a watch was given up 0.7 s after the end of its wait, however much of its
-// answer had come, and begun anew. So the link was full of parts of answers, and
-// with each round all were further behind.
-//
-// What settled it: all 25 routers that gave a watch up had read 263 to 721 KB of the
-// answer ("context deadline exceeded", with the bytes that came).
-func TestAnswersUnderWayAreReadToTheEnd(t *testing.T) {
+// TestSlowAnswersAreNotCanceled guards against canceling a watch whose answer is arriving
+// slowly. Retries of such watches would fill the shared link with partial answers, and
+// all routers behind it would become ever more stale.
+func TestSlowAnswersAreNotCanceled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const routers = 13
-		began := time.Now()
+		started := time.Now()
 		store := &linkedStore{
-			link:    sharedLink{alone: 135 * time.Millisecond},
-			changes: []time.Time{began, began.Add(5 * time.Second), began.Add(5500 * time.Millisecond), began.Add(6 * time.Second)},
+			link:    sharedLink{transfer: 135 * time.Millisecond},
+			changes: []time.Time{started, started.Add(5 * time.Second), started.Add(5500 * time.Millisecond), started.Add(6 * time.Second)},
 		}
 		var followers []*mirror.Follower
 		for range routers {
@@ -105,9 +96,9 @@
 			follower.Start()
 			followers = append(followers, follower)
 		}
-		// All have the first change after 6.8 s. Then the link needs 3.6 s for the two
-		// others, and a watch begins 0.8 s after the answer before it.
-		helpers.Pause(time.Until(began.Add(12*time.Second)), nil)
+		// All followers have the first change after 6.8 s. The link then needs 3.6 s for
+		// the other two, and each watch begins 0.8 s after the previous answer.
+		helpers.Pause(time.Until(started.Add(12*time.Second)), nil)
 		for _, follower := range followers {
 			assert.Equal(t, store.newest(), follower.Table.Newest())
 			follower.Stop()
--- a/daemon/internal/process/mirror/suspension_test.go
+++ b/daemon/internal/process/mirror/suspension_test.go
@@ -13,7 +13,7 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// host is a host that can be suspended: its steady clock stands still then.
+// host is a host that can be suspended, which stops its monotonic clock.
 type host struct{ steady, boot time.Duration }
 
 func (h *host) now() func() time.Time {
@@ -24,13 +24,13 @@
 
 func (h *host) suspend(d time.Duration) {
 	h.boot += d
-	h.steady += time.Second // it runs on for a moment before anybody asks
+	h.steady += time.Second // the host runs on before the clock is read
 	h.boot += time.Second
 }
 
-// TestASuspendedHostsCopyIsOld: a router that was suspended for five seconds took its copy
-// for as fresh as before, by a clock that stood still meanwhile.
-func TestASuspendedHostsCopyIsOld(t *testing.T) {
+// TestReplicaAgesDuringSuspension guards against a replica that counts as current after its
+// host was suspended, because the monotonic clock stood still meanwhile.
+func TestReplicaAgesDuringSuspension(t *testing.T) {
 	h := &host{steady: time.Second}
 	answered := make(chan struct{})
 	follower := &mirror.Follower{
@@ -52,14 +52,13 @@
 	assert.False(t, follower.Standing().Behind())
 	h.suspend(5 * time.Second)
 	assert.InDelta(t, 6*time.Second, follower.Age(), float64(time.Millisecond))
-	assert.True(t, follower.Standing().Behind(), "others are not to go by its copy")
+	assert.True(t, follower.Standing().Behind(), "peers must not use its replica")
 	follower.Stop()
 }
 
-// TestASuspendedHostsVersionsAreDue: a version was declared a second before its host was
-// suspended for five, and has eight seconds. Engines with the one before it were used for
-// five seconds too long.
-func TestASuspendedHostsVersionsAreDue(t *testing.T) {
+// TestVersionDeadlinesPassDuringSuspension guards against a suspension that extends the use
+// of engines with an old version.
+func TestVersionDeadlinesPassDuringSuspension(t *testing.T) {
 	h := &host{steady: time.Second}
 	now := h.now()
 	compiler := &mirror.Compiler{Decode: decode, Now: now}
@@ -73,7 +72,7 @@
 	const apply, grace = 8 * time.Second, 7 * time.Second
 	declared := compiler.View().Targets["m"]
 	h.suspend(5 * time.Second)
-	assert.Equal(t, 1, declared.Required(now(), grace, apply), "six seconds have passed")
+	assert.Equal(t, 1, declared.Required(now(), grace, apply), "6 s after the declaration")
 	h.suspend(500 * time.Millisecond)
-	assert.Equal(t, 2, declared.Required(now(), grace, apply), "seven and a half have")
+	assert.Equal(t, 2, declared.Required(now(), grace, apply), "7.5 s after the declaration")
 }
--- a/daemon/internal/process/mirror/table.go
+++ b/daemon/internal/process/mirror/table.go
@@ -1,13 +1,13 @@
-// Package mirror keeps a copy of the parts of the store that a daemon follows,
-// and the views that are compiled from it.
+// Package mirror holds a daemon's replica of the store and the views that are compiled
+// from it. Routers and loaders follow the store or a peer with a Follower, which applies
+// updates to a Table, from which a Compiler builds immutable Views.
 //
-// The store's revision is the only order. For each key the highest revision
-// wins, whoever brings it: the own watch, a fresh list, or another daemon that
-// still hears the store while this one does not. So news may come late, twice
-// and out of order, and nothing that was in force comes back.
+// The store's revision is the only order: for each key the highest revision wins, whether
+// a watch, a list or a peer delivers it. So updates may arrive late, repeatedly and out of
+// order, and no superseded state returns.
 //
-// Removals stay as entries without a value, because a peer's older copy must
-// not bring a removed entry back. They are dropped after removalsKept.
+// Removals are kept as tombstones for tombstoneRetention, because a peer's older replica
+// must not restore a removed entry.
 package mirror
 
 import (
@@ -19,104 +19,107 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// removalsKept is how long a removal is remembered. News from peers is seconds
-// old at most.
-const removalsKept = 2 * time.Minute
+// tombstoneRetention is how long tombstones are kept. Updates from peers are seconds old
+// at most.
+const tombstoneRetention = 2 * time.Minute
 
-// Table is the copy. The zero value is empty and ready to use.
+// Table holds the newest received state of each key. The zero value is empty and ready
+// to use.
 type Table struct {
-	// OnChange is called with the entries that were new, in no lock, one call
-	// at a time. It is set before the first change.
+	// OnChange is called with new entries, one call at a time and without the table
+	// locked. It is set before the first change.
 	OnChange func([]provider.Entry)
 
-	// applying orders calls of OnChange. It is taken before mu.
-	applying sync.Mutex
+	// notifyMu orders calls of OnChange. It is locked before mu.
+	notifyMu sync.Mutex
 	mu       sync.Mutex
-	// entries holds the newest known state of each key, removals included.
-	entries map[string]kept
-	// newest is the highest revision of any entry taken.
+	// entries holds the newest received state of each key, tombstones included.
+	entries map[string]stored
+	// newest is the highest revision of any entry.
 	newest provider.Revision
-	// changed is closed at the next change; nil while nobody waits for one.
+	// changed is closed at the next change; nil while no caller waits for one.
 	changed chan struct{}
-	// changes counts the changes so far.
+	// changes counts the changes.
 	changes uint64
 }
 
-type kept struct {
+// stored is an entry and when it was received.
+type stored struct {
 	provider.Entry
-	since time.Time
+	received time.Time
 }
 
-// Apply takes news; entries that are not newer than what is known are ignored.
-// It returns how many were new.
+// Apply merges entries into the table and returns how many were new. Entries that are not
+// newer than the table's are ignored.
 func (t *Table) Apply(entries []provider.Entry) int {
-	t.applying.Lock()
-	defer t.applying.Unlock()
-	fresh := t.merge(entries)
-	if len(fresh) > 0 && t.OnChange != nil {
-		t.OnChange(fresh)
+	t.notifyMu.Lock()
+	defer t.notifyMu.Unlock()
+	applied := t.merge(entries)
+	if len(applied) > 0 && t.OnChange != nil {
+		t.OnChange(applied)
 	}
-	return len(fresh)
+	return len(applied)
 }
 
-// Recompile calls OnChange without news, for what is worked out from the table
-// and changes with time.
+// Recompile calls OnChange without entries, for views that depend on the time.
 func (t *Table) Recompile() {
-	t.applying.Lock()
-	defer t.applying.Unlock()
+	t.notifyMu.Lock()
+	defer t.notifyMu.Unlock()
 	if t.OnChange != nil {
 		t.OnChange(nil)
 	}
 }
 
-// Replace takes a whole list of a prefix: what it lacks and was not changed
-// after it is gone.
+// Replace applies a complete list of a prefix. Entries that the list lacks are removed
+// unless they changed after it.
 func (t *Table) Replace(prefix string, listing provider.Listing) int {
 	present := make(map[string]bool, len(listing.Entries))
 	for _, entry := range listing.Entries {
 		present[entry.Key] = true
 	}
-	news := listing.Entries
+	update := listing.Entries
 	t.mu.Lock()
 	for key, entry := range t.entries {
 		if strings.HasPrefix(key, prefix) && !present[key] && !entry.Gone && entry.Revision <= listing.At {
-			news = append(news, provider.Entry{Key: key, Revision: listing.At, Gone: true})
+			update = append(update, provider.Entry{Key: key, Revision: listing.At, Gone: true})
 		}
 	}
 	t.mu.Unlock()
-	return t.Apply(news)
+	return t.Apply(update)
 }
 
+// merge stores entries that are newer than the table's, drops old tombstones and returns
+// the new entries.
 func (t *Table) merge(entries []provider.Entry) []provider.Entry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.entries == nil {
-		t.entries = map[string]kept{}
+		t.entries = map[string]stored{}
 	}
 	now := clock.Now()
-	var fresh []provider.Entry
+	var applied []provider.Entry
 	for _, entry := range entries {
 		known, ok := t.entries[entry.Key]
 		if ok && entry.Revision <= known.Revision {
 			continue
 		}
-		t.entries[entry.Key] = kept{entry, now}
+		t.entries[entry.Key] = stored{entry, now}
 		t.newest = max(t.newest, entry.Revision)
-		fresh = append(fresh, entry)
+		applied = append(applied, entry)
 	}
 	for key, entry := range t.entries {
-		if entry.Gone && now.Sub(entry.since) > removalsKept {
+		if entry.Gone && now.Sub(entry.received) > tombstoneRetention {
 			delete(t.entries, key)
 		}
 	}
-	if len(fresh) > 0 {
+	if len(applied) > 0 {
 		t.changes++
 		if t.changed != nil {
 			close(t.changed)
 			t.changed = nil
 		}
 	}
-	return fresh
+	return applied
 }
 
 // Changed returns a channel that is closed at the next change.
@@ -129,17 +132,17 @@
 	return t.changed
 }
 
-// Changes returns how often the table changed.
+// Changes returns the number of changes.
 func (t *Table) Changes() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.changes
 }
 
-// Since returns every entry above a revision, removals included; 0 returns all.
+// Since returns the entries above a revision, tombstones included; 0 returns all.
 func (t *Table) Since(after provider.Revision) provider.Listing { return t.SinceUnder("", after) }
 
-// SinceUnder is Since for the keys under a prefix.
+// SinceUnder returns the entries under a prefix above a revision, tombstones included.
 func (t *Table) SinceUnder(prefix string, after provider.Revision) provider.Listing {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -154,7 +157,7 @@
 	return listing
 }
 
-// Newest returns the highest revision of any entry taken, or 0.
+// Newest returns the highest revision of any entry, or 0.
 func (t *Table) Newest() provider.Revision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- /dev/null
+++ b/daemon/internal/process/mirror/versionpolicy.go
@@ -0,0 +1,47 @@
+package mirror
+
+import "time"
+
+const (
+	// penaltyStart and penaltyFull are the times left before a version's deadline at
+	// which upstreams that lack it begin to be avoided, and are avoided fully. The
+	// gradual shift drains hosts whose link or loader has failed before the deadline.
+	penaltyStart = 2240 * time.Millisecond
+	penaltyFull  = 1200 * time.Millisecond
+	// cutoff is the time left before the deadline from which such upstreams get no
+	// requests: those queued or in flight there need it to finish.
+	cutoff = 960 * time.Millisecond
+	// referenceTimeout is the apply timeout below which these times shrink in proportion.
+	referenceTimeout = 8 * time.Second
+)
+
+// elapsedAt returns the time since a declaration at which left remains of its apply timeout.
+func elapsedAt(left, applyTimeout time.Duration) time.Duration {
+	if applyTimeout < referenceTimeout {
+		left = time.Duration(float64(left) * float64(applyTimeout) / float64(referenceTimeout))
+	}
+	return applyTimeout - left
+}
+
+// Demand says on which versions of a model requests may run.
+type Demand struct {
+	// Lowest is the lowest version that may serve, 0 for any.
+	Lowest int
+	// Preferred is the version below which upstreams are avoided, 0 for none, and
+	// Avoid how strongly: from 0, not at all, to 1.
+	Preferred int
+	Avoid     float64
+}
+
+// Demand returns the policy in force for a model's newest declaration and those before
+// it, each of which is to be applied within applyTimeout.
+func (d *Declared) Demand(now time.Time, applyTimeout time.Duration) Demand {
+	policy := Demand{Lowest: d.Required(now, elapsedAt(cutoff, applyTimeout), applyTimeout)}
+	start, full := elapsedAt(penaltyStart, applyTimeout), elapsedAt(penaltyFull, applyTimeout)
+	if declared := d.olderThan(start, now, applyTimeout); declared != nil {
+		elapsed := now.Sub(declared.Since(applyTimeout))
+		policy.Preferred = declared.Version
+		policy.Avoid = min(float64(elapsed-start)/float64(full-start), 1)
+	}
+	return policy
+}
--- a/daemon/internal/process/mirror/demand_test.go
+++ b/daemon/internal/process/mirror/versionpolicy_test.go
@@ -11,24 +11,24 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// TestOldVersionsAreAvoidedMoreAndMore as the time of a version runs out, and
-// get nothing before it is over.
-func TestOldVersionsAreAvoidedMoreAndMore(t *testing.T) {
+// TestOldVersionsAreAvoidedTowardsTheDeadline checks that upstreams with an old version are
+// avoided increasingly before the deadline of the new one and excluded shortly before it.
+func TestOldVersionsAreAvoidedTowardsTheDeadline(t *testing.T) {
 	const apply = 8 * time.Second
 	declared := time.Unix(1000, 0)
 	target := &mirror.Declared{Target: provider.Target{Model: "m", Version: 2}, Learned: declared}
-	assert.Zero(t, target.Demand(declared.Add(apply/2), apply), "as before")
+	assert.Zero(t, target.Demand(declared.Add(apply/2), apply), "no change yet")
 	early := target.Demand(declared.Add(apply*75/100), apply)
 	assert.Equal(t, []int{0, 2}, []int{early.Lowest, early.Preferred})
 	later := target.Demand(declared.Add(apply*82/100), apply)
 	assert.Greater(t, later.Avoid, early.Avoid)
-	over := target.Demand(declared.Add(apply*9/10), apply)
-	assert.Equal(t, mirror.Demand{Lowest: 2, Preferred: 2, Avoid: 1}, over)
+	end := target.Demand(declared.Add(apply*9/10), apply)
+	assert.Equal(t, mirror.Demand{Lowest: 2, Preferred: 2, Avoid: 1}, end)
 }
 
-// TestLongTimesLeaveOldVersionsLonger: what waits at an upstream needs as long however much
-// time a version has.
-func TestLongTimesLeaveOldVersionsLonger(t *testing.T) {
+// TestLongApplyTimeoutsDoNotLengthenTheCutoff checks that the margins before the deadline
+// stay constant for long timeouts: queued requests need the same time to finish.
+func TestLongApplyTimeoutsDoNotLengthenTheCutoff(t *testing.T) {
 	declared := time.Unix(1000, 0)
 	target := &mirror.Declared{Target: provider.Target{Model: "m", Version: 2}, Learned: declared}
 	for _, apply := range []time.Duration{8 * time.Second, 13400 * time.Millisecond, time.Minute} {
@@ -38,9 +38,9 @@
 	}
 }
 
-// TestDemandsOnlyRise while no version is declared, whatever lies between the
-// declarations; the lowest is never above the preferred one.
-func TestDemandsOnlyRise(t *testing.T) {
+// TestVersionPolicyIsMonotonic checks that the policy never relaxes while no version is
+// declared, and that the lowest version never exceeds the preferred one.
+func TestVersionPolicyIsMonotonic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		apply := time.Duration(rapid.IntRange(100, 20000).Draw(t, "apply")) * time.Millisecond
 		at := time.Unix(1000, 0)
@@ -49,18 +49,18 @@
 			at = at.Add(time.Duration(rapid.IntRange(0, 20000).Draw(t, "pause")) * time.Millisecond)
 			newest = &mirror.Declared{Target: provider.Target{Version: version + 2}, Learned: at, Before: newest}
 		}
-		before := mirror.Demand{}
+		previous := mirror.Demand{}
 		for range 30 {
 			at = at.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "step")) * time.Millisecond)
-			demand := newest.Demand(at, apply)
-			assert.GreaterOrEqual(t, demand.Lowest, before.Lowest)
-			assert.GreaterOrEqual(t, demand.Preferred, before.Preferred)
-			assert.LessOrEqual(t, demand.Lowest, demand.Preferred)
-			assert.True(t, 0 <= demand.Avoid && demand.Avoid <= 1)
-			if demand.Preferred == before.Preferred {
-				assert.GreaterOrEqual(t, demand.Avoid, before.Avoid)
+			policy := newest.Demand(at, apply)
+			assert.GreaterOrEqual(t, policy.Lowest, previous.Lowest)
+			assert.GreaterOrEqual(t, policy.Preferred, previous.Preferred)
+			assert.LessOrEqual(t, policy.Lowest, policy.Preferred)
+			assert.True(t, 0 <= policy.Avoid && policy.Avoid <= 1)
+			if policy.Preferred == previous.Preferred {
+				assert.GreaterOrEqual(t, policy.Avoid, previous.Avoid)
 			}
-			before = demand
+			previous = policy
 		}
 	})
 }
--- a/daemon/internal/process/mirror/view.go
+++ b/daemon/internal/process/mirror/view.go
@@ -12,82 +12,80 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// View is what requests are decided by, compiled from one state of the table.
-// It never changes; a new state is a new view.
+// View is the immutable state by which requests are decided, compiled from one state of
+// the table.
 type View struct {
-	// Configuration is nil while none is known.
+	// Configuration is nil until one was received.
 	Configuration *provider.Configuration
 	// ConfigurationRevision is the revision of the configuration's entry.
 	ConfigurationRevision provider.Revision
-	// Upstreams holds the upstreams of each service, leaving ones included, but none of a
-	// hall that is evacuated.
+	// Upstreams holds the upstreams of each service, including those that are leaving,
+	// without those of evacuated halls.
 	Upstreams map[string][]*provider.Upstream
 	// Targets holds the declared version of each model.
 	Targets map[string]Declared
-	// Members holds the known routers by name.
+	// Members holds the routers by name.
 	Members map[string]*provider.Member
 
-	hosts    map[string][]*provider.Route // by host name
-	accounts map[string]*provider.Account // by key
-	services map[string]*provider.Service // by name
-	// priorities are those of each service's requests, most urgent first.
+	routesByHost  map[string][]*provider.Route
+	accountsByKey map[string]*provider.Account
+	services      map[string]*provider.Service // by name
+	// priorities holds the priorities of each service's requests, most urgent first.
 	priorities map[string][]int
-	// objectives are the shortest of each service's routes.
+	// objectives holds the shortest objective of each service's routes.
 	objectives map[string]time.Duration
 }
 
-// Declared is a declared version and what this daemon knows of when.
+// Declared is a declared version of a model and when this daemon received it.
 type Declared struct {
 	provider.Target
 	Revision provider.Revision
-	// Learned is when this daemon first heard of it.
+	// Learned is when this daemon received the declaration.
 	Learned time.Time
-	// Found says that it was there when this daemon first heard anything, so
-	// that it may have been declared long before.
+	// Found says that the declaration was part of the first state this daemon received,
+	// so it may be much older than Learned.
 	Found bool
-	// Before is the declaration that this one replaced, if that was heard of.
-	// At most keptDeclarations are linked.
+	// Before is the declaration that this one replaced, if it was received. At most
+	// maxDeclarations are linked.
 	Before *Declared
 }
 
-// keptDeclarations is how many declarations of a model are remembered, one
-// after the other.
-const keptDeclarations = 4
+// maxDeclarations is the number of declarations that are kept of a model.
+const maxDeclarations = 4
 
-// Since returns when the declaration was made, as far as this daemon can tell:
-// of one that was found it takes a part of the time that it has as passed.
-func (d *Declared) Since(apply time.Duration) time.Time {
-	const passed = 0.6
+// Since returns when the version was declared, as far as this daemon can tell. A
+// declaration that preceded this daemon counts as being partway through its apply timeout.
+func (d *Declared) Since(applyTimeout time.Duration) time.Time {
+	const elapsedPart = 0.6
 	if d.Found {
-		return d.Learned.Add(-time.Duration(passed * float64(apply)))
+		return d.Learned.Add(-time.Duration(elapsedPart * float64(applyTimeout)))
 	}
 	return d.Learned
 }
 
-// Required returns the lowest version that must serve now: the newest whose
-// declaration is older than grace. Apply is the time that a declaration has.
-func (d *Declared) Required(now time.Time, grace, apply time.Duration) int {
-	if declared := d.olderThan(grace, now, apply); declared != nil {
+// Required returns the lowest version that may serve now: the newest that was declared
+// longer than grace ago, or 0.
+func (d *Declared) Required(now time.Time, grace, applyTimeout time.Duration) int {
+	if declared := d.olderThan(grace, now, applyTimeout); declared != nil {
 		return declared.Version
 	}
 	return 0
 }
 
-// olderThan returns the newest declaration that was made longer ago than some
-// time, nil where there is none.
-func (d *Declared) olderThan(age time.Duration, now time.Time, apply time.Duration) *Declared {
+// olderThan returns the newest declaration that is older than age, or nil.
+func (d *Declared) olderThan(age time.Duration, now time.Time, applyTimeout time.Duration) *Declared {
 	for declared := d; declared != nil; declared = declared.Before {
-		if now.Sub(declared.Since(apply)) > age {
+		if now.Sub(declared.Since(applyTimeout)) > age {
 			return declared
 		}
 	}
 	return nil
 }
 
-// Route returns the route of the longest prefix that begins the path.
+// Route returns the route of a host with the longest prefix of the path, or nil.
 func (v *View) Route(host, path string) *provider.Route {
 	var best *provider.Route
-	for _, route := range v.hosts[host] {
+	for _, route := range v.routesByHost[host] {
 		if strings.HasPrefix(path, route.Prefix) && (best == nil || len(route.Prefix) > len(best.Prefix)) {
 			best = route
 		}
@@ -95,8 +93,8 @@
 	return best
 }
 
-// Account returns the account that holds a key, or nil.
-func (v *View) Account(key string) *provider.Account { return v.accounts[key] }
+// Account returns the account of a key, or nil.
+func (v *View) Account(key string) *provider.Account { return v.accountsByKey[key] }
 
 // HasAccounts reports whether requests need a key.
 func (v *View) HasAccounts() bool { return len(v.Configuration.Accounts) > 0 }
@@ -104,41 +102,39 @@
 // Service returns a declared service, or nil.
 func (v *View) Service(name string) *provider.Service { return v.services[name] }
 
-// Compiler turns changes of a table into views. The zero value has an empty
-// view; Decode must be set.
+// Compiler compiles changes of a table into views. The zero value has an empty view;
+// Decode must be set.
 type Compiler struct {
 	Decode func(provider.Entry) (provider.Record, error)
-	// OnBelief is called for each change of what is believed. It may be nil.
+	// OnBelief is called for each changed entry. It may be nil.
 	OnBelief func(Belief)
-	// OnSuspect takes what routers keep of a content. It may be nil.
+	// OnSuspect takes the routers' notes on quarantined contents. It may be nil.
 	OnSuspect func(note []byte) error
-	// Lapses reports whether an entry that goes now may have lapsed only because
-	// its upstream could not reach the store. Nil means never. Such upstreams are
-	// used for lapseKept more, and whoever keeps the compiler is to call Take
-	// again then.
+	// Lapses reports whether an entry that is removed now may have expired only because
+	// its upstream could not reach the store. Nil means never. Such an upstream stays in
+	// use for expiryGrace, after which the owner of the compiler must call Take.
 	Lapses func() bool
 	// Now is the clock; nil means clock.Now.
 	Now func() time.Time
 
 	view atomic.Pointer[View]
-	// upstreams, targets and members are decoded entries by key; only Take
-	// touches them.
+	// upstreams, targets and members are decoded entries by key. Only Take accesses them.
 	upstreams map[string]listed
 	targets   map[string]Declared
 	members   map[string]*provider.Member
-	// evacuated holds the halls that get nothing, by key.
+	// evacuated holds the evacuated halls, which get no requests, by key.
 	evacuated map[string]string
-	// lapsed holds, by key, upstreams whose entry lapsed a short time ago.
-	lapsed map[string]lapsed
-	// taken is set once any entry was taken but for those of routers, which a router
-	// reads before all else.
-	taken bool
+	// expired holds upstreams whose entry expired recently, by key.
+	expired map[string]expired
+	// synced is set once any entry other than a router's was taken. Routers' records are
+	// read first and do not mark the start of the replica.
+	synced bool
 }
 
-// lapseKept is how long an upstream is used on after its entry lapsed. Those that
-// live are back about two seconds after the store is; whoever leaves serves as
-// long after its entry is gone.
-const lapseKept = 1500 * time.Millisecond
+// expiryGrace is how long an upstream stays in use after its entry expired. A running
+// upstream registers again within two seconds of the store's recovery, and one that
+// leaves keeps serving for as long after its entry is removed.
+const expiryGrace = 1500 * time.Millisecond
 
 // listed is an upstream and the revision that created its entry.
 type listed struct {
@@ -146,19 +142,18 @@
 	created provider.Revision
 }
 
-// lapsed is an upstream whose entry lapsed, and until when it is used.
-type lapsed struct {
+// expired is an upstream whose entry expired, and until when it stays in use.
+type expired struct {
 	listed
 	until time.Time
 }
 
-// Belief is one change of what a daemon believes: the entry, what it was
-// decoded to, and the error where it was not taken.
+// Belief is a changed entry, its decoded record, and the error if it was rejected.
 type Belief struct {
 	Entry  provider.Entry
 	Record provider.Record
 	Err    error
-	// Dropped says that what the entry named before is not used any more.
+	// Dropped says that what the entry named before is no longer in use.
 	Dropped bool
 }
 
@@ -170,28 +165,29 @@
 	return &View{}
 }
 
-// Take compiles changed entries into a new view. A value that cannot be decoded is reported.
-// It leaves the last good declaration in force, and no upstream.
+// Take compiles changed entries into a new view. A value that cannot be decoded is
+// reported to OnBelief. The last valid declaration of an operator stays in force then,
+// while an upstream is dropped.
 func (c *Compiler) Take(changed []provider.Entry) {
 	if c.upstreams == nil {
 		c.upstreams = map[string]listed{}
 		c.targets = map[string]Declared{}
 		c.members = map[string]*provider.Member{}
-		c.lapsed = map[string]lapsed{}
+		c.expired = map[string]expired{}
 		c.evacuated = map[string]string{}
 	}
 	next := *c.View()
 	for _, entry := range changed {
 		c.takeEntry(&next, entry)
 	}
-	c.taken = c.taken || slices.ContainsFunc(changed, c.isNotMember)
-	c.forgetLapsed()
+	c.synced = c.synced || slices.ContainsFunc(changed, c.isNotMember)
+	c.pruneExpired()
 	evacuated := map[string]bool{}
 	for _, hall := range c.evacuated {
 		evacuated[hall] = true
 	}
 	next.Upstreams = map[string][]*provider.Upstream{}
-	for _, upstream := range c.occupants() {
+	for _, upstream := range c.upstreamsByAddress() {
 		if evacuated[upstream.Hall] {
 			continue
 		}
@@ -210,54 +206,55 @@
 
 func (c *Compiler) isNotMember(entry provider.Entry) bool { return c.members[entry.Key] == nil }
 
-// forgetLapsed drops the lapsed upstreams that are back, or whose time is over.
-func (c *Compiler) forgetLapsed() {
-	for key, kept := range c.lapsed {
-		if _, back := c.upstreams[key]; back || !c.now().Before(kept.until) {
-			delete(c.lapsed, key)
+// pruneExpired drops the expired upstreams that registered again or whose grace is over.
+func (c *Compiler) pruneExpired() {
+	for key, upstream := range c.expired {
+		if _, registered := c.upstreams[key]; registered || !c.now().Before(upstream.until) {
+			delete(c.expired, key)
 		}
 	}
 }
 
-// occupants returns the upstream at each address: of several entries that name the
-// same one, the one created last. The entry of an upstream that lost its power
-// stays for some heartbeats, while another runs in its place by then.
-func (c *Compiler) occupants() map[netip.AddrPort]listed {
-	at := make(map[netip.AddrPort]listed, len(c.upstreams))
-	take := func(upstream listed) {
-		known, taken := at[upstream.Address]
-		if !taken || upstream.created > known.created {
-			at[upstream.Address] = upstream
+// upstreamsByAddress returns the upstream at each address. Of several entries for one
+// address the one created last wins: after a power failure the entry of the previous
+// upstream stays for some heartbeats while its successor is already running.
+func (c *Compiler) upstreamsByAddress() map[netip.AddrPort]listed {
+	byAddress := make(map[netip.AddrPort]listed, len(c.upstreams))
+	add := func(upstream listed) {
+		known, ok := byAddress[upstream.Address]
+		if !ok || upstream.created > known.created {
+			byAddress[upstream.Address] = upstream
 		}
 	}
 	for _, upstream := range c.upstreams {
-		take(upstream)
+		add(upstream)
 	}
-	for _, kept := range c.lapsed {
-		take(kept.listed)
+	for _, upstream := range c.expired {
+		add(upstream.listed)
 	}
-	return at
+	return byAddress
 }
 
+// takeEntry takes one changed entry.
 func (c *Compiler) takeEntry(next *View, entry provider.Entry) {
 	if entry.Gone {
-		c.keepLapsed(entry.Key)
+		c.keepExpired(entry.Key)
 		delete(c.upstreams, entry.Key)
 		delete(c.members, entry.Key)
 		delete(c.evacuated, entry.Key)
-		c.believe(Belief{Entry: entry})
+		c.report(Belief{Entry: entry})
 		return
 	}
 	record, err := c.Decode(entry)
 	dropped := err != nil && c.drop(entry.Key)
-	c.believe(Belief{Entry: entry, Record: record, Err: err, Dropped: dropped})
+	c.report(Belief{Entry: entry, Record: record, Err: err, Dropped: dropped})
 	if err != nil {
 		return
 	}
 	switch {
 	case record.Configuration != nil:
 		next.ConfigurationRevision = entry.Revision
-		next.takeConfiguration(record.Configuration)
+		next.setConfiguration(record.Configuration)
 	case record.Evacuated != "":
 		c.evacuated[entry.Key] = record.Evacuated
 	case record.Upstream != nil:
@@ -271,49 +268,48 @@
 		c.members[entry.Key] = record.Member
 	case record.Suspect != nil && c.OnSuspect != nil:
 		if err := c.OnSuspect(record.Suspect); err != nil {
-			c.believe(Belief{Entry: entry, Err: err})
+			c.report(Belief{Entry: entry, Err: err})
 		}
 	}
 }
 
-// drop forgets the upstream or the router of an entry that cannot be read any more, and
-// reports whether there was one. Whoever wrote it, it names none to send to: sent to on the
-// word of the entry before, an upstream may long be another. Of what operators declare the
-// last good one stays in force.
+// drop removes the upstream or router of an entry that can no longer be decoded, and
+// reports whether there was one. The address of the last valid record must not be used:
+// it may belong to another upstream by now.
 func (c *Compiler) drop(key string) bool {
 	_, upstream := c.upstreams[key]
 	_, member := c.members[key]
 	delete(c.upstreams, key)
-	delete(c.lapsed, key)
+	delete(c.expired, key)
 	delete(c.members, key)
 	return upstream || member
 }
 
-// keepLapsed keeps an upstream whose entry goes, where that says little.
-func (c *Compiler) keepLapsed(key string) {
+// keepExpired keeps an upstream whose entry is removed, if the entry may only have expired.
+func (c *Compiler) keepExpired(key string) {
 	upstream, ok := c.upstreams[key]
 	if ok && !upstream.Leaving && c.Lapses != nil && c.Lapses() {
-		c.lapsed[key] = lapsed{listed: upstream, until: c.now().Add(lapseKept)}
+		c.expired[key] = expired{listed: upstream, until: c.now().Add(expiryGrace)}
 	}
 }
 
 func (c *Compiler) now() time.Time { return helpers.Now(c.Now) }
 
-// Lapsed reports whether upstreams are kept whose entries lapsed. It is to be
-// called between calls of Take, and not beside them.
-func (c *Compiler) Lapsed() bool { return len(c.lapsed) > 0 }
+// Lapsed reports whether upstreams whose entries expired are in use. It must not be called
+// concurrently with Take.
+func (c *Compiler) Lapsed() bool { return len(c.expired) > 0 }
 
-// declare links a declaration to those before it, because an engine may be on
-// the way to one of them, and their time runs on.
+// declare links a declaration to the earlier ones, whose deadlines still apply: an engine
+// may be loading one of them.
 func (c *Compiler) declare(entry provider.Entry, target provider.Target) Declared {
-	declared := Declared{Target: target, Revision: entry.Revision, Learned: c.now(), Found: !c.taken}
-	before, ok := c.targets[entry.Key]
+	declared := Declared{Target: target, Revision: entry.Revision, Learned: c.now(), Found: !c.synced}
+	previous, ok := c.targets[entry.Key]
 	if !ok {
 		return declared
 	}
-	declared.Before = &before
+	declared.Before = &previous
 	last := &declared
-	for range keptDeclarations - 1 {
+	for range maxDeclarations - 1 {
 		if last.Before == nil {
 			return declared
 		}
@@ -325,28 +321,29 @@
 	return declared
 }
 
-func (c *Compiler) believe(belief Belief) {
+func (c *Compiler) report(change Belief) {
 	if c.OnBelief != nil {
-		c.OnBelief(belief)
+		c.OnBelief(change)
 	}
 }
 
-func (v *View) takeConfiguration(configuration *provider.Configuration) {
+// setConfiguration sets the configuration and what is derived from it.
+func (v *View) setConfiguration(configuration *provider.Configuration) {
 	v.Configuration = configuration
-	v.hosts = map[string][]*provider.Route{}
+	v.routesByHost = map[string][]*provider.Route{}
 	for i := range configuration.Routes {
 		route := &configuration.Routes[i]
-		v.hosts[route.Host] = append(v.hosts[route.Host], route)
+		v.routesByHost[route.Host] = append(v.routesByHost[route.Host], route)
 	}
-	v.accounts = map[string]*provider.Account{}
+	v.accountsByKey = map[string]*provider.Account{}
 	for i := range configuration.Accounts {
 		account := &configuration.Accounts[i]
 		for _, key := range account.Keys {
-			v.accounts[key] = account
+			v.accountsByKey[key] = account
 		}
 	}
-	v.priorities = urgencies(configuration)
-	v.objectives = objectives(configuration)
+	v.priorities = servicePriorities(configuration)
+	v.objectives = serviceObjectives(configuration)
 	v.services = map[string]*provider.Service{}
 	for i := range configuration.Services {
 		v.services[configuration.Services[i].Name] = &configuration.Services[i]
