--- a/daemon/internal/process/balance/balance.go
+++ b/daemon/internal/process/balance/balance.go
@@ -1,18 +1,16 @@
-// Package balance keeps what this process knows of each upstream's load and
-// soundness, and chooses one for a request.
+// Package balance tracks the load and health of each upstream in this process and
+// chooses an upstream for a request.
 //
-// Soundness is judged only by outcomes of own requests: a health page may be
-// good while requests fail. Failures fade with time, so that an upstream comes
-// back by itself: first with a request now and then, as its penalty sinks, then
-// with its share. A hard ejection was rejected: a sound upstream of one service
-// fails one request in seven, and an ejection cannot tell that from a bad one
-// without a long history.
+// Health is judged only by the outcomes of this process's requests, because a health page
+// may succeed while requests fail. Failures decay with time, so an upstream recovers by
+// itself: its penalty sinks until it gets occasional requests and then its share. Ejection
+// was rejected: a healthy upstream of some services fails one request in seven, which
+// cannot be told from a bad upstream without a long history.
 //
-// What upstreams tell is some ten milliseconds old and the same for all routers.
-// A finer measure of it than "a request waits there" sends all routers to the
-// one upstream that looks best until the next news, so requests that run do not
-// count before the places are taken, and the rest is left to chance. Measured
-// in docs/ROUTING.md.
+// Load reports are tens of milliseconds old and the same for all routers. With a load
+// measure finer than the number of waiting requests, all routers would send to the upstream
+// that looks best until its next report. So running requests do not count until all places
+// are in use, and ties are broken at random. See docs/ROUTING.md.
 package balance
 
 import (
@@ -27,110 +25,113 @@
 )
 
 const (
-	// fadeTime is the time in which past outcomes lose two thirds of their weight.
-	fadeTime = 3 * time.Second
-	// soundShare is the share of failures that sound upstreams show.
-	soundShare = 0.25
-	// failurePenalty is what a full share of failures counts, in places.
+	// decayTime is the time constant of the exponential decay of outcomes.
+	decayTime = 3 * time.Second
+	// healthyFailureShare is the share of failures up to which an upstream counts as
+	// healthy.
+	healthyFailureShare = 0.25
+	// failurePenalty scales the share of failures above that, in waiting requests.
 	failurePenalty = 40.0
-	// priorWeight is the number of good outcomes that an unknown upstream has.
+	// priorWeight is the number of successes that an unknown upstream starts with.
 	priorWeight = 6.0
-	// firstBlock and longestBlock bound the time in which an upstream that did
-	// not take a connection gets no request.
-	firstBlock   = 300 * time.Millisecond
-	longestBlock = 1500 * time.Millisecond
-	// fullBlock is the time in which an upstream that refused gets no request.
+	// minBlock and maxBlock bound the backoff for an upstream that did not accept a
+	// connection.
+	minBlock = 300 * time.Millisecond
+	maxBlock = 1500 * time.Millisecond
+	// fullBlock is the pause for an upstream that had no place.
 	fullBlock = 60 * time.Millisecond
-	// forgetAfter is when the state of an upstream without requests is dropped.
-	forgetAfter = time.Minute
+	// stateRetention is how long the state of an upstream without requests is kept.
+	stateRetention = time.Minute
 )
 
-// Outcome is how a request at an upstream ended.
+// Outcome is the outcome of a request at an upstream.
 type Outcome int
 
 // The outcomes.
 const (
-	// Served requests got an answer that an upstream gives when it is sound.
+	// Served requests got an answer of a healthy upstream.
 	Served Outcome = iota
-	// Failed requests got an error, a broken answer or none.
+	// Failed requests got an error, an incomplete answer or none.
 	Failed
 	// Full means that the upstream had no place.
 	Full
 	// Unreachable means that no connection was made.
 	Unreachable
-	// Moved means that the upstream or its version is not there any more.
+	// Moved means that the address has another upstream by now, or the upstream another
+	// version.
 	Moved
-	// Abandoned requests say nothing: the caller left.
+	// Abandoned requests were canceled, which says nothing about the upstream.
 	Abandoned
 )
 
-// Pool holds the state of upstreams by id. The zero value is ready to use.
+// Pool holds the state of upstreams by ID. The zero value is ready to use.
 type Pool struct {
-	// Hall is this process's own data hall: upstreams elsewhere are taken when
-	// those of the hall are busier, "" for no difference.
+	// Hall is this process's data hall, whose upstreams are preferred; empty for no
+	// preference.
 	Hall string
 	// Now is the clock; nil means clock.Now.
 	Now func() time.Time
-	// Draw returns a number from 0 to 1 by chance; nil means rand.Float64.
+	// Draw returns a random number in [0, 1); nil means rand.Float64.
 	Draw func() float64
 
-	mu     sync.Mutex
-	states map[string]*state
-	swept  time.Time
+	mu        sync.Mutex
+	states    map[string]*state
+	evictedAt time.Time
 }
 
-// state is one upstream's; Pool.mu guards it.
+// state is the state of one upstream, guarded by Pool.mu.
 type state struct {
-	// started is when the upstream had started, zero where that is not told.
+	// started is when the upstream started, zero if unknown.
 	started  time.Time
 	inFlight int
-	// failures and outcomes fade with fadeTime; faded is when they last did.
+	// failures and outcomes are decayed counts, and decayedAt is when that was last done.
 	failures, outcomes float64
-	faded              time.Time
+	decayedAt          time.Time
 	blockedUntil       time.Time
 	block              time.Duration
-	// told is what the upstream's host last told, and sentSince the requests
-	// sent there since, by this process.
-	told   Told
-	toldAt time.Time
-	// modelsAt is when it last told what the upstream holds: an answer to a question for a
-	// place tells of the load alone.
-	modelsAt time.Time
-	// closes is when the upstream is to take a version, zero where that is not soon.
-	closes    time.Time
-	sentSince int
-	// heldUntil is until when it gets no request, because it named a limit that is used up.
-	heldUntil time.Time
-	used      time.Time
+	// report is the last report of the upstream's host.
+	report     Told
+	reportedAt time.Time
+	// modelsReportedAt is when the host last reported the models. An answer to a request
+	// for a place reports the load alone.
+	modelsReportedAt time.Time
+	// closesAt is when the upstream closes to load a version, zero if none is scheduled.
+	closesAt time.Time
+	// sentSinceReport counts the requests of this process since the last report.
+	sentSinceReport int
+	// throttledUntil is until when the upstream gets no requests, because the rate limit
+	// that it named is used up.
+	throttledUntil time.Time
+	usedAt         time.Time
 }
 
-// Told is what an upstream's host tells of it.
+// Told is the load that an upstream's host reports.
 type Told struct {
-	// Running and Waiting count its requests, of all routers.
+	// Running and Waiting count the requests of all routers.
 	Running, Waiting int
-	// Loading says that it takes a new version and serves nothing meanwhile.
+	// Loading says that the upstream is loading a version and serves nothing meanwhile.
 	Loading bool
-	// ClosesIn is in how long it is to take one, 0 where that is not soon.
+	// ClosesIn is the time until it closes to load a version, 0 if none is scheduled.
 	ClosesIn time.Duration
-	// Models is what it holds.
+	// Models holds the versions that it serves.
 	Models []provider.Loaded
 }
 
-// Query says what a request needs.
+// Query holds the requirements of a request.
 type Query struct {
-	// Tried are upstreams not to be chosen again.
+	// Tried holds the IDs of upstreams that must not be chosen again.
 	Tried []string
-	// Model is what the upstream must hold, "" for none, and Version the lowest
-	// version of it.
+	// Model is the model that the upstream must hold, empty for none, and Version its
+	// lowest version.
 	Model   string
 	Version int
-	// Reserve is how many places of each upstream are left to more urgent
+	// Reserve is the number of places of each upstream that are reserved for more urgent
 	// requests.
 	Reserve int
-	// Lasts is how long the request is likely to run, 0 where that does not matter.
+	// Lasts is the expected duration of the request, 0 if it does not matter.
 	Lasts time.Duration
 	// Preferred is the version below which upstreams are avoided, and Avoid how
-	// much, from 0 to 1.
+	// strongly, from 0 to 1.
 	Preferred int
 	Avoid     float64
 }
@@ -138,53 +139,53 @@
 // Choice is a chosen upstream. Done must be called once.
 type Choice struct {
 	Upstream *provider.Upstream
-	// Version is the version of the model that the upstream says it holds.
+	// Version is the version of the model that the upstream holds.
 	Version int
-	// InFlight, Score and Candidates are what the choice was made by.
+	// InFlight and Score are those of the upstream before the choice, and Candidates the
+	// number of eligible upstreams.
 	InFlight   int
 	Score      float64
 	Candidates int
-	// Waiting is how many requests are read before this one, and Beyond how many
-	// must end first, as far as the upstream's host has told of late; 0 where it
-	// has not.
+	// Waiting is the number of requests queued before this one, and Beyond the number
+	// that must end before it gets a place; 0 without a recent load report.
 	Waiting, Beyond int
-	// Running is how many requests run there, as far as the host has told of late,
-	// else 0. Age is how long ago it last told, 0 where it never did.
+	// Running is the number of running requests, 0 without a recent load report. Age is
+	// the age of the last report, 0 if there was none.
 	Running int
 	Age     time.Duration
-	// Told says that the host has told of the upstream of late.
+	// Told says that there is a recent load report.
 	Told bool
 
 	pool *Pool
 }
 
-// WithLoad returns the choice with the load that the upstream's host answered just now.
+// WithLoad returns the choice with a load that the upstream's host just reported.
 func (c Choice) WithLoad(running, waiting int) Choice {
 	c.Running, c.Waiting, c.Age = running, waiting, 0
 	c.Beyond = max(0, running+waiting+1-c.Upstream.Places)
 	return c
 }
 
-// Choose takes the upstream with the lowest score, or returns false where none
-// is fit. Blocked upstreams are taken only when no other is left.
+// Choose chooses the upstream with the lowest score, or returns false if none is
+// eligible. A blocked upstream is chosen only if no other is left.
 func (p *Pool) Choose(upstreams []*provider.Upstream, query Query) (Choice, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
-	p.sweep(now)
+	p.evict(now)
 	best := Choice{Score: math.Inf(1), pool: p}
 	for _, candidate := range upstreams {
 		s := p.state(candidate.ID, now)
-		s.noteStart(candidate.Started, now)
-		if !s.fits(candidate, query, now) {
+		s.resetIfRestarted(candidate.Started, now)
+		if !s.eligible(candidate, query, now) {
 			continue
 		}
-		score := s.score(candidate, query, now) + p.draw()*chance
-		if query.Preferred > 0 && s.holds(candidate, query.Model, now) < query.Preferred {
-			score += oldScore * query.Avoid
+		score := s.score(candidate, query, now) + p.draw()*jitter
+		if query.Preferred > 0 && s.heldVersion(candidate, query.Model, now) < query.Preferred {
+			score += oldVersionPenalty * query.Avoid
 		}
 		if p.Hall != "" && candidate.Hall != p.Hall {
-			score += farScore
+			score += otherHallPenalty
 		}
 		best.Candidates++
 		if score < best.Score {
@@ -195,18 +196,18 @@
 		return Choice{}, false
 	}
 	chosen := p.states[best.Upstream.ID]
-	best.Waiting, best.Beyond = chosen.ahead(best.Upstream, query.Reserve, now)
+	best.Waiting, best.Beyond = chosen.queue(best.Upstream, query.Reserve, now)
 	best.Running, best.Age = chosen.running(now)
-	best.Told = now.Sub(chosen.toldAt) <= toldFor
+	best.Told = now.Sub(chosen.reportedAt) <= reportMaxAge
 	chosen.inFlight++
-	chosen.sentSince++
-	best.Version = chosen.holds(best.Upstream, query.Model, now)
+	chosen.sentSinceReport++
+	best.Version = chosen.heldVersion(best.Upstream, query.Model, now)
 	return best, true
 }
 
-// noteStart forgets what the upstream did before it started again under its id: it holds
-// nothing of that, and its failures were another process's.
-func (s *state) noteStart(started, now time.Time) {
+// resetIfRestarted resets the state of an upstream that restarted under its ID: the new
+// process has neither the load nor the failures of the old one.
+func (s *state) resetIfRestarted(started, now time.Time) {
 	if !started.After(s.started) {
 		return
 	}
@@ -214,7 +215,7 @@
 		s.started = started
 		return
 	}
-	*s = state{started: started, inFlight: s.inFlight, faded: now, used: now}
+	*s = state{started: started, inFlight: s.inFlight, decayedAt: now, usedAt: now}
 }
 
 func (p *Pool) now() time.Time { return helpers.Now(p.Now) }
@@ -232,119 +233,120 @@
 	}
 	s := p.states[id]
 	if s == nil {
-		s = &state{faded: now}
+		s = &state{decayedAt: now}
 		p.states[id] = s
 	}
-	s.used = now
+	s.usedAt = now
 	return s
 }
 
-// sweep drops the state of upstreams that are long gone.
-func (p *Pool) sweep(now time.Time) {
-	if now.Sub(p.swept) < forgetAfter {
+// evict drops the state of upstreams that have been unused for stateRetention.
+func (p *Pool) evict(now time.Time) {
+	if now.Sub(p.evictedAt) < stateRetention {
 		return
 	}
-	p.swept = now
+	p.evictedAt = now
 	for id, s := range p.states {
-		if s.inFlight == 0 && now.Sub(s.used) > forgetAfter {
+		if s.inFlight == 0 && now.Sub(s.usedAt) > stateRetention {
 			delete(p.states, id)
 		}
 	}
 }
 
-// Silent reports whether the host of an upstream has fallen silent: it is cut
-// off, frozen or overloaded, or only its loader is gone.
+// Silent reports whether the host of an upstream has stopped reporting: it is unreachable,
+// frozen or overloaded, or its loader has stopped.
 func (p *Pool) Silent(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.states[id]
-	return s != nil && s.silent(p.now())
+	return s != nil && s.unresponsive(p.now())
 }
 
-// Loading reports whether the host of an upstream has told that it takes a new
-// version, or is about to: what breaks off there is no fault of the upstream.
+// Loading reports whether the host of an upstream reported that it is loading a version or
+// is about to. Requests that break off there do not count as failures of the upstream.
 func (p *Pool) Loading(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.states[id]
-	return s != nil && s.told.Loading && p.now().Sub(s.toldAt) <= toldFor
+	return s != nil && s.report.Loading && p.now().Sub(s.reportedAt) <= reportMaxAge
 }
 
-// Tell takes what an upstream's host says of it.
-func (p *Pool) Tell(id string, told Told) {
+// Tell records a report of an upstream's host.
+func (p *Pool) Tell(id string, report Told) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
 	s := p.state(id, now)
-	s.told, s.toldAt, s.modelsAt, s.sentSince = told, now, now, 0
-	s.closes = time.Time{}
-	if told.ClosesIn > 0 {
-		s.closes = now.Add(told.ClosesIn)
+	s.report, s.reportedAt, s.modelsReportedAt, s.sentSinceReport = report, now, now, 0
+	s.closesAt = time.Time{}
+	if report.ClosesIn > 0 {
+		s.closesAt = now.Add(report.ClosesIn)
 	}
 }
 
-// TellLoad takes the load that an upstream's host answered when it was asked for a
-// place, which counts all places that it gave.
+// TellLoad records the load in an answer to a request for a place, which includes all
+// places that the host has granted.
 func (p *Pool) TellLoad(id string, running, waiting int, loading bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
 	s := p.state(id, now)
-	s.told.Running, s.told.Waiting, s.told.Loading = running, waiting, loading
-	s.toldAt, s.sentSince = now, 0
+	s.report.Running, s.report.Waiting, s.report.Loading = running, waiting, loading
+	s.reportedAt, s.sentSinceReport = now, 0
 }
 
-// Hold has an upstream get no request for a while: what it takes from all routers in a second
-// is used up. A time of 0 ends that.
+// Hold withholds requests from an upstream for a while, because its rate limit is used up.
+// A wait of 0 ends that.
 func (p *Pool) Hold(id string, wait time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
-	p.state(id, now).heldUntil = now.Add(wait)
+	p.state(id, now).throttledUntil = now.Add(wait)
 }
 
-// Holds reports whether an upstream is held.
+// Holds reports whether an upstream is throttled.
 func (p *Pool) Holds(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.states[id]
-	return s != nil && s.heldUntil.After(p.now())
+	return s != nil && s.throttledUntil.After(p.now())
 }
 
-// Held reports whether some of the upstreams that do not leave are held, and for how long the
-// first of them is.
+// Held reports whether any of the upstreams that are not leaving is throttled, and the time
+// until the first of them is available.
 func (p *Pool) Held(upstreams []*provider.Upstream) (time.Duration, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
-	var least time.Duration
+	var shortest time.Duration
 	for _, candidate := range upstreams {
 		s := p.states[candidate.ID]
-		if s == nil || candidate.Leaving || !s.heldUntil.After(now) {
+		if s == nil || candidate.Leaving || !s.throttledUntil.After(now) {
 			continue
 		}
-		if left := s.heldUntil.Sub(now); least == 0 || left < least {
-			least = left
+		if remaining := s.throttledUntil.Sub(now); shortest == 0 || remaining < shortest {
+			shortest = remaining
 		}
 	}
-	return least, least > 0
+	return shortest, shortest > 0
 }
 
-func (s *state) fade(now time.Time) {
-	factor := math.Exp(-float64(now.Sub(s.faded)) / float64(fadeTime))
+// decay decays the counts of failures and outcomes.
+func (s *state) decay(now time.Time) {
+	factor := math.Exp(-float64(now.Sub(s.decayedAt)) / float64(decayTime))
 	s.failures *= factor
 	s.outcomes *= factor
-	s.faded = now
+	s.decayedAt = now
 }
 
-// Done takes back the choice's place and counts its outcome.
+// Done ends the choice's request and counts its outcome.
 func (c Choice) Done(outcome Outcome) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	now := c.pool.now()
 	s := c.pool.state(c.Upstream.ID, now)
 	s.inFlight--
-	s.fade(now)
+	s.decay(now)
 	switch outcome {
 	case Served:
 		s.outcomes++
@@ -357,10 +359,10 @@
 	case Unreachable:
 		s.outcomes++
 		s.failures++
-		s.block = min(max(2*s.block, firstBlock), longestBlock)
+		s.block = min(max(2*s.block, minBlock), maxBlock)
 		s.blockedUntil = now.Add(s.block)
 	case Moved:
-		s.blockedUntil = now.Add(firstBlock)
+		s.blockedUntil = now.Add(minBlock)
 	case Abandoned:
 	}
 }
--- a/daemon/internal/process/balance/balance_test.go
+++ b/daemon/internal/process/balance/balance_test.go
@@ -24,23 +24,22 @@
 	return result
 }
 
-// shares counts how many of some requests each upstream gets, while a few are
-// always in flight.
+// shares returns how many requests each upstream gets while a few are always in flight.
 func shares(t *testing.T, pool *balance.Pool, candidates []*provider.Upstream, requests int, outcome func(id string) balance.Outcome) map[string]int {
 	t.Helper()
-	const inFlight = 12
+	const maxInFlight = 12
 	counts := map[string]int{}
-	var flying []balance.Choice
+	var inFlight []balance.Choice
 	for range requests {
 		choice, ok := pool.Choose(candidates, balance.Query{})
 		require.True(t, ok)
 		counts[choice.Upstream.ID]++
-		if flying = append(flying, choice); len(flying) > inFlight {
-			flying[0].Done(outcome(flying[0].Upstream.ID))
-			flying = flying[1:]
+		if inFlight = append(inFlight, choice); len(inFlight) > maxInFlight {
+			inFlight[0].Done(outcome(inFlight[0].Upstream.ID))
+			inFlight = inFlight[1:]
 		}
 	}
-	for _, choice := range flying {
+	for _, choice := range inFlight {
 		choice.Done(outcome(choice.Upstream.ID))
 	}
 	return counts
@@ -48,7 +47,7 @@
 
 func served(string) balance.Outcome { return balance.Served }
 
-func TestRequestsInFlightSpread(t *testing.T) {
+func TestRequestsSpreadByInFlight(t *testing.T) {
 	pool := &balance.Pool{}
 	candidates := upstreams(4)
 	counts := map[string]int{}
@@ -62,7 +61,7 @@
 	}
 }
 
-func TestLeavingTriedAndOutdatedAreNotChosen(t *testing.T) {
+func TestIneligibleUpstreamsAreNotChosen(t *testing.T) {
 	pool := &balance.Pool{}
 	candidates := upstreams(3)
 	candidates[0].Leaving = true
@@ -77,7 +76,7 @@
 	assert.False(t, ok)
 }
 
-func TestFailingUpstreamIsLeftAndComesBack(t *testing.T) {
+func TestFailingUpstreamIsAvoidedAndRecovers(t *testing.T) {
 	pool := &balance.Pool{}
 	candidates := upstreams(4)
 	counts := shares(t, pool, candidates, 400, func(id string) balance.Outcome {
@@ -86,14 +85,14 @@
 		}
 		return balance.Served
 	})
-	assert.Less(t, counts["u0"], 50, "an upstream that fails is left soon")
+	assert.Less(t, counts["u0"], 50, "a failing upstream is avoided soon")
 	counts = shares(t, pool, candidates, 400, served)
 	assert.Positive(t, counts["u1"])
 }
 
-// TestUsualFailuresAreNoReason: one service's sound upstreams fail one request
-// in seven.
-func TestUsualFailuresAreNoReason(t *testing.T) {
+// TestLowFailureRatesAreTolerated guards against avoiding healthy upstreams of a service that
+// fail one request in seven.
+func TestLowFailureRatesAreTolerated(t *testing.T) {
 	pool := &balance.Pool{}
 	candidates := upstreams(4)
 	calls := 0
@@ -108,10 +107,9 @@
 	}
 }
 
-// TestRoutersDoNotFollowOneAnother: many routers are told the same, that some
-// upstreams run more than others, and must not all choose the same one until
-// the next news.
-func TestRoutersDoNotFollowOneAnother(t *testing.T) {
+// TestRoutersWithTheSameReportsDoNotHerd guards against many routers choosing the same
+// upstream until its next load report.
+func TestRoutersWithTheSameReportsDoNotHerd(t *testing.T) {
 	const routers, upstreamCount = 200, 20
 	candidates := upstreams(upstreamCount)
 	counts := map[string]int{}
@@ -130,9 +128,7 @@
 	}
 }
 
-// TestLoadingIsToldForAWhile: what breaks off at an upstream that loads is no
-// fault of it.
-func TestLoadingIsToldForAWhile(t *testing.T) {
+func TestLoadingFollowsTheLastReport(t *testing.T) {
 	pool := &balance.Pool{}
 	assert.False(t, pool.Loading("u0"), "unknown")
 	pool.Tell("u0", balance.Told{})
@@ -141,18 +137,18 @@
 	assert.True(t, pool.Loading("u0"))
 }
 
-// TestOwnHallGoesFirst while its upstreams are not busier.
-func TestOwnHallGoesFirst(t *testing.T) {
+// TestOwnHallIsPreferred checks that upstreams of the own hall are chosen unless they are busier.
+func TestOwnHallIsPreferred(t *testing.T) {
 	candidates := upstreams(4)
 	candidates[0].Hall, candidates[1].Hall = "own", "own"
 	candidates[2].Hall, candidates[3].Hall = "other", "other"
-	chosen := func(tell func(*balance.Pool)) (own int) {
+	countOwn := func(report func(*balance.Pool)) (own int) {
 		for range 200 {
 			pool := &balance.Pool{Hall: "own"}
 			for _, candidate := range candidates {
 				pool.Tell(candidate.ID, balance.Told{Models: candidate.Models})
 			}
-			tell(pool)
+			report(pool)
 			choice, ok := pool.Choose(candidates, balance.Query{Model: "m"})
 			require.True(t, ok)
 			if choice.Upstream.Hall == "own" {
@@ -161,20 +157,21 @@
 		}
 		return own
 	}
-	assert.Greater(t, chosen(func(*balance.Pool) {}), 150)
-	assert.Less(t, chosen(func(pool *balance.Pool) {
+	assert.Greater(t, countOwn(func(*balance.Pool) {}), 150)
+	assert.Less(t, countOwn(func(pool *balance.Pool) {
 		pool.Tell("u0", balance.Told{Waiting: 3, Models: candidates[0].Models})
 		pool.Tell("u1", balance.Told{Waiting: 3, Models: candidates[1].Models})
 	}), 50)
 }
 
-// TestChoiceSaysWhatIsAhead, by what was told of late and the own sends since.
-func TestChoiceSaysWhatIsAhead(t *testing.T) {
+// TestChoiceReportsTheQueue checks that a choice counts the last load report and the requests
+// sent since.
+func TestChoiceReportsTheQueue(t *testing.T) {
 	candidates := upstreams(1)
 	pool := &balance.Pool{}
 	choice, ok := pool.Choose(candidates, balance.Query{Model: "m"})
 	require.True(t, ok)
-	assert.Zero(t, choice.Waiting+choice.Beyond, "nothing was told")
+	assert.Zero(t, choice.Waiting+choice.Beyond, "no load report")
 	pool.Tell("u0", balance.Told{Running: 15, Waiting: 1, Models: candidates[0].Models})
 	first, _ := pool.Choose(candidates, balance.Query{Model: "m"})
 	second, _ := pool.Choose(candidates, balance.Query{Model: "m"})
@@ -185,11 +182,11 @@
 	urgent, _ := pool.Choose(candidates, balance.Query{Model: "m"})
 	urgent.Done(balance.Served)
 	pool.Tell("u0", balance.Told{Running: 12, Models: candidates[0].Models})
-	less, _ := pool.Choose(candidates, balance.Query{Model: "m", Reserve: 4})
-	assert.Equal(t, []int{0, 1}, []int{urgent.Beyond, less.Beyond}, "places are left to more urgent requests")
+	lessUrgent, _ := pool.Choose(candidates, balance.Query{Model: "m", Reserve: 4})
+	assert.Equal(t, []int{0, 1}, []int{urgent.Beyond, lessUrgent.Beyond}, "places are reserved for more urgent requests")
 }
 
-func TestToldLoadCounts(t *testing.T) {
+func TestReportedLoadCounts(t *testing.T) {
 	pool := &balance.Pool{}
 	candidates := upstreams(3)
 	pool.Tell("u0", balance.Told{Waiting: 3, Models: candidates[0].Models})
@@ -197,11 +194,12 @@
 	pool.Tell("u2", balance.Told{Loading: true, Models: candidates[2].Models})
 	choice, ok := pool.Choose(candidates, balance.Query{Model: "m"})
 	require.True(t, ok)
-	assert.Equal(t, "u1", choice.Upstream.ID, "what runs counts less than what waits, and a loading one comes last")
+	assert.Equal(t, "u1", choice.Upstream.ID, "waiting requests outweigh running ones, and a loading upstream ranks last")
 }
 
-// TestToldVersionGoesBeforeTheRecord: the record in the store is older.
-func TestToldVersionGoesBeforeTheRecord(t *testing.T) {
+// TestReportedVersionOverridesTheRecord checks that a load report outranks the older record in
+// the store.
+func TestReportedVersionOverridesTheRecord(t *testing.T) {
 	pool := &balance.Pool{}
 	candidates := upstreams(2)
 	pool.Tell("u1", balance.Told{Models: []provider.Loaded{{Model: "m", Version: 2}}})
@@ -217,10 +215,10 @@
 		counts[preferred.Upstream.ID]++
 		preferred.Done(balance.Served)
 	}
-	assert.Equal(t, 20, counts["u1"], "the preferred version as long as there is room")
+	assert.Equal(t, 20, counts["u1"], "the preferred version while it has free places")
 }
 
-func TestUnreachableIsLastChoice(t *testing.T) {
+func TestUnreachableUpstreamIsTheLastChoice(t *testing.T) {
 	pool := &balance.Pool{}
 	candidates := upstreams(2)
 	for {
@@ -234,12 +232,12 @@
 	}
 	assert.Equal(t, map[string]int{"u1": 20}, shares(t, pool, candidates, 20, served))
 	_, ok := pool.Choose(candidates[:1], balance.Query{})
-	assert.True(t, ok, "one that is blocked is better than none")
+	assert.True(t, ok, "a blocked upstream is chosen if there is no other")
 }
 
-// TestOldNewsDoesNotCount: a request is not refused, nor an upstream avoided, for
-// a load that was told long ago.
-func TestOldNewsDoesNotCount(t *testing.T) {
+// TestOldLoadReportsDoNotCount guards against refusing a request or avoiding an upstream for
+// a load that was reported long ago.
+func TestOldLoadReportsDoNotCount(t *testing.T) {
 	now := time.Unix(1000, 0)
 	candidates := upstreams(1)
 	pool := &balance.Pool{Now: func() time.Time { return now }}
@@ -252,31 +250,31 @@
 	assert.Equal(t, time.Minute, old.Age)
 }
 
-// TestClosingUpstreamsAreForShortRequests: one that is to take a version before a request is
-// likely to be done is chosen only where no other is better by far.
-func TestClosingUpstreamsAreForShortRequests(t *testing.T) {
+// TestClosingUpstreamsGetShortRequests checks that an upstream that closes before a request is
+// likely to end is avoided.
+func TestClosingUpstreamsGetShortRequests(t *testing.T) {
 	now := time.Unix(1000, 0)
 	candidates := upstreams(2)
 	pool := &balance.Pool{Now: func() time.Time { return now }}
 	pool.Tell("u0", balance.Told{ClosesIn: time.Second, Models: candidates[0].Models})
 	pool.Tell("u1", balance.Told{Waiting: 3, Models: candidates[1].Models})
-	chosen := func(lasts time.Duration) string {
-		choice, ok := pool.Choose(candidates, balance.Query{Model: "m", Lasts: lasts})
+	chosenFor := func(duration time.Duration) string {
+		choice, ok := pool.Choose(candidates, balance.Query{Model: "m", Lasts: duration})
 		require.True(t, ok)
 		choice.Done(balance.Abandoned)
 		pool.Tell("u1", balance.Told{Waiting: 3, Models: candidates[1].Models})
 		return choice.Upstream.ID
 	}
-	assert.Equal(t, "u0", chosen(900*time.Millisecond))
-	assert.Equal(t, "u0", chosen(0), "how long it runs does not matter")
-	assert.Equal(t, "u1", chosen(2500*time.Millisecond))
+	assert.Equal(t, "u0", chosenFor(900*time.Millisecond))
+	assert.Equal(t, "u0", chosenFor(0), "the duration does not matter")
+	assert.Equal(t, "u1", chosenFor(2500*time.Millisecond))
 	pool.Tell("u0", balance.Told{Models: candidates[0].Models})
-	assert.Equal(t, "u0", chosen(2500*time.Millisecond), "it has taken the version")
+	assert.Equal(t, "u0", chosenFor(2500*time.Millisecond), "it no longer closes")
 }
 
-// TestAnUpstreamThatStartsAgainIsUnknown: what it did before under its id does not count,
-// and what is still in flight does.
-func TestAnUpstreamThatStartsAgainIsUnknown(t *testing.T) {
+// TestRestartResetsTheState checks that failures before a restart under the same ID do not
+// count, while requests in flight do.
+func TestRestartResetsTheState(t *testing.T) {
 	now := time.Unix(1000, 0)
 	pool := &balance.Pool{Now: func() time.Time { return now }}
 	candidates := upstreams(1)
@@ -287,26 +285,27 @@
 		require.True(t, ok)
 		choice.Done(balance.Unreachable)
 	}
-	flying, ok := pool.Choose(candidates, balance.Query{})
+	pending, ok := pool.Choose(candidates, balance.Query{})
 	require.True(t, ok)
-	assert.Greater(t, flying.Score, 1e5, "it is blocked")
+	assert.Greater(t, pending.Score, 1e5, "the upstream is blocked")
 
-	again := *candidates[0]
-	again.Started = now.Add(time.Second)
-	choice, ok := pool.Choose([]*provider.Upstream{&again}, balance.Query{})
+	restarted := *candidates[0]
+	restarted.Started = now.Add(time.Second)
+	choice, ok := pool.Choose([]*provider.Upstream{&restarted}, balance.Query{})
 	require.True(t, ok)
 	assert.Less(t, choice.Score, 20.0)
 	assert.Equal(t, 1, choice.InFlight)
-	flying.Done(balance.Served)
+	pending.Done(balance.Served)
 	choice.Done(balance.Served)
 	choice, ok = pool.Choose(candidates, balance.Query{})
 	require.True(t, ok)
 	assert.Zero(t, choice.InFlight)
-	assert.Less(t, choice.Score, 20.0, "an older entry, read late, brings nothing back")
+	assert.Less(t, choice.Score, 20.0, "an older entry that arrives late restores nothing")
 }
 
-// TestHeldUpstreamsGetNothing, also where no other is left, until their time or news ends it.
-func TestHeldUpstreamsGetNothing(t *testing.T) {
+// TestThrottledUpstreamsGetNoRequests checks that a throttled upstream is not chosen even if
+// there is no other, until its time passes or it is released.
+func TestThrottledUpstreamsGetNoRequests(t *testing.T) {
 	now := time.Unix(1000, 0)
 	pool := &balance.Pool{Now: func() time.Time { return now }}
 	list := []*provider.Upstream{{ID: "a"}, {ID: "b"}}
@@ -319,8 +318,8 @@
 	pool.Hold("b", 3*time.Second)
 	_, ok := pool.Choose(list, balance.Query{})
 	assert.False(t, ok)
-	wait, held := pool.Held(list)
-	assert.True(t, held)
+	wait, throttled := pool.Held(list)
+	assert.True(t, throttled)
 	assert.Equal(t, time.Second, wait)
 	pool.Hold("b", 0)
 	_, ok = pool.Choose(list, balance.Query{})
@@ -329,17 +328,16 @@
 	assert.False(t, pool.Holds("a"))
 }
 
-// TestAnAnswerForAPlaceHidesNoVersion: a router does not follow the load of each engine of a
-// large fleet. One that it does not was asked for a place, its answer names no versions, and
-// the engine was taken for one that holds none for 0.8 s.
-func TestAnAnswerForAPlaceHidesNoVersion(t *testing.T) {
+// TestLoadWithoutModelsKeepsTheVersion guards against an answer to a request for a place, which
+// names no versions, making the engine look as if it held none.
+func TestLoadWithoutModelsKeepsTheVersion(t *testing.T) {
 	now := time.Unix(1000, 0)
 	pool := &balance.Pool{Now: func() time.Time { return now }}
 	list := upstreams(1)
 	query := balance.Query{Model: "m", Version: 1}
 	pool.TellLoad(list[0].ID, 3, 0, false)
 	choice, ok := pool.Choose(list, query)
-	require.True(t, ok, "its entry says what it holds")
+	require.True(t, ok, "its record names the version")
 	assert.Equal(t, 1, choice.Version)
 	assert.Equal(t, 3, choice.Running)
 
@@ -349,5 +347,5 @@
 	now = now.Add(500 * time.Millisecond)
 	choice, ok = pool.Choose(list, query)
 	require.True(t, ok)
-	assert.Equal(t, 1, choice.Version, "what its host told of versions is old by now, and its entry counts")
+	assert.Equal(t, 1, choice.Version, "the report of versions is too old, so the record counts")
 }
--- a/daemon/internal/process/balance/score.go
+++ b/daemon/internal/process/balance/score.go
@@ -6,11 +6,9 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// This file says whether an upstream may get a request, and how good a choice it is.
-
-// fits reports whether an upstream may get the request at all.
-func (s *state) fits(candidate *provider.Upstream, query Query, now time.Time) bool {
-	if candidate.Leaving || now.Before(s.heldUntil) {
+// eligible reports whether an upstream may get the request at all.
+func (s *state) eligible(candidate *provider.Upstream, query Query, now time.Time) bool {
+	if candidate.Leaving || now.Before(s.throttledUntil) {
 		return false
 	}
 	for _, id := range query.Tried {
@@ -21,110 +19,110 @@
 	if query.Model == "" {
 		return true
 	}
-	held := s.holds(candidate, query.Model, now)
+	held := s.heldVersion(candidate, query.Model, now)
 	return held > 0 && held >= query.Version
 }
 
-// holds returns the version that an upstream holds: what its host told, or what
-// its record says where the host told nothing of late.
-func (s *state) holds(candidate *provider.Upstream, model string, now time.Time) int {
-	if now.Sub(s.modelsAt) > toldFor {
+// heldVersion returns the version of a model that an upstream holds, by its host's last
+// report, or by its record in the store if that report is missing or too old.
+func (s *state) heldVersion(candidate *provider.Upstream, model string, now time.Time) int {
+	if now.Sub(s.modelsReportedAt) > reportMaxAge {
 		return candidate.Holds(model)
 	}
-	told := provider.Upstream{Models: s.told.Models}
-	return told.Holds(model)
+	reported := provider.Upstream{Models: s.report.Models}
+	return reported.Holds(model)
 }
 
-// chance bounds what is added at random to a score, in requests: upstreams at
-// which as many requests wait are alike.
-const chance = 1.0
+// Scores and penalties are in units of one waiting request.
+
+// jitter bounds the random part of a score, so that upstreams with equally many waiting
+// requests are chosen evenly.
+const jitter = 1.0
 
-// farScore is what an upstream in another hall counts more, in requests. It
-// keeps most requests and answers within their hall, and lets routers of
-// different halls follow the same news to different upstreams.
-const farScore = 0.7
+// otherHallPenalty keeps most requests within their hall. It also makes routers of
+// different halls choose different upstreams for the same load reports.
+const otherHallPenalty = 0.7
 
-// oldScore is what an upstream with a version that is to be avoided altogether
-// counts more, in requests.
-const oldScore = 2.0
+// oldVersionPenalty is the penalty of an upstream whose version is avoided fully.
+const oldVersionPenalty = 2.0
 
-// closingScore is what an upstream that takes a version before the request is likely to be
-// done counts more, in requests, for each second beyond, up to one. Its loader gives no
-// place; each question to it would be in vain.
-const closingScore = 10.0
+// closingPenalty is the penalty, for each second up to one, by which a request is likely
+// to outlast the time at which the upstream closes to load a version. The upstream's
+// loader would deny it a place.
+const closingPenalty = 10.0
 
-// silentScore puts an upstream whose host fell silent behind those that are
+// unresponsivePenalty ranks an upstream whose host stopped reporting after those that are
 // full, and before those that are blocked.
-const silentScore = 1e3
+const unresponsivePenalty = 1e3
 
-// blockedScore is above every score of an upstream that is not blocked.
-const blockedScore = 1e6
+// blockedPenalty exceeds every score of an upstream that is not blocked.
+const blockedPenalty = 1e6
 
+// excessWeight is the weight of a request beyond the upstream's places, which waits until
+// another one ends.
+const excessWeight = 3.0
+
+// score returns how unfavorable an upstream is for a request; the lowest score wins.
 func (s *state) score(candidate *provider.Upstream, query Query, now time.Time) float64 {
-	s.fade(now)
+	s.decay(now)
 	share := s.failures / (s.outcomes + priorWeight)
-	score := s.load(candidate, query.Reserve, now) + failurePenalty*max(0, share-soundShare)
-	if now.Before(s.blockedUntil) || s.told.Loading && now.Sub(s.toldAt) <= toldFor {
-		score += blockedScore
+	score := s.load(candidate, query.Reserve, now) + failurePenalty*max(0, share-healthyFailureShare)
+	if now.Before(s.blockedUntil) || s.report.Loading && now.Sub(s.reportedAt) <= reportMaxAge {
+		score += blockedPenalty
 	}
-	if s.silent(now) {
-		score += silentScore
+	if s.unresponsive(now) {
+		score += unresponsivePenalty
 	}
-	if over := now.Add(query.Lasts).Sub(s.closes); query.Lasts > 0 && !s.closes.IsZero() && over > 0 {
-		score += closingScore * min(over.Seconds(), 1)
+	if excess := now.Add(query.Lasts).Sub(s.closesAt); query.Lasts > 0 && !s.closesAt.IsZero() && excess > 0 {
+		score += closingPenalty * min(excess.Seconds(), 1)
 	}
 	return score
 }
 
-// silent reports whether the upstream's host has told of it, but not of late.
-func (s *state) silent(now time.Time) bool {
-	return !s.toldAt.IsZero() && now.Sub(s.toldAt) > toldFor
+// unresponsive reports whether the upstream's host has reported, but not recently.
+func (s *state) unresponsive(now time.Time) bool {
+	return !s.reportedAt.IsZero() && now.Sub(s.reportedAt) > reportMaxAge
 }
 
-// referencePlaces scales loads of upstreams of different sizes.
+// referencePlaces scales the load of upstreams of different sizes.
 const referencePlaces = 16
 
-// toldFor is how long a told load is used.
-const toldFor = 800 * time.Millisecond
+// reportMaxAge is how long a load report is used.
+const reportMaxAge = 800 * time.Millisecond
 
-// load is how long a request is likely to wait for its first byte, in requests
-// ahead of it. Those that wait count, because an engine reads their prompts
-// first; those that run do not, until all places are taken.
+// load estimates the wait for the first byte, in waiting requests. Waiting requests count
+// because an engine reads their prompts first; running ones count only once all places
+// are in use.
 func (s *state) load(candidate *provider.Upstream, reserve int, now time.Time) float64 {
-	if now.Sub(s.toldAt) > toldFor {
+	if now.Sub(s.reportedAt) > reportMaxAge {
 		if candidate.Places == 0 {
 			return float64(s.inFlight)
 		}
 		return float64(s.inFlight) * referencePlaces / float64(candidate.Places)
 	}
-	waiting, beyond := s.ahead(candidate, reserve, now)
-	return float64(waiting) + beyondWeight*float64(beyond)
+	waiting, excess := s.queue(candidate, reserve, now)
+	return float64(waiting) + excessWeight*float64(excess)
 }
 
-// ahead is how many requests are read before the next one, and how many must
-// end first for want of places, by what the upstream's host told; 0 where it
-// told nothing of late.
-func (s *state) ahead(candidate *provider.Upstream, reserve int, now time.Time) (waiting, beyond int) {
-	if now.Sub(s.toldAt) > toldFor {
+// queue returns how many requests wait before the next one and how many must end before
+// it gets a place, by the last load report; 0 if there is no recent one.
+func (s *state) queue(candidate *provider.Upstream, reserve int, now time.Time) (waiting, excess int) {
+	if now.Sub(s.reportedAt) > reportMaxAge {
 		return 0, 0
 	}
-	waiting = s.told.Waiting + s.sentSince
-	return waiting, max(0, s.told.Running+waiting+1+reserve-candidate.Places)
+	waiting = s.report.Waiting + s.sentSinceReport
+	return waiting, max(0, s.report.Running+waiting+1+reserve-candidate.Places)
 }
 
-// running is how many requests the upstream's host last told of and how long ago;
-// what it told long ago does not count.
+// running returns the reported number of running requests, 0 if the report is too old,
+// and the age of the report, 0 if there was none.
 func (s *state) running(now time.Time) (running int, age time.Duration) {
-	if s.toldAt.IsZero() {
+	if s.reportedAt.IsZero() {
 		return 0, 0
 	}
-	age = now.Sub(s.toldAt)
-	if age > toldFor {
+	age = now.Sub(s.reportedAt)
+	if age > reportMaxAge {
 		return 0, age
 	}
-	return s.told.Running, age
+	return s.report.Running, age
 }
-
-// beyondWeight is what a request beyond the places counts: it waits for another
-// to end.
-const beyondWeight = 3.0
