--- a/daemon/internal/process/readers/readers.go
+++ b/daemon/internal/process/readers/readers.go
@@ -1,21 +1,19 @@
-// Package readers decides which routers of a data hall read the store, and whom each
-// other one follows.
+// Package readers decides which routers of a data hall read the store, and which router
+// each of the others follows.
 //
-// The load that it answers: every router of a hall needs each change of the store, and
-// the hall shares one narrow link to the region in which the store stands. One reader
-// for each hall crosses that link once, but sends each change to all others over its
-// own link, which grows with the hall. So a large hall has relays between its reader
-// and the rest, each with fanOut followers on average, and the routers with the widest
-// links come first for both parts.
+// Every router needs each change of the store, over the narrow link that a hall shares to
+// the store's region. One reader per hall minimizes the use of that link, but its fan-out
+// grows with the hall. So a large hall has relays between the reader and the rest, each
+// with fanOut followers on average. Routers with the widest links become reader and relays.
 //
-// All routers of a hall share one ranking, so that nothing has to be agreed upon: a
-// router only ever follows one that ranks before it, which rules out cycles. A reader
-// that is gone is replaced at once by the next of the ranking. One that lives and does
-// not hear the store may be turned away alone, so the next two read at once too; every
-// further one only after it has waited for longer than those before it.
+// All routers of a hall compute the same ranking and need no agreement. A router follows
+// only routers that rank before it, which rules out cycles. The next in the ranking
+// replaces an unreachable reader at once. A stale reader may be the only one that the store
+// rejects, so the next two read the store at once as well; each further router starts only
+// after a longer wait.
 //
-// Rejected: several readers from the start, which costs the store the calls and the
-// link the bytes of each; an election, which needs the store that is not heard.
+// Rejected: several readers from the start, which multiplies the load on the store and the
+// link; an election, which needs the store that does not answer.
 package readers
 
 import (
@@ -30,40 +28,40 @@
 )
 
 const (
-	// eager is how many routers of a hall may read the store at once, where those before
-	// them do not hear it: with a third of them turned away, one of three hears it in 96
-	// of 100 halls.
-	eager = 3
-	// firstWait is how long nothing may be heard until one more reads it, and nextWait how
-	// much longer for each after that one. Changes are to be in force within 2 to 4 s.
-	firstWait = 1500 * time.Millisecond
-	nextWait  = time.Second
+	// maxImmediateReaders is the number of routers that may read the store at once while
+	// those before them are stale. If the store rejects a third of the routers, one of
+	// three is very likely to reach it.
+	maxImmediateReaders = 3
+	// firstReaderDelay is the time without data from the store after which one more router
+	// reads it, and nextReaderDelay the additional time for each further one.
+	firstReaderDelay = 1500 * time.Millisecond
+	nextReaderDelay  = time.Second
 	// fanOut is the number of followers above which a hall has relays.
 	fanOut = 32
 )
 
-// State is what a router knows of another one of its hall.
+// State is the state of a router, as another one of its hall sees it.
 type State int
 
 // The states.
 const (
-	// Usable routers may be asked.
+	// Usable routers may be queried.
 	Usable State = iota
-	// Behind ones live, but do not hear the store, or know nothing yet.
+	// Behind routers answer, but their replica is stale or still empty.
 	Behind
-	// Gone ones do not answer.
+	// Gone routers do not answer.
 	Gone
 )
 
 // Router is one router of the hall.
 type Router struct {
 	Name string
-	// LinkMbps is the rate of its link in megabits a second, 0 where it is not known.
+	// LinkMbps is the rate of its link in megabits per second, 0 if unknown.
 	LinkMbps float64
 	State    State
 }
 
-// Course is what a router does for news of the store.
+// Course is how a router gets updates of the store.
 type Course int
 
 // The courses.
@@ -72,22 +70,23 @@
 	Read Course = iota
 	// Follow another router.
 	Follow
-	// Hold, and look again soon.
+	// Hold: call neither the store nor a router for now.
 	Hold
 )
 
-// shards is the number of parts of a hall's routers. One that starts lists its own part, and
-// only the first of each part lists the hall: were each to list it, the bytes of a start would
-// grow with the square of the hall.
+// shards is the number of parts into which a hall's routers are divided. A router that starts
+// lists its shard, and only the first of each shard lists the hall: if all did, the bytes of a
+// simultaneous start would grow with the square of the hall's size.
 const shards = 16
 
-// Shard returns the part of its hall's routers that one is listed with, by its name.
+// Shard returns the shard of a router, by its name.
 func Shard(name string) string {
 	return strconv.FormatUint(xxhash.Sum64String(name)%shards, shards)
 }
 
-// Rank returns routers in the order in which they read the store and relay: those with
-// the widest links first, and among these by a hash of their names.
+// Rank returns routers in the order in which they become reader and relays: by the rate of
+// their links, widest first, and then by a hash of their names. The text that is hashed must
+// be the same in all routers of a hall.
 func Rank(routers []Router) []Router {
 	all := make([]scored, len(routers))
 	for i, router := range routers {
@@ -105,43 +104,43 @@
 	return ranked
 }
 
-// scored is a router and its score for the ranking.
+// scored is a router and its hash for the ranking.
 type scored struct {
 	router Router
 	score  uint64
 }
 
-// Decide returns the course of a router, and the name of the one that it follows. Hall
-// holds the others; unheard is for how long this one has heard nothing of the store,
-// from anybody.
-func Decide(own Router, hall []Router, unheard time.Duration) (Course, string) {
+// Decide returns the course of a router, and the name of the router that it follows. Hall
+// holds the other routers, and sinceData is the time since this one last received data of
+// the store, directly or through another.
+func Decide(own Router, hall []Router, sinceData time.Duration) (Course, string) {
 	own.State = Usable
 	ranked := Rank(append([]Router{own}, withoutName(hall, own.Name)...))
-	place := slices.IndexFunc(ranked, func(router Router) bool { return router.Name == own.Name })
-	if relay, ok := relayFor(own, ranked, place); ok {
+	rank := slices.IndexFunc(ranked, func(router Router) bool { return router.Name == own.Name })
+	if relay, ok := relayFor(own, ranked, rank); ok {
 		return Follow, relay
 	}
-	behind := 0
-	for _, router := range ranked[:place] {
+	stale := 0
+	for _, router := range ranked[:rank] {
 		switch router.State {
 		case Usable:
 			return Follow, router.Name
 		case Behind:
-			behind++
+			stale++
 		case Gone:
 		}
 	}
-	if behind < eager || unheard >= firstWait+time.Duration(behind-eager)*nextWait {
+	if stale < maxImmediateReaders || sinceData >= firstReaderDelay+time.Duration(stale-maxImmediateReaders)*nextReaderDelay {
 		return Read, ""
 	}
 	return Hold, ""
 }
 
-// relayFor returns the relay that a router follows, false where it has none: in a small
-// hall, as a relay itself, and where no relay is usable.
-func relayFor(own Router, ranked []Router, place int) (string, bool) {
-	relays := relaysOf(len(ranked))
-	if place <= relays {
+// relayFor returns the relay that a router follows. It returns false if there is none: in a
+// small hall, for the reader and the relays, and if no relay is usable.
+func relayFor(own Router, ranked []Router, rank int) (string, bool) {
+	relays := relayCount(len(ranked))
+	if rank <= relays {
 		return "", false
 	}
 	var usable []string
@@ -154,15 +153,15 @@
 	return relay, relay != ""
 }
 
-// relaysOf returns how many relays a hall of some routers has, those after the first of
-// the ranking.
-func relaysOf(routers int) int {
+// relayCount returns the number of relays of a hall. They follow the reader in the ranking.
+func relayCount(routers int) int {
 	if routers <= fanOut+1 {
 		return 0
 	}
 	return (routers - 1 + fanOut - 1) / fanOut
 }
 
+// withoutName returns the routers with other names.
 func withoutName(routers []Router, name string) []Router {
 	others := make([]Router, 0, len(routers))
 	for _, router := range routers {
--- a/daemon/internal/process/readers/readers_test.go
+++ b/daemon/internal/process/readers/readers_test.go
@@ -12,7 +12,7 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/readers"
 )
 
-// hall returns some routers, all usable.
+// hall returns usable routers.
 func hall(count int) []readers.Router {
 	var all []readers.Router
 	for i := range count {
@@ -21,22 +21,22 @@
 	return all
 }
 
-// outcome is what the routers of a hall do.
+// outcome holds the courses of a hall's routers.
 type outcome struct {
 	reads, holds int
-	// follows holds whom each follower follows.
+	// follows holds the followed router by the name of each follower.
 	follows map[string]string
 }
 
-// decide returns what each living router of a hall does. All see the others in the same
-// state.
-func decide(hall []readers.Router, unheard time.Duration) outcome {
+// decide returns the courses of the reachable routers of a hall, which all see each other in
+// the same state.
+func decide(hall []readers.Router, sinceData time.Duration) outcome {
 	result := outcome{follows: map[string]string{}}
 	for _, own := range hall {
 		if own.State == readers.Gone {
 			continue
 		}
-		course, followed := readers.Decide(own, hall, unheard)
+		course, followed := readers.Decide(own, hall, sinceData)
 		switch course {
 		case readers.Read:
 			result.reads++
@@ -49,7 +49,7 @@
 	return result
 }
 
-// followers counts those of each router that is followed.
+// followers returns the number of followers of each followed router.
 func (o outcome) followers() map[string]int {
 	counts := map[string]int{}
 	for _, followed := range o.follows {
@@ -58,90 +58,89 @@
 	return counts
 }
 
-// TestOneRouterReadsForItsHall: whichever routers of a small hall do not answer, one of the
-// others reads the store, every other one follows that one, and nobody itself.
-func TestOneRouterReadsForItsHall(t *testing.T) {
+// TestSmallHallHasOneReader checks that, whichever routers of a small hall are unreachable, one
+// of the others reads the store and all others follow it.
+func TestSmallHallHasOneReader(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		routers := hall(rapid.IntRange(1, 20).Draw(t, "routers"))
-		living := 0
+		reachable := 0
 		for i := range routers {
 			if rapid.Bool().Draw(t, "gone") {
 				routers[i].State = readers.Gone
 				continue
 			}
-			living++
+			reachable++
 		}
 		result := decide(routers, 0)
-		assert.Equal(t, min(living, 1), result.reads)
+		assert.Equal(t, min(reachable, 1), result.reads)
 		assert.Zero(t, result.holds)
-		for name, other := range result.follows {
-			assert.NotEqual(t, name, other)
-			assert.NotContains(t, result.follows, other, "nobody follows one that follows")
+		for name, followed := range result.follows {
+			assert.NotEqual(t, name, followed)
+			assert.NotContains(t, result.follows, followed, "no router follows a follower")
 		}
 		assert.LessOrEqual(t, len(result.followers()), 1)
 	})
 }
 
-// TestSomebodyAlwaysReads: in whatever state routers see each other, the first living
-// one of the ranking reads or follows one that is usable.
-func TestSomebodyAlwaysReads(t *testing.T) {
+// TestReachableHallHasAReader checks that in any combination of states at least one router reads
+// the store if any is reachable.
+func TestReachableHallHasAReader(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		routers := hall(rapid.IntRange(1, 80).Draw(t, "routers"))
-		living := 0
+		reachable := 0
 		for i := range routers {
 			routers[i].State = rapid.SampledFrom([]readers.State{readers.Usable, readers.Behind, readers.Gone}).Draw(t, "state")
 			if routers[i].State != readers.Gone {
-				living++
+				reachable++
 			}
 		}
-		assert.Equal(t, living > 0, decide(routers, 0).reads > 0)
+		assert.Equal(t, reachable > 0, decide(routers, 0).reads > 0)
 	})
 }
 
-// TestStormDoesNotBringAllToTheStore replays a hall of 30 routers whose reader falls
-// behind in a storm of configurations, with everybody after it: a region's link of 26
-// Mbit/s bears three readers of 3.2 MB a second together, and never thirty.
-func TestStormDoesNotBringAllToTheStore(t *testing.T) {
+// TestReadersAreBoundedWhileAllAreStale guards against a stale hall whose routers all read the
+// store at once and overload the link to its region.
+func TestReadersAreBoundedWhileAllAreStale(t *testing.T) {
 	routers := hall(30)
 	for i := range routers {
 		routers[i].State = readers.Behind
 	}
 	for _, step := range []struct {
-		unheard time.Duration
-		most    int
+		sinceData  time.Duration
+		maxReaders int
 	}{{0, 3}, {1400 * time.Millisecond, 3}, {2 * time.Second, 4}, {4 * time.Second, 6}, {6 * time.Second, 8}} {
-		result := decide(routers, step.unheard)
-		assert.LessOrEqual(t, result.reads, step.most, "after %s", step.unheard)
+		result := decide(routers, step.sinceData)
+		assert.LessOrEqual(t, result.reads, step.maxReaders, "after %s", step.sinceData)
 		assert.Empty(t, result.follows)
 	}
 }
 
-// TestRoutersTurnedAwayDoNotHoldUpTheOthers: with a third of a hall turned away by the
-// store, another router reads it within 2 s in 97 of 100 halls.
-func TestRoutersTurnedAwayDoNotHoldUpTheOthers(t *testing.T) {
-	const halls, soon = 1000, 2 * time.Second
+// TestRejectedRoutersDoNotDelayTheHall checks that, if the store rejects a third of a hall's
+// routers, another router reads it within 2 s in 97 of 100 halls.
+func TestRejectedRoutersDoNotDelayTheHall(t *testing.T) {
+	const halls, sinceData = 1000, 2 * time.Second
 	draw := rand.New(rand.NewPCG(1, 2))
-	unheard := 0
+	failed := 0
 	for range halls {
 		var routers []readers.Router
 		for range 30 {
 			routers = append(routers, readers.Router{Name: fmt.Sprint("router-", draw.Uint32()), State: readers.Behind})
 		}
-		heard := false
+		connected := false
 		for _, own := range routers {
-			course, _ := readers.Decide(own, routers, soon)
-			turnedAway := draw.IntN(3) == 0
-			heard = heard || course == readers.Read && !turnedAway
+			course, _ := readers.Decide(own, routers, sinceData)
+			rejected := draw.IntN(3) == 0
+			connected = connected || course == readers.Read && !rejected
 		}
-		if !heard {
-			unheard++
+		if !connected {
+			failed++
 		}
 	}
-	assert.LessOrEqual(t, unheard, halls*3/100)
+	assert.LessOrEqual(t, failed, halls*3/100)
 }
 
-// TestRouterThatNobodyKnowsYetDecides: its own record is not needed for that.
-func TestRouterThatNobodyKnowsYetDecides(t *testing.T) {
+// TestUnregisteredRouterFollows checks that a router decides before its own record is listed.
+func TestUnregisteredRouterFollows(t *testing.T) {
 	routers := hall(6)
 	follows := 0
 	for i := range 20 {
@@ -152,10 +151,9 @@
 	assert.Greater(t, follows, 10)
 }
 
-// TestFollowersOfEachRouterAreBounded: at one size of a hall and at twice that, no router
-// sends a change to more than 32 others by the mean, and none to twice that; and every
-// follower is two steps from the reader at most.
-func TestFollowersOfEachRouterAreBounded(t *testing.T) {
+// TestFanOutIsBounded checks that routers have at most 32 followers on average and none more
+// than 64, and that updates reach each follower over at most one relay.
+func TestFanOutIsBounded(t *testing.T) {
 	for _, size := range []int{33, 57, 110, 220, 440} {
 		result := decide(hall(size), 0)
 		assert.Equal(t, 1, result.reads, "size %d", size)
@@ -172,9 +170,8 @@
 	}
 }
 
-// TestWideLinksServeTheHall replays a hall of 117 routers, of which 11 have a link of 1,000
-// Mbit/s and the others of 40: only wide ones are followed.
-func TestWideLinksServeTheHall(t *testing.T) {
+// TestOnlyRoutersWithWideLinksAreFollowed uses a hall where one router in ten has a wide link.
+func TestOnlyRoutersWithWideLinksAreFollowed(t *testing.T) {
 	routers := hall(117)
 	wide := map[string]bool{}
 	for i := range routers {
@@ -189,9 +186,9 @@
 	}
 }
 
-// TestFollowersOutliveTheirRelays: whichever relays and readers are gone, everybody follows
-// a living router that ranks before it, or reads.
-func TestFollowersOutliveTheirRelays(t *testing.T) {
+// TestFollowersReplaceUnreachableRelays checks that every router follows a reachable router
+// that ranks before it, or reads the store, whichever relays and readers are unreachable.
+func TestFollowersReplaceUnreachableRelays(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		routers := hall(117)
 		for _, router := range readers.Rank(routers)[:rapid.IntRange(0, 20).Draw(t, "gone")] {
@@ -201,15 +198,15 @@
 				}
 			}
 		}
-		place := map[string]int{}
+		rank := map[string]int{}
 		for i, router := range readers.Rank(routers) {
-			place[router.Name] = i
+			rank[router.Name] = i
 		}
 		result := decide(routers, 0)
 		assert.Equal(t, 1, result.reads)
 		assert.Zero(t, result.holds)
 		for name, followed := range result.follows {
-			assert.Less(t, place[followed], place[name])
+			assert.Less(t, rank[followed], rank[name])
 			for _, router := range routers {
 				assert.False(t, router.Name == followed && router.State == readers.Gone)
 			}
@@ -217,8 +214,8 @@
 	})
 }
 
-// TestShardsPartAHall: every name has one of 16 parts, and the parts are about alike.
-func TestShardsPartAHall(t *testing.T) {
+// TestShardsDivideAHallEvenly checks that there are 16 shards of similar size.
+func TestShardsDivideAHallEvenly(t *testing.T) {
 	counts := map[string]int{}
 	for _, router := range hall(1600) {
 		counts[readers.Shard(router.Name)]++
