--- a/daemon/internal/connection/peering/engine.go
+++ b/daemon/internal/connection/peering/engine.go
@@ -12,7 +12,7 @@
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/call"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/patience"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
@@ -30,20 +30,20 @@
 
 // EngineNews is what a configuration says of an engine's service.
 type EngineNews struct {
-	mirror.EngineNeeds
+	replica.EngineNeeds
 	// Revision is the configuration's.
 	Revision provider.Revision `json:"revision"`
 }
 
 // EngineHandler answers from the newest view.
-func EngineHandler(view func() *mirror.View) http.HandlerFunc {
+func EngineHandler(view func() *replica.View) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		known := view()
 		if known.Configuration == nil {
 			http.Error(w, "no configuration is known yet", http.StatusServiceUnavailable)
 			return
 		}
-		needs, err := mirror.NeedsOf(known.Configuration, r.URL.Query().Get("service"))
+		needs, err := replica.NeedsOf(known.Configuration, r.URL.Query().Get("service"))
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusNotFound)
 			return
--- a/daemon/internal/connection/peering/listings.go
+++ b/daemon/internal/connection/peering/listings.go
@@ -3,7 +3,7 @@
 import (
 	"sync"
 
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
@@ -35,7 +35,7 @@
 }
 
 // of lists a table, once for each of its states.
-func (l *listings) of(table *mirror.Table, prefix string, after provider.Revision) *listing {
+func (l *listings) of(table *replica.Table, prefix string, after provider.Revision) *listing {
 	// Read before the entries: a change between the two is listed once more.
 	changes := table.Changes()
 	key := listingKey{prefix: prefix, after: after}
--- a/daemon/internal/connection/peering/neighbours.go
+++ b/daemon/internal/connection/peering/neighbours.go
@@ -11,14 +11,14 @@
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/backoff"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/call"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/readers"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
 // NewsWait is how long a neighbour holds its answer while there is no news. It bounds
 // how long one that froze stays unnoticed.
-const NewsWait = mirror.HopWait
+const NewsWait = replica.HopWait
 
 const (
 	// wholeWait is NewsWait for the whole copy, of one that may just be starting.
@@ -33,7 +33,7 @@
 )
 
 // errStarting says that a neighbour knows nothing yet.
-var errStarting = fmt.Errorf("it knows nothing yet: %w", mirror.ErrBehind)
+var errStarting = fmt.Errorf("it knows nothing yet: %w", replica.ErrBehind)
 
 // Neighbours asks daemons of the own hall in place of the store, for one follower.
 // Client and Choose must be set.
@@ -63,14 +63,14 @@
 // asks for all of it where that is 0, and where the neighbour's copy was read anew
 // since all of it was taken last, or never was: it may have entries then that are
 // below the revision and were missed by this daemon as by the one it followed before.
-func (n *Neighbours) News(ctx context.Context, prefix string, after provider.Revision) (mirror.News, error) {
+func (n *Neighbours) News(ctx context.Context, prefix string, after provider.Revision) (replica.News, error) {
 	neighbour, ok := n.Choose(n.usable)
 	switch {
 	case ok:
 	case n.Hold != nil && n.Hold():
-		return mirror.News{}, mirror.ErrHold
+		return replica.News{}, replica.ErrHold
 	default:
-		return mirror.News{}, mirror.ErrNoneNear
+		return replica.News{}, replica.ErrNoneNear
 	}
 	if neighbour != n.followed {
 		after = 0
@@ -85,7 +85,7 @@
 	return news, n.judge(ctx, neighbour, err)
 }
 
-func (n *Neighbours) ask(ctx context.Context, neighbour netip.AddrPort, prefix string, after provider.Revision) (mirror.News, error) {
+func (n *Neighbours) ask(ctx context.Context, neighbour netip.AddrPort, prefix string, after provider.Revision) (replica.News, error) {
 	asked := question{prefix: prefix, after: after, wait: NewsWait, packed: true}
 	if after == 0 {
 		asked.wait = wholeWait
@@ -95,7 +95,7 @@
 		return news, fmt.Errorf("neighbour %s: %w", neighbour, errStarting)
 	}
 	if err == nil && news.Behind() {
-		err = fmt.Errorf("neighbour %s, heard it %s ago: %w", neighbour, news.Heard.Round(time.Millisecond), mirror.ErrBehind)
+		err = fmt.Errorf("neighbour %s, heard it %s ago: %w", neighbour, news.Heard.Round(time.Millisecond), replica.ErrBehind)
 	}
 	return news, err
 }
@@ -104,7 +104,7 @@
 func (n *Neighbours) Engine(ctx context.Context, service string) (EngineNews, error) {
 	neighbour, ok := n.Choose(n.usable)
 	if !ok {
-		return EngineNews{}, mirror.ErrNoneNear
+		return EngineNews{}, replica.ErrNoneNear
 	}
 	news, err := askEngine(ctx, n.Client, neighbour, service)
 	return news, n.judge(ctx, neighbour, err)
@@ -116,7 +116,7 @@
 		return err
 	}
 	n.muted.Add(neighbour, muteTime(err), n.Now)
-	if errors.Is(err, mirror.ErrBehind) {
+	if errors.Is(err, replica.ErrBehind) {
 		n.behind.Add(neighbour, muteTime(err), n.Now)
 	}
 	if n.OnMute != nil {
--- a/daemon/internal/connection/peering/packed_test.go
+++ b/daemon/internal/connection/peering/packed_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
@@ -38,10 +38,10 @@
 // that one sends them of a large configuration is a sixth of it at most.
 func TestALargeConfigurationIsPacked(t *testing.T) {
 	const followers = 32
-	table := &mirror.Table{}
+	table := &replica.Table{}
 	value := largeConfiguration(t)
 	table.Apply([]provider.Entry{{Key: "c", Value: value, Revision: 7}})
-	source := &Source{Table: table, Standing: func() mirror.Standing { return mirror.Standing{At: 7} }}
+	source := &Source{Table: table, Standing: func() replica.Standing { return replica.Standing{At: 7} }}
 	sent := 0
 	for range followers {
 		answer := httptest.NewRecorder()
@@ -94,9 +94,9 @@
 		value := fmt.Sprintf(`{"service":"lovo38b","address":"10.%d.64.%d:8761","zone":"natal-a","capacity":8,"state":"ready","sequence":%d}`, i%5, i%250, i*7919)
 		made = append(made, provider.Entry{Key: fmt.Sprintf("u/i-%08x", i*2654435761), Value: []byte(value), Revision: provider.Revision(i + 1)})
 	}
-	table := &mirror.Table{}
+	table := &replica.Table{}
 	table.Apply(made)
-	source := &Source{Table: table, Standing: func() mirror.Standing { return mirror.Standing{At: 1007} }}
+	source := &Source{Table: table, Standing: func() replica.Standing { return replica.Standing{At: 1007} }}
 	get := func(target string) (packedMessage, int) {
 		answer := httptest.NewRecorder()
 		source.ServeHTTP(answer, httptest.NewRequest(http.MethodGet, target, http.NoBody))
--- a/daemon/internal/connection/peering/peering.go
+++ b/daemon/internal/connection/peering/peering.go
@@ -31,7 +31,7 @@
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/call"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/patience"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
@@ -74,8 +74,8 @@
 }
 
 // standing returns that of the daemon that answered.
-func (m *message) standing() mirror.Standing {
-	return mirror.Standing{
+func (m *message) standing() replica.Standing {
+	return replica.Standing{
 		At: m.At, Answered: m.Answered, Heard: m.Heard, Lost: m.Lost, Generation: m.Generation, Hops: m.Hops,
 	}
 }
@@ -99,8 +99,8 @@
 
 // Source is the copy that a daemon hands out.
 type Source struct {
-	Table    *mirror.Table
-	Standing func() mirror.Standing
+	Table    *replica.Table
+	Standing func() replica.Standing
 
 	packer   packer
 	listings listings
@@ -214,7 +214,7 @@
 }
 
 // ask makes one call to a peer.
-func ask(ctx context.Context, client *http.Client, peer netip.AddrPort, asked question) (mirror.News, error) {
+func ask(ctx context.Context, client *http.Client, peer netip.AddrPort, asked question) (replica.News, error) {
 	limit := patience.Limit{First: asked.wait + answerBegins, Stall: answerStalls, Whole: longestAnswer}
 	if asked.after == 0 {
 		limit.First = asked.wait + wholeBegins
@@ -223,11 +223,11 @@
 	defer end()
 	var answer packedMessage
 	if err := call.JSON(ctx, client, asked.url(peer), maxCopy, &answer); err != nil {
-		return mirror.News{}, fmt.Errorf("ask peer %s for its copy: %w", peer, patience.Explain(ctx, err))
+		return replica.News{}, fmt.Errorf("ask peer %s for its copy: %w", peer, patience.Explain(ctx, err))
 	}
 	entries, err := answer.unpacked()
 	if err != nil {
-		return mirror.News{}, fmt.Errorf("ask peer %s for its copy: %w", peer, err)
+		return replica.News{}, fmt.Errorf("ask peer %s for its copy: %w", peer, err)
 	}
-	return mirror.News{Entries: entries, After: asked.after, Standing: answer.standing()}, nil
+	return replica.News{Entries: entries, After: asked.after, Standing: answer.standing()}, nil
 }
--- a/daemon/internal/connection/peering/peering_test.go
+++ b/daemon/internal/connection/peering/peering_test.go
@@ -14,22 +14,22 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
 // daemon is one that hands out its copy.
 type daemon struct {
-	table    *mirror.Table
+	table    *replica.Table
 	mu       sync.Mutex
-	standing mirror.Standing
+	standing replica.Standing
 	address  netip.AddrPort
 	client   *http.Client
 }
 
-func startDaemon(t *testing.T, standing mirror.Standing) *daemon {
+func startDaemon(t *testing.T, standing replica.Standing) *daemon {
 	t.Helper()
-	d := &daemon{table: &mirror.Table{}, standing: standing}
+	d := &daemon{table: &replica.Table{}, standing: standing}
 	source := &Source{Table: d.table, Standing: d.stands}
 	server := httptest.NewServer(source)
 	t.Cleanup(server.Close)
@@ -38,13 +38,13 @@
 	return d
 }
 
-func (d *daemon) stands() mirror.Standing {
+func (d *daemon) stands() replica.Standing {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.standing
 }
 
-func (d *daemon) stand(standing mirror.Standing) {
+func (d *daemon) stand(standing replica.Standing) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.standing = standing
@@ -68,9 +68,9 @@
 // heard. Without a change the answer comes when the time is over.
 func TestNewsAreHeldUntilThereAreSome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		table, at := &mirror.Table{}, provider.Revision(4)
-		source := &Source{Table: table, Standing: func() mirror.Standing {
-			return mirror.Standing{At: at, Answered: 30 * time.Millisecond, Heard: 20 * time.Millisecond}
+		table, at := &replica.Table{}, provider.Revision(4)
+		source := &Source{Table: table, Standing: func() replica.Standing {
+			return replica.Standing{At: at, Answered: 30 * time.Millisecond, Heard: 20 * time.Millisecond}
 		}}
 		table.Apply(entries(3, 4))
 		var answer message
@@ -105,14 +105,14 @@
 func TestLossIsToldAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		heard := time.Now()
-		source := &Source{Table: &mirror.Table{}, Standing: func() mirror.Standing {
-			return mirror.Standing{At: 4, Heard: time.Since(heard)}
+		source := &Source{Table: &replica.Table{}, Standing: func() replica.Standing {
+			return replica.Standing{At: 4, Heard: time.Since(heard)}
 		}}
 		answer, _ := source.await(t.Context(), question{after: 4, wait: maxWait})
 		assert.True(t, answer.standing().Behind())
-		assert.Equal(t, mirror.FreshWithin, time.Since(heard))
+		assert.Equal(t, replica.FreshWithin, time.Since(heard))
 
-		source.Standing = func() mirror.Standing { return mirror.Standing{At: 4, Lost: true} }
+		source.Standing = func() replica.Standing { return replica.Standing{At: 4, Lost: true} }
 		asked := time.Now()
 		answer, _ = source.await(t.Context(), question{after: 4, wait: maxWait})
 		assert.True(t, answer.Lost)
@@ -123,9 +123,9 @@
 // TestWhoIsBehindSendsNoCopy: who follows would drop it, and in a hall whose routers are
 // all behind each would send its copy to each, hundreds of kilobytes at a time.
 func TestWhoIsBehindSendsNoCopy(t *testing.T) {
-	table := &mirror.Table{}
+	table := &replica.Table{}
 	table.Apply(entries(3, 4))
-	source := &Source{Table: table, Standing: func() mirror.Standing { return mirror.Standing{At: 4, Lost: true} }}
+	source := &Source{Table: table, Standing: func() replica.Standing { return replica.Standing{At: 4, Lost: true} }}
 	answer, _ := source.await(t.Context(), question{wait: maxWait})
 	assert.True(t, answer.Lost)
 	assert.Empty(t, answer.Entries)
@@ -137,7 +137,7 @@
 // watch told of. The neighbour reads its copy anew and has the entry; its revision is
 // below the one up to which those who follow it take their copy for complete.
 func TestEntriesOfAGapAreTaken(t *testing.T) {
-	d := startDaemon(t, mirror.Standing{At: 6, Generation: 1})
+	d := startDaemon(t, replica.Standing{At: 6, Generation: 1})
 	d.table.Apply(entries(3, 6))
 	neighbours := &Neighbours{Client: d.client, Choose: d.only}
 	news, err := neighbours.News(t.Context(), "", 5)
@@ -149,7 +149,7 @@
 	assert.Equal(t, entries(6), news.Entries)
 
 	d.table.Apply(entries(4))
-	d.stand(mirror.Standing{At: 6, Generation: 2})
+	d.stand(replica.Standing{At: 6, Generation: 2})
 	news, err = neighbours.News(t.Context(), "", 5)
 	require.NoError(t, err)
 	assert.Equal(t, provider.Revision(0), news.After)
@@ -161,7 +161,7 @@
 
 // TestNewsOfAPrefix: a daemon that needs only some keys is sent only those.
 func TestNewsOfAPrefix(t *testing.T) {
-	d := startDaemon(t, mirror.Standing{At: 9})
+	d := startDaemon(t, replica.Standing{At: 9})
 	d.table.Apply([]provider.Entry{{Key: "c", Value: make([]byte, 1000), Revision: 8}, {Key: "u/1", Revision: 9}})
 	news, err := (&Neighbours{Client: d.client, Choose: d.only}).News(t.Context(), "u/", 0)
 	require.NoError(t, err)
@@ -170,7 +170,7 @@
 
 // TestTheWholeCopyIsWaitedFor: one that is just starting answers when it has it.
 func TestTheWholeCopyIsWaitedFor(t *testing.T) {
-	d := startDaemon(t, mirror.Standing{})
+	d := startDaemon(t, replica.Standing{})
 	answers := make(chan message, 1)
 	source := &Source{Table: d.table, Standing: d.stands}
 	go func() {
@@ -178,7 +178,7 @@
 		answers <- answer
 	}()
 	d.table.Apply(entries(1, 2))
-	d.stand(mirror.Standing{At: 2})
+	d.stand(replica.Standing{At: 2})
 	answer := <-answers
 	assert.Equal(t, provider.Revision(2), answer.At)
 	assert.Len(t, answer.Entries, 2)
@@ -189,14 +189,14 @@
 func TestWhoDoesNotHearTheStoreIsLeft(t *testing.T) {
 	tests := []struct {
 		name     string
-		standing mirror.Standing
+		standing replica.Standing
 		gone     bool
 		muted    time.Duration
 	}{
-		{"does not hear the store", mirror.Standing{At: 4, Answered: time.Minute, Heard: mirror.FreshWithin + time.Second}, false, muteFor},
-		{"is turned away by the store", mirror.Standing{At: 4, Lost: true}, false, muteFor},
-		{"knows nothing yet", mirror.Standing{}, false, muteStarting},
-		{"is not up", mirror.Standing{At: 4}, true, muteStarting},
+		{"does not hear the store", replica.Standing{At: 4, Answered: time.Minute, Heard: replica.FreshWithin + time.Second}, false, muteFor},
+		{"is turned away by the store", replica.Standing{At: 4, Lost: true}, false, muteFor},
+		{"knows nothing yet", replica.Standing{}, false, muteStarting},
+		{"is not up", replica.Standing{At: 4}, true, muteStarting},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -213,16 +213,16 @@
 			}
 			_, err := neighbours.News(t.Context(), "", 3)
 			require.Error(t, err)
-			require.NotErrorIs(t, err, mirror.ErrNoneNear)
+			require.NotErrorIs(t, err, replica.ErrNoneNear)
 			assert.Equal(t, []netip.AddrPort{d.address}, left)
 			_, err = neighbours.News(t.Context(), "", 3)
-			require.ErrorIs(t, err, mirror.ErrNoneNear, "it is not asked")
+			require.ErrorIs(t, err, replica.ErrNoneNear, "it is not asked")
 			now = now.Add(test.muted - time.Millisecond)
 			_, err = neighbours.News(t.Context(), "", 3)
-			require.ErrorIs(t, err, mirror.ErrNoneNear, "still not")
+			require.ErrorIs(t, err, replica.ErrNoneNear, "still not")
 			now = now.Add(time.Millisecond)
 			_, err = neighbours.News(t.Context(), "", 3)
-			require.NotErrorIs(t, err, mirror.ErrNoneNear, "it is asked again")
+			require.NotErrorIs(t, err, replica.ErrNoneNear, "it is asked again")
 		})
 	}
 }
@@ -230,7 +230,7 @@
 // TestALongAnswerIsNoSilence: while an answer of the store is long under way to a
 // neighbour, those who ask it do not go to the store, which would make it longer.
 func TestALongAnswerIsNoSilence(t *testing.T) {
-	d := startDaemon(t, mirror.Standing{At: 4, Answered: 5 * time.Second, Heard: 10 * time.Millisecond})
+	d := startDaemon(t, replica.Standing{At: 4, Answered: 5 * time.Second, Heard: 10 * time.Millisecond})
 	d.table.Apply(entries(3, 4))
 	news, err := (&Neighbours{Client: d.client, Choose: d.only}).News(t.Context(), "", 3)
 	require.NoError(t, err)
@@ -239,7 +239,7 @@
 
 // TestWhoGivesUpBlamesNobody: a daemon that stops leaves its neighbour unmuted.
 func TestWhoGivesUpBlamesNobody(t *testing.T) {
-	d := startDaemon(t, mirror.Standing{At: 4})
+	d := startDaemon(t, replica.Standing{At: 4})
 	neighbours := &Neighbours{Client: d.client, Choose: d.only}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -251,13 +251,13 @@
 // TestAPeersCopyIsTakenAsFarAsItIsComplete: a copy with the newest entry may lack an
 // older one, so what is asked for next goes by what the copy was complete up to.
 func TestAPeersCopyIsTakenAsFarAsItIsComplete(t *testing.T) {
-	d := startDaemon(t, mirror.Standing{At: 3})
+	d := startDaemon(t, replica.Standing{At: 3})
 	d.table.Apply(entries(3, 7))
-	follower := &mirror.Follower{Table: &mirror.Table{}}
+	follower := &replica.Follower{Table: &replica.Table{}}
 	puller := &Puller{Client: d.client, Follower: follower}
 	require.NoError(t, puller.pull(t.Context(), d.address))
 	assert.Equal(t, provider.Revision(7), follower.Table.Newest())
-	d.stand(mirror.Standing{At: 7})
+	d.stand(replica.Standing{At: 7})
 	d.table.Apply(entries(5))
 	require.NoError(t, puller.pull(t.Context(), d.address))
 	assert.Len(t, follower.Table.Since(0).Entries, 3)
@@ -266,8 +266,8 @@
 
 // TestEngineNeeds: a loader is told what it needs, and when nothing is known yet.
 func TestEngineNeeds(t *testing.T) {
-	view := &mirror.View{}
-	server := httptest.NewServer(EngineHandler(func() *mirror.View { return view }))
+	view := &replica.View{}
+	server := httptest.NewServer(EngineHandler(func() *replica.View { return view }))
 	t.Cleanup(server.Close)
 	address := netip.MustParseAddrPort(server.Listener.Addr().String())
 	neighbours := &Neighbours{
@@ -276,23 +276,23 @@
 	_, err := neighbours.Engine(t.Context(), "s")
 	require.Error(t, err)
 	engine, origin := provider.EngineSpec{Model: "m", Chunks: 3}, netip.MustParseAddrPort("10.0.0.1:80")
-	view = &mirror.View{ConfigurationRevision: 9, Configuration: &provider.Configuration{
+	view = &replica.View{ConfigurationRevision: 9, Configuration: &provider.Configuration{
 		Services: []provider.Service{{Name: "s", Engine: &engine}, {Name: "o", Origin: origin}},
 	}}
 	news, err := neighbours.Engine(t.Context(), "s")
 	require.NoError(t, err)
-	assert.Equal(t, EngineNews{EngineNeeds: mirror.EngineNeeds{Engine: engine, Origin: origin}, Revision: 9}, news)
+	assert.Equal(t, EngineNews{EngineNeeds: replica.EngineNeeds{Engine: engine, Origin: origin}, Revision: 9}, news)
 	_, err = neighbours.Engine(t.Context(), "other")
 	require.Error(t, err)
-	assert.False(t, errors.Is(err, mirror.ErrNoneNear))
+	assert.False(t, errors.Is(err, replica.ErrNoneNear))
 }
 
 // TestHallIsAskedForBeforeTheWholeCopy: a router that the store turns away and that knows nothing
 // asks a seed for the records of its hall only, which are no copy of the store, and for all next.
 func TestHallIsAskedForBeforeTheWholeCopy(t *testing.T) {
-	d := startDaemon(t, mirror.Standing{At: 9})
+	d := startDaemon(t, replica.Standing{At: 9})
 	d.table.Apply([]provider.Entry{{Key: "c", Value: make([]byte, 1000), Revision: 8}, {Key: "m/hall/1", Value: []byte("v"), Revision: 9}})
-	follower := &mirror.Follower{Table: &mirror.Table{}}
+	follower := &replica.Follower{Table: &replica.Table{}}
 	puller := &Puller{Client: d.client, Follower: follower, First: "m/hall/"}
 	require.NoError(t, puller.ask(t.Context(), d.address))
 	assert.Len(t, follower.Table.Since(0).Entries, 1)
--- a/daemon/internal/connection/peering/puller.go
+++ b/daemon/internal/connection/peering/puller.go
@@ -10,7 +10,7 @@
 	"gopkg.in/tomb.v2"
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/helpers"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 )
 
 const (
@@ -25,7 +25,7 @@
 type Puller struct {
 	Client *http.Client
 	// Follower is the one whose copy is kept up; the store is silent to it.
-	Follower *mirror.Follower
+	Follower *replica.Follower
 	// Peer returns the peer to ask now; false for none.
 	Peer func() (netip.AddrPort, bool)
 	// First is the prefix that is asked for before all else while nothing is known: that of
--- a/daemon/internal/process/mirror/breaker_test.go
+++ b/daemon/internal/process/replica/breaker_test.go
@@ -1,4 +1,4 @@
-package mirror_test
+package replica_test
 
 import (
 	"context"
@@ -10,14 +10,14 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
 // TestOneFollowerProbesForAllDuringAnOutage checks that followers that share a breaker make
 // far fewer failing calls than independent ones, and all read the store soon after it recovers.
 func TestOneFollowerProbesForAllDuringAnOutage(t *testing.T) {
-	calls := func(followers int, breaker *mirror.Outage) int64 {
+	calls := func(followers int, breaker *replica.Outage) int64 {
 		var failed, answered atomic.Int64
 		synctest.Test(t, func(t *testing.T) {
 			const outage = 6 * time.Second
@@ -30,10 +30,10 @@
 				answered.Add(1)
 				return provider.Listing{At: 1}, nil
 			}
-			var all []*mirror.Follower
+			var all []*replica.Follower
 			for range followers {
-				f := &mirror.Follower{
-					Store: provider.Store{List: list, ListStale: list}, Table: &mirror.Table{}, ListEvery: func() time.Duration { return time.Minute },
+				f := &replica.Follower{
+					Store: provider.Store{List: list, ListStale: list}, Table: &replica.Table{}, ListEvery: func() time.Duration { return time.Minute },
 					Outage: breaker, Now: time.Now,
 				}
 				f.Start()
@@ -52,7 +52,7 @@
 	for range outages {
 		single += calls(1, nil)
 		separate += calls(3, nil)
-		shared += calls(3, &mirror.Outage{})
+		shared += calls(3, &replica.Outage{})
 	}
 	t.Logf("failed calls in %d outages: %d of one follower, %d of three, %d of three that share a breaker", outages, single, separate, shared)
 	assert.Less(t, 2*shared, separate)
--- a/daemon/internal/process/mirror/engineconfig_test.go
+++ b/daemon/internal/process/replica/engineconfig_test.go
@@ -1,4 +1,4 @@
-package mirror_test
+package replica_test
 
 import (
 	"net/netip"
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
@@ -18,11 +18,11 @@
 	engine := provider.Service{Name: "s", Engine: &provider.EngineSpec{Model: "m", Places: 4}}
 	other := provider.Service{Name: "t", Engine: &provider.EngineSpec{Model: "n"}}
 	weights := provider.Service{Name: "o", Origin: origin, OriginRate: 5e5}
-	config, err := mirror.NeedsOf(&provider.Configuration{Services: []provider.Service{other, engine, weights}}, "s")
+	config, err := replica.NeedsOf(&provider.Configuration{Services: []provider.Service{other, engine, weights}}, "s")
 	require.NoError(t, err)
-	assert.Equal(t, mirror.EngineNeeds{Engine: *engine.Engine, Origin: origin, OriginRate: 5e5}, config)
+	assert.Equal(t, replica.EngineNeeds{Engine: *engine.Engine, Origin: origin, OriginRate: 5e5}, config)
 	for _, services := range [][]provider.Service{{other, weights}, {engine}, nil} {
-		_, err := mirror.NeedsOf(&provider.Configuration{Services: services}, "s")
-		require.ErrorIs(t, err, mirror.ErrNoEngine)
+		_, err := replica.NeedsOf(&provider.Configuration{Services: services}, "s")
+		require.ErrorIs(t, err, replica.ErrNoEngine)
 	}
 }
--- a/daemon/internal/process/mirror/expiry_test.go
+++ b/daemon/internal/process/replica/expiry_test.go
@@ -1,4 +1,4 @@
-package mirror_test
+package replica_test
 
 import (
 	"net/netip"
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
@@ -18,8 +18,8 @@
 func TestExpiredUpstreamsStayInUseForAGrace(t *testing.T) {
 	now := time.Unix(1000, 0)
 	unreachable, leaving := true, false
-	table := &mirror.Table{}
-	compiler := &mirror.Compiler{
+	table := &replica.Table{}
+	compiler := &replica.Compiler{
 		Decode: func(entry provider.Entry) (provider.Record, error) {
 			return provider.Record{Upstream: &provider.Upstream{ID: entry.Key, Service: "s", Leaving: leaving}}, nil
 		},
@@ -62,8 +62,8 @@
 // TestOneUpstreamPerAddress checks that of several entries for one address the one created
 // last is used, whichever changed last, and the others only once it is removed.
 func TestOneUpstreamPerAddress(t *testing.T) {
-	table := &mirror.Table{}
-	compiler := &mirror.Compiler{Decode: func(entry provider.Entry) (provider.Record, error) {
+	table := &replica.Table{}
+	compiler := &replica.Compiler{Decode: func(entry provider.Entry) (provider.Record, error) {
 		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, 1}), 80)
 		return provider.Record{Upstream: &provider.Upstream{ID: entry.Key, Service: "s", Address: address}}, nil
 	}}
--- a/daemon/internal/process/mirror/follower_test.go
+++ b/daemon/internal/process/replica/follower_test.go
@@ -1,4 +1,4 @@
-package mirror_test
+package replica_test
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/helpers"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
@@ -66,8 +66,8 @@
 			bound    = settle + 2*transfer + interval
 		)
 		s := &changingStore{started: time.Now(), interval: interval, transfer: transfer}
-		table := &mirror.Table{}
-		follower := mirror.Follower{Store: s.store(), Table: table, Settle: func() time.Duration { return settle }}
+		table := &replica.Table{}
+		follower := replica.Follower{Store: s.store(), Table: table, Settle: func() time.Duration { return settle }}
 		follower.Start()
 		helpers.Pause(5*time.Second, nil)
 		for range 40 {
@@ -83,7 +83,7 @@
 func TestSlowChangesAreWatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &changingStore{started: time.Now(), interval: 2 * time.Second, transfer: time.Millisecond}
-		table := &mirror.Table{}
+		table := &replica.Table{}
 		lists := 0
 		store := s.store()
 		list := store.List
@@ -91,7 +91,7 @@
 			lists++
 			return list(ctx, prefix)
 		}
-		follower := mirror.Follower{Store: store, Table: table, Settle: func() time.Duration { return 500 * time.Millisecond }}
+		follower := replica.Follower{Store: store, Table: table, Settle: func() time.Duration { return 500 * time.Millisecond }}
 		follower.Start()
 		helpers.Pause(20*time.Second, nil)
 		follower.Stop()
@@ -121,8 +121,8 @@
 				return provider.Listing{Entries: []provider.Entry{small(at - 2), small(at - 1), small(at)}, At: at}, nil
 			},
 		}
-		table := &mirror.Table{}
-		follower := mirror.Follower{Store: store, Table: table}
+		table := &replica.Table{}
+		follower := replica.Follower{Store: store, Table: table}
 		follower.Start()
 		helpers.Pause(20*time.Second, nil)
 		follower.Stop()
--- a/daemon/internal/process/mirror/peer.go
+++ b/daemon/internal/process/replica/peer.go
@@ -1,4 +1,4 @@
-package mirror
+package replica
 
 import (
 	"context"
--- a/daemon/internal/process/mirror/peer_test.go
+++ b/daemon/internal/process/replica/peer_test.go
@@ -1,4 +1,4 @@
-package mirror_test
+package replica_test
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/assert"
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/helpers"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
@@ -24,10 +24,10 @@
 	watches, lists, queries int
 	after                   []provider.Revision
 	err                     error
-	update                  mirror.News
+	update                  replica.News
 }
 
-func (p *fakePeer) query(_ context.Context, _ string, after provider.Revision) (mirror.News, error) {
+func (p *fakePeer) query(_ context.Context, _ string, after provider.Revision) (replica.News, error) {
 	p.mu.Lock()
 	p.queries++
 	p.after = append(p.after, after)
@@ -41,7 +41,7 @@
 }
 
 // set sets the peer's answer.
-func (p *fakePeer) set(update mirror.News, err error) {
+func (p *fakePeer) set(update replica.News, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.update, p.err = update, err
@@ -83,10 +83,10 @@
 // answers, that it is called after two consecutive failures, and that the peer is retried.
 func TestPeerReplacesTheStoreWhileItAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &fakePeer{update: mirror.News{
-			Entries: []provider.Entry{{Key: "a", Revision: 4}}, Standing: mirror.Standing{At: 5, Answered: 3 * time.Second},
+		p := &fakePeer{update: replica.News{
+			Entries: []provider.Entry{{Key: "a", Revision: 4}}, Standing: replica.Standing{At: 5, Answered: 3 * time.Second},
 		}}
-		follower := &mirror.Follower{Store: p.store(), Table: &mirror.Table{}, Near: p.query}
+		follower := &replica.Follower{Store: p.store(), Table: &replica.Table{}, Near: p.query}
 		follower.Start()
 		defer follower.Stop()
 		helpers.Pause(10*time.Second, nil)
@@ -108,7 +108,7 @@
 		assert.LessOrEqual(t, watchesAfter, watches+1)
 
 		_, _, queries := p.counts()
-		p.set(p.update, mirror.ErrNoneNear)
+		p.set(p.update, replica.ErrNoneNear)
 		helpers.Pause(10*time.Second, nil)
 		watches, _, queriesAfter := p.counts()
 		assert.Greater(t, watches, watchesAfter+2)
@@ -119,11 +119,11 @@
 // TestStoreIsNotCalledWhileReadersAreStale checks that a follower never falls back to the
 // store while its peers are up but do not reach the store.
 func TestStoreIsNotCalledWhileReadersAreStale(t *testing.T) {
-	for _, err := range []error{mirror.ErrHold, mirror.ErrBehind} {
+	for _, err := range []error{replica.ErrHold, replica.ErrBehind} {
 		t.Run(err.Error(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				p := &fakePeer{err: err}
-				follower := &mirror.Follower{Store: p.store(), Table: &mirror.Table{}, Near: p.query}
+				follower := &replica.Follower{Store: p.store(), Table: &replica.Table{}, Near: p.query}
 				follower.Start()
 				defer follower.Stop()
 				helpers.Pause(20*time.Second, nil)
@@ -139,22 +139,22 @@
 // not updated incrementally: removals would be missed.
 func TestOldReplicaIsReplacedCompletely(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &fakePeer{update: mirror.News{
-			Entries: []provider.Entry{{Key: "a", Revision: 4}, {Key: "b", Revision: 3}}, Standing: mirror.Standing{At: 5},
+		p := &fakePeer{update: replica.News{
+			Entries: []provider.Entry{{Key: "a", Revision: 4}, {Key: "b", Revision: 3}}, Standing: replica.Standing{At: 5},
 		}}
 		release := make(chan struct{})
-		query := func(ctx context.Context, prefix string, after provider.Revision) (mirror.News, error) {
+		query := func(ctx context.Context, prefix string, after provider.Revision) (replica.News, error) {
 			if _, _, queries := p.counts(); queries == 1 {
 				<-release
 			}
 			return p.query(ctx, prefix, after)
 		}
-		table := &mirror.Table{}
-		follower := &mirror.Follower{Store: p.store(), Table: table, Near: query}
+		table := &replica.Table{}
+		follower := &replica.Follower{Store: p.store(), Table: table, Near: query}
 		follower.Start()
 		defer follower.Stop()
 		helpers.Pause(3*time.Minute, nil)
-		shorter := mirror.News{Entries: []provider.Entry{{Key: "a", Revision: 4}}, Standing: mirror.Standing{At: 9}}
+		shorter := replica.News{Entries: []provider.Entry{{Key: "a", Revision: 4}}, Standing: replica.Standing{At: 9}}
 		p.set(shorter, errors.New("late"))
 		close(release)
 		helpers.Pause(700*time.Millisecond, nil)
@@ -172,7 +172,7 @@
 // TestRouterRecordsDoNotMarkTheReplicaAsSynced checks that a version received right after the
 // routers' records, which are read first, still counts as declared earlier.
 func TestRouterRecordsDoNotMarkTheReplicaAsSynced(t *testing.T) {
-	compiler := &mirror.Compiler{Decode: decode}
+	compiler := &replica.Compiler{Decode: decode}
 	compiler.Take([]provider.Entry{entry(t, "m/r", 1, provider.Record{Member: &provider.Member{Name: "r"}})})
 	compiler.Take([]provider.Entry{entry(t, "v/m", 2, provider.Record{Target: &provider.Target{Model: "m", Version: 2}})})
 	assert.True(t, compiler.View().Targets["m"].Found)
@@ -193,7 +193,7 @@
 			}
 			return watch(ctx, prefix, after, wait)
 		}
-		follower := &mirror.Follower{Store: store, Table: &mirror.Table{}}
+		follower := &replica.Follower{Store: store, Table: &replica.Table{}}
 		follower.Start()
 		defer follower.Stop()
 		helpers.Pause(5*time.Second, nil)
@@ -222,7 +222,7 @@
 			}
 			return watch(ctx, prefix, after, wait)
 		}
-		follower := &mirror.Follower{Store: store, Table: &mirror.Table{}}
+		follower := &replica.Follower{Store: store, Table: &replica.Table{}}
 		follower.Start()
 		defer follower.Stop()
 		helpers.Pause(5*time.Second, nil)
@@ -239,7 +239,7 @@
 // store hides a change for one recheck interval only, without watches of the store.
 func TestRecheckFindsChangesThatThePeerMissed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &fakePeer{update: mirror.News{Standing: mirror.Standing{At: 5}}}
+		p := &fakePeer{update: replica.News{Standing: replica.Standing{At: 5}}}
 		store := p.store()
 		var stored atomic.Uint64
 		stored.Store(3)
@@ -247,8 +247,8 @@
 			at := provider.Revision(stored.Load())
 			return provider.Listing{At: at, Entries: []provider.Entry{{Key: "v", Revision: at}}}, nil
 		}
-		table := &mirror.Table{}
-		follower := &mirror.Follower{Store: store, Table: table, Near: p.query, FirstStale: true, LookEvery: 4 * time.Second}
+		table := &replica.Table{}
+		follower := &replica.Follower{Store: store, Table: table, Near: p.query, FirstStale: true, LookEvery: 4 * time.Second}
 		follower.Start()
 		defer follower.Stop()
 		helpers.Pause(time.Second, nil)
@@ -266,14 +266,14 @@
 // extends the allowed staleness by its wait, and that reading the store resets it.
 func TestHopsExtendTheAllowedStaleness(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &fakePeer{update: mirror.News{Standing: mirror.Standing{At: 5, Hops: 1}}}
-		follower := &mirror.Follower{Store: p.store(), Table: &mirror.Table{}, Near: p.query}
+		p := &fakePeer{update: replica.News{Standing: replica.Standing{At: 5, Hops: 1}}}
+		follower := &replica.Follower{Store: p.store(), Table: &replica.Table{}, Near: p.query}
 		follower.Start()
 		defer follower.Stop()
 		helpers.Pause(2*time.Second, nil)
 		assert.Equal(t, 2, follower.Standing().Hops)
-		assert.Equal(t, mirror.FreshWithin+2*mirror.HopWait, follower.Standing().FreshFor())
-		p.set(p.update, mirror.ErrNoneNear)
+		assert.Equal(t, replica.FreshWithin+2*replica.HopWait, follower.Standing().FreshFor())
+		p.set(p.update, replica.ErrNoneNear)
 		helpers.Pause(5*time.Second, nil)
 		assert.Zero(t, follower.Standing().Hops)
 	})
@@ -294,15 +294,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := &fakePeer{update: mirror.News{Standing: mirror.Standing{At: 5}}}
+				p := &fakePeer{update: replica.News{Standing: replica.Standing{At: 5}}}
 				listed := map[string]int{}
 				store := p.store()
 				store.ListStale = func(_ context.Context, prefix string) (provider.Listing, error) {
 					listed[prefix]++
 					return provider.Listing{At: 1}, nil
 				}
-				follower := &mirror.Follower{
-					Store: store, Table: &mirror.Table{}, Near: p.query, Before: []string{"shard/", "hall/"},
+				follower := &replica.Follower{
+					Store: store, Table: &replica.Table{}, Near: p.query, Before: []string{"shard/", "hall/"},
 					Found: func() bool { return listed["shard/"] >= test.listsUntilRecent }, Enough: func() bool { return test.enough },
 				}
 				follower.Start()
--- a/daemon/internal/process/mirror/priority_test.go
+++ b/daemon/internal/process/replica/priority_test.go
@@ -1,11 +1,11 @@
-package mirror_test
+package replica_test
 
 import (
 	"testing"
 
 	"github.com/stretchr/testify/assert"
 
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
@@ -17,8 +17,8 @@
 		{Name: "b", Priority: 1, Shares: []provider.Share{{Service: "s", Weight: 1}, {Service: "t", Weight: 1}}},
 		{Name: "c", Priority: 3, Shares: []provider.Share{{Service: "s", Weight: 1}}},
 	}
-	view := func(accounts ...provider.Account) *mirror.View {
-		compiler := &mirror.Compiler{Decode: func(provider.Entry) (provider.Record, error) {
+	view := func(accounts ...provider.Account) *replica.View {
+		compiler := &replica.Compiler{Decode: func(provider.Entry) (provider.Record, error) {
 			return provider.Record{Configuration: &provider.Configuration{Routes: routes, Accounts: accounts}}, nil
 		}}
 		compiler.Take([]provider.Entry{{Key: "configuration", Revision: 1}})
@@ -27,7 +27,7 @@
 	plain, prioritized := provider.Account{Name: "plain"}, provider.Account{Name: "hasty", Priority: &urgent}
 	tests := []struct {
 		name        string
-		view        *mirror.View
+		view        *replica.View
 		service     string
 		route       *provider.Route
 		account     *provider.Account
--- a/daemon/internal/process/mirror/probe_test.go
+++ b/daemon/internal/process/replica/probe_test.go
@@ -1,4 +1,4 @@
-package mirror_test
+package replica_test
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/assert"
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/helpers"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
@@ -104,9 +104,9 @@
 }
 
 // follow starts a follower that probes the store each second.
-func (s *quietStore) follow(t *testing.T) *mirror.Follower {
+func (s *quietStore) follow(t *testing.T) *replica.Follower {
 	t.Helper()
-	follower := &mirror.Follower{
+	follower := &replica.Follower{
 		Store: provider.Store{
 			List: func(context.Context, string) (provider.Listing, error) { return s.call(10) },
 			ListStale: func(context.Context, string) (provider.Listing, error) {
@@ -120,7 +120,7 @@
 			},
 			Watch: s.watch,
 		},
-		Table: &mirror.Table{}, PulseEvery: time.Second,
+		Table: &replica.Table{}, PulseEvery: time.Second,
 	}
 	follower.Start()
 	t.Cleanup(follower.Stop)
@@ -220,10 +220,10 @@
 		listing := func() provider.Listing {
 			return provider.Listing{At: provider.Revision(at.Load()), Entries: []provider.Entry{{Key: "v/m", Value: []byte("x"), Revision: provider.Revision(at.Load())}}}
 		}
-		table := &mirror.Table{}
+		table := &replica.Table{}
 		var newest provider.Revision
 		table.OnChange = func(changed []provider.Entry) { newest = changed[len(changed)-1].Revision }
-		follower := &mirror.Follower{
+		follower := &replica.Follower{
 			Store: provider.Store{
 				List: func(context.Context, string) (provider.Listing, error) { return listing(), nil },
 				ListStale: func(context.Context, string) (provider.Listing, error) {
--- a/daemon/internal/process/mirror/replica_test.go
+++ b/daemon/internal/process/replica/replica_test.go
@@ -1,4 +1,4 @@
-package mirror_test
+package replica_test
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
@@ -22,7 +22,7 @@
 // lists and peers deliver them, and compares the table with each key's highest revision.
 func TestHighestRevisionWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table := &mirror.Table{}
+		table := &replica.Table{}
 		want := map[string]provider.Entry{}
 		history := []provider.Entry{}
 		revision := provider.Revision(0)
@@ -117,8 +117,8 @@
 
 func TestFollowerListsAgainAfterCompaction(t *testing.T) {
 	s := &scriptedStore{watches: make(chan func() (provider.Listing, error))}
-	table := &mirror.Table{}
-	follower := &mirror.Follower{Table: table, Prefix: "", Store: s.store(func() provider.Listing {
+	table := &replica.Table{}
+	follower := &replica.Follower{Table: table, Prefix: "", Store: s.store(func() provider.Listing {
 		if s.lists.Load() == 1 {
 			return provider.Listing{At: 5, Entries: []provider.Entry{{Key: "a", Revision: 4}, {Key: "b", Revision: 5}}}
 		}
@@ -140,8 +140,8 @@
 func TestFollowerReportsConnectionLossAndRecoveryOnce(t *testing.T) {
 	s := &scriptedStore{watches: make(chan func() (provider.Listing, error))}
 	contacts := make(chan error, 8)
-	follower := &mirror.Follower{
-		Table: &mirror.Table{}, Store: s.store(func() provider.Listing { return provider.Listing{At: 1} }),
+	follower := &replica.Follower{
+		Table: &replica.Table{}, Store: s.store(func() provider.Listing { return provider.Listing{At: 1} }),
 		OnContact: func(_ string, lost error) { contacts <- lost },
 	}
 	follower.Start()
@@ -159,8 +159,8 @@
 func TestHangingWatchTimesOut(t *testing.T) {
 	s := &scriptedStore{watches: make(chan func() (provider.Listing, error))}
 	contacts := make(chan error, 8)
-	table := &mirror.Table{}
-	follower := &mirror.Follower{
+	table := &replica.Table{}
+	follower := &replica.Follower{
 		Table: table, Wait: func() time.Duration { return time.Millisecond }, Store: s.store(func() provider.Listing { return provider.Listing{At: 1} }),
 		OnContact: func(_ string, lost error) { contacts <- lost },
 	}
@@ -178,8 +178,8 @@
 // removals depends: an entry removed right after a reconnect may only have expired.
 func TestReconnectIsRecordedBeforeChangesApply(t *testing.T) {
 	s := &scriptedStore{watches: make(chan func() (provider.Listing, error))}
-	table := &mirror.Table{}
-	follower := &mirror.Follower{Table: table, Store: s.store(func() provider.Listing { return provider.Listing{At: 1} })}
+	table := &replica.Table{}
+	follower := &replica.Follower{Table: table, Store: s.store(func() provider.Listing { return provider.Listing{At: 1} })}
 	reconnected := make(chan bool, 8)
 	table.OnChange = func([]provider.Entry) {
 		_, ok := follower.Regained()
@@ -213,8 +213,8 @@
 }
 
 func TestInvalidConfigurationLeavesTheLastValidOne(t *testing.T) {
-	var changes []mirror.Belief
-	compiler := &mirror.Compiler{Decode: decode, OnBelief: func(b mirror.Belief) { changes = append(changes, b) }}
+	var changes []replica.Belief
+	compiler := &replica.Compiler{Decode: decode, OnBelief: func(b replica.Belief) { changes = append(changes, b) }}
 	valid := entry(t, "c", 1, provider.Record{Configuration: &provider.Configuration{
 		Version: 7, Routes: []provider.Route{{Name: "short", Host: "h", Prefix: "/a/"}, {Name: "long", Host: "h", Prefix: "/a/b/"}},
 		Accounts: []provider.Account{{Name: "x", Keys: []string{"k"}}},
@@ -234,9 +234,9 @@
 // TestInvalidEntryDropsItsUpstream checks that an upstream whose entry was corrupted by another
 // writer is dropped, that others stay, and that its next valid entry restores it.
 func TestInvalidEntryDropsItsUpstream(t *testing.T) {
-	var last mirror.Belief
-	compiler := &mirror.Compiler{
-		Decode: decode, Lapses: func() bool { return true }, OnBelief: func(b mirror.Belief) { last = b },
+	var last replica.Belief
+	compiler := &replica.Compiler{
+		Decode: decode, Lapses: func() bool { return true }, OnBelief: func(b replica.Belief) { last = b },
 	}
 	inUse := func() int { return len(compiler.View().Upstreams["s"]) }
 	list := func(key, address string, revision provider.Revision) {
@@ -262,7 +262,7 @@
 }
 
 func TestEarlierDeclarationsKeepTheirDeadlines(t *testing.T) {
-	compiler := &mirror.Compiler{Decode: decode}
+	compiler := &replica.Compiler{Decode: decode}
 	compiler.Take([]provider.Entry{entry(t, "c", 1, provider.Record{})}) // the declarations are not part of the first state
 	for version := 2; version <= 9; version++ {
 		target := &provider.Target{Model: "m", Version: version}
--- a/daemon/internal/process/mirror/sharedlink_test.go
+++ b/daemon/internal/process/replica/sharedlink_test.go
@@ -1,4 +1,4 @@
-package mirror_test
+package replica_test
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/assert"
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/helpers"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
@@ -87,10 +87,10 @@
 			link:    sharedLink{transfer: 135 * time.Millisecond},
 			changes: []time.Time{started, started.Add(5 * time.Second), started.Add(5500 * time.Millisecond), started.Add(6 * time.Second)},
 		}
-		var followers []*mirror.Follower
+		var followers []*replica.Follower
 		for range routers {
-			follower := &mirror.Follower{
-				Store: provider.Store{List: store.list, Watch: store.watch}, Table: &mirror.Table{},
+			follower := &replica.Follower{
+				Store: provider.Store{List: store.list, Watch: store.watch}, Table: &replica.Table{},
 				Settle: func() time.Duration { return 800 * time.Millisecond },
 			}
 			follower.Start()
--- a/daemon/internal/process/mirror/suspension_test.go
+++ b/daemon/internal/process/replica/suspension_test.go
@@ -1,4 +1,4 @@
-package mirror_test
+package replica_test
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/clock"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
@@ -33,8 +33,8 @@
 func TestReplicaAgesDuringSuspension(t *testing.T) {
 	h := &host{steady: time.Second}
 	answered := make(chan struct{})
-	follower := &mirror.Follower{
-		Table: &mirror.Table{}, Now: h.now(),
+	follower := &replica.Follower{
+		Table: &replica.Table{}, Now: h.now(),
 		Store: provider.Store{
 			List: func(context.Context, string) (provider.Listing, error) {
 				return provider.Listing{At: 1}, nil
@@ -61,7 +61,7 @@
 func TestVersionDeadlinesPassDuringSuspension(t *testing.T) {
 	h := &host{steady: time.Second}
 	now := h.now()
-	compiler := &mirror.Compiler{Decode: decode, Now: now}
+	compiler := &replica.Compiler{Decode: decode, Now: now}
 	declare := func(version int, revision provider.Revision) {
 		record := provider.Record{Target: &provider.Target{Model: "m", Version: version}}
 		compiler.Take([]provider.Entry{entry(t, "v", revision, record)})
--- a/daemon/internal/process/mirror/table.go
+++ b/daemon/internal/process/replica/table.go
@@ -1,4 +1,4 @@
-// Package mirror holds a daemon's replica of the store and the views that are compiled
+// Package replica holds a daemon's replica of the store and the views that are compiled
 // from it. Routers and loaders follow the store or a peer with a Follower, which applies
 // updates to a Table, from which a Compiler builds immutable Views.
 //
@@ -8,7 +8,7 @@
 //
 // Removals are kept as tombstones for tombstoneRetention, because a peer's older replica
 // must not restore a removed entry.
-package mirror
+package replica
 
 import (
 	"strings"
--- a/daemon/internal/process/mirror/versionpolicy_test.go
+++ b/daemon/internal/process/replica/versionpolicy_test.go
@@ -1,4 +1,4 @@
-package mirror_test
+package replica_test
 
 import (
 	"testing"
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"pgregory.net/rapid"
 
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
@@ -16,21 +16,21 @@
 func TestOldVersionsAreAvoidedTowardsTheDeadline(t *testing.T) {
 	const apply = 8 * time.Second
 	declared := time.Unix(1000, 0)
-	target := &mirror.Declared{Target: provider.Target{Model: "m", Version: 2}, Learned: declared}
+	target := &replica.Declared{Target: provider.Target{Model: "m", Version: 2}, Learned: declared}
 	assert.Zero(t, target.Demand(declared.Add(apply/2), apply), "no change yet")
 	early := target.Demand(declared.Add(apply*75/100), apply)
 	assert.Equal(t, []int{0, 2}, []int{early.Lowest, early.Preferred})
 	later := target.Demand(declared.Add(apply*82/100), apply)
 	assert.Greater(t, later.Avoid, early.Avoid)
 	end := target.Demand(declared.Add(apply*9/10), apply)
-	assert.Equal(t, mirror.Demand{Lowest: 2, Preferred: 2, Avoid: 1}, end)
+	assert.Equal(t, replica.Demand{Lowest: 2, Preferred: 2, Avoid: 1}, end)
 }
 
 // TestLongApplyTimeoutsDoNotLengthenTheCutoff checks that the margins before the deadline
 // stay constant for long timeouts: queued requests need the same time to finish.
 func TestLongApplyTimeoutsDoNotLengthenTheCutoff(t *testing.T) {
 	declared := time.Unix(1000, 0)
-	target := &mirror.Declared{Target: provider.Target{Model: "m", Version: 2}, Learned: declared}
+	target := &replica.Declared{Target: provider.Target{Model: "m", Version: 2}, Learned: declared}
 	for _, apply := range []time.Duration{8 * time.Second, 13400 * time.Millisecond, time.Minute} {
 		assert.Zero(t, target.Demand(declared.Add(apply-time.Second), apply).Lowest, "%s", apply)
 		assert.Equal(t, 2, target.Demand(declared.Add(apply-900*time.Millisecond), apply).Lowest, "%s", apply)
@@ -44,12 +44,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		apply := time.Duration(rapid.IntRange(100, 20000).Draw(t, "apply")) * time.Millisecond
 		at := time.Unix(1000, 0)
-		var newest *mirror.Declared
+		var newest *replica.Declared
 		for version := range rapid.IntRange(1, 4).Draw(t, "versions") {
 			at = at.Add(time.Duration(rapid.IntRange(0, 20000).Draw(t, "pause")) * time.Millisecond)
-			newest = &mirror.Declared{Target: provider.Target{Version: version + 2}, Learned: at, Before: newest}
+			newest = &replica.Declared{Target: provider.Target{Version: version + 2}, Learned: at, Before: newest}
 		}
-		previous := mirror.Demand{}
+		previous := replica.Demand{}
 		for range 30 {
 			at = at.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "step")) * time.Millisecond)
 			policy := newest.Demand(at, apply)
--- a/daemon/internal/request/dispatch/broken_test.go
+++ b/daemon/internal/request/dispatch/broken_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/assert"
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/balance"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 )
 
 // TestWhoEndedASend: a line tells an upstream that ended its connection from a send that
@@ -44,7 +44,7 @@
 		var told *Story
 		d := &Dispatcher{
 			Report: func(story *Story) { told = story },
-			View: func() *mirror.View {
+			View: func() *replica.View {
 				panic(failure)
 			},
 		}
--- a/daemon/internal/request/dispatch/dispatch.go
+++ b/daemon/internal/request/dispatch/dispatch.go
@@ -22,7 +22,7 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/places"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/helpers"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/balance"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/admission"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/content"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/exchange"
@@ -42,14 +42,14 @@
 	// Callers tells which requests come back after a refusal.
 	Callers *admission.Callers
 	// View returns what is in force, Stale whether it may be out of date.
-	View  func() *mirror.View
+	View  func() *replica.View
 	Stale func() bool
 	// Holding bounds the bytes that are held for callers and upstreams that are slow.
 	Holding holding.Budget
 	// Region returns the region of a data hall, "" where it is not known. It may be nil.
 	Region func(hall string) string
 	// Demand says on which versions of a model requests may run.
-	Demand func(declared *mirror.Declared) mirror.Demand
+	Demand func(declared *replica.Declared) replica.Demand
 	// AskPlace asks the loader beside an engine for a place there. An error says
 	// that it did not answer. Nil means that there are no loaders.
 	AskPlace func(ctx context.Context, engine *provider.Upstream, limit places.Limit) (places.Load, bool, error)
@@ -169,7 +169,7 @@
 	*Dispatcher
 	*http.Request
 	writer  http.ResponseWriter
-	view    *mirror.View
+	view    *replica.View
 	route   *provider.Route
 	service *provider.Service
 	account *provider.Account
--- a/daemon/internal/request/dispatch/place_test.go
+++ b/daemon/internal/request/dispatch/place_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/places"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/balance"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/admission"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
@@ -23,7 +23,7 @@
 // fleet is engines with loaders whose answers a test sets.
 type fleet struct {
 	pool  *balance.Pool
-	view  *mirror.View
+	view  *replica.View
 	asked []places.Limit
 	// given says whether the loader beside the engine that is asked as the n-th
 	// gives a place.
@@ -48,7 +48,7 @@
 		}}
 		f.pool.Tell(id, balance.Told{Models: []provider.Loaded{{Model: "m", Version: 1}}})
 	}
-	compiler := &mirror.Compiler{Decode: func(entry provider.Entry) (provider.Record, error) { return records[entry.Key], nil }}
+	compiler := &replica.Compiler{Decode: func(entry provider.Entry) (provider.Record, error) { return records[entry.Key], nil }}
 	var entries []provider.Entry
 	for key := range records {
 		entries = append(entries, provider.Entry{Key: key, Revision: 1})
@@ -67,8 +67,8 @@
 func (f *fleet) request(route string, sent int) *request {
 	q := &request{
 		Dispatcher: &Dispatcher{
-			Pool: f.pool, Pace: &Pace{}, AskPlace: f.ask, View: func() *mirror.View { return f.view },
-			Demand: func(*mirror.Declared) mirror.Demand { return mirror.Demand{} },
+			Pool: f.pool, Pace: &Pace{}, AskPlace: f.ask, View: func() *replica.View { return f.view },
+			Demand: func(*replica.Declared) replica.Demand { return replica.Demand{} },
 		},
 		Request: httptest.NewRequest("GET", "/", nil), view: f.view, service: f.view.Service("s"), sent: sent, story: &Story{},
 	}
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -27,8 +27,8 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/loadfeed"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/peering"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/places"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/readers"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/server"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/telemetry"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/rendezvous"
@@ -92,11 +92,11 @@
 	output    *telemetry.Bounded
 	log       *log.Entry
 
-	table    *mirror.Table
-	compiler *mirror.Compiler
+	table    *replica.Table
+	compiler *replica.Compiler
 	// versions follows the declared versions, hosts the upstreams' records, and
 	// routers those of the routers.
-	versions, hosts, routers *mirror.Follower
+	versions, hosts, routers *replica.Follower
 	held                     *swarm.Held
 	keeper                   *keep.Keeper
 	feed                     *loadfeed.Feed
@@ -105,7 +105,7 @@
 	client                   *http.Client
 
 	// needs is what the configuration says of the engine's service.
-	needs atomic.Pointer[mirror.EngineNeeds]
+	needs atomic.Pointer[replica.EngineNeeds]
 	// neighbours are the routers of this hall.
 	neighbours *peering.Neighbours
 	// received counts chunks by where they came from.
@@ -137,7 +137,7 @@
 	}
 	p := &Process{
 		telemetry: t, output: output, log: t.Log,
-		table: &mirror.Table{}, held: &swarm.Held{}, feed: loadfeed.NewFeed(), ledger: &places.Ledger{}, limitLines: rate.NewLimiter(limitLines, limitLines), done: make(chan struct{}),
+		table: &replica.Table{}, held: &swarm.Held{}, feed: loadfeed.NewFeed(), ledger: &places.Ledger{}, limitLines: rate.NewLimiter(limitLines, limitLines), done: make(chan struct{}),
 		client: &http.Client{Transport: dial.NewHostTransport(options.Dial, hostIdle)},
 		began:  clock.Now(),
 	}
@@ -145,7 +145,7 @@
 	p.ledger.OnLimit = p.noteLimit
 	calls := &http.Client{Transport: dial.NewHostTransport(options.Dial, originIdle)}
 	p.provider = options.Provider(s.Store, p.client, calls)
-	p.compiler = &mirror.Compiler{Decode: p.provider.Decode, OnBelief: p.noteBelief}
+	p.compiler = &replica.Compiler{Decode: p.provider.Decode, OnBelief: p.noteBelief}
 	p.table.OnChange = p.compiler.Take
 	p.neighbours = p.newNeighbours()
 	p.neighbours.Hold = p.starting
@@ -162,9 +162,9 @@
 // a router of this hall while one answers: watches of the store by each loader are most calls
 // of a calm fleet. The versions are read from the store as well, first and now and then.
 func (p *Process) addFollowers() {
-	outage := &mirror.Outage{}
-	follower := func(prefix string) *mirror.Follower {
-		return &mirror.Follower{
+	outage := &replica.Outage{}
+	follower := func(prefix string) *replica.Follower {
+		return &replica.Follower{
 			Store: p.provider.Store, Prefix: prefix, Table: p.table, OnContact: p.telemetry.Contact,
 			Outage: outage,
 		}
@@ -209,8 +209,8 @@
 // starting reports whether the store is to be left to the routers.
 func (p *Process) starting() bool { return clock.Since(p.began) < storeAfter }
 
-func (p *Process) followers() []*mirror.Follower {
-	return []*mirror.Follower{p.versions, p.hosts, p.routers}
+func (p *Process) followers() []*replica.Follower {
+	return []*replica.Follower{p.versions, p.hosts, p.routers}
 }
 
 // Start opens the ports and begins to keep the engine.
@@ -263,7 +263,7 @@
 }
 
 // goal works out when this host's engine may take a declared version.
-func (p *Process) goal(declared *mirror.Declared, held int) keep.Goal {
+func (p *Process) goal(declared *replica.Declared, held int) keep.Goal {
 	apply := p.current.Load().Bounds.VersionApply.Std()
 	due := time.Time{}
 	for before := declared.Before; before != nil && before.Version > held; before = before.Before {
@@ -286,7 +286,7 @@
 // originTime is how long the origin takes for one copy: by its own link where that is
 // declared. Taken for as fast as this host's, which carries 7.3 Mbit/s, an origin of 4.38 was
 // asked for each chunk long before it could send it.
-func (p *Process) originTime(known *mirror.EngineNeeds) time.Duration {
+func (p *Process) originTime(known *replica.EngineNeeds) time.Duration {
 	bytes := known.Engine.Chunks * known.Engine.ChunkBytes
 	if known.OriginRate <= 0 {
 		return p.linkTime(bytes)
--- a/daemon/loader/look_test.go
+++ b/daemon/loader/look_test.go
@@ -16,7 +16,7 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/clock"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/peering"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/helpers"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 	"github.com/wheelcleat/wheelcleat/daemon/settings"
 )
@@ -56,7 +56,7 @@
 	}}
 	p.current.Store(&settings.Loader{Service: "s"})
 	p.neighbours = &peering.Neighbours{Choose: p.neighbour}
-	p.compiler = &mirror.Compiler{}
+	p.compiler = &replica.Compiler{}
 	p.tomb.Go(p.lookForNeeds)
 	return p
 }
--- a/daemon/loader/needs.go
+++ b/daemon/loader/needs.go
@@ -13,7 +13,7 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/peering"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/helpers"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/patience"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/rendezvous"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
@@ -97,13 +97,13 @@
 	}
 	record, err := p.provider.Decode(entry)
 	if err == nil && record.Configuration == nil {
-		err = mirror.ErrNoEngine
+		err = replica.ErrNoEngine
 	}
 	if err != nil {
 		p.log.WithField("reason", err.Error()).Error("configuration not taken, the last good one stays")
 		return peering.EngineNews{}, fmt.Errorf("decode the configuration: %w", err)
 	}
-	needs, err := mirror.NeedsOf(record.Configuration, p.current.Load().Service)
+	needs, err := replica.NeedsOf(record.Configuration, p.current.Load().Service)
 	return peering.EngineNews{EngineNeeds: needs, Revision: entry.Revision}, err
 }
 
--- a/daemon/loader/notes.go
+++ b/daemon/loader/notes.go
@@ -8,7 +8,7 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/clock"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/loadfeed"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/places"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/ratelimit"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/version/keep"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/version/swarm"
@@ -20,7 +20,7 @@
 
 // noteBelief writes one line for a change of the declared version; changes of
 // other hosts' engines are the routers' to log.
-func (p *Process) noteBelief(belief mirror.Belief) {
+func (p *Process) noteBelief(belief replica.Belief) {
 	fields := log.Fields{fieldDecision: "believe", "key": belief.Entry.Key, "revision": belief.Entry.Revision}
 	switch target := belief.Record.Target; {
 	case belief.Err != nil:
--- a/daemon/loader/notes_test.go
+++ b/daemon/loader/notes_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/loadfeed"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/places"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/telemetry"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/version/keep"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
@@ -36,7 +36,7 @@
 func TestTheOriginIsAsFastAsItsLink(t *testing.T) {
 	p := &Process{}
 	p.current.Store(&settings.Loader{Bounds: settings.LoaderBounds{LinkMbps: 8}})
-	needs := &mirror.EngineNeeds{Engine: provider.EngineSpec{Chunks: 100, ChunkBytes: 20000}}
+	needs := &replica.EngineNeeds{Engine: provider.EngineSpec{Chunks: 100, ChunkBytes: 20000}}
 	assert.Equal(t, 2*time.Second, p.originTime(needs))
 	needs.OriginRate = 5e5
 	assert.Equal(t, 4*time.Second, p.originTime(needs))
--- a/daemon/loader/roster.go
+++ b/daemon/loader/roster.go
@@ -5,7 +5,7 @@
 	"slices"
 	"sync"
 
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/version/swarm"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/version/turn"
 	"github.com/wheelcleat/wheelcleat/daemon/settings"
@@ -15,7 +15,7 @@
 // look at the engine asks for it.
 type roster struct {
 	// view and settings are what the roster was worked out from.
-	view     *mirror.View
+	view     *replica.View
 	settings *settings.Loader
 	// hosts are the loaders of all engines of the service, by the hosts' addresses.
 	hosts []swarm.Host
@@ -38,7 +38,7 @@
 	return made
 }
 
-func newRoster(view *mirror.View, current *settings.Loader) *roster {
+func newRoster(view *replica.View, current *settings.Loader) *roster {
 	own := current.Listen.Peers
 	r := &roster{view: view, settings: current, names: []string{own.String()}, places: map[string]int{}}
 	for _, upstream := range view.Upstreams[current.Service] {
--- a/daemon/router/recorder.go
+++ b/daemon/router/recorder.go
@@ -12,7 +12,7 @@
 	"golang.org/x/time/rate"
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/clock"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/telemetry"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/content"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/dispatch"
@@ -233,7 +233,7 @@
 }
 
 // belief writes one line for a change of what this router believes.
-func (r *recorder) belief(belief mirror.Belief) {
+func (r *recorder) belief(belief replica.Belief) {
 	fields := log.Fields{
 		fieldDecision: "believe", "key": belief.Entry.Key, "revision": belief.Entry.Revision, "bytes": len(belief.Entry.Value),
 	}
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -26,8 +26,8 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/places"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/helpers"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/balance"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/readers"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/server"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/telemetry"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/dispatch"
@@ -89,9 +89,9 @@
 	output    *telemetry.Bounded
 	recorder  *recorder
 
-	table    *mirror.Table
-	compiler *mirror.Compiler
-	follower *mirror.Follower
+	table    *replica.Table
+	compiler *replica.Compiler
+	follower *replica.Follower
 	// neighbours are the other routers of this hall.
 	neighbours *peering.Neighbours
 	puller     *peering.Puller
@@ -141,14 +141,14 @@
 	}
 	p := &Process{
 		options: options, telemetry: t, output: output, recorder: newRecorder(t),
-		table: &mirror.Table{}, pool: &balance.Pool{Hall: s.Hall}, done: make(chan struct{}),
+		table: &replica.Table{}, pool: &balance.Pool{Hall: s.Hall}, done: make(chan struct{}),
 		probe: &livenessprobe.Probe{Dial: dial.Within(probeConnect, options.Dial)}, suspects: &suspects{}, limits: &limits{},
 		over: make(chan struct{}),
 	}
 	p.current.Store(&s)
 	client := &http.Client{Transport: dial.NewHostTransport(options.Dial, storeIdle)}
 	p.provider = options.Provider(s.Store, client, client)
-	p.compiler = &mirror.Compiler{Decode: p.provider.Decode, OnBelief: p.recorder.belief, Lapses: p.lapses, OnSuspect: p.takeSuspect}
+	p.compiler = &replica.Compiler{Decode: p.provider.Decode, OnBelief: p.recorder.belief, Lapses: p.lapses, OnSuspect: p.takeSuspect}
 	p.table.OnChange = p.takeChanges
 	p.loads = &loadfeed.Reader{Client: client, OnLine: p.takeLoad}
 	p.asker = &places.Client{Client: client}
@@ -161,7 +161,7 @@
 	p.neighbours = &peering.Neighbours{Client: client, Choose: p.neighbour, Hold: p.holds, OnMute: p.telemetry.NeighbourMuted}
 	own := p.member()
 	ofShard, ofHall := p.provider.Prefixes.OfHall(own.Hall, own.Shard), p.provider.Prefixes.OfHall(own.Hall, "")
-	p.follower = &mirror.Follower{
+	p.follower = &replica.Follower{
 		Store: p.provider.Store, Prefix: p.provider.Prefixes.All, Table: p.table, OnContact: p.recorder.contact,
 		OnBytes: p.recorder.storeBytes, Settle: p.settle, PulseEvery: pulseEvery, PulseUnder: p.provider.Prefixes.Versions,
 		Near: p.neighbours.News, Before: []string{ofShard, ofHall}, Found: p.foundHall, Enough: p.follows,
--- a/daemon/router/serving.go
+++ b/daemon/router/serving.go
@@ -8,7 +8,7 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/clock"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/dial"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/peering"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/server"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/admission"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/dispatch"
@@ -72,7 +72,7 @@
 }
 
 // demand says on which versions of a model requests may run.
-func (p *Process) demand(declared *mirror.Declared) mirror.Demand {
+func (p *Process) demand(declared *replica.Declared) replica.Demand {
 	return declared.Demand(clock.Now(), p.current.Load().Bounds.VersionApply.Std())
 }
 
