--- a/daemon/internal/process/balance/balance.go
+++ b/daemon/internal/process/balance/balance.go
@@ -90,7 +90,7 @@
 	blockedUntil       time.Time
 	block              time.Duration
 	// report is the last report of the upstream's host.
-	report     Told
+	report     LoadReport
 	reportedAt time.Time
 	// modelsReportedAt is when the host last reported the models. An answer to a request
 	// for a place reports the load alone.
@@ -105,8 +105,8 @@
 	usedAt         time.Time
 }
 
-// Told is the load that an upstream's host reports.
-type Told struct {
+// LoadReport is the load that an upstream's host reports.
+type LoadReport struct {
 	// Running and Waiting count the requests of all routers.
 	Running, Waiting int
 	// Loading says that the upstream is loading a version and serves nothing meanwhile.
@@ -271,8 +271,8 @@
 	return s != nil && s.report.Loading && p.now().Sub(s.reportedAt) <= reportMaxAge
 }
 
-// Tell records a report of an upstream's host.
-func (p *Pool) Tell(id string, report Told) {
+// Report records a report of an upstream's host.
+func (p *Pool) Report(id string, report LoadReport) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
@@ -284,9 +284,9 @@
 	}
 }
 
-// TellLoad records the load in an answer to a request for a place, which includes all
+// ReportLoad records the load in an answer to a request for a place, which includes all
 // places that the host has granted.
-func (p *Pool) TellLoad(id string, running, waiting int, loading bool) {
+func (p *Pool) ReportLoad(id string, running, waiting int, loading bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
--- a/daemon/internal/process/balance/balance_test.go
+++ b/daemon/internal/process/balance/balance_test.go
@@ -116,7 +116,7 @@
 	for range routers {
 		pool := &balance.Pool{}
 		for i, candidate := range candidates {
-			pool.Tell(candidate.ID, balance.Told{Running: i % 8, Models: candidate.Models})
+			pool.Report(candidate.ID, balance.LoadReport{Running: i % 8, Models: candidate.Models})
 		}
 		choice, ok := pool.Choose(candidates, balance.Query{Model: "m"})
 		require.True(t, ok)
@@ -131,9 +131,9 @@
 func TestLoadingFollowsTheLastReport(t *testing.T) {
 	pool := &balance.Pool{}
 	assert.False(t, pool.Loading("u0"), "unknown")
-	pool.Tell("u0", balance.Told{})
+	pool.Report("u0", balance.LoadReport{})
 	assert.False(t, pool.Loading("u0"))
-	pool.Tell("u0", balance.Told{Loading: true})
+	pool.Report("u0", balance.LoadReport{Loading: true})
 	assert.True(t, pool.Loading("u0"))
 }
 
@@ -146,7 +146,7 @@
 		for range 200 {
 			pool := &balance.Pool{Hall: "own"}
 			for _, candidate := range candidates {
-				pool.Tell(candidate.ID, balance.Told{Models: candidate.Models})
+				pool.Report(candidate.ID, balance.LoadReport{Models: candidate.Models})
 			}
 			report(pool)
 			choice, ok := pool.Choose(candidates, balance.Query{Model: "m"})
@@ -159,8 +159,8 @@
 	}
 	assert.Greater(t, countOwn(func(*balance.Pool) {}), 150)
 	assert.Less(t, countOwn(func(pool *balance.Pool) {
-		pool.Tell("u0", balance.Told{Waiting: 3, Models: candidates[0].Models})
-		pool.Tell("u1", balance.Told{Waiting: 3, Models: candidates[1].Models})
+		pool.Report("u0", balance.LoadReport{Waiting: 3, Models: candidates[0].Models})
+		pool.Report("u1", balance.LoadReport{Waiting: 3, Models: candidates[1].Models})
 	}), 50)
 }
 
@@ -172,16 +172,16 @@
 	choice, ok := pool.Choose(candidates, balance.Query{Model: "m"})
 	require.True(t, ok)
 	assert.Zero(t, choice.Waiting+choice.Beyond, "no load report")
-	pool.Tell("u0", balance.Told{Running: 15, Waiting: 1, Models: candidates[0].Models})
+	pool.Report("u0", balance.LoadReport{Running: 15, Waiting: 1, Models: candidates[0].Models})
 	first, _ := pool.Choose(candidates, balance.Query{Model: "m"})
 	second, _ := pool.Choose(candidates, balance.Query{Model: "m"})
 	assert.Equal(t, []int{1, 2}, []int{first.Waiting, second.Waiting})
 	assert.Equal(t, first.Beyond+1, second.Beyond)
 	assert.Equal(t, 15, first.Running)
-	pool.Tell("u0", balance.Told{Running: 12, Models: candidates[0].Models})
+	pool.Report("u0", balance.LoadReport{Running: 12, Models: candidates[0].Models})
 	urgent, _ := pool.Choose(candidates, balance.Query{Model: "m"})
 	urgent.Done(balance.Served)
-	pool.Tell("u0", balance.Told{Running: 12, Models: candidates[0].Models})
+	pool.Report("u0", balance.LoadReport{Running: 12, Models: candidates[0].Models})
 	lessUrgent, _ := pool.Choose(candidates, balance.Query{Model: "m", Reserve: 4})
 	assert.Equal(t, []int{0, 1}, []int{urgent.Beyond, lessUrgent.Beyond}, "places are reserved for more urgent requests")
 }
@@ -189,9 +189,9 @@
 func TestReportedLoadCounts(t *testing.T) {
 	pool := &balance.Pool{}
 	candidates := upstreams(3)
-	pool.Tell("u0", balance.Told{Waiting: 3, Models: candidates[0].Models})
-	pool.Tell("u1", balance.Told{Running: 4, Models: candidates[1].Models})
-	pool.Tell("u2", balance.Told{Loading: true, Models: candidates[2].Models})
+	pool.Report("u0", balance.LoadReport{Waiting: 3, Models: candidates[0].Models})
+	pool.Report("u1", balance.LoadReport{Running: 4, Models: candidates[1].Models})
+	pool.Report("u2", balance.LoadReport{Loading: true, Models: candidates[2].Models})
 	choice, ok := pool.Choose(candidates, balance.Query{Model: "m"})
 	require.True(t, ok)
 	assert.Equal(t, "u1", choice.Upstream.ID, "waiting requests outweigh running ones, and a loading upstream ranks last")
@@ -202,14 +202,14 @@
 func TestReportedVersionOverridesTheRecord(t *testing.T) {
 	pool := &balance.Pool{}
 	candidates := upstreams(2)
-	pool.Tell("u1", balance.Told{Models: []provider.Loaded{{Model: "m", Version: 2}}})
+	pool.Report("u1", balance.LoadReport{Models: []provider.Loaded{{Model: "m", Version: 2}}})
 	choice, ok := pool.Choose(candidates, balance.Query{Model: "m", Version: 2})
 	require.True(t, ok)
 	assert.Equal(t, "u1", choice.Upstream.ID)
 	choice.Done(balance.Served)
 	counts := map[string]int{}
 	for range 20 {
-		pool.Tell("u1", balance.Told{Models: []provider.Loaded{{Model: "m", Version: 2}}})
+		pool.Report("u1", balance.LoadReport{Models: []provider.Loaded{{Model: "m", Version: 2}}})
 		preferred, ok := pool.Choose(candidates, balance.Query{Model: "m", Preferred: 2, Avoid: 1})
 		require.True(t, ok)
 		counts[preferred.Upstream.ID]++
@@ -241,7 +241,7 @@
 	now := time.Unix(1000, 0)
 	candidates := upstreams(1)
 	pool := &balance.Pool{Now: func() time.Time { return now }}
-	pool.Tell("u0", balance.Told{Running: 16, Waiting: 5, Models: candidates[0].Models})
+	pool.Report("u0", balance.LoadReport{Running: 16, Waiting: 5, Models: candidates[0].Models})
 	fresh, _ := pool.Choose(candidates, balance.Query{Model: "m"})
 	assert.Equal(t, []int{16, 5}, []int{fresh.Running, fresh.Waiting})
 	now = now.Add(time.Minute)
@@ -256,19 +256,19 @@
 	now := time.Unix(1000, 0)
 	candidates := upstreams(2)
 	pool := &balance.Pool{Now: func() time.Time { return now }}
-	pool.Tell("u0", balance.Told{ClosesIn: time.Second, Models: candidates[0].Models})
-	pool.Tell("u1", balance.Told{Waiting: 3, Models: candidates[1].Models})
+	pool.Report("u0", balance.LoadReport{ClosesIn: time.Second, Models: candidates[0].Models})
+	pool.Report("u1", balance.LoadReport{Waiting: 3, Models: candidates[1].Models})
 	chosenFor := func(duration time.Duration) string {
 		choice, ok := pool.Choose(candidates, balance.Query{Model: "m", Lasts: duration})
 		require.True(t, ok)
 		choice.Done(balance.Abandoned)
-		pool.Tell("u1", balance.Told{Waiting: 3, Models: candidates[1].Models})
+		pool.Report("u1", balance.LoadReport{Waiting: 3, Models: candidates[1].Models})
 		return choice.Upstream.ID
 	}
 	assert.Equal(t, "u0", chosenFor(900*time.Millisecond))
 	assert.Equal(t, "u0", chosenFor(0), "the duration does not matter")
 	assert.Equal(t, "u1", chosenFor(2500*time.Millisecond))
-	pool.Tell("u0", balance.Told{Models: candidates[0].Models})
+	pool.Report("u0", balance.LoadReport{Models: candidates[0].Models})
 	assert.Equal(t, "u0", chosenFor(2500*time.Millisecond), "it no longer closes")
 }
 
@@ -335,15 +335,15 @@
 	pool := &balance.Pool{Now: func() time.Time { return now }}
 	list := upstreams(1)
 	query := balance.Query{Model: "m", Version: 1}
-	pool.TellLoad(list[0].ID, 3, 0, false)
+	pool.ReportLoad(list[0].ID, 3, 0, false)
 	choice, ok := pool.Choose(list, query)
 	require.True(t, ok, "its record names the version")
 	assert.Equal(t, 1, choice.Version)
 	assert.Equal(t, 3, choice.Running)
 
-	pool.Tell(list[0].ID, balance.Told{Models: []provider.Loaded{{Model: "m", Version: 2}}})
+	pool.Report(list[0].ID, balance.LoadReport{Models: []provider.Loaded{{Model: "m", Version: 2}}})
 	now = now.Add(500 * time.Millisecond)
-	pool.TellLoad(list[0].ID, 3, 0, false)
+	pool.ReportLoad(list[0].ID, 3, 0, false)
 	now = now.Add(500 * time.Millisecond)
 	choice, ok = pool.Choose(list, query)
 	require.True(t, ok)
--- a/daemon/internal/request/dispatch/broken_test.go
+++ b/daemon/internal/request/dispatch/broken_test.go
@@ -18,7 +18,7 @@
 // this router gave up, and whether the upstream was known to take a version.
 func TestWhoEndedASend(t *testing.T) {
 	q := &request{Dispatcher: &Dispatcher{Pool: &balance.Pool{}}, Request: httptest.NewRequest("GET", "/", nil), story: &Story{}}
-	q.Pool.Tell("u1", balance.Told{Loading: true})
+	q.Pool.Report("u1", balance.LoadReport{Loading: true})
 	for breaker, err := range map[Breaker]error{
 		BrokenByUpstream: errors.New("connection reset by peer"),
 		BrokenBySilence:  fmt.Errorf("send to u1: %w", errOvertaken),
--- a/daemon/internal/request/dispatch/limit_test.go
+++ b/daemon/internal/request/dispatch/limit_test.go
@@ -110,7 +110,7 @@
 	}{
 		"no loader answers, fresh news": {func(q *request) {
 			for _, upstream := range q.view.Upstreams["s"] {
-				q.Pool.Tell(upstream.ID, balance.Told{Models: upstream.Models})
+				q.Pool.Report(upstream.ID, balance.LoadReport{Models: upstream.Models})
 			}
 		}, DoorNews},
 		"no loader answers, old news": {func(q *request) { q.Pool = &balance.Pool{} }, DoorNews},
--- a/daemon/internal/request/dispatch/place.go
+++ b/daemon/internal/request/dispatch/place.go
@@ -188,7 +188,7 @@
 	if err != nil {
 		asked.Cause = err.Error()
 	} else {
-		q.Pool.TellLoad(choice.Upstream.ID, load.Running, load.Waiting, load.Loading)
+		q.Pool.ReportLoad(choice.Upstream.ID, load.Running, load.Waiting, load.Loading)
 	}
 	q.story.Asked = append(q.story.Asked, asked)
 	return load, given, err
--- a/daemon/internal/request/dispatch/stream_test.go
+++ b/daemon/internal/request/dispatch/stream_test.go
@@ -16,6 +16,6 @@
 	q := &request{Dispatcher: &Dispatcher{Pool: &balance.Pool{}}, Request: httptest.NewRequest("GET", "/", nil)}
 	choice := balance.Choice{Upstream: &provider.Upstream{ID: "u0"}}
 	assert.Equal(t, balance.Failed, q.brokenOff(choice))
-	q.Pool.Tell("u0", balance.Told{Loading: true})
+	q.Pool.Report("u0", balance.LoadReport{Loading: true})
 	assert.Equal(t, balance.Abandoned, q.brokenOff(choice))
 }
--- a/daemon/lab/router.go
+++ b/daemon/lab/router.go
@@ -59,12 +59,12 @@
 		return // a lost one says nothing
 	}
 	load := e.load()
-	told := balance.Told{Running: load.Running, Waiting: load.Waiting, Loading: load.Loading, Models: e.record.Models}
+	told := balance.LoadReport{Running: load.Running, Waiting: load.Waiting, Loading: load.Loading, Models: e.record.Models}
 	if closes := e.closes(); !closes.IsZero() {
 		told.ClosesIn = max(closes.Sub(p.now()), time.Millisecond)
 	}
 	for _, r := range p.routers {
-		r.pool.Tell(e.record.ID, told)
+		r.pool.Report(e.record.ID, told)
 	}
 }
 
@@ -121,7 +121,7 @@
 		}
 		e := r.engine(choice)
 		load, given := e.ledger.Take(places.Question{Limit: limit, Engine: ratelimit.Upstream{ID: e.record.ID}, Known: e.known()})
-		r.pool.TellLoad(choice.Upstream.ID, load.Running, load.Waiting, load.Loading)
+		r.pool.ReportLoad(choice.Upstream.ID, load.Running, load.Waiting, load.Loading)
 		if given {
 			r.pace.Full(service, load.Running+load.Waiting >= choice.Upstream.Places)
 			return e, choice, true
--- a/daemon/router/upstreams.go
+++ b/daemon/router/upstreams.go
@@ -68,11 +68,11 @@
 
 // takeLoad hands on what a loader tells of the engine beside it.
 func (p *Process) takeLoad(host netip.AddrPort, line loadfeed.Line) {
-	told := balance.Told{
+	told := balance.LoadReport{
 		Running: line.Running, Waiting: line.Waiting, Loading: line.Loading,
 		ClosesIn: time.Duration(line.ClosesIn) * time.Millisecond, Models: line.Models,
 	}
 	for _, id := range (*p.enginesAt.Load())[host.Addr()] {
-		p.pool.Tell(id, told)
+		p.pool.Report(id, told)
 	}
 }
