--- a/daemon/internal/process/balance/balance.go
+++ b/daemon/internal/process/balance/balance.go
@@ -119,21 +119,21 @@
 
 // Query holds the requirements of a request.
 type Query struct {
-	// Tried holds the IDs of upstreams that must not be chosen again.
-	Tried []string
-	// Model is the model that the upstream must hold, empty for none, and Version its
-	// lowest version.
-	Model   string
-	Version int
-	// Reserve is the number of places of each upstream that are reserved for more urgent
+	// Exclude holds the IDs of upstreams that must not be chosen again.
+	Exclude []string
+	// Model is the model that the upstream must hold, empty for none, and
+	// MinVersion its lowest version.
+	Model      string
+	MinVersion int
+	// ReservedPlaces is the number of places of each upstream that are reserved for more urgent
 	// requests.
-	Reserve int
-	// Lasts is the expected duration of the request, 0 if it does not matter.
-	Lasts time.Duration
-	// Preferred is the version below which upstreams are avoided, and Avoid how
+	ReservedPlaces int
+	// Duration is the expected duration of the request, 0 if it does not matter.
+	Duration time.Duration
+	// PreferredVersion is the version below which upstreams are avoided, and Avoid how
 	// strongly, from 0 to 1.
-	Preferred int
-	Avoid     float64
+	PreferredVersion int
+	AvoidWeight      float64
 }
 
 // Choice is a chosen upstream. Done must be called once.
@@ -181,8 +181,8 @@
 			continue
 		}
 		score := s.score(candidate, query, now) + p.draw()*jitter
-		if query.Preferred > 0 && s.heldVersion(candidate, query.Model, now) < query.Preferred {
-			score += oldVersionPenalty * query.Avoid
+		if query.PreferredVersion > 0 && s.heldVersion(candidate, query.Model, now) < query.PreferredVersion {
+			score += oldVersionPenalty * query.AvoidWeight
 		}
 		if p.Hall != "" && candidate.Hall != p.Hall {
 			score += otherHallPenalty
@@ -196,7 +196,7 @@
 		return Choice{}, false
 	}
 	chosen := p.states[best.Upstream.ID]
-	best.Waiting, best.Beyond = chosen.queue(best.Upstream, query.Reserve, now)
+	best.Waiting, best.Beyond = chosen.queue(best.Upstream, query.ReservedPlaces, now)
 	best.Running, best.Age = chosen.running(now)
 	best.Told = now.Sub(chosen.reportedAt) <= reportMaxAge
 	chosen.inFlight++
--- a/daemon/internal/process/balance/balance_test.go
+++ b/daemon/internal/process/balance/balance_test.go
@@ -70,9 +70,9 @@
 	require.True(t, ok)
 	assert.Equal(t, "u2", choice.Upstream.ID)
 	assert.Equal(t, 1, choice.Version)
-	_, ok = pool.Choose(candidates, balance.Query{Model: "m", Tried: []string{"u2"}})
+	_, ok = pool.Choose(candidates, balance.Query{Model: "m", Exclude: []string{"u2"}})
 	assert.False(t, ok)
-	_, ok = pool.Choose(candidates, balance.Query{Model: "m", Version: 2})
+	_, ok = pool.Choose(candidates, balance.Query{Model: "m", MinVersion: 2})
 	assert.False(t, ok)
 }
 
@@ -182,7 +182,7 @@
 	urgent, _ := pool.Choose(candidates, balance.Query{Model: "m"})
 	urgent.Done(balance.Served)
 	pool.Report("u0", balance.LoadReport{Running: 12, Models: candidates[0].Models})
-	lessUrgent, _ := pool.Choose(candidates, balance.Query{Model: "m", Reserve: 4})
+	lessUrgent, _ := pool.Choose(candidates, balance.Query{Model: "m", ReservedPlaces: 4})
 	assert.Equal(t, []int{0, 1}, []int{urgent.Beyond, lessUrgent.Beyond}, "places are reserved for more urgent requests")
 }
 
@@ -203,14 +203,14 @@
 	pool := &balance.Pool{}
 	candidates := upstreams(2)
 	pool.Report("u1", balance.LoadReport{Models: []provider.Loaded{{Model: "m", Version: 2}}})
-	choice, ok := pool.Choose(candidates, balance.Query{Model: "m", Version: 2})
+	choice, ok := pool.Choose(candidates, balance.Query{Model: "m", MinVersion: 2})
 	require.True(t, ok)
 	assert.Equal(t, "u1", choice.Upstream.ID)
 	choice.Done(balance.Served)
 	counts := map[string]int{}
 	for range 20 {
 		pool.Report("u1", balance.LoadReport{Models: []provider.Loaded{{Model: "m", Version: 2}}})
-		preferred, ok := pool.Choose(candidates, balance.Query{Model: "m", Preferred: 2, Avoid: 1})
+		preferred, ok := pool.Choose(candidates, balance.Query{Model: "m", PreferredVersion: 2, AvoidWeight: 1})
 		require.True(t, ok)
 		counts[preferred.Upstream.ID]++
 		preferred.Done(balance.Served)
@@ -259,7 +259,7 @@
 	pool.Report("u0", balance.LoadReport{ClosesIn: time.Second, Models: candidates[0].Models})
 	pool.Report("u1", balance.LoadReport{Waiting: 3, Models: candidates[1].Models})
 	chosenFor := func(duration time.Duration) string {
-		choice, ok := pool.Choose(candidates, balance.Query{Model: "m", Lasts: duration})
+		choice, ok := pool.Choose(candidates, balance.Query{Model: "m", Duration: duration})
 		require.True(t, ok)
 		choice.Done(balance.Abandoned)
 		pool.Report("u1", balance.LoadReport{Waiting: 3, Models: candidates[1].Models})
@@ -334,7 +334,7 @@
 	now := time.Unix(1000, 0)
 	pool := &balance.Pool{Now: func() time.Time { return now }}
 	list := upstreams(1)
-	query := balance.Query{Model: "m", Version: 1}
+	query := balance.Query{Model: "m", MinVersion: 1}
 	pool.ReportLoad(list[0].ID, 3, 0, false)
 	choice, ok := pool.Choose(list, query)
 	require.True(t, ok, "its record names the version")
--- a/daemon/internal/process/balance/score.go
+++ b/daemon/internal/process/balance/score.go
@@ -11,7 +11,7 @@
 	if candidate.Leaving || now.Before(s.throttledUntil) {
 		return false
 	}
-	for _, id := range query.Tried {
+	for _, id := range query.Exclude {
 		if id == candidate.ID {
 			return false
 		}
@@ -20,7 +20,7 @@
 		return true
 	}
 	held := s.heldVersion(candidate, query.Model, now)
-	return held > 0 && held >= query.Version
+	return held > 0 && held >= query.MinVersion
 }
 
 // heldVersion returns the version of a model that an upstream holds, by its host's last
@@ -66,14 +66,14 @@
 func (s *state) score(candidate *provider.Upstream, query Query, now time.Time) float64 {
 	s.decay(now)
 	share := s.failures / (s.outcomes + priorWeight)
-	score := s.load(candidate, query.Reserve, now) + failurePenalty*max(0, share-healthyFailureShare)
+	score := s.load(candidate, query.ReservedPlaces, now) + failurePenalty*max(0, share-healthyFailureShare)
 	if now.Before(s.blockedUntil) || s.report.Loading && now.Sub(s.reportedAt) <= reportMaxAge {
 		score += blockedPenalty
 	}
 	if s.unresponsive(now) {
 		score += unresponsivePenalty
 	}
-	if excess := now.Add(query.Lasts).Sub(s.closesAt); query.Lasts > 0 && !s.closesAt.IsZero() && excess > 0 {
+	if excess := now.Add(query.Duration).Sub(s.closesAt); query.Duration > 0 && !s.closesAt.IsZero() && excess > 0 {
 		score += closingPenalty * min(excess.Seconds(), 1)
 	}
 	return score
--- a/daemon/internal/request/dispatch/dispatch.go
+++ b/daemon/internal/request/dispatch/dispatch.go
@@ -283,16 +283,16 @@
 
 // query says what the upstream must hold.
 func (q *request) query() balance.Query {
-	query := balance.Query{Tried: q.tried}
+	query := balance.Query{Exclude: q.tried}
 	if q.service.Engine == nil {
 		return query
 	}
 	query.Model = q.service.Engine.Model
-	query.Lasts = q.lasts()
-	query.Reserve = admission.Reserve(admission.Service{Full: q.Pace.Share(q.service.Name)}, q.standing())
+	query.Duration = q.lasts()
+	query.ReservedPlaces = admission.Reserve(admission.Service{Full: q.Pace.Share(q.service.Name)}, q.standing())
 	if declared, ok := q.View().Targets[query.Model]; ok {
 		demand := q.Demand(&declared)
-		query.Version, query.Preferred, query.Avoid = demand.Lowest, demand.Preferred, demand.Avoid
+		query.MinVersion, query.PreferredVersion, query.AvoidWeight = demand.Lowest, demand.Preferred, demand.Avoid
 	}
 	return query
 }
--- a/daemon/internal/request/dispatch/place.go
+++ b/daemon/internal/request/dispatch/place.go
@@ -49,18 +49,18 @@
 	for !search.Over() {
 		choice, ok := q.Pool.Choose(candidates, query)
 		if !ok && limited && !again {
-			again, query.Tried = true, q.tried
+			again, query.Exclude = true, q.tried
 			continue
 		}
 		if !ok {
 			break
 		}
-		choice, through, err := q.tryFor(ctx, choice, &search, query.Lasts)
+		choice, through, err := q.tryFor(ctx, choice, &search, query.Duration)
 		if through || err != nil {
 			return choice, err
 		}
 		limited = limited || q.Pool.Holds(choice.Upstream.ID)
-		query.Tried = append(query.Tried[:len(query.Tried):len(query.Tried)], choice.Upstream.ID)
+		query.Exclude = append(query.Exclude[:len(query.Exclude):len(query.Exclude)], choice.Upstream.ID)
 	}
 	denied, silent := search.Asked()
 	if denied == 0 && search.TooLimited() {
@@ -117,7 +117,7 @@
 		if through || err != nil {
 			return choice, err
 		}
-		query.Tried = append(query.Tried[:len(query.Tried):len(query.Tried)], choice.Upstream.ID)
+		query.Exclude = append(query.Exclude[:len(query.Exclude):len(query.Exclude)], choice.Upstream.ID)
 	}
 }
 
--- a/daemon/internal/request/dispatch/send.go
+++ b/daemon/internal/request/dispatch/send.go
@@ -48,7 +48,7 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	s := &sending{choice: choice, started: clock.Now(), cancel: cancel, result: make(chan exchange.Result, 1)}
 	expected := 0
-	if q.query().Version > 0 {
+	if q.query().MinVersion > 0 {
 		expected = choice.Version // an engine that is not what it seems refuses
 	}
 	send := exchange.Send{
@@ -180,7 +180,7 @@
 // that their upstream held.
 func (q *request) endOutdated(sends ...*sending) {
 	for _, s := range sends {
-		if s != nil && s.choice.Version > 0 && s.choice.Version < q.query().Version {
+		if s != nil && s.choice.Version > 0 && s.choice.Version < q.query().MinVersion {
 			s.end(errOutdated)
 		}
 	}
--- a/daemon/lab/limit.go
+++ b/daemon/lab/limit.go
@@ -272,7 +272,7 @@
 			return
 		}
 		choice.Done(balance.Abandoned)
-		query.Tried = append(query.Tried, choice.Upstream.ID)
+		query.Exclude = append(query.Exclude, choice.Upstream.ID)
 		if wait > 0 {
 			r.pool.Hold(choice.Upstream.ID, wait)
 		}
--- a/daemon/lab/router.go
+++ b/daemon/lab/router.go
@@ -109,7 +109,7 @@
 		search.Ways = *r.play.policy.Ways
 	}
 	lasts := admission.Lasts(known, r.pace.Occupied(service), c.hint, r.play.usualAnswer())
-	query := balance.Query{Model: model, Lasts: lasts}
+	query := balance.Query{Model: model, Duration: lasts}
 	for !search.Over() {
 		choice, ok := r.pool.Choose(r.list, query)
 		if !ok {
@@ -132,7 +132,7 @@
 			search.Denied(load)
 		}
 		choice.Done(balance.Abandoned)
-		query.Tried = append(query.Tried, choice.Upstream.ID)
+		query.Exclude = append(query.Exclude, choice.Upstream.ID)
 	}
 	r.pace.Full(service, search.AllFull())
 	return nil, balance.Choice{}, false
