--- a/daemon/internal/process/balance/balance.go
+++ b/daemon/internal/process/balance/balance.go
@@ -146,23 +146,23 @@
 	InFlight   int
 	Score      float64
 	Candidates int
-	// Waiting is the number of requests queued before this one, and Beyond the number
+	// Waiting is the number of requests queued before this one, and Excess the number
 	// that must end before it gets a place; 0 without a recent load report.
-	Waiting, Beyond int
-	// Running is the number of running requests, 0 without a recent load report. Age is
-	// the age of the last report, 0 if there was none.
-	Running int
-	Age     time.Duration
-	// Told says that there is a recent load report.
-	Told bool
+	Waiting, Excess int
+	// Running is the number of running requests, 0 without a recent load report. ReportAge
+	// is the age of the last report, 0 if there was none.
+	Running   int
+	ReportAge time.Duration
+	// HasReport says that there is a recent load report.
+	HasReport bool
 
 	pool *Pool
 }
 
 // WithLoad returns the choice with a load that the upstream's host just reported.
 func (c Choice) WithLoad(running, waiting int) Choice {
-	c.Running, c.Waiting, c.Age = running, waiting, 0
-	c.Beyond = max(0, running+waiting+1-c.Upstream.Places)
+	c.Running, c.Waiting, c.ReportAge = running, waiting, 0
+	c.Excess = max(0, running+waiting+1-c.Upstream.Places)
 	return c
 }
 
@@ -196,9 +196,9 @@
 		return Choice{}, false
 	}
 	chosen := p.states[best.Upstream.ID]
-	best.Waiting, best.Beyond = chosen.queue(best.Upstream, query.ReservedPlaces, now)
-	best.Running, best.Age = chosen.running(now)
-	best.Told = now.Sub(chosen.reportedAt) <= reportMaxAge
+	best.Waiting, best.Excess = chosen.queue(best.Upstream, query.ReservedPlaces, now)
+	best.Running, best.ReportAge = chosen.running(now)
+	best.HasReport = now.Sub(chosen.reportedAt) <= reportMaxAge
 	chosen.inFlight++
 	chosen.sentSinceReport++
 	best.Version = chosen.heldVersion(best.Upstream, query.Model, now)
--- a/daemon/internal/process/balance/balance_test.go
+++ b/daemon/internal/process/balance/balance_test.go
@@ -171,19 +171,19 @@
 	pool := &balance.Pool{}
 	choice, ok := pool.Choose(candidates, balance.Query{Model: "m"})
 	require.True(t, ok)
-	assert.Zero(t, choice.Waiting+choice.Beyond, "no load report")
+	assert.Zero(t, choice.Waiting+choice.Excess, "no load report")
 	pool.Report("u0", balance.LoadReport{Running: 15, Waiting: 1, Models: candidates[0].Models})
 	first, _ := pool.Choose(candidates, balance.Query{Model: "m"})
 	second, _ := pool.Choose(candidates, balance.Query{Model: "m"})
 	assert.Equal(t, []int{1, 2}, []int{first.Waiting, second.Waiting})
-	assert.Equal(t, first.Beyond+1, second.Beyond)
+	assert.Equal(t, first.Excess+1, second.Excess)
 	assert.Equal(t, 15, first.Running)
 	pool.Report("u0", balance.LoadReport{Running: 12, Models: candidates[0].Models})
 	urgent, _ := pool.Choose(candidates, balance.Query{Model: "m"})
 	urgent.Done(balance.Served)
 	pool.Report("u0", balance.LoadReport{Running: 12, Models: candidates[0].Models})
 	lessUrgent, _ := pool.Choose(candidates, balance.Query{Model: "m", ReservedPlaces: 4})
-	assert.Equal(t, []int{0, 1}, []int{urgent.Beyond, lessUrgent.Beyond}, "places are reserved for more urgent requests")
+	assert.Equal(t, []int{0, 1}, []int{urgent.Excess, lessUrgent.Excess}, "places are reserved for more urgent requests")
 }
 
 func TestReportedLoadCounts(t *testing.T) {
@@ -246,8 +246,8 @@
 	assert.Equal(t, []int{16, 5}, []int{fresh.Running, fresh.Waiting})
 	now = now.Add(time.Minute)
 	old, _ := pool.Choose(candidates, balance.Query{Model: "m"})
-	assert.Equal(t, []int{0, 0, 0}, []int{old.Running, old.Waiting, old.Beyond})
-	assert.Equal(t, time.Minute, old.Age)
+	assert.Equal(t, []int{0, 0, 0}, []int{old.Running, old.Waiting, old.Excess})
+	assert.Equal(t, time.Minute, old.ReportAge)
 }
 
 // TestClosingUpstreamsGetShortRequests checks that an upstream that closes before a request is
--- a/daemon/internal/request/dispatch/dispatch.go
+++ b/daemon/internal/request/dispatch/dispatch.go
@@ -357,7 +357,7 @@
 	try := Try{
 		Upstream: choice.Upstream.ID, Address: choice.Upstream.Address, At: started.Sub(q.story.Started), Took: clock.Since(started), Fate: result.Fate.String(),
 		Version: choice.Version, InFlight: choice.InFlight, Candidates: choice.Candidates,
-		Waiting: choice.Waiting, Beyond: choice.Beyond, Running: choice.Running, Age: choice.Age,
+		Waiting: choice.Waiting, Beyond: choice.Excess, Running: choice.Running, Age: choice.ReportAge,
 		Door: q.doors[choice.Upstream.ID], Limit: result.Said.String(),
 	}
 	if result.Err != nil {
--- a/daemon/internal/request/dispatch/place.go
+++ b/daemon/internal/request/dispatch/place.go
@@ -90,7 +90,7 @@
 		q.Pace.Full(q.service.Name, load.Running+load.Waiting >= choice.Upstream.Places)
 		q.through(choice, DoorLoader)
 		return choice.WithLoad(load.Running, load.Waiting), true, nil
-	case err != nil && choice.Told && choice.Age < freshNews:
+	case err != nil && choice.HasReport && choice.ReportAge < freshNews:
 		return q.unasked(choice, DoorNews)
 	case err != nil:
 		search.Silent()
@@ -141,7 +141,7 @@
 func (q *request) unasked(choice balance.Choice, door Door) (balance.Choice, bool, error) {
 	if q.overloaded(choice) {
 		choice.Done(balance.Abandoned)
-		return choice, false, fmt.Errorf("%w: at the best, %s, %d wait and %d must end first", errOverloaded, choice.Upstream.ID, choice.Waiting, choice.Beyond)
+		return choice, false, fmt.Errorf("%w: at the best, %s, %d wait and %d must end first", errOverloaded, choice.Upstream.ID, choice.Waiting, choice.Excess)
 	}
 	if wait, ok := q.allowed(choice, door); !ok {
 		q.Pool.Hold(choice.Upstream.ID, wait)
