--- a/daemon/internal/process/balance/balance.go
+++ b/daemon/internal/process/balance/balance.go
@@ -295,26 +295,26 @@
 	s.reportedAt, s.sentSinceReport = now, 0
 }
 
-// Hold withholds requests from an upstream for a while, because its rate limit is used up.
+// Throttle withholds requests from an upstream for a while, because its rate limit is used up.
 // A wait of 0 ends that.
-func (p *Pool) Hold(id string, wait time.Duration) {
+func (p *Pool) Throttle(id string, wait time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
 	p.state(id, now).throttledUntil = now.Add(wait)
 }
 
-// Holds reports whether an upstream is throttled.
-func (p *Pool) Holds(id string) bool {
+// Throttled reports whether an upstream is throttled.
+func (p *Pool) Throttled(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.states[id]
 	return s != nil && s.throttledUntil.After(p.now())
 }
 
-// Held reports whether any of the upstreams that are not leaving is throttled, and the time
+// ThrottledFor reports whether any of the upstreams that are not leaving is throttled, and the time
 // until the first of them is available.
-func (p *Pool) Held(upstreams []*provider.Upstream) (time.Duration, bool) {
+func (p *Pool) ThrottledFor(upstreams []*provider.Upstream) (time.Duration, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
--- a/daemon/internal/process/balance/balance_test.go
+++ b/daemon/internal/process/balance/balance_test.go
@@ -309,23 +309,23 @@
 	now := time.Unix(1000, 0)
 	pool := &balance.Pool{Now: func() time.Time { return now }}
 	list := []*provider.Upstream{{ID: "a"}, {ID: "b"}}
-	pool.Hold("a", time.Second)
+	pool.Throttle("a", time.Second)
 	for range 20 {
 		choice, ok := pool.Choose(list, balance.Query{})
 		require.True(t, ok)
 		assert.Equal(t, "b", choice.Upstream.ID)
 	}
-	pool.Hold("b", 3*time.Second)
+	pool.Throttle("b", 3*time.Second)
 	_, ok := pool.Choose(list, balance.Query{})
 	assert.False(t, ok)
-	wait, throttled := pool.Held(list)
+	wait, throttled := pool.ThrottledFor(list)
 	assert.True(t, throttled)
 	assert.Equal(t, time.Second, wait)
-	pool.Hold("b", 0)
+	pool.Throttle("b", 0)
 	_, ok = pool.Choose(list, balance.Query{})
 	assert.True(t, ok)
 	now = now.Add(time.Second)
-	assert.False(t, pool.Holds("a"))
+	assert.False(t, pool.Throttled("a"))
 }
 
 // TestLoadWithoutModelsKeepsTheVersion guards against an answer to a request for a place, which
--- a/daemon/internal/request/dispatch/limit_test.go
+++ b/daemon/internal/request/dispatch/limit_test.go
@@ -60,7 +60,7 @@
 	require.ErrorIs(t, err, errLimited)
 	assert.Equal(t, admission.EnginesFull, whyUnplaced(err), "its caller comes back when others do")
 	for _, upstream := range f.view.Upstreams["s"] {
-		assert.True(t, f.pool.Holds(upstream.ID))
+		assert.True(t, f.pool.Throttled(upstream.ID))
 	}
 }
 
--- a/daemon/internal/request/dispatch/place.go
+++ b/daemon/internal/request/dispatch/place.go
@@ -59,7 +59,7 @@
 		if through || err != nil {
 			return choice, err
 		}
-		limited = limited || q.Pool.Holds(choice.Upstream.ID)
+		limited = limited || q.Pool.Throttled(choice.Upstream.ID)
 		query.Exclude = append(query.Exclude[:len(query.Exclude):len(query.Exclude)], choice.Upstream.ID)
 	}
 	denied, silent := search.Asked()
@@ -96,7 +96,7 @@
 		search.Silent()
 	case load.Wait > 0:
 		search.Limited()
-		q.Pool.Hold(choice.Upstream.ID, load.Wait)
+		q.Pool.Throttle(choice.Upstream.ID, load.Wait)
 	default:
 		search.Denied(load)
 	}
@@ -123,7 +123,7 @@
 
 // noneFit says why no upstream can be chosen.
 func (q *request) noneFit(candidates []*provider.Upstream) error {
-	if wait, held := q.Pool.Held(candidates); held {
+	if wait, held := q.Pool.ThrottledFor(candidates); held {
 		return fmt.Errorf("%w, soonest to be asked again in %s", errLimited, wait.Round(time.Millisecond))
 	}
 	return errNoneFit
@@ -144,7 +144,7 @@
 		return choice, false, fmt.Errorf("%w: at the best, %s, %d wait and %d must end first", errOverloaded, choice.Upstream.ID, choice.Waiting, choice.Excess)
 	}
 	if wait, ok := q.allowed(choice, door); !ok {
-		q.Pool.Hold(choice.Upstream.ID, wait)
+		q.Pool.Throttle(choice.Upstream.ID, wait)
 		choice.Done(balance.Abandoned)
 		return choice, false, nil
 	}
--- a/daemon/lab/limit.go
+++ b/daemon/lab/limit.go
@@ -250,7 +250,7 @@
 
 func (r *limitRouter) told(upstream ratelimit.Upstream, note ratelimit.Note) {
 	if r.table.Told(upstream, note, r.play.now()).Changed {
-		r.pool.Hold(upstream.ID, 0)
+		r.pool.Throttle(upstream.ID, 0)
 	}
 }
 
@@ -274,7 +274,7 @@
 		choice.Done(balance.Abandoned)
 		query.Exclude = append(query.Exclude, choice.Upstream.ID)
 		if wait > 0 {
-			r.pool.Hold(choice.Upstream.ID, wait)
+			r.pool.Throttle(choice.Upstream.ID, wait)
 		}
 	}
 }
@@ -334,7 +334,7 @@
 	p, key := r.play, ratelimit.Upstream{ID: u.record.ID}
 	change := r.table.Heard(key, said, start.Add(sent), p.now())
 	if change.Changed {
-		r.pool.Hold(key.ID, 0)
+		r.pool.Throttle(key.ID, 0)
 	}
 	if !change.Tell {
 		return
--- a/daemon/lab/router.go
+++ b/daemon/lab/router.go
@@ -127,7 +127,7 @@
 			return e, choice, true
 		}
 		if load.Wait > 0 {
-			r.pool.Hold(choice.Upstream.ID, load.Wait)
+			r.pool.Throttle(choice.Upstream.ID, load.Wait)
 		} else {
 			search.Denied(load)
 		}
--- a/daemon/router/limits.go
+++ b/daemon/router/limits.go
@@ -74,7 +74,7 @@
 		return
 	}
 	p.recorder.limitChanged(news)
-	p.pool.Hold(news.upstream.ID, 0)
+	p.pool.Throttle(news.upstream.ID, 0)
 }
 
 // allow asks for this router's share of the limit of an upstream at which no loader counts.
