--- a/daemon/internal/process/balance/balance.go
+++ b/daemon/internal/process/balance/balance.go
@@ -253,9 +253,9 @@
 	}
 }
 
-// Silent reports whether the host of an upstream has stopped reporting: it is unreachable,
+// Unresponsive reports whether the host of an upstream has stopped reporting: it is unreachable,
 // frozen or overloaded, or its loader has stopped.
-func (p *Pool) Silent(id string) bool {
+func (p *Pool) Unresponsive(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.states[id]
--- a/daemon/internal/request/dispatch/send.go
+++ b/daemon/internal/request/dispatch/send.go
@@ -195,7 +195,7 @@
 
 func (q *request) slow(s *sending) bool {
 	waited := clock.Since(s.started)
-	return waited > headPatience || waited > silentPatience && q.Pool.Silent(s.choice.Upstream.ID)
+	return waited > headPatience || waited > silentPatience && q.Pool.Unresponsive(s.choice.Upstream.ID)
 }
 
 // mayHaveSecond reports whether the request, which is under way, may go to another
