--- a/daemon/internal/process/balance/balance.go
+++ b/daemon/internal/process/balance/balance.go
@@ -60,8 +60,8 @@
 	// Moved means that the address has another upstream by now, or the upstream another
 	// version.
 	Moved
-	// Abandoned requests were canceled, which says nothing about the upstream.
-	Abandoned
+	// Canceled requests were canceled, which says nothing about the upstream.
+	Canceled
 )
 
 // Pool holds the state of upstreams by ID. The zero value is ready to use.
@@ -363,6 +363,6 @@
 		s.blockedUntil = now.Add(s.block)
 	case Moved:
 		s.blockedUntil = now.Add(minBlock)
-	case Abandoned:
+	case Canceled:
 	}
 }
--- a/daemon/internal/process/balance/balance_test.go
+++ b/daemon/internal/process/balance/balance_test.go
@@ -261,7 +261,7 @@
 	chosenFor := func(duration time.Duration) string {
 		choice, ok := pool.Choose(candidates, balance.Query{Model: "m", Duration: duration})
 		require.True(t, ok)
-		choice.Done(balance.Abandoned)
+		choice.Done(balance.Canceled)
 		pool.Report("u1", balance.LoadReport{Waiting: 3, Models: candidates[1].Models})
 		return choice.Upstream.ID
 	}
--- a/daemon/internal/request/dispatch/dispatch.go
+++ b/daemon/internal/request/dispatch/dispatch.go
@@ -300,7 +300,7 @@
 func (q *request) outcomeOf(fate exchange.Fate) balance.Outcome {
 	switch {
 	case q.Context().Err() != nil:
-		return balance.Abandoned
+		return balance.Canceled
 	case fate == exchange.Unsent:
 		return balance.Unreachable
 	case fate == exchange.Refused:
--- a/daemon/internal/request/dispatch/place.go
+++ b/daemon/internal/request/dispatch/place.go
@@ -100,7 +100,7 @@
 	default:
 		search.Denied(load)
 	}
-	choice.Done(balance.Abandoned)
+	choice.Done(balance.Canceled)
 	return choice, false, nil
 }
 
@@ -140,12 +140,12 @@
 // and delay others. Where the upstream's limit leaves no room, another one is to be chosen.
 func (q *request) unasked(choice balance.Choice, door Door) (balance.Choice, bool, error) {
 	if q.overloaded(choice) {
-		choice.Done(balance.Abandoned)
+		choice.Done(balance.Canceled)
 		return choice, false, fmt.Errorf("%w: at the best, %s, %d wait and %d must end first", errOverloaded, choice.Upstream.ID, choice.Waiting, choice.Excess)
 	}
 	if wait, ok := q.allowed(choice, door); !ok {
 		q.Pool.Throttle(choice.Upstream.ID, wait)
-		choice.Done(balance.Abandoned)
+		choice.Done(balance.Canceled)
 		return choice, false, nil
 	}
 	q.through(choice, door)
--- a/daemon/internal/request/dispatch/place_test.go
+++ b/daemon/internal/request/dispatch/place_test.go
@@ -88,7 +88,7 @@
 		choice, ok := f.pool.Choose([]*provider.Upstream{upstream}, balance.Query{Model: "m"})
 		require.True(t, ok)
 		total += choice.InFlight
-		choice.Done(balance.Abandoned)
+		choice.Done(balance.Canceled)
 	}
 	return total
 }
--- a/daemon/internal/request/dispatch/seek.go
+++ b/daemon/internal/request/dispatch/seek.go
@@ -77,7 +77,7 @@
 func (b *begun) drop() {
 	if b != nil {
 		_ = b.response.Body.Close()
-		b.choice.Done(balance.Abandoned)
+		b.choice.Done(balance.Canceled)
 	}
 }
 
--- a/daemon/internal/request/dispatch/send.go
+++ b/daemon/internal/request/dispatch/send.go
@@ -84,7 +84,7 @@
 	q.note(s, result)
 	switch {
 	case errors.Is(result.Err, errOvertaken) || errors.Is(result.Err, errHeld) || errors.Is(result.Err, errStopping):
-		s.choice.Done(balance.Abandoned)
+		s.choice.Done(balance.Canceled)
 	case result.Fate != exchange.Answered:
 		s.choice.Done(q.outcomeOf(result.Fate))
 	}
@@ -135,7 +135,7 @@
 				first, second = second, nil
 				continue
 			}
-			q.overtaken(second, balance.Abandoned)
+			q.overtaken(second, balance.Canceled)
 			q.settle(first, result)
 			return first.choice, result
 		case result := <-resultOf(second):
@@ -215,7 +215,7 @@
 		return nil
 	}
 	if !q.Budget.Take(q.service.Name) {
-		choice.Done(balance.Abandoned)
+		choice.Done(balance.Canceled)
 		return nil
 	}
 	return q.begin(ctx, choice, lastEvent)
--- a/daemon/internal/request/dispatch/stream.go
+++ b/daemon/internal/request/dispatch/stream.go
@@ -53,7 +53,7 @@
 // brokenOff is what a stream that broke off says of its upstream.
 func (q *request) brokenOff(choice balance.Choice) balance.Outcome {
 	if q.Pool.Loading(choice.Upstream.ID) {
-		return balance.Abandoned
+		return balance.Canceled
 	}
 	return q.outcomeOf(exchange.Unknown)
 }
--- a/daemon/internal/request/dispatch/stream_test.go
+++ b/daemon/internal/request/dispatch/stream_test.go
@@ -17,5 +17,5 @@
 	choice := balance.Choice{Upstream: &provider.Upstream{ID: "u0"}}
 	assert.Equal(t, balance.Failed, q.brokenOff(choice))
 	q.Pool.Report("u0", balance.LoadReport{Loading: true})
-	assert.Equal(t, balance.Abandoned, q.brokenOff(choice))
+	assert.Equal(t, balance.Canceled, q.brokenOff(choice))
 }
--- a/daemon/lab/limit.go
+++ b/daemon/lab/limit.go
@@ -271,7 +271,7 @@
 			r.send(u, choice)
 			return
 		}
-		choice.Done(balance.Abandoned)
+		choice.Done(balance.Canceled)
 		query.Exclude = append(query.Exclude, choice.Upstream.ID)
 		if wait > 0 {
 			r.pool.Throttle(choice.Upstream.ID, wait)
--- a/daemon/lab/router.go
+++ b/daemon/lab/router.go
@@ -131,7 +131,7 @@
 		} else {
 			search.Denied(load)
 		}
-		choice.Done(balance.Abandoned)
+		choice.Done(balance.Canceled)
 		query.Exclude = append(query.Exclude, choice.Upstream.ID)
 	}
 	r.pace.Full(service, search.AllFull())
