--- a/daemon/internal/process/balance/balance.go
+++ b/daemon/internal/process/balance/balance.go
@@ -71,8 +71,8 @@
 	Hall string
 	// Now is the clock; nil means clock.Now.
 	Now func() time.Time
-	// Draw returns a random number in [0, 1); nil means rand.Float64.
-	Draw func() float64
+	// Rand returns a random number in [0, 1); nil means rand.Float64.
+	Rand func() float64
 
 	mu        sync.Mutex
 	states    map[string]*state
@@ -180,7 +180,7 @@
 		if !s.eligible(candidate, query, now) {
 			continue
 		}
-		score := s.score(candidate, query, now) + p.draw()*jitter
+		score := s.score(candidate, query, now) + p.random()*jitter
 		if query.PreferredVersion > 0 && s.heldVersion(candidate, query.Model, now) < query.PreferredVersion {
 			score += oldVersionPenalty * query.AvoidWeight
 		}
@@ -220,9 +220,9 @@
 
 func (p *Pool) now() time.Time { return helpers.Now(p.Now) }
 
-func (p *Pool) draw() float64 {
-	if p.Draw != nil {
-		return p.Draw()
+func (p *Pool) random() float64 {
+	if p.Rand != nil {
+		return p.Rand()
 	}
 	return rand.Float64()
 }
--- a/daemon/lab/limit.go
+++ b/daemon/lab/limit.go
@@ -159,7 +159,7 @@
 	}
 	for i := range setup.Routers {
 		r := &limitRouter{play: p, hall: hallOf(i, setup.Halls), muted: map[string]time.Duration{}}
-		r.pool.Hall, r.pool.Now, r.pool.Draw, r.table.Draw = r.hall, p.now, p.random.Float64, p.random.Float64
+		r.pool.Hall, r.pool.Now, r.pool.Rand, r.table.Draw = r.hall, p.now, p.random.Float64, p.random.Float64
 		p.routers = append(p.routers, r)
 	}
 	p.bring()
--- a/daemon/lab/router.go
+++ b/daemon/lab/router.go
@@ -23,7 +23,7 @@
 
 func newRouter(p *play, number int) *router {
 	r := &router{play: p}
-	r.pool.Hall, r.pool.Now, r.pool.Draw = hallOf(number, p.Halls), p.now, p.draw.Float64
+	r.pool.Hall, r.pool.Now, r.pool.Rand = hallOf(number, p.Halls), p.now, p.draw.Float64
 	r.pace.Now, r.callers.Now = p.now, p.now
 	for _, e := range p.engines {
 		r.list = append(r.list, e.record)
