--- a/daemon/internal/connection/peering/neighbours.go
+++ b/daemon/internal/connection/peering/neighbours.go
@@ -141,9 +141,9 @@
 	case !n.muted.Has(neighbour, n.Now):
 		return readers.Usable
 	case n.behind.Has(neighbour, n.Now):
-		return readers.Behind
+		return readers.Stale
 	default:
-		return readers.Gone
+		return readers.Unreachable
 	}
 }
 
--- a/daemon/internal/process/readers/readers.go
+++ b/daemon/internal/process/readers/readers.go
@@ -47,10 +47,10 @@
 const (
 	// Usable routers may be queried.
 	Usable State = iota
-	// Behind routers answer, but their replica is stale or still empty.
-	Behind
-	// Gone routers do not answer.
-	Gone
+	// Stale routers answer, but their replica is stale or still empty.
+	Stale
+	// Unreachable routers do not answer.
+	Unreachable
 )
 
 // Router is one router of the hall.
@@ -125,9 +125,9 @@
 		switch router.State {
 		case Usable:
 			return Follow, router.Name
-		case Behind:
+		case Stale:
 			stale++
-		case Gone:
+		case Unreachable:
 		}
 	}
 	if stale < maxImmediateReaders || sinceData >= firstReaderDelay+time.Duration(stale-maxImmediateReaders)*nextReaderDelay {
--- a/daemon/internal/process/readers/readers_test.go
+++ b/daemon/internal/process/readers/readers_test.go
@@ -33,7 +33,7 @@
 func decide(hall []readers.Router, sinceData time.Duration) outcome {
 	result := outcome{follows: map[string]string{}}
 	for _, own := range hall {
-		if own.State == readers.Gone {
+		if own.State == readers.Unreachable {
 			continue
 		}
 		course, followed := readers.Decide(own, hall, sinceData)
@@ -66,7 +66,7 @@
 		reachable := 0
 		for i := range routers {
 			if rapid.Bool().Draw(t, "gone") {
-				routers[i].State = readers.Gone
+				routers[i].State = readers.Unreachable
 				continue
 			}
 			reachable++
@@ -89,8 +89,8 @@
 		routers := hall(rapid.IntRange(1, 80).Draw(t, "routers"))
 		reachable := 0
 		for i := range routers {
-			routers[i].State = rapid.SampledFrom([]readers.State{readers.Usable, readers.Behind, readers.Gone}).Draw(t, "state")
-			if routers[i].State != readers.Gone {
+			routers[i].State = rapid.SampledFrom([]readers.State{readers.Usable, readers.Stale, readers.Unreachable}).Draw(t, "state")
+			if routers[i].State != readers.Unreachable {
 				reachable++
 			}
 		}
@@ -103,7 +103,7 @@
 func TestReadersAreBoundedWhileAllAreStale(t *testing.T) {
 	routers := hall(30)
 	for i := range routers {
-		routers[i].State = readers.Behind
+		routers[i].State = readers.Stale
 	}
 	for _, step := range []struct {
 		sinceData  time.Duration
@@ -124,7 +124,7 @@
 	for range halls {
 		var routers []readers.Router
 		for range 30 {
-			routers = append(routers, readers.Router{Name: fmt.Sprint("router-", draw.Uint32()), State: readers.Behind})
+			routers = append(routers, readers.Router{Name: fmt.Sprint("router-", draw.Uint32()), State: readers.Stale})
 		}
 		connected := false
 		for _, own := range routers {
@@ -194,7 +194,7 @@
 		for _, router := range readers.Rank(routers)[:rapid.IntRange(0, 20).Draw(t, "gone")] {
 			for i := range routers {
 				if routers[i].Name == router.Name {
-					routers[i].State = readers.Gone
+					routers[i].State = readers.Unreachable
 				}
 			}
 		}
@@ -208,7 +208,7 @@
 		for name, followed := range result.follows {
 			assert.Less(t, rank[followed], rank[name])
 			for _, router := range routers {
-				assert.False(t, router.Name == followed && router.State == readers.Gone)
+				assert.False(t, router.Name == followed && router.State == readers.Unreachable)
 			}
 		}
 	})
--- a/daemon/lab/fleet_model.go
+++ b/daemon/lab/fleet_model.go
@@ -360,7 +360,7 @@
 		held = wholeHeldFor
 	}
 	if other.gone {
-		p.events.after(held+answersWithin, func() { r.mute(other, muted, readers.Gone) })
+		p.events.after(held+answersWithin, func() { r.mute(other, muted, readers.Unreachable) })
 		return
 	}
 	settled := false
@@ -385,12 +385,12 @@
 func (r *fleetRouter) answered(other *fleetRouter) {
 	p := r.hall.play
 	if other.gone {
-		r.mute(other, muted, readers.Gone)
+		r.mute(other, muted, readers.Unreachable)
 		return
 	}
 	switch {
 	case other.revision == 0:
-		r.mute(other, mutedStarting, readers.Behind)
+		r.mute(other, mutedStarting, readers.Stale)
 	case other.revision > r.revision:
 		bytes, revision, heard := p.newsBytes(r.revision == 0), other.revision, other.heard
 		_, end := other.out.send(p.events.now, bytes)
@@ -442,7 +442,7 @@
 			return readers.Hold, ""
 		case router.State == readers.Usable:
 			return readers.Follow, router.Name
-		case router.State == readers.Behind:
+		case router.State == readers.Stale:
 			behind++
 		}
 	}
