--- a/daemon/internal/process/readers/readers.go
+++ b/daemon/internal/process/readers/readers.go
@@ -61,17 +61,17 @@
 	State    State
 }
 
-// Course is how a router gets updates of the store.
-type Course int
+// Action is how a router gets updates of the store.
+type Action int
 
-// The courses.
+// The actions.
 const (
 	// Read the store.
-	Read Course = iota
+	Read Action = iota
 	// Follow another router.
 	Follow
-	// Hold: call neither the store nor a router for now.
-	Hold
+	// Wait: call neither the store nor a router for now.
+	Wait
 )
 
 // shards is the number of parts into which a hall's routers are divided. A router that starts
@@ -110,10 +110,10 @@
 	score  uint64
 }
 
-// Decide returns the course of a router, and the name of the router that it follows. Hall
+// Decide returns the action of a router, and the name of the router that it follows. Hall
 // holds the other routers, and sinceData is the time since this one last received data of
 // the store, directly or through another.
-func Decide(own Router, hall []Router, sinceData time.Duration) (Course, string) {
+func Decide(own Router, hall []Router, sinceData time.Duration) (Action, string) {
 	own.State = Usable
 	ranked := Rank(append([]Router{own}, withoutName(hall, own.Name)...))
 	rank := slices.IndexFunc(ranked, func(router Router) bool { return router.Name == own.Name })
@@ -133,7 +133,7 @@
 	if stale < maxImmediateReaders || sinceData >= firstReaderDelay+time.Duration(stale-maxImmediateReaders)*nextReaderDelay {
 		return Read, ""
 	}
-	return Hold, ""
+	return Wait, ""
 }
 
 // relayFor returns the relay that a router follows. It returns false if there is none: in a
--- a/daemon/internal/process/readers/readers_test.go
+++ b/daemon/internal/process/readers/readers_test.go
@@ -21,14 +21,14 @@
 	return all
 }
 
-// outcome holds the courses of a hall's routers.
+// outcome holds the actions of a hall's routers.
 type outcome struct {
-	reads, holds int
+	reads, waits int
 	// follows holds the followed router by the name of each follower.
 	follows map[string]string
 }
 
-// decide returns the courses of the reachable routers of a hall, which all see each other in
+// decide returns the actions of the reachable routers of a hall, which all see each other in
 // the same state.
 func decide(hall []readers.Router, sinceData time.Duration) outcome {
 	result := outcome{follows: map[string]string{}}
@@ -36,12 +36,12 @@
 		if own.State == readers.Unreachable {
 			continue
 		}
-		course, followed := readers.Decide(own, hall, sinceData)
-		switch course {
+		action, followed := readers.Decide(own, hall, sinceData)
+		switch action {
 		case readers.Read:
 			result.reads++
-		case readers.Hold:
-			result.holds++
+		case readers.Wait:
+			result.waits++
 		case readers.Follow:
 			result.follows[own.Name] = followed
 		}
@@ -73,7 +73,7 @@
 		}
 		result := decide(routers, 0)
 		assert.Equal(t, min(reachable, 1), result.reads)
-		assert.Zero(t, result.holds)
+		assert.Zero(t, result.waits)
 		for name, followed := range result.follows {
 			assert.NotEqual(t, name, followed)
 			assert.NotContains(t, result.follows, followed, "no router follows a follower")
@@ -128,9 +128,9 @@
 		}
 		connected := false
 		for _, own := range routers {
-			course, _ := readers.Decide(own, routers, sinceData)
+			action, _ := readers.Decide(own, routers, sinceData)
 			rejected := draw.IntN(3) == 0
-			connected = connected || course == readers.Read && !rejected
+			connected = connected || action == readers.Read && !rejected
 		}
 		if !connected {
 			failed++
@@ -144,7 +144,7 @@
 	routers := hall(6)
 	follows := 0
 	for i := range 20 {
-		if course, _ := readers.Decide(readers.Router{Name: fmt.Sprint("new-", i)}, routers, 0); course == readers.Follow {
+		if action, _ := readers.Decide(readers.Router{Name: fmt.Sprint("new-", i)}, routers, 0); action == readers.Follow {
 			follows++
 		}
 	}
@@ -204,7 +204,7 @@
 		}
 		result := decide(routers, 0)
 		assert.Equal(t, 1, result.reads)
-		assert.Zero(t, result.holds)
+		assert.Zero(t, result.waits)
 		for name, followed := range result.follows {
 			assert.Less(t, rank[followed], rank[name])
 			for _, router := range routers {
--- a/daemon/lab/fleet.go
+++ b/daemon/lab/fleet.go
@@ -77,7 +77,7 @@
 type FleetSpread struct {
 	Name string
 	// Decide is the decision of a router.
-	Decide func(own readers.Router, hall []readers.Router, unheard time.Duration) (readers.Course, string)
+	Decide func(own readers.Router, hall []readers.Router, unheard time.Duration) (readers.Action, string)
 	// AwaitOwn has a router that starts list its hall until it knows whom to follow, or its
 	// own record is listed; else it lists all routers once.
 	AwaitOwn bool
--- a/daemon/lab/fleet_model.go
+++ b/daemon/lab/fleet_model.go
@@ -295,7 +295,7 @@
 	case readers.Read:
 		r.reads = true
 		r.readStore()
-	case readers.Hold:
+	case readers.Wait:
 		p.events.after(lookPause, r.decide)
 	}
 }
@@ -427,7 +427,7 @@
 }
 
 // decideFlat has the first router of a ranking by name send to all others.
-func decideFlat(own readers.Router, hall []readers.Router, _ time.Duration) (readers.Course, string) {
+func decideFlat(own readers.Router, hall []readers.Router, _ time.Duration) (readers.Action, string) {
 	const mayRead = 3
 	routers := append([]readers.Router{own}, hall...)
 	for i := range routers {
@@ -439,12 +439,12 @@
 		case router.Name == own.Name && behind < mayRead:
 			return readers.Read, ""
 		case router.Name == own.Name:
-			return readers.Hold, ""
+			return readers.Wait, ""
 		case router.State == readers.Usable:
 			return readers.Follow, router.Name
 		case router.State == readers.Stale:
 			behind++
 		}
 	}
-	return readers.Hold, ""
+	return readers.Wait, ""
 }
--- a/daemon/router/hall.go
+++ b/daemon/router/hall.go
@@ -44,11 +44,11 @@
 // holds reports whether the store is to be left to others for now.
 func (p *Process) holds() bool {
 	course, _ := p.course()
-	return course == readers.Hold
+	return course == readers.Wait
 }
 
 // course says whom this router follows, or whether it reads the store.
-func (p *Process) course() (readers.Course, string) {
+func (p *Process) course() (readers.Action, string) {
 	var hall []readers.Router
 	for _, member := range p.hallMembers() {
 		hall = append(hall, readers.Router{Name: member.Name, LinkMbps: member.LinkMbps, State: p.neighbours.State(member.Peers)})
