--- a/daemon/internal/process/replica/replica_test.go
+++ b/daemon/internal/process/replica/replica_test.go
@@ -213,8 +213,8 @@
 }
 
 func TestInvalidConfigurationLeavesTheLastValidOne(t *testing.T) {
-	var changes []replica.Belief
-	compiler := &replica.Compiler{Decode: decode, OnBelief: func(b replica.Belief) { changes = append(changes, b) }}
+	var changes []replica.EntryChange
+	compiler := &replica.Compiler{Decode: decode, OnEntryChange: func(b replica.EntryChange) { changes = append(changes, b) }}
 	valid := entry(t, "c", 1, provider.Record{Configuration: &provider.Configuration{
 		Version: 7, Routes: []provider.Route{{Name: "short", Host: "h", Prefix: "/a/"}, {Name: "long", Host: "h", Prefix: "/a/b/"}},
 		Accounts: []provider.Account{{Name: "x", Keys: []string{"k"}}},
@@ -234,9 +234,9 @@
 // TestInvalidEntryDropsItsUpstream checks that an upstream whose entry was corrupted by another
 // writer is dropped, that others stay, and that its next valid entry restores it.
 func TestInvalidEntryDropsItsUpstream(t *testing.T) {
-	var last replica.Belief
+	var last replica.EntryChange
 	compiler := &replica.Compiler{
-		Decode: decode, Lapses: func() bool { return true }, OnBelief: func(b replica.Belief) { last = b },
+		Decode: decode, Lapses: func() bool { return true }, OnEntryChange: func(b replica.EntryChange) { last = b },
 	}
 	inUse := func() int { return len(compiler.View().Upstreams["s"]) }
 	list := func(key, address string, revision provider.Revision) {
--- a/daemon/internal/process/replica/view.go
+++ b/daemon/internal/process/replica/view.go
@@ -106,8 +106,8 @@
 // Decode must be set.
 type Compiler struct {
 	Decode func(provider.Entry) (provider.Record, error)
-	// OnBelief is called for each changed entry. It may be nil.
-	OnBelief func(Belief)
+	// OnEntryChange is called for each changed entry. It may be nil.
+	OnEntryChange func(EntryChange)
 	// OnSuspect takes the routers' notes on quarantined contents. It may be nil.
 	OnSuspect func(note []byte) error
 	// Lapses reports whether an entry that is removed now may have expired only because
@@ -148,8 +148,8 @@
 	until time.Time
 }
 
-// Belief is a changed entry, its decoded record, and the error if it was rejected.
-type Belief struct {
+// EntryChange is a changed entry, its decoded record, and the error if it was rejected.
+type EntryChange struct {
 	Entry  provider.Entry
 	Record provider.Record
 	Err    error
@@ -166,7 +166,7 @@
 }
 
 // Take compiles changed entries into a new view. A value that cannot be decoded is
-// reported to OnBelief. The last valid declaration of an operator stays in force then,
+// reported to OnEntryChange. The last valid declaration of an operator stays in force then,
 // while an upstream is dropped.
 func (c *Compiler) Take(changed []provider.Entry) {
 	if c.upstreams == nil {
@@ -242,12 +242,12 @@
 		delete(c.upstreams, entry.Key)
 		delete(c.members, entry.Key)
 		delete(c.evacuated, entry.Key)
-		c.report(Belief{Entry: entry})
+		c.report(EntryChange{Entry: entry})
 		return
 	}
 	record, err := c.Decode(entry)
 	dropped := err != nil && c.drop(entry.Key)
-	c.report(Belief{Entry: entry, Record: record, Err: err, Dropped: dropped})
+	c.report(EntryChange{Entry: entry, Record: record, Err: err, Dropped: dropped})
 	if err != nil {
 		return
 	}
@@ -268,7 +268,7 @@
 		c.members[entry.Key] = record.Member
 	case record.Suspect != nil && c.OnSuspect != nil:
 		if err := c.OnSuspect(record.Suspect); err != nil {
-			c.report(Belief{Entry: entry, Err: err})
+			c.report(EntryChange{Entry: entry, Err: err})
 		}
 	}
 }
@@ -321,9 +321,9 @@
 	return declared
 }
 
-func (c *Compiler) report(change Belief) {
-	if c.OnBelief != nil {
-		c.OnBelief(change)
+func (c *Compiler) report(change EntryChange) {
+	if c.OnEntryChange != nil {
+		c.OnEntryChange(change)
 	}
 }
 
--- a/daemon/loader/notes.go
+++ b/daemon/loader/notes.go
@@ -20,7 +20,7 @@
 
 // noteBelief writes one line for a change of the declared version; changes of
 // other hosts' engines are the routers' to log.
-func (p *Process) noteBelief(belief replica.Belief) {
+func (p *Process) noteBelief(belief replica.EntryChange) {
 	fields := log.Fields{fieldDecision: "believe", "key": belief.Entry.Key, "revision": belief.Entry.Revision}
 	switch target := belief.Record.Target; {
 	case belief.Err != nil:
--- a/daemon/router/recorder.go
+++ b/daemon/router/recorder.go
@@ -233,7 +233,7 @@
 }
 
 // belief writes one line for a change of what this router believes.
-func (r *recorder) belief(belief replica.Belief) {
+func (r *recorder) belief(belief replica.EntryChange) {
 	fields := log.Fields{
 		fieldDecision: "believe", "key": belief.Entry.Key, "revision": belief.Entry.Revision, "bytes": len(belief.Entry.Value),
 	}
