--- a/daemon/internal/connection/peering/neighbours.go
+++ b/daemon/internal/connection/peering/neighbours.go
@@ -91,11 +91,11 @@
 		asked.wait = wholeWait
 	}
 	news, err := ask(ctx, n.Client, neighbour, asked)
-	if err == nil && news.At == 0 {
+	if err == nil && news.Revision == 0 {
 		return news, fmt.Errorf("neighbour %s: %w", neighbour, errStarting)
 	}
-	if err == nil && news.Behind() {
-		err = fmt.Errorf("neighbour %s, heard it %s ago: %w", neighbour, news.Heard.Round(time.Millisecond), replica.ErrBehind)
+	if err == nil && news.Stale() {
+		err = fmt.Errorf("neighbour %s, heard it %s ago: %w", neighbour, news.SinceData.Round(time.Millisecond), replica.ErrBehind)
 	}
 	return news, err
 }
--- a/daemon/internal/connection/peering/packed_test.go
+++ b/daemon/internal/connection/peering/packed_test.go
@@ -41,7 +41,7 @@
 	table := &replica.Table{}
 	value := largeConfiguration(t)
 	table.Apply([]provider.Entry{{Key: "c", Value: value, Revision: 7}})
-	source := &Source{Table: table, Standing: func() replica.Standing { return replica.Standing{At: 7} }}
+	source := &Source{Table: table, Standing: func() replica.Status { return replica.Status{Revision: 7} }}
 	sent := 0
 	for range followers {
 		answer := httptest.NewRecorder()
@@ -96,7 +96,7 @@
 	}
 	table := &replica.Table{}
 	table.Apply(made)
-	source := &Source{Table: table, Standing: func() replica.Standing { return replica.Standing{At: 1007} }}
+	source := &Source{Table: table, Standing: func() replica.Status { return replica.Status{Revision: 1007} }}
 	get := func(target string) (packedMessage, int) {
 		answer := httptest.NewRecorder()
 		source.ServeHTTP(answer, httptest.NewRequest(http.MethodGet, target, http.NoBody))
--- a/daemon/internal/connection/peering/peering.go
+++ b/daemon/internal/connection/peering/peering.go
@@ -74,9 +74,9 @@
 }
 
 // standing returns that of the daemon that answered.
-func (m *message) standing() replica.Standing {
-	return replica.Standing{
-		At: m.At, Answered: m.Answered, Heard: m.Heard, Lost: m.Lost, Generation: m.Generation, Hops: m.Hops,
+func (m *message) standing() replica.Status {
+	return replica.Status{
+		Revision: m.At, SinceAnswer: m.Answered, SinceData: m.Heard, Disconnected: m.Lost, Generation: m.Generation, Hops: m.Hops,
 	}
 }
 
@@ -100,7 +100,7 @@
 // Source is the copy that a daemon hands out.
 type Source struct {
 	Table    *replica.Table
-	Standing func() replica.Standing
+	Standing func() replica.Status
 
 	packer   packer
 	listings listings
@@ -138,13 +138,13 @@
 		changed := s.Table.Changed()
 		answer := s.answer(asked)
 		known := answer.At > 0
-		news := len(answer.Entries) > 0 || answer.standing().Behind()
+		news := len(answer.Entries) > 0 || answer.standing().Stale()
 		if asked.wait == 0 || known && news {
 			return answer, true
 		}
 		again := standingEvery
 		if known {
-			again = max(answer.standing().FreshFor()-answer.Heard, standingEvery)
+			again = max(answer.standing().MaxStaleness()-answer.Heard, standingEvery)
 		}
 		select {
 		case <-changed:
@@ -162,11 +162,11 @@
 	standing := s.Standing()
 	listed := s.listings.of(s.Table, asked.prefix, asked.after)
 	answer := message{
-		Listing:  provider.Listing{Entries: listed.entries, At: standing.At},
-		Answered: standing.Answered, Heard: standing.Heard, Lost: standing.Lost, Generation: standing.Generation,
+		Listing:  provider.Listing{Entries: listed.entries, At: standing.Revision},
+		Answered: standing.SinceAnswer, Heard: standing.SinceData, Lost: standing.Disconnected, Generation: standing.Generation,
 		Hops: standing.Hops,
 	}
-	if asked.wait > 0 && standing.Behind() {
+	if asked.wait > 0 && standing.Stale() {
 		answer.Entries = nil // who follows this daemon leaves it, and would drop them
 	}
 	return answer
@@ -229,5 +229,5 @@
 	if err != nil {
 		return replica.News{}, fmt.Errorf("ask peer %s for its copy: %w", peer, err)
 	}
-	return replica.News{Entries: entries, After: asked.after, Standing: answer.standing()}, nil
+	return replica.News{Entries: entries, After: asked.after, Status: answer.standing()}, nil
 }
--- a/daemon/internal/connection/peering/peering_test.go
+++ b/daemon/internal/connection/peering/peering_test.go
@@ -22,12 +22,12 @@
 type daemon struct {
 	table    *replica.Table
 	mu       sync.Mutex
-	standing replica.Standing
+	standing replica.Status
 	address  netip.AddrPort
 	client   *http.Client
 }
 
-func startDaemon(t *testing.T, standing replica.Standing) *daemon {
+func startDaemon(t *testing.T, standing replica.Status) *daemon {
 	t.Helper()
 	d := &daemon{table: &replica.Table{}, standing: standing}
 	source := &Source{Table: d.table, Standing: d.stands}
@@ -38,13 +38,13 @@
 	return d
 }
 
-func (d *daemon) stands() replica.Standing {
+func (d *daemon) stands() replica.Status {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.standing
 }
 
-func (d *daemon) stand(standing replica.Standing) {
+func (d *daemon) stand(standing replica.Status) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.standing = standing
@@ -69,8 +69,8 @@
 func TestNewsAreHeldUntilThereAreSome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table, at := &replica.Table{}, provider.Revision(4)
-		source := &Source{Table: table, Standing: func() replica.Standing {
-			return replica.Standing{At: at, Answered: 30 * time.Millisecond, Heard: 20 * time.Millisecond}
+		source := &Source{Table: table, Standing: func() replica.Status {
+			return replica.Status{Revision: at, SinceAnswer: 30 * time.Millisecond, SinceData: 20 * time.Millisecond}
 		}}
 		table.Apply(entries(3, 4))
 		var answer message
@@ -105,14 +105,14 @@
 func TestLossIsToldAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		heard := time.Now()
-		source := &Source{Table: &replica.Table{}, Standing: func() replica.Standing {
-			return replica.Standing{At: 4, Heard: time.Since(heard)}
+		source := &Source{Table: &replica.Table{}, Standing: func() replica.Status {
+			return replica.Status{Revision: 4, SinceData: time.Since(heard)}
 		}}
 		answer, _ := source.await(t.Context(), question{after: 4, wait: maxWait})
-		assert.True(t, answer.standing().Behind())
-		assert.Equal(t, replica.FreshWithin, time.Since(heard))
+		assert.True(t, answer.standing().Stale())
+		assert.Equal(t, replica.ReaderMaxStaleness, time.Since(heard))
 
-		source.Standing = func() replica.Standing { return replica.Standing{At: 4, Lost: true} }
+		source.Standing = func() replica.Status { return replica.Status{Revision: 4, Disconnected: true} }
 		asked := time.Now()
 		answer, _ = source.await(t.Context(), question{after: 4, wait: maxWait})
 		assert.True(t, answer.Lost)
@@ -125,7 +125,7 @@
 func TestWhoIsBehindSendsNoCopy(t *testing.T) {
 	table := &replica.Table{}
 	table.Apply(entries(3, 4))
-	source := &Source{Table: table, Standing: func() replica.Standing { return replica.Standing{At: 4, Lost: true} }}
+	source := &Source{Table: table, Standing: func() replica.Status { return replica.Status{Revision: 4, Disconnected: true} }}
 	answer, _ := source.await(t.Context(), question{wait: maxWait})
 	assert.True(t, answer.Lost)
 	assert.Empty(t, answer.Entries)
@@ -137,7 +137,7 @@
 // watch told of. The neighbour reads its copy anew and has the entry; its revision is
 // below the one up to which those who follow it take their copy for complete.
 func TestEntriesOfAGapAreTaken(t *testing.T) {
-	d := startDaemon(t, replica.Standing{At: 6, Generation: 1})
+	d := startDaemon(t, replica.Status{Revision: 6, Generation: 1})
 	d.table.Apply(entries(3, 6))
 	neighbours := &Neighbours{Client: d.client, Choose: d.only}
 	news, err := neighbours.News(t.Context(), "", 5)
@@ -149,7 +149,7 @@
 	assert.Equal(t, entries(6), news.Entries)
 
 	d.table.Apply(entries(4))
-	d.stand(replica.Standing{At: 6, Generation: 2})
+	d.stand(replica.Status{Revision: 6, Generation: 2})
 	news, err = neighbours.News(t.Context(), "", 5)
 	require.NoError(t, err)
 	assert.Equal(t, provider.Revision(0), news.After)
@@ -161,7 +161,7 @@
 
 // TestNewsOfAPrefix: a daemon that needs only some keys is sent only those.
 func TestNewsOfAPrefix(t *testing.T) {
-	d := startDaemon(t, replica.Standing{At: 9})
+	d := startDaemon(t, replica.Status{Revision: 9})
 	d.table.Apply([]provider.Entry{{Key: "c", Value: make([]byte, 1000), Revision: 8}, {Key: "u/1", Revision: 9}})
 	news, err := (&Neighbours{Client: d.client, Choose: d.only}).News(t.Context(), "u/", 0)
 	require.NoError(t, err)
@@ -170,7 +170,7 @@
 
 // TestTheWholeCopyIsWaitedFor: one that is just starting answers when it has it.
 func TestTheWholeCopyIsWaitedFor(t *testing.T) {
-	d := startDaemon(t, replica.Standing{})
+	d := startDaemon(t, replica.Status{})
 	answers := make(chan message, 1)
 	source := &Source{Table: d.table, Standing: d.stands}
 	go func() {
@@ -178,7 +178,7 @@
 		answers <- answer
 	}()
 	d.table.Apply(entries(1, 2))
-	d.stand(replica.Standing{At: 2})
+	d.stand(replica.Status{Revision: 2})
 	answer := <-answers
 	assert.Equal(t, provider.Revision(2), answer.At)
 	assert.Len(t, answer.Entries, 2)
@@ -189,14 +189,14 @@
 func TestWhoDoesNotHearTheStoreIsLeft(t *testing.T) {
 	tests := []struct {
 		name     string
-		standing replica.Standing
+		standing replica.Status
 		gone     bool
 		muted    time.Duration
 	}{
-		{"does not hear the store", replica.Standing{At: 4, Answered: time.Minute, Heard: replica.FreshWithin + time.Second}, false, muteFor},
-		{"is turned away by the store", replica.Standing{At: 4, Lost: true}, false, muteFor},
-		{"knows nothing yet", replica.Standing{}, false, muteStarting},
-		{"is not up", replica.Standing{At: 4}, true, muteStarting},
+		{"does not hear the store", replica.Status{Revision: 4, SinceAnswer: time.Minute, SinceData: replica.ReaderMaxStaleness + time.Second}, false, muteFor},
+		{"is turned away by the store", replica.Status{Revision: 4, Disconnected: true}, false, muteFor},
+		{"knows nothing yet", replica.Status{}, false, muteStarting},
+		{"is not up", replica.Status{Revision: 4}, true, muteStarting},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -230,16 +230,16 @@
 // TestALongAnswerIsNoSilence: while an answer of the store is long under way to a
 // neighbour, those who ask it do not go to the store, which would make it longer.
 func TestALongAnswerIsNoSilence(t *testing.T) {
-	d := startDaemon(t, replica.Standing{At: 4, Answered: 5 * time.Second, Heard: 10 * time.Millisecond})
+	d := startDaemon(t, replica.Status{Revision: 4, SinceAnswer: 5 * time.Second, SinceData: 10 * time.Millisecond})
 	d.table.Apply(entries(3, 4))
 	news, err := (&Neighbours{Client: d.client, Choose: d.only}).News(t.Context(), "", 3)
 	require.NoError(t, err)
-	assert.Equal(t, 5*time.Second, news.Answered, "but what is known may be old")
+	assert.Equal(t, 5*time.Second, news.SinceAnswer, "but what is known may be old")
 }
 
 // TestWhoGivesUpBlamesNobody: a daemon that stops leaves its neighbour unmuted.
 func TestWhoGivesUpBlamesNobody(t *testing.T) {
-	d := startDaemon(t, replica.Standing{At: 4})
+	d := startDaemon(t, replica.Status{Revision: 4})
 	neighbours := &Neighbours{Client: d.client, Choose: d.only}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -251,13 +251,13 @@
 // TestAPeersCopyIsTakenAsFarAsItIsComplete: a copy with the newest entry may lack an
 // older one, so what is asked for next goes by what the copy was complete up to.
 func TestAPeersCopyIsTakenAsFarAsItIsComplete(t *testing.T) {
-	d := startDaemon(t, replica.Standing{At: 3})
+	d := startDaemon(t, replica.Status{Revision: 3})
 	d.table.Apply(entries(3, 7))
 	follower := &replica.Follower{Table: &replica.Table{}}
 	puller := &Puller{Client: d.client, Follower: follower}
 	require.NoError(t, puller.pull(t.Context(), d.address))
 	assert.Equal(t, provider.Revision(7), follower.Table.Newest())
-	d.stand(replica.Standing{At: 7})
+	d.stand(replica.Status{Revision: 7})
 	d.table.Apply(entries(5))
 	require.NoError(t, puller.pull(t.Context(), d.address))
 	assert.Len(t, follower.Table.Since(0).Entries, 3)
@@ -290,7 +290,7 @@
 // TestHallIsAskedForBeforeTheWholeCopy: a router that the store turns away and that knows nothing
 // asks a seed for the records of its hall only, which are no copy of the store, and for all next.
 func TestHallIsAskedForBeforeTheWholeCopy(t *testing.T) {
-	d := startDaemon(t, replica.Standing{At: 9})
+	d := startDaemon(t, replica.Status{Revision: 9})
 	d.table.Apply([]provider.Entry{{Key: "c", Value: make([]byte, 1000), Revision: 8}, {Key: "m/hall/1", Value: []byte("v"), Revision: 9}})
 	follower := &replica.Follower{Table: &replica.Table{}}
 	puller := &Puller{Client: d.client, Follower: follower, First: "m/hall/"}
--- a/daemon/internal/connection/peering/puller.go
+++ b/daemon/internal/connection/peering/puller.go
@@ -84,7 +84,7 @@
 	fresh := 0
 	if err == nil {
 		fresh = p.Follower.Table.Apply(news.Entries)
-		p.hasFirst = news.At > 0
+		p.hasFirst = news.Revision > 0
 	}
 	p.tell(peer, fresh, err)
 	return err
--- a/daemon/internal/process/replica/follower.go
+++ b/daemon/internal/process/replica/follower.go
@@ -158,12 +158,12 @@
 // At returns the revision up to which the replica is complete, or 0.
 func (f *Follower) At() provider.Revision { return provider.Revision(f.revision.Load()) }
 
-// Standing returns how current the replica is.
-func (f *Follower) Standing() Standing {
+// Status returns how current the replica is.
+func (f *Follower) Status() Status {
 	now := f.elapsed()
 	data := max(f.lastData.Load(), f.currentData.Load())
-	return Standing{
-		At: f.At(), Answered: f.Age(), Heard: now - time.Duration(data), Lost: f.failures.Load() >= disconnectFailures,
+	return Status{
+		Revision: f.At(), SinceAnswer: f.Age(), SinceData: now - time.Duration(data), Disconnected: f.failures.Load() >= disconnectFailures,
 		Generation: f.generation.Load(), Hops: int(f.hops.Load()),
 	}
 }
--- a/daemon/internal/process/replica/peer.go
+++ b/daemon/internal/process/replica/peer.go
@@ -39,16 +39,16 @@
 // query costs the store nothing and the peer has batched its changes already.
 const peerDebounce = 50 * time.Millisecond
 
-// Standing is how current a replica is.
-type Standing struct {
-	// At is the revision up to which the replica is complete, or 0.
-	At provider.Revision
-	// Answered is the time since the store last answered completely, and Heard the time
+// Status is how current a replica is.
+type Status struct {
+	// Revision is the revision up to which the replica is complete, or 0.
+	Revision provider.Revision
+	// SinceAnswer is the time since the store last answered completely, and SinceData the time
 	// since a part of an answer last arrived, which is less while a long answer is in
 	// progress.
-	Answered, Heard time.Duration
-	// Lost says that calls to the store fail repeatedly.
-	Lost bool
+	SinceAnswer, SinceData time.Duration
+	// Disconnected says that calls to the store fail repeatedly.
+	Disconnected bool
 	// Hops is the number of daemons that the updates passed, 0 for a daemon that reads
 	// the store.
 	Hops int
@@ -58,22 +58,24 @@
 	Generation uint64
 }
 
-// FreshWithin is the maximum time since a daemon that reads the store last received data
+// ReaderMaxStaleness is the maximum time since a daemon that reads the store last received data
 // from it, for its replica to count as current. Such a daemon probes the store each
 // second, and pauses after a change.
-const FreshWithin = 2 * time.Second
+const ReaderMaxStaleness = 2 * time.Second
 
 // HopWait is how long a daemon holds its answer to a peer while it has no update. The
 // state that it reports may be older by this at each hop.
 const HopWait = 500 * time.Millisecond
 
-// FreshFor returns the maximum time since data of the store last arrived, for the replica
+// MaxStaleness returns the maximum time since data of the store last arrived, for the replica
 // to count as current.
-func (s Standing) FreshFor() time.Duration { return FreshWithin + time.Duration(s.Hops)*HopWait }
+func (s Status) MaxStaleness() time.Duration {
+	return ReaderMaxStaleness + time.Duration(s.Hops)*HopWait
+}
 
-// Behind reports whether the daemon receives nothing from the store, directly or through
+// Stale reports whether the daemon receives nothing from the store, directly or through
 // peers.
-func (s Standing) Behind() bool { return s.Lost || s.Heard >= s.FreshFor() }
+func (s Status) Stale() bool { return s.Disconnected || s.SinceData >= s.MaxStaleness() }
 
 // News holds the entries of a peer's replica above a revision, and the status of that
 // replica.
@@ -81,7 +83,7 @@
 	Entries []provider.Entry
 	// After is the revision; 0 says that Entries is the complete replica.
 	After provider.Revision
-	Standing
+	Status
 }
 
 // updateFromPeer queries a peer and applies its update. It returns false if the store
@@ -110,7 +112,7 @@
 		return f.peerFailures%helpers.OrDefault(f.NearTries, defaultPeerAttempts) != 0
 	}
 	f.peerFailures = 0
-	f.recordAnswer(update.Answered, update.Heard)
+	f.recordAnswer(update.SinceAnswer, update.SinceData)
 	f.hops.Store(int64(update.Hops) + 1)
 	f.Adopt(update)
 	if update.After == 0 {
@@ -129,12 +131,12 @@
 // and may be called concurrently with a call to the store.
 func (f *Follower) Adopt(update News) int {
 	applied := 0
-	if update.After == 0 && update.At > 0 {
-		applied = f.Table.Replace(f.Prefix, provider.Listing{Entries: update.Entries, At: update.At})
+	if update.After == 0 && update.Revision > 0 {
+		applied = f.Table.Replace(f.Prefix, provider.Listing{Entries: update.Entries, At: update.Revision})
 	} else {
 		applied = f.Table.Apply(update.Entries)
 	}
-	f.advance(update.At)
+	f.advance(update.Revision)
 	return applied
 }
 
--- a/daemon/internal/process/replica/peer_test.go
+++ b/daemon/internal/process/replica/peer_test.go
@@ -84,7 +84,7 @@
 func TestPeerReplacesTheStoreWhileItAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &fakePeer{update: replica.News{
-			Entries: []provider.Entry{{Key: "a", Revision: 4}}, Standing: replica.Standing{At: 5, Answered: 3 * time.Second},
+			Entries: []provider.Entry{{Key: "a", Revision: 4}}, Status: replica.Status{Revision: 5, SinceAnswer: 3 * time.Second},
 		}}
 		follower := &replica.Follower{Store: p.store(), Table: &replica.Table{}, Near: p.query}
 		follower.Start()
@@ -140,7 +140,7 @@
 func TestOldReplicaIsReplacedCompletely(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &fakePeer{update: replica.News{
-			Entries: []provider.Entry{{Key: "a", Revision: 4}, {Key: "b", Revision: 3}}, Standing: replica.Standing{At: 5},
+			Entries: []provider.Entry{{Key: "a", Revision: 4}, {Key: "b", Revision: 3}}, Status: replica.Status{Revision: 5},
 		}}
 		release := make(chan struct{})
 		query := func(ctx context.Context, prefix string, after provider.Revision) (replica.News, error) {
@@ -154,7 +154,7 @@
 		follower.Start()
 		defer follower.Stop()
 		helpers.Pause(3*time.Minute, nil)
-		shorter := replica.News{Entries: []provider.Entry{{Key: "a", Revision: 4}}, Standing: replica.Standing{At: 9}}
+		shorter := replica.News{Entries: []provider.Entry{{Key: "a", Revision: 4}}, Status: replica.Status{Revision: 9}}
 		p.set(shorter, errors.New("late"))
 		close(release)
 		helpers.Pause(700*time.Millisecond, nil)
@@ -197,15 +197,15 @@
 		follower.Start()
 		defer follower.Stop()
 		helpers.Pause(5*time.Second, nil)
-		assert.Less(t, follower.Standing().Heard, 3*time.Second)
+		assert.Less(t, follower.Status().SinceData, 3*time.Second)
 		rejecting.Store(true)
 		helpers.Pause(10*time.Second, nil)
-		assert.Greater(t, follower.Standing().Heard, 5*time.Second)
-		assert.True(t, follower.Standing().Lost)
+		assert.Greater(t, follower.Status().SinceData, 5*time.Second)
+		assert.True(t, follower.Status().Disconnected)
 		rejecting.Store(false)
 		helpers.Pause(5*time.Second, nil)
-		assert.Less(t, follower.Standing().Heard, 3*time.Second)
-		assert.False(t, follower.Standing().Lost)
+		assert.Less(t, follower.Status().SinceData, 3*time.Second)
+		assert.False(t, follower.Status().Disconnected)
 	})
 }
 
@@ -226,12 +226,12 @@
 		follower.Start()
 		defer follower.Stop()
 		helpers.Pause(5*time.Second, nil)
-		first := follower.Standing().Generation
+		first := follower.Status().Generation
 		helpers.Pause(10*time.Second, nil)
-		assert.Equal(t, first, follower.Standing().Generation)
+		assert.Equal(t, first, follower.Status().Generation)
 		compacted.Store(true)
 		helpers.Pause(10*time.Second, nil)
-		assert.NotEqual(t, first, follower.Standing().Generation)
+		assert.NotEqual(t, first, follower.Status().Generation)
 	})
 }
 
@@ -239,7 +239,7 @@
 // store hides a change for one recheck interval only, without watches of the store.
 func TestRecheckFindsChangesThatThePeerMissed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &fakePeer{update: replica.News{Standing: replica.Standing{At: 5}}}
+		p := &fakePeer{update: replica.News{Status: replica.Status{Revision: 5}}}
 		store := p.store()
 		var stored atomic.Uint64
 		stored.Store(3)
@@ -266,16 +266,16 @@
 // extends the allowed staleness by its wait, and that reading the store resets it.
 func TestHopsExtendTheAllowedStaleness(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &fakePeer{update: replica.News{Standing: replica.Standing{At: 5, Hops: 1}}}
+		p := &fakePeer{update: replica.News{Status: replica.Status{Revision: 5, Hops: 1}}}
 		follower := &replica.Follower{Store: p.store(), Table: &replica.Table{}, Near: p.query}
 		follower.Start()
 		defer follower.Stop()
 		helpers.Pause(2*time.Second, nil)
-		assert.Equal(t, 2, follower.Standing().Hops)
-		assert.Equal(t, replica.FreshWithin+2*replica.HopWait, follower.Standing().FreshFor())
+		assert.Equal(t, 2, follower.Status().Hops)
+		assert.Equal(t, replica.ReaderMaxStaleness+2*replica.HopWait, follower.Status().MaxStaleness())
 		p.set(p.update, replica.ErrNoneNear)
 		helpers.Pause(5*time.Second, nil)
-		assert.Zero(t, follower.Standing().Hops)
+		assert.Zero(t, follower.Status().Hops)
 	})
 }
 
@@ -294,7 +294,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := &fakePeer{update: replica.News{Standing: replica.Standing{At: 5}}}
+				p := &fakePeer{update: replica.News{Status: replica.Status{Revision: 5}}}
 				listed := map[string]int{}
 				store := p.store()
 				store.ListStale = func(_ context.Context, prefix string) (provider.Listing, error) {
--- a/daemon/internal/process/replica/probe_test.go
+++ b/daemon/internal/process/replica/probe_test.go
@@ -135,7 +135,7 @@
 		follower := s.follow(t)
 		helpers.Pause(time.Minute, nil)
 		assert.LessOrEqual(t, s.totalCost(), 370)
-		assert.False(t, follower.Standing().Behind())
+		assert.False(t, follower.Status().Stale())
 		assert.Less(t, follower.Age(), 1100*time.Millisecond)
 
 		s.set(func() { s.at = 2 })
@@ -185,12 +185,12 @@
 		helpers.Pause(10*time.Second, nil)
 		s.set(func() { s.down, s.deaf = true, true })
 		helpers.Pause(2100*time.Millisecond, nil)
-		assert.True(t, follower.Standing().Behind())
+		assert.True(t, follower.Status().Stale())
 
 		helpers.Pause(5*time.Second, nil)
 		s.set(func() { s.down, s.deaf, s.at = false, false, 2 })
 		helpers.Pause(1300*time.Millisecond, nil)
-		assert.False(t, follower.Standing().Behind())
+		assert.False(t, follower.Status().Stale())
 		assert.Equal(t, provider.Revision(2), follower.At())
 	})
 }
--- a/daemon/internal/process/replica/suspension_test.go
+++ b/daemon/internal/process/replica/suspension_test.go
@@ -49,10 +49,10 @@
 	follower.Start()
 	<-answered
 	require.LessOrEqual(t, follower.Age(), time.Duration(0))
-	assert.False(t, follower.Standing().Behind())
+	assert.False(t, follower.Status().Stale())
 	h.suspend(5 * time.Second)
 	assert.InDelta(t, 6*time.Second, follower.Age(), float64(time.Millisecond))
-	assert.True(t, follower.Standing().Behind(), "peers must not use its replica")
+	assert.True(t, follower.Status().Stale(), "peers must not use its replica")
 	follower.Stop()
 }
 
--- a/daemon/router/hall.go
+++ b/daemon/router/hall.go
@@ -54,7 +54,7 @@
 		hall = append(hall, readers.Router{Name: member.Name, LinkMbps: member.LinkMbps, State: p.neighbours.State(member.Peers)})
 	}
 	own := p.member()
-	return readers.Decide(readers.Router{Name: own.Name, LinkMbps: own.LinkMbps}, hall, p.follower.Standing().Heard)
+	return readers.Decide(readers.Router{Name: own.Name, LinkMbps: own.LinkMbps}, hall, p.follower.Status().SinceData)
 }
 
 // hallMembers are the known routers of this hall.
@@ -97,7 +97,7 @@
 func (p *Process) silentAfter() time.Duration {
 	after := pulseEvery + p.settle() + silenceSlack
 	if p.inCompany() {
-		hops := max(p.follower.Standing().Hops, 1)
+		hops := max(p.follower.Status().Hops, 1)
 		after += time.Duration(hops) * peering.NewsWait
 	}
 	return after
@@ -118,7 +118,7 @@
 // cutOff reports whether nothing at all came of the store for too long. An answer
 // that is long under way leaves a router silent, but not cut off.
 func (p *Process) cutOff() bool {
-	return !p.follower.Known() || p.follower.Standing().Heard > p.silentAfter()
+	return !p.follower.Known() || p.follower.Status().SinceData > p.silentAfter()
 }
 
 // peer returns a router to ask while the store is silent, of this hall or another.
