--- a/daemon/internal/connection/peering/neighbours.go
+++ b/daemon/internal/connection/peering/neighbours.go
@@ -63,14 +63,14 @@
 // asks for all of it where that is 0, and where the neighbour's copy was read anew
 // since all of it was taken last, or never was: it may have entries then that are
 // below the revision and were missed by this daemon as by the one it followed before.
-func (n *Neighbours) News(ctx context.Context, prefix string, after provider.Revision) (replica.News, error) {
+func (n *Neighbours) News(ctx context.Context, prefix string, after provider.Revision) (replica.Update, error) {
 	neighbour, ok := n.Choose(n.usable)
 	switch {
 	case ok:
 	case n.Hold != nil && n.Hold():
-		return replica.News{}, replica.ErrHold
+		return replica.Update{}, replica.ErrHold
 	default:
-		return replica.News{}, replica.ErrNoneNear
+		return replica.Update{}, replica.ErrNoneNear
 	}
 	if neighbour != n.followed {
 		after = 0
@@ -85,7 +85,7 @@
 	return news, n.judge(ctx, neighbour, err)
 }
 
-func (n *Neighbours) ask(ctx context.Context, neighbour netip.AddrPort, prefix string, after provider.Revision) (replica.News, error) {
+func (n *Neighbours) ask(ctx context.Context, neighbour netip.AddrPort, prefix string, after provider.Revision) (replica.Update, error) {
 	asked := question{prefix: prefix, after: after, wait: NewsWait, packed: true}
 	if after == 0 {
 		asked.wait = wholeWait
--- a/daemon/internal/connection/peering/peering.go
+++ b/daemon/internal/connection/peering/peering.go
@@ -214,7 +214,7 @@
 }
 
 // ask makes one call to a peer.
-func ask(ctx context.Context, client *http.Client, peer netip.AddrPort, asked question) (replica.News, error) {
+func ask(ctx context.Context, client *http.Client, peer netip.AddrPort, asked question) (replica.Update, error) {
 	limit := patience.Limit{First: asked.wait + answerBegins, Stall: answerStalls, Whole: longestAnswer}
 	if asked.after == 0 {
 		limit.First = asked.wait + wholeBegins
@@ -223,11 +223,11 @@
 	defer end()
 	var answer packedMessage
 	if err := call.JSON(ctx, client, asked.url(peer), maxCopy, &answer); err != nil {
-		return replica.News{}, fmt.Errorf("ask peer %s for its copy: %w", peer, patience.Explain(ctx, err))
+		return replica.Update{}, fmt.Errorf("ask peer %s for its copy: %w", peer, patience.Explain(ctx, err))
 	}
 	entries, err := answer.unpacked()
 	if err != nil {
-		return replica.News{}, fmt.Errorf("ask peer %s for its copy: %w", peer, err)
+		return replica.Update{}, fmt.Errorf("ask peer %s for its copy: %w", peer, err)
 	}
-	return replica.News{Entries: entries, After: asked.after, Status: answer.standing()}, nil
+	return replica.Update{Entries: entries, After: asked.after, Status: answer.standing()}, nil
 }
--- a/daemon/internal/connection/peering/puller.go
+++ b/daemon/internal/connection/peering/puller.go
@@ -97,7 +97,7 @@
 	news, err := ask(ctx, p.Client, peer, question{prefix: p.Follower.Prefix, after: p.Follower.At(), packed: true})
 	fresh := 0
 	if err == nil {
-		fresh = p.Follower.Adopt(news)
+		fresh = p.Follower.ApplyUpdate(news)
 	}
 	p.tell(peer, fresh, err)
 	return err
--- a/daemon/internal/process/replica/follower.go
+++ b/daemon/internal/process/replica/follower.go
@@ -68,7 +68,7 @@
 	// Near queries a peer for the entries of its replica under a prefix above a
 	// revision; revision 0 asks for the complete replica. On ErrNoneNear the store is
 	// read instead; after any other error Near is called again. It may be nil.
-	Near func(ctx context.Context, prefix string, after provider.Revision) (News, error)
+	Near func(ctx context.Context, prefix string, after provider.Revision) (Update, error)
 	// NearTries is the number of consecutive failed calls of Near after which the store
 	// is read once; 0 means 2.
 	NearTries int
--- a/daemon/internal/process/replica/peer.go
+++ b/daemon/internal/process/replica/peer.go
@@ -77,9 +77,9 @@
 // peers.
 func (s Status) Stale() bool { return s.Disconnected || s.SinceData >= s.MaxStaleness() }
 
-// News holds the entries of a peer's replica above a revision, and the status of that
+// Update holds the entries of a peer's replica above a revision, and the status of that
 // replica.
-type News struct {
+type Update struct {
 	Entries []provider.Entry
 	// After is the revision; 0 says that Entries is the complete replica.
 	After provider.Revision
@@ -114,7 +114,7 @@
 	f.peerFailures = 0
 	f.recordAnswer(update.SinceAnswer, update.SinceData)
 	f.hops.Store(int64(update.Hops) + 1)
-	f.Adopt(update)
+	f.ApplyUpdate(update)
 	if update.After == 0 {
 		f.generation.Add(1)
 		f.relist = false
@@ -126,10 +126,10 @@
 	return true
 }
 
-// Adopt applies a peer's update, which holds the complete replica or what is above a
+// ApplyUpdate applies a peer's update, which holds the complete replica or what is above a
 // revision up to which this replica is complete. It returns the number of new entries
 // and may be called concurrently with a call to the store.
-func (f *Follower) Adopt(update News) int {
+func (f *Follower) ApplyUpdate(update Update) int {
 	applied := 0
 	if update.After == 0 && update.Revision > 0 {
 		applied = f.Table.Replace(f.Prefix, provider.Listing{Entries: update.Entries, At: update.Revision})
--- a/daemon/internal/process/replica/peer_test.go
+++ b/daemon/internal/process/replica/peer_test.go
@@ -24,10 +24,10 @@
 	watches, lists, queries int
 	after                   []provider.Revision
 	err                     error
-	update                  replica.News
+	update                  replica.Update
 }
 
-func (p *fakePeer) query(_ context.Context, _ string, after provider.Revision) (replica.News, error) {
+func (p *fakePeer) query(_ context.Context, _ string, after provider.Revision) (replica.Update, error) {
 	p.mu.Lock()
 	p.queries++
 	p.after = append(p.after, after)
@@ -41,7 +41,7 @@
 }
 
 // set sets the peer's answer.
-func (p *fakePeer) set(update replica.News, err error) {
+func (p *fakePeer) set(update replica.Update, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.update, p.err = update, err
@@ -83,7 +83,7 @@
 // answers, that it is called after two consecutive failures, and that the peer is retried.
 func TestPeerReplacesTheStoreWhileItAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &fakePeer{update: replica.News{
+		p := &fakePeer{update: replica.Update{
 			Entries: []provider.Entry{{Key: "a", Revision: 4}}, Status: replica.Status{Revision: 5, SinceAnswer: 3 * time.Second},
 		}}
 		follower := &replica.Follower{Store: p.store(), Table: &replica.Table{}, Near: p.query}
@@ -139,11 +139,11 @@
 // not updated incrementally: removals would be missed.
 func TestOldReplicaIsReplacedCompletely(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &fakePeer{update: replica.News{
+		p := &fakePeer{update: replica.Update{
 			Entries: []provider.Entry{{Key: "a", Revision: 4}, {Key: "b", Revision: 3}}, Status: replica.Status{Revision: 5},
 		}}
 		release := make(chan struct{})
-		query := func(ctx context.Context, prefix string, after provider.Revision) (replica.News, error) {
+		query := func(ctx context.Context, prefix string, after provider.Revision) (replica.Update, error) {
 			if _, _, queries := p.counts(); queries == 1 {
 				<-release
 			}
@@ -154,7 +154,7 @@
 		follower.Start()
 		defer follower.Stop()
 		helpers.Pause(3*time.Minute, nil)
-		shorter := replica.News{Entries: []provider.Entry{{Key: "a", Revision: 4}}, Status: replica.Status{Revision: 9}}
+		shorter := replica.Update{Entries: []provider.Entry{{Key: "a", Revision: 4}}, Status: replica.Status{Revision: 9}}
 		p.set(shorter, errors.New("late"))
 		close(release)
 		helpers.Pause(700*time.Millisecond, nil)
@@ -239,7 +239,7 @@
 // store hides a change for one recheck interval only, without watches of the store.
 func TestRecheckFindsChangesThatThePeerMissed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &fakePeer{update: replica.News{Status: replica.Status{Revision: 5}}}
+		p := &fakePeer{update: replica.Update{Status: replica.Status{Revision: 5}}}
 		store := p.store()
 		var stored atomic.Uint64
 		stored.Store(3)
@@ -266,7 +266,7 @@
 // extends the allowed staleness by its wait, and that reading the store resets it.
 func TestHopsExtendTheAllowedStaleness(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &fakePeer{update: replica.News{Status: replica.Status{Revision: 5, Hops: 1}}}
+		p := &fakePeer{update: replica.Update{Status: replica.Status{Revision: 5, Hops: 1}}}
 		follower := &replica.Follower{Store: p.store(), Table: &replica.Table{}, Near: p.query}
 		follower.Start()
 		defer follower.Stop()
@@ -294,7 +294,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := &fakePeer{update: replica.News{Status: replica.Status{Revision: 5}}}
+				p := &fakePeer{update: replica.Update{Status: replica.Status{Revision: 5}}}
 				listed := map[string]int{}
 				store := p.store()
 				store.ListStale = func(_ context.Context, prefix string) (provider.Listing, error) {
