--- a/daemon/internal/connection/peering/neighbours.go
+++ b/daemon/internal/connection/peering/neighbours.go
@@ -33,7 +33,7 @@
 )
 
 // errStarting says that a neighbour knows nothing yet.
-var errStarting = fmt.Errorf("it knows nothing yet: %w", replica.ErrBehind)
+var errStarting = fmt.Errorf("it knows nothing yet: %w", replica.ErrStale)
 
 // Neighbours asks daemons of the own hall in place of the store, for one follower.
 // Client and Choose must be set.
@@ -68,9 +68,9 @@
 	switch {
 	case ok:
 	case n.Hold != nil && n.Hold():
-		return replica.Update{}, replica.ErrHold
+		return replica.Update{}, replica.ErrWait
 	default:
-		return replica.Update{}, replica.ErrNoneNear
+		return replica.Update{}, replica.ErrNoPeer
 	}
 	if neighbour != n.followed {
 		after = 0
@@ -95,7 +95,7 @@
 		return news, fmt.Errorf("neighbour %s: %w", neighbour, errStarting)
 	}
 	if err == nil && news.Stale() {
-		err = fmt.Errorf("neighbour %s, heard it %s ago: %w", neighbour, news.SinceData.Round(time.Millisecond), replica.ErrBehind)
+		err = fmt.Errorf("neighbour %s, heard it %s ago: %w", neighbour, news.SinceData.Round(time.Millisecond), replica.ErrStale)
 	}
 	return news, err
 }
@@ -104,7 +104,7 @@
 func (n *Neighbours) Engine(ctx context.Context, service string) (EngineNews, error) {
 	neighbour, ok := n.Choose(n.usable)
 	if !ok {
-		return EngineNews{}, replica.ErrNoneNear
+		return EngineNews{}, replica.ErrNoPeer
 	}
 	news, err := askEngine(ctx, n.Client, neighbour, service)
 	return news, n.judge(ctx, neighbour, err)
@@ -116,7 +116,7 @@
 		return err
 	}
 	n.muted.Add(neighbour, muteTime(err), n.Now)
-	if errors.Is(err, replica.ErrBehind) {
+	if errors.Is(err, replica.ErrStale) {
 		n.behind.Add(neighbour, muteTime(err), n.Now)
 	}
 	if n.OnMute != nil {
--- a/daemon/internal/connection/peering/peering_test.go
+++ b/daemon/internal/connection/peering/peering_test.go
@@ -213,16 +213,16 @@
 			}
 			_, err := neighbours.News(t.Context(), "", 3)
 			require.Error(t, err)
-			require.NotErrorIs(t, err, replica.ErrNoneNear)
+			require.NotErrorIs(t, err, replica.ErrNoPeer)
 			assert.Equal(t, []netip.AddrPort{d.address}, left)
 			_, err = neighbours.News(t.Context(), "", 3)
-			require.ErrorIs(t, err, replica.ErrNoneNear, "it is not asked")
+			require.ErrorIs(t, err, replica.ErrNoPeer, "it is not asked")
 			now = now.Add(test.muted - time.Millisecond)
 			_, err = neighbours.News(t.Context(), "", 3)
-			require.ErrorIs(t, err, replica.ErrNoneNear, "still not")
+			require.ErrorIs(t, err, replica.ErrNoPeer, "still not")
 			now = now.Add(time.Millisecond)
 			_, err = neighbours.News(t.Context(), "", 3)
-			require.NotErrorIs(t, err, replica.ErrNoneNear, "it is asked again")
+			require.NotErrorIs(t, err, replica.ErrNoPeer, "it is asked again")
 		})
 	}
 }
@@ -284,7 +284,7 @@
 	assert.Equal(t, EngineNews{EngineNeeds: replica.EngineNeeds{Engine: engine, Origin: origin}, Revision: 9}, news)
 	_, err = neighbours.Engine(t.Context(), "other")
 	require.Error(t, err)
-	assert.False(t, errors.Is(err, replica.ErrNoneNear))
+	assert.False(t, errors.Is(err, replica.ErrNoPeer))
 }
 
 // TestHallIsAskedForBeforeTheWholeCopy: a router that the store turns away and that knows nothing
--- a/daemon/internal/process/replica/peer.go
+++ b/daemon/internal/process/replica/peer.go
@@ -10,18 +10,18 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// ErrNoneNear is returned when there is no peer to query, so that the store must be read.
-var ErrNoneNear = errors.New("no peer to query")
+// ErrNoPeer is returned when there is no peer to query, so that the store must be read.
+var ErrNoPeer = errors.New("no peer to query")
 
-// ErrHold is returned when neither a peer nor the store should be called now: the peers
+// ErrWait is returned when neither a peer nor the store should be called now: the peers
 // that read the store for this daemon do not reach it, and another reader would not help.
-var ErrHold = errors.New("the peers that read the store do not reach it; waiting")
+var ErrWait = errors.New("the peers that read the store do not reach it; waiting")
 
-// ErrBehind is returned when a peer answers, but its replica is stale.
-var ErrBehind = errors.New("replica is stale")
+// ErrStale is returned when a peer answers, but its replica is stale.
+var ErrStale = errors.New("replica is stale")
 
-// holdPause is the pause after ErrHold.
-const holdPause = 100 * time.Millisecond
+// waitPause is the pause after ErrHold.
+const waitPause = 100 * time.Millisecond
 
 // maxIncrementalAge is the maximum age of a replica that is updated incrementally. An
 // older one is read anew, because peers drop tombstones after tombstoneRetention.
@@ -98,12 +98,12 @@
 	}
 	update, err := f.Near(ctx, f.Prefix, after)
 	switch {
-	case errors.Is(err, ErrNoneNear):
+	case errors.Is(err, ErrNoPeer):
 		return false
-	case errors.Is(err, ErrHold):
-		helpers.Pause(holdPause, f.tomb.Dying())
+	case errors.Is(err, ErrWait):
+		helpers.Pause(waitPause, f.tomb.Dying())
 		return true
-	case errors.Is(err, ErrBehind):
+	case errors.Is(err, ErrStale):
 		helpers.Pause(rand.N(minBackoff), f.tomb.Dying())
 		return true
 	case err != nil:
--- a/daemon/internal/process/replica/peer_test.go
+++ b/daemon/internal/process/replica/peer_test.go
@@ -108,7 +108,7 @@
 		assert.LessOrEqual(t, watchesAfter, watches+1)
 
 		_, _, queries := p.counts()
-		p.set(p.update, replica.ErrNoneNear)
+		p.set(p.update, replica.ErrNoPeer)
 		helpers.Pause(10*time.Second, nil)
 		watches, _, queriesAfter := p.counts()
 		assert.Greater(t, watches, watchesAfter+2)
@@ -119,7 +119,7 @@
 // TestStoreIsNotCalledWhileReadersAreStale checks that a follower never falls back to the
 // store while its peers are up but do not reach the store.
 func TestStoreIsNotCalledWhileReadersAreStale(t *testing.T) {
-	for _, err := range []error{replica.ErrHold, replica.ErrBehind} {
+	for _, err := range []error{replica.ErrWait, replica.ErrStale} {
 		t.Run(err.Error(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				p := &fakePeer{err: err}
@@ -273,7 +273,7 @@
 		helpers.Pause(2*time.Second, nil)
 		assert.Equal(t, 2, follower.Status().Hops)
 		assert.Equal(t, replica.ReaderMaxStaleness+2*replica.HopWait, follower.Status().MaxStaleness())
-		p.set(p.update, replica.ErrNoneNear)
+		p.set(p.update, replica.ErrNoPeer)
 		helpers.Pause(5*time.Second, nil)
 		assert.Zero(t, follower.Status().Hops)
 	})
--- a/daemon/loader/start_test.go
+++ b/daemon/loader/start_test.go
@@ -31,14 +31,14 @@
 	})
 	require.NoError(t, err)
 	_, err = p.hosts.Near(t.Context(), "u/", 0)
-	require.ErrorIs(t, err, replica.ErrHold)
+	require.ErrorIs(t, err, replica.ErrWait)
 	for range 100 {
 		assert.LessOrEqual(t, p.routersPause(), routersSoon, "the hall's routers are looked for")
 	}
 
 	p.began = clock.Now().Add(-storeAfter)
 	_, err = p.hosts.Near(t.Context(), "u/", 0)
-	require.ErrorIs(t, err, replica.ErrNoneNear, "no router has come up, so the store is read")
+	require.ErrorIs(t, err, replica.ErrNoPeer, "no router has come up, so the store is read")
 
 	member := &provider.Member{Name: "r", Hall: p.current.Load().Hall, Peers: netip.MustParseAddrPort("127.0.0.1:1")}
 	p.compiler.Decode = func(provider.Entry) (provider.Record, error) { return provider.Record{Member: member}, nil }
