--- a/daemon/internal/process/replica/follower.go
+++ b/daemon/internal/process/replica/follower.go
@@ -65,13 +65,13 @@
 	// answer. The watch, which begins at the answer's revision, the next list or a peer
 	// supplies what the answer lacks.
 	FirstStale bool
-	// Near queries a peer for the entries of its replica under a prefix above a
-	// revision; revision 0 asks for the complete replica. On ErrNoneNear the store is
-	// read instead; after any other error Near is called again. It may be nil.
-	Near func(ctx context.Context, prefix string, after provider.Revision) (Update, error)
-	// NearTries is the number of consecutive failed calls of Near after which the store
+	// QueryPeer queries a peer for the entries of its replica under a prefix above a
+	// revision; revision 0 asks for the complete replica. On ErrNoPeer the store is
+	// read instead; after any other error QueryPeer is called again. It may be nil.
+	QueryPeer func(ctx context.Context, prefix string, after provider.Revision) (Update, error)
+	// PeerAttempts is the number of consecutive failed calls of Near after which the store
 	// is read once; 0 means 2.
-	NearTries int
+	PeerAttempts int
 	// LookEvery is the interval of stale lists beside watches or peer queries, which
 	// detect changes that those did not report. 0 means none.
 	LookEvery time.Duration
@@ -180,7 +180,7 @@
 		}
 	}
 	backoff := minBackoff
-	if f.Near != nil && f.LookEvery > 0 {
+	if f.QueryPeer != nil && f.LookEvery > 0 {
 		f.tomb.Go(func() error {
 			f.recheckBesidePeers(calls)
 			return nil
--- a/daemon/internal/process/replica/peer.go
+++ b/daemon/internal/process/replica/peer.go
@@ -89,14 +89,14 @@
 // updateFromPeer queries a peer and applies its update. It returns false if the store
 // must be read.
 func (f *Follower) updateFromPeer(ctx context.Context) bool {
-	if f.Near == nil {
+	if f.QueryPeer == nil {
 		return false
 	}
 	after := f.At()
 	if f.relist || f.Age() > maxIncrementalAge {
 		after = 0
 	}
-	update, err := f.Near(ctx, f.Prefix, after)
+	update, err := f.QueryPeer(ctx, f.Prefix, after)
 	switch {
 	case errors.Is(err, ErrNoPeer):
 		return false
@@ -109,7 +109,7 @@
 	case err != nil:
 		f.peerFailures++
 		helpers.Pause(rand.N(minBackoff), f.tomb.Dying())
-		return f.peerFailures%helpers.OrDefault(f.NearTries, defaultPeerAttempts) != 0
+		return f.peerFailures%helpers.OrDefault(f.PeerAttempts, defaultPeerAttempts) != 0
 	}
 	f.peerFailures = 0
 	f.recordAnswer(update.SinceAnswer, update.SinceData)
--- a/daemon/internal/process/replica/peer_test.go
+++ b/daemon/internal/process/replica/peer_test.go
@@ -86,7 +86,7 @@
 		p := &fakePeer{update: replica.Update{
 			Entries: []provider.Entry{{Key: "a", Revision: 4}}, Status: replica.Status{Revision: 5, SinceAnswer: 3 * time.Second},
 		}}
-		follower := &replica.Follower{Store: p.store(), Table: &replica.Table{}, Near: p.query}
+		follower := &replica.Follower{Store: p.store(), Table: &replica.Table{}, QueryPeer: p.query}
 		follower.Start()
 		defer follower.Stop()
 		helpers.Pause(10*time.Second, nil)
@@ -123,7 +123,7 @@
 		t.Run(err.Error(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				p := &fakePeer{err: err}
-				follower := &replica.Follower{Store: p.store(), Table: &replica.Table{}, Near: p.query}
+				follower := &replica.Follower{Store: p.store(), Table: &replica.Table{}, QueryPeer: p.query}
 				follower.Start()
 				defer follower.Stop()
 				helpers.Pause(20*time.Second, nil)
@@ -150,7 +150,7 @@
 			return p.query(ctx, prefix, after)
 		}
 		table := &replica.Table{}
-		follower := &replica.Follower{Store: p.store(), Table: table, Near: query}
+		follower := &replica.Follower{Store: p.store(), Table: table, QueryPeer: query}
 		follower.Start()
 		defer follower.Stop()
 		helpers.Pause(3*time.Minute, nil)
@@ -248,7 +248,7 @@
 			return provider.Listing{At: at, Entries: []provider.Entry{{Key: "v", Revision: at}}}, nil
 		}
 		table := &replica.Table{}
-		follower := &replica.Follower{Store: store, Table: table, Near: p.query, FirstStale: true, LookEvery: 4 * time.Second}
+		follower := &replica.Follower{Store: store, Table: table, QueryPeer: p.query, FirstStale: true, LookEvery: 4 * time.Second}
 		follower.Start()
 		defer follower.Stop()
 		helpers.Pause(time.Second, nil)
@@ -267,7 +267,7 @@
 func TestHopsExtendTheAllowedStaleness(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &fakePeer{update: replica.Update{Status: replica.Status{Revision: 5, Hops: 1}}}
-		follower := &replica.Follower{Store: p.store(), Table: &replica.Table{}, Near: p.query}
+		follower := &replica.Follower{Store: p.store(), Table: &replica.Table{}, QueryPeer: p.query}
 		follower.Start()
 		defer follower.Stop()
 		helpers.Pause(2*time.Second, nil)
@@ -302,7 +302,7 @@
 					return provider.Listing{At: 1}, nil
 				}
 				follower := &replica.Follower{
-					Store: store, Table: &replica.Table{}, Near: p.query, Before: []string{"shard/", "hall/"},
+					Store: store, Table: &replica.Table{}, QueryPeer: p.query, Before: []string{"shard/", "hall/"},
 					Found: func() bool { return listed["shard/"] >= test.listsUntilRecent }, Enough: func() bool { return test.enough },
 				}
 				follower.Start()
--- a/daemon/internal/process/replica/probe.go
+++ b/daemon/internal/process/replica/probe.go
@@ -83,7 +83,7 @@
 // that the watch did not deliver. After an interruption a store may never answer the
 // calls that it received meanwhile, although it answers new ones.
 func (f *Follower) rechecking(ctx context.Context) (_ context.Context, end func()) {
-	if f.LookEvery <= 0 || f.Near != nil {
+	if f.LookEvery <= 0 || f.QueryPeer != nil {
 		return ctx, func() {}
 	}
 	return beside(ctx, f.recheck)
--- a/daemon/loader/start_test.go
+++ b/daemon/loader/start_test.go
@@ -30,14 +30,14 @@
 		Provider: func(netip.AddrPort, *http.Client, *http.Client) provider.Provider { return provider.Provider{} },
 	})
 	require.NoError(t, err)
-	_, err = p.hosts.Near(t.Context(), "u/", 0)
+	_, err = p.hosts.QueryPeer(t.Context(), "u/", 0)
 	require.ErrorIs(t, err, replica.ErrWait)
 	for range 100 {
 		assert.LessOrEqual(t, p.routersPause(), routersSoon, "the hall's routers are looked for")
 	}
 
 	p.began = clock.Now().Add(-storeAfter)
-	_, err = p.hosts.Near(t.Context(), "u/", 0)
+	_, err = p.hosts.QueryPeer(t.Context(), "u/", 0)
 	require.ErrorIs(t, err, replica.ErrNoPeer, "no router has come up, so the store is read")
 
 	member := &provider.Member{Name: "r", Hall: p.current.Load().Hall, Peers: netip.MustParseAddrPort("127.0.0.1:1")}
