--- a/daemon/internal/process/replica/follower.go
+++ b/daemon/internal/process/replica/follower.go
@@ -72,9 +72,9 @@
 	// PeerAttempts is the number of consecutive failed calls of Near after which the store
 	// is read once; 0 means 2.
 	PeerAttempts int
-	// LookEvery is the interval of stale lists beside watches or peer queries, which
+	// RecheckInterval is the interval of stale lists beside watches or peer queries, which
 	// detect changes that those did not report. 0 means none.
-	LookEvery time.Duration
+	RecheckInterval time.Duration
 	// Before holds prefixes that are listed in order before anything else: those of the
 	// records by which peers are found.
 	Before []string
@@ -180,7 +180,7 @@
 		}
 	}
 	backoff := minBackoff
-	if f.QueryPeer != nil && f.LookEvery > 0 {
+	if f.QueryPeer != nil && f.RecheckInterval > 0 {
 		f.tomb.Go(func() error {
 			f.recheckBesidePeers(calls)
 			return nil
--- a/daemon/internal/process/replica/probe.go
+++ b/daemon/internal/process/replica/probe.go
@@ -83,7 +83,7 @@
 // that the watch did not deliver. After an interruption a store may never answer the
 // calls that it received meanwhile, although it answers new ones.
 func (f *Follower) rechecking(ctx context.Context) (_ context.Context, end func()) {
-	if f.LookEvery <= 0 || f.QueryPeer != nil {
+	if f.RecheckInterval <= 0 || f.QueryPeer != nil {
 		return ctx, func() {}
 	}
 	return beside(ctx, f.recheck)
@@ -92,7 +92,7 @@
 // recheckBesidePeers lists the prefix periodically until the follower ends, because the
 // peers' replicas may be stale.
 func (f *Follower) recheckBesidePeers(ctx context.Context) {
-	for helpers.Pause(f.LookEvery/2+rand.N(f.LookEvery), ctx.Done()) {
+	for helpers.Pause(f.RecheckInterval/2+rand.N(f.RecheckInterval), ctx.Done()) {
 		if listing, err := f.recheckOnce(ctx); err == nil {
 			f.Table.Apply(listing.Entries)
 		}
@@ -102,7 +102,7 @@
 // recheck lists the prefix periodically until the context ends, and returns the cause for
 // which the watch must be canceled. A failed list is no such cause: the watch may be intact.
 func (f *Follower) recheck(ctx context.Context) error {
-	for helpers.Pause(f.LookEvery, ctx.Done()) {
+	for helpers.Pause(f.RecheckInterval, ctx.Done()) {
 		known := f.At()
 		listing, err := f.recheckOnce(ctx)
 		if err != nil || ctx.Err() != nil || f.currentData.Load() != 0 {
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -172,7 +172,7 @@
 	p.versions = follower(p.provider.Prefixes.Versions)
 	p.versions.FirstStale = true
 	p.versions.Wait = func() time.Duration { return versionsWait }
-	p.versions.LookEvery = versionsLook
+	p.versions.RecheckInterval = versionsLook
 	p.versions.QueryPeer = p.newNeighbours().News
 	hall := p.current.Load().Hall
 	p.hosts = follower(p.provider.Prefixes.Upstreams)
