--- a/daemon/internal/process/replica/follower.go
+++ b/daemon/internal/process/replica/follower.go
@@ -50,11 +50,11 @@
 	// Wait returns the duration of one watch; nil means 2.5 s. It is unused where
 	// PulseEvery is set.
 	Wait func() time.Duration
-	// PulseEvery, if not 0, is the interval at which the store is probed beside a
+	// ProbeInterval, if not 0, is the interval at which the store is probed beside a
 	// watch. Watches wait longer then.
-	PulseEvery time.Duration
-	// PulseUnder is the prefix that a probe lists. It should have few entries.
-	PulseUnder string
+	ProbeInterval time.Duration
+	// ProbePrefix is the prefix that a probe lists. It should have few entries.
+	ProbePrefix string
 	// Settle returns the pause between a change and the next watch, which batches
 	// changes. Nil means no pause.
 	Settle func() time.Duration
--- a/daemon/internal/process/replica/probe.go
+++ b/daemon/internal/process/replica/probe.go
@@ -39,9 +39,9 @@
 // watchWait returns the duration of the next watch.
 func (f *Follower) watchWait() time.Duration {
 	switch {
-	case f.PulseEvery > 0 && f.failing:
+	case f.ProbeInterval > 0 && f.failing:
 		return failingWatchWait
-	case f.PulseEvery > 0:
+	case f.ProbeInterval > 0:
 		return probedWatchWait
 	case f.Wait != nil:
 		return f.Wait()
@@ -53,7 +53,7 @@
 // probing returns a context for a watch that is canceled when a probe beside it fails.
 // End must be called when the watch has ended; it waits for the probe in progress.
 func (f *Follower) probing(ctx context.Context) (_ context.Context, end func()) {
-	if f.PulseEvery <= 0 || f.failing {
+	if f.ProbeInterval <= 0 || f.failing {
 		return ctx, func() {}
 	}
 	return beside(ctx, f.probe)
@@ -128,7 +128,7 @@
 // which the watch must be canceled. A watch whose answer is arriving proves that the
 // store is reachable and may finish however long it takes.
 func (f *Follower) probe(ctx context.Context) error {
-	for helpers.Pause(f.PulseEvery, ctx.Done()) {
+	for helpers.Pause(f.ProbeInterval, ctx.Done()) {
 		err := f.probeOnce(ctx)
 		done := ctx.Err() != nil || f.currentData.Load() != 0
 		switch {
@@ -146,7 +146,7 @@
 func (f *Follower) probeOnce(ctx context.Context) error {
 	ctx, end := readLimit(0).Context(provider.WithProgress(ctx, f.countBytes))
 	defer end()
-	_, err := f.Store.ListStale(ctx, f.PulseUnder)
+	_, err := f.Store.ListStale(ctx, f.ProbePrefix)
 	return patience.Explain(ctx, err)
 }
 
--- a/daemon/internal/process/replica/probe_test.go
+++ b/daemon/internal/process/replica/probe_test.go
@@ -120,7 +120,7 @@
 			},
 			Watch: s.watch,
 		},
-		Table: &replica.Table{}, PulseEvery: time.Second,
+		Table: &replica.Table{}, ProbeInterval: time.Second,
 	}
 	follower.Start()
 	t.Cleanup(follower.Stop)
