--- a/daemon/internal/process/replica/breaker_test.go
+++ b/daemon/internal/process/replica/breaker_test.go
@@ -33,7 +33,7 @@
 			var all []*replica.Follower
 			for range followers {
 				f := &replica.Follower{
-					Store: provider.Store{List: list, ListStale: list}, Table: &replica.Table{}, ListEvery: func() time.Duration { return time.Minute },
+					Store: provider.Store{List: list, ListStale: list}, Table: &replica.Table{}, PollInterval: func() time.Duration { return time.Minute },
 					Outage: breaker, Now: time.Now,
 				}
 				f.Start()
--- a/daemon/internal/process/replica/follower.go
+++ b/daemon/internal/process/replica/follower.go
@@ -58,9 +58,9 @@
 	// Settle returns the pause between a change and the next watch, which batches
 	// changes. Nil means no pause.
 	Settle func() time.Duration
-	// ListEvery, if not nil, has the follower poll the prefix with stale lists at
+	// PollInterval, if not nil, has the follower poll the prefix with stale lists at
 	// these intervals instead of watching it, which costs the store far less.
-	ListEvery func() time.Duration
+	PollInterval func() time.Duration
 	// FirstStale has the first list read the store before any peer and accept a stale
 	// answer. The watch, which begins at the answer's revision, the next list or a peer
 	// supplies what the answer lacks.
@@ -246,10 +246,10 @@
 
 // step makes one call to the store: a list if the replica is empty or polled, else a watch.
 func (f *Follower) step(ctx context.Context) error {
-	if f.ListEvery != nil {
+	if f.PollInterval != nil {
 		_, err := f.list(ctx)
 		if err == nil {
-			helpers.Pause(f.ListEvery(), f.tomb.Dying())
+			helpers.Pause(f.PollInterval(), f.tomb.Dying())
 		}
 		return err
 	}
@@ -360,7 +360,7 @@
 	ctx, end := limit.Context(ctx)
 	defer end()
 	list := f.Store.List
-	if initial && f.FirstStale || f.ListEvery != nil {
+	if initial && f.FirstStale || f.PollInterval != nil {
 		list = f.Store.ListStale
 	}
 	listing, err := list(ctx, f.Prefix)
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -176,10 +176,10 @@
 	p.versions.QueryPeer = p.newNeighbours().News
 	hall := p.current.Load().Hall
 	p.hosts = follower(p.provider.Prefixes.Upstreams)
-	p.hosts.ListEvery = func() time.Duration { return hostsEvery/2 + rand.N(hostsEvery/2) }
+	p.hosts.PollInterval = func() time.Duration { return hostsEvery/2 + rand.N(hostsEvery/2) }
 	p.hosts.QueryPeer, p.hosts.PeerAttempts = p.neighbours.News, nearTries
 	p.routers = follower(p.provider.Prefixes.OfHall(hall, ""))
-	p.routers.ListEvery = p.routersPause
+	p.routers.PollInterval = p.routersPause
 	p.routers.QueryPeer = p.newNeighbours().News
 	p.routers.Before = []string{p.provider.Prefixes.OfHall(hall, readers.Shard(p.current.Load().Name)), p.routers.Prefix}
 	p.routers.Enough = p.knowsRouter
