--- a/daemon/internal/process/replica/follower.go
+++ b/daemon/internal/process/replica/follower.go
@@ -55,9 +55,9 @@
 	ProbeInterval time.Duration
 	// ProbePrefix is the prefix that a probe lists. It should have few entries.
 	ProbePrefix string
-	// Settle returns the pause between a change and the next watch, which batches
+	// Debounce returns the pause between a change and the next watch, which batches
 	// changes. Nil means no pause.
-	Settle func() time.Duration
+	Debounce func() time.Duration
 	// PollInterval, if not nil, has the follower poll the prefix with stale lists at
 	// these intervals instead of watching it, which costs the store far less.
 	PollInterval func() time.Duration
@@ -288,8 +288,8 @@
 
 // debounce pauses after a change, for at least minPause.
 func (f *Follower) debounce(minPause time.Duration) {
-	if f.Settle != nil {
-		minPause = max(minPause, f.Settle())
+	if f.Debounce != nil {
+		minPause = max(minPause, f.Debounce())
 	}
 	helpers.Pause(minPause, f.tomb.Dying())
 }
--- a/daemon/internal/process/replica/follower_test.go
+++ b/daemon/internal/process/replica/follower_test.go
@@ -67,7 +67,7 @@
 		)
 		s := &changingStore{started: time.Now(), interval: interval, transfer: transfer}
 		table := &replica.Table{}
-		follower := replica.Follower{Store: s.store(), Table: table, Settle: func() time.Duration { return settle }}
+		follower := replica.Follower{Store: s.store(), Table: table, Debounce: func() time.Duration { return settle }}
 		follower.Start()
 		helpers.Pause(5*time.Second, nil)
 		for range 40 {
@@ -91,7 +91,7 @@
 			lists++
 			return list(ctx, prefix)
 		}
-		follower := replica.Follower{Store: store, Table: table, Settle: func() time.Duration { return 500 * time.Millisecond }}
+		follower := replica.Follower{Store: store, Table: table, Debounce: func() time.Duration { return 500 * time.Millisecond }}
 		follower.Start()
 		helpers.Pause(20*time.Second, nil)
 		follower.Stop()
--- a/daemon/internal/process/replica/sharedlink_test.go
+++ b/daemon/internal/process/replica/sharedlink_test.go
@@ -91,7 +91,7 @@
 		for range routers {
 			follower := &replica.Follower{
 				Store: provider.Store{List: store.list, Watch: store.watch}, Table: &replica.Table{},
-				Settle: func() time.Duration { return 800 * time.Millisecond },
+				Debounce: func() time.Duration { return 800 * time.Millisecond },
 			}
 			follower.Start()
 			followers = append(followers, follower)
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -163,7 +163,7 @@
 	ofShard, ofHall := p.provider.Prefixes.OfHall(own.Hall, own.Shard), p.provider.Prefixes.OfHall(own.Hall, "")
 	p.follower = &replica.Follower{
 		Store: p.provider.Store, Prefix: p.provider.Prefixes.All, Table: p.table, OnContact: p.recorder.contact,
-		OnBytes: p.recorder.storeBytes, Settle: p.settle, ProbeInterval: pulseEvery, ProbePrefix: p.provider.Prefixes.Versions,
+		OnBytes: p.recorder.storeBytes, Debounce: p.settle, ProbeInterval: pulseEvery, ProbePrefix: p.provider.Prefixes.Versions,
 		QueryPeer: p.neighbours.News, Before: []string{ofShard, ofHall}, Found: p.foundHall, Enough: p.follows,
 	}
 	p.puller = &peering.Puller{
