--- a/daemon/internal/process/replica/follower.go
+++ b/daemon/internal/process/replica/follower.go
@@ -47,9 +47,9 @@
 	Store  provider.Store
 	Prefix string
 	Table  *Table
-	// Wait returns the duration of one watch; nil means 2.5 s. It is unused where
+	// WatchWait returns the duration of one watch; nil means 2.5 s. It is unused where
 	// PulseEvery is set.
-	Wait func() time.Duration
+	WatchWait func() time.Duration
 	// ProbeInterval, if not 0, is the interval at which the store is probed beside a
 	// watch. Watches wait longer then.
 	ProbeInterval time.Duration
@@ -316,7 +316,7 @@
 
 // watchStore calls the store for changes, with probes and rechecks beside the call.
 func (f *Follower) watchStore(ctx context.Context) (provider.Listing, error) {
-	wait := f.watchWait()
+	wait := f.nextWatchWait()
 	ctx, endProbes := f.probing(ctx)
 	defer endProbes()
 	ctx, endRechecks := f.rechecking(ctx)
--- a/daemon/internal/process/replica/probe.go
+++ b/daemon/internal/process/replica/probe.go
@@ -36,15 +36,15 @@
 // answer a probe.
 var errProbeFailed = errors.New("store did not answer a probe beside a watch")
 
-// watchWait returns the duration of the next watch.
-func (f *Follower) watchWait() time.Duration {
+// nextWatchWait returns the duration of the next watch.
+func (f *Follower) nextWatchWait() time.Duration {
 	switch {
 	case f.ProbeInterval > 0 && f.failing:
 		return failingWatchWait
 	case f.ProbeInterval > 0:
 		return probedWatchWait
-	case f.Wait != nil:
-		return f.Wait()
+	case f.WatchWait != nil:
+		return f.WatchWait()
 	default:
 		return defaultWatchWait
 	}
--- a/daemon/internal/process/replica/probe_test.go
+++ b/daemon/internal/process/replica/probe_test.go
@@ -242,7 +242,7 @@
 					return provider.Listing{At: after}, ctx.Err()
 				},
 			},
-			Prefix: "v/", Table: table, RecheckInterval: 4 * time.Second, Wait: func() time.Duration { return 15 * time.Second },
+			Prefix: "v/", Table: table, RecheckInterval: 4 * time.Second, WatchWait: func() time.Duration { return 15 * time.Second },
 		}
 		follower.Start()
 		defer follower.Stop()
--- a/daemon/internal/process/replica/replica_test.go
+++ b/daemon/internal/process/replica/replica_test.go
@@ -161,7 +161,7 @@
 	contacts := make(chan error, 8)
 	table := &replica.Table{}
 	follower := &replica.Follower{
-		Table: table, Wait: func() time.Duration { return time.Millisecond }, Store: s.store(func() provider.Listing { return provider.Listing{At: 1} }),
+		Table: table, WatchWait: func() time.Duration { return time.Millisecond }, Store: s.store(func() provider.Listing { return provider.Listing{At: 1} }),
 		OnContact: func(_ string, lost error) { contacts <- lost },
 	}
 	follower.Start()
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -171,7 +171,7 @@
 	}
 	p.versions = follower(p.provider.Prefixes.Versions)
 	p.versions.FirstStale = true
-	p.versions.Wait = func() time.Duration { return versionsWait }
+	p.versions.WatchWait = func() time.Duration { return versionsWait }
 	p.versions.RecheckInterval = versionsLook
 	p.versions.QueryPeer = p.newNeighbours().News
 	hall := p.current.Load().Hall
