--- a/daemon/internal/process/replica/follower.go
+++ b/daemon/internal/process/replica/follower.go
@@ -61,10 +61,10 @@
 	// PollInterval, if not nil, has the follower poll the prefix with stale lists at
 	// these intervals instead of watching it, which costs the store far less.
 	PollInterval func() time.Duration
-	// FirstStale has the first list read the store before any peer and accept a stale
+	// StaleFirstList has the first list read the store before any peer and accept a stale
 	// answer. The watch, which begins at the answer's revision, the next list or a peer
 	// supplies what the answer lacks.
-	FirstStale bool
+	StaleFirstList bool
 	// QueryPeer queries a peer for the entries of its replica under a prefix above a
 	// revision; revision 0 asks for the complete replica. On ErrNoPeer the store is
 	// read instead; after any other error QueryPeer is called again. It may be nil.
@@ -208,7 +208,7 @@
 // listsStoreFirst reports whether the prefix must be listed from the store before a peer
 // is queried.
 func (f *Follower) listsStoreFirst() bool {
-	return f.FirstStale && f.At() == 0 && f.failures.Load() < disconnectFailures
+	return f.StaleFirstList && f.At() == 0 && f.failures.Load() < disconnectFailures
 }
 
 // bootstrap lists a bootstrap prefix until the list is recent enough.
@@ -360,7 +360,7 @@
 	ctx, end := limit.Context(ctx)
 	defer end()
 	list := f.Store.List
-	if initial && f.FirstStale || f.PollInterval != nil {
+	if initial && f.StaleFirstList || f.PollInterval != nil {
 		list = f.Store.ListStale
 	}
 	listing, err := list(ctx, f.Prefix)
--- a/daemon/internal/process/replica/peer_test.go
+++ b/daemon/internal/process/replica/peer_test.go
@@ -248,7 +248,7 @@
 			return provider.Listing{At: at, Entries: []provider.Entry{{Key: "v", Revision: at}}}, nil
 		}
 		table := &replica.Table{}
-		follower := &replica.Follower{Store: store, Table: table, QueryPeer: p.query, FirstStale: true, RecheckInterval: 4 * time.Second}
+		follower := &replica.Follower{Store: store, Table: table, QueryPeer: p.query, StaleFirstList: true, RecheckInterval: 4 * time.Second}
 		follower.Start()
 		defer follower.Stop()
 		helpers.Pause(time.Second, nil)
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -170,7 +170,7 @@
 		}
 	}
 	p.versions = follower(p.provider.Prefixes.Versions)
-	p.versions.FirstStale = true
+	p.versions.StaleFirstList = true
 	p.versions.WatchWait = func() time.Duration { return versionsWait }
 	p.versions.RecheckInterval = versionsLook
 	p.versions.QueryPeer = p.newNeighbours().News
