--- a/daemon/internal/process/replica/follower.go
+++ b/daemon/internal/process/replica/follower.go
@@ -75,16 +75,16 @@
 	// RecheckInterval is the interval of stale lists beside watches or peer queries, which
 	// detect changes that those did not report. 0 means none.
 	RecheckInterval time.Duration
-	// Before holds prefixes that are listed in order before anything else: those of the
+	// BootstrapPrefixes holds prefixes that are listed in order before anything else: those of the
 	// records by which peers are found.
-	Before []string
-	// Found reports whether the list of a bootstrap prefix is recent enough. While it is
+	BootstrapPrefixes []string
+	// BootstrapRecent reports whether the list of a bootstrap prefix is recent enough. While it is
 	// not, the prefix is listed again for up to bootstrapTimeout. Nil means that one
 	// list suffices.
-	Found func() bool
-	// Enough reports whether the remaining prefixes of Before can be skipped. Nil means
+	BootstrapRecent func() bool
+	// BootstrapDone reports whether the remaining prefixes of Before can be skipped. Nil means
 	// never.
-	Enough func() bool
+	BootstrapDone func() bool
 	// Outage is shared by the followers of a process; nil means that none is used.
 	Outage *Outage
 	// OnContact is called with the error when calls to the store begin to fail, and with
@@ -174,8 +174,8 @@
 func (f *Follower) run() error {
 	ctx := f.tomb.Context(nil) //nolint:staticcheck // nil asks the tomb for its own context
 	calls := provider.WithProgress(ctx, f.recordProgress)
-	for _, prefix := range f.Before {
-		if f.bootstrap(calls, prefix); f.Enough != nil && f.Enough() {
+	for _, prefix := range f.BootstrapPrefixes {
+		if f.bootstrap(calls, prefix); f.BootstrapDone != nil && f.BootstrapDone() {
 			break
 		}
 	}
@@ -217,7 +217,7 @@
 	for {
 		err := f.listBootstrapPrefix(ctx, prefix)
 		f.recordResult(err)
-		if f.Found == nil || err == nil && f.Found() || f.now().Sub(started) > bootstrapTimeout {
+		if f.BootstrapRecent == nil || err == nil && f.BootstrapRecent() || f.now().Sub(started) > bootstrapTimeout {
 			return
 		}
 		if !helpers.Pause(maxBootstrapPause/2+rand.N(maxBootstrapPause/2), f.tomb.Dying()) {
--- a/daemon/internal/process/replica/peer_test.go
+++ b/daemon/internal/process/replica/peer_test.go
@@ -302,8 +302,8 @@
 					return provider.Listing{At: 1}, nil
 				}
 				follower := &replica.Follower{
-					Store: store, Table: &replica.Table{}, QueryPeer: p.query, Before: []string{"shard/", "hall/"},
-					Found: func() bool { return listed["shard/"] >= test.listsUntilRecent }, Enough: func() bool { return test.enough },
+					Store: store, Table: &replica.Table{}, QueryPeer: p.query, BootstrapPrefixes: []string{"shard/", "hall/"},
+					BootstrapRecent: func() bool { return listed["shard/"] >= test.listsUntilRecent }, BootstrapDone: func() bool { return test.enough },
 				}
 				follower.Start()
 				helpers.Pause(5*time.Second, nil)
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -181,8 +181,8 @@
 	p.routers = follower(p.provider.Prefixes.OfHall(hall, ""))
 	p.routers.PollInterval = p.routersPause
 	p.routers.QueryPeer = p.newNeighbours().News
-	p.routers.Before = []string{p.provider.Prefixes.OfHall(hall, readers.Shard(p.current.Load().Name)), p.routers.Prefix}
-	p.routers.Enough = p.knowsRouter
+	p.routers.BootstrapPrefixes = []string{p.provider.Prefixes.OfHall(hall, readers.Shard(p.current.Load().Name)), p.routers.Prefix}
+	p.routers.BootstrapDone = p.knowsRouter
 }
 
 // knowsRouter reports whether a router of this hall is known, whether it answers or not.
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -164,7 +164,7 @@
 	p.follower = &replica.Follower{
 		Store: p.provider.Store, Prefix: p.provider.Prefixes.All, Table: p.table, OnContact: p.recorder.contact,
 		OnBytes: p.recorder.storeBytes, Debounce: p.settle, ProbeInterval: pulseEvery, ProbePrefix: p.provider.Prefixes.Versions,
-		QueryPeer: p.neighbours.News, Before: []string{ofShard, ofHall}, Found: p.foundHall, Enough: p.follows,
+		QueryPeer: p.neighbours.News, BootstrapPrefixes: []string{ofShard, ofHall}, BootstrapRecent: p.foundHall, BootstrapDone: p.follows,
 	}
 	p.puller = &peering.Puller{
 		Client: client, Follower: p.follower, Peer: p.peer, Needed: p.needsPeer, OnPull: p.recorder.pulled, First: ofHall,
