--- a/daemon/internal/process/replica/follower.go
+++ b/daemon/internal/process/replica/follower.go
@@ -87,9 +87,9 @@
 	BootstrapDone func() bool
 	// Outage is shared by the followers of a process; nil means that none is used.
 	Outage *Outage
-	// OnContact is called with the error when calls to the store begin to fail, and with
+	// OnConnectionChange is called with the error when calls to the store begin to fail, and with
 	// nil when the store answers again. It may be nil.
-	OnContact func(prefix string, lost error)
+	OnConnectionChange func(prefix string, lost error)
 	// OnBytes is called with the number of bytes of each part of an answer. It may be nil.
 	OnBytes func(bytes int)
 	// Now is the clock; nil means clock.Now.
@@ -404,8 +404,8 @@
 		f.failures.Store(0)
 		f.Outage.recordSuccess()
 	}
-	if failing != f.failing && f.OnContact != nil {
-		f.OnContact(f.Prefix, err)
+	if failing != f.failing && f.OnConnectionChange != nil {
+		f.OnConnectionChange(f.Prefix, err)
 	}
 	f.failing = failing
 }
--- a/daemon/internal/process/replica/replica_test.go
+++ b/daemon/internal/process/replica/replica_test.go
@@ -142,7 +142,7 @@
 	contacts := make(chan error, 8)
 	follower := &replica.Follower{
 		Table: &replica.Table{}, Store: s.store(func() provider.Listing { return provider.Listing{At: 1} }),
-		OnContact: func(_ string, lost error) { contacts <- lost },
+		OnConnectionChange: func(_ string, lost error) { contacts <- lost },
 	}
 	follower.Start()
 	defer follower.Stop()
@@ -162,7 +162,7 @@
 	table := &replica.Table{}
 	follower := &replica.Follower{
 		Table: table, WatchWait: func() time.Duration { return time.Millisecond }, Store: s.store(func() provider.Listing { return provider.Listing{At: 1} }),
-		OnContact: func(_ string, lost error) { contacts <- lost },
+		OnConnectionChange: func(_ string, lost error) { contacts <- lost },
 	}
 	follower.Start()
 	defer follower.Stop()
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -165,7 +165,7 @@
 	outage := &replica.Outage{}
 	follower := func(prefix string) *replica.Follower {
 		return &replica.Follower{
-			Store: p.provider.Store, Prefix: prefix, Table: p.table, OnContact: p.telemetry.Contact,
+			Store: p.provider.Store, Prefix: prefix, Table: p.table, OnConnectionChange: p.telemetry.Contact,
 			Outage: outage,
 		}
 	}
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -162,7 +162,7 @@
 	own := p.member()
 	ofShard, ofHall := p.provider.Prefixes.OfHall(own.Hall, own.Shard), p.provider.Prefixes.OfHall(own.Hall, "")
 	p.follower = &replica.Follower{
-		Store: p.provider.Store, Prefix: p.provider.Prefixes.All, Table: p.table, OnContact: p.recorder.contact,
+		Store: p.provider.Store, Prefix: p.provider.Prefixes.All, Table: p.table, OnConnectionChange: p.recorder.contact,
 		OnBytes: p.recorder.storeBytes, Debounce: p.settle, ProbeInterval: pulseEvery, ProbePrefix: p.provider.Prefixes.Versions,
 		QueryPeer: p.neighbours.News, BootstrapPrefixes: []string{ofShard, ofHall}, BootstrapRecent: p.foundHall, BootstrapDone: p.follows,
 	}
