--- a/daemon/internal/process/replica/breaker.go
+++ b/daemon/internal/process/replica/breaker.go
@@ -9,10 +9,10 @@
 // It then calls the store itself, because only the prober's own calls may be failing.
 const maxBlock = 2500 * time.Millisecond
 
-// Outage is a circuit breaker that the followers of one process share: while one follower
+// CircuitBreaker is a circuit breaker that the followers of one process share: while one follower
 // probes a store that failed, the others wait for it instead of calling the store too. The
-// zero value is ready to use, and a nil Outage never blocks.
-type Outage struct {
+// zero value is ready to use, and a nil CircuitBreaker never blocks.
+type CircuitBreaker struct {
 	mu sync.Mutex
 	// prober is the follower whose call failed first, nil while the store answers.
 	prober *Follower
@@ -22,47 +22,47 @@
 }
 
 // recordFailure records a failed call of a follower.
-func (o *Outage) recordFailure(f *Follower) {
-	if o == nil {
+func (b *CircuitBreaker) recordFailure(f *Follower) {
+	if b == nil {
 		return
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.prober == nil {
-		o.prober, o.recovered = f, make(chan struct{})
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.prober == nil {
+		b.prober, b.recovered = f, make(chan struct{})
 	}
 }
 
 // recordSuccess records an answer of the store.
-func (o *Outage) recordSuccess() {
-	if o == nil {
+func (b *CircuitBreaker) recordSuccess() {
+	if b == nil {
 		return
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.prober != nil {
-		o.prober = nil
-		close(o.recovered)
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.prober != nil {
+		b.prober = nil
+		close(b.recovered)
 	}
 }
 
 // blocked returns a channel that is closed once the store has answered, or nil if no
 // other follower probes the store.
-func (o *Outage) blocked(f *Follower) <-chan struct{} {
-	if o == nil {
+func (b *CircuitBreaker) blocked(f *Follower) <-chan struct{} {
+	if b == nil {
 		return nil
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.prober == nil || o.prober == f {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.prober == nil || b.prober == f {
 		return nil
 	}
-	return o.recovered
+	return b.recovered
 }
 
 // wait blocks while another follower probes the store, for maxBlock at most.
-func (o *Outage) wait(f *Follower) {
-	recovered := o.blocked(f)
+func (b *CircuitBreaker) wait(f *Follower) {
+	recovered := b.blocked(f)
 	if recovered == nil {
 		return
 	}
--- a/daemon/internal/process/replica/breaker_test.go
+++ b/daemon/internal/process/replica/breaker_test.go
@@ -17,7 +17,7 @@
 // TestOneFollowerProbesForAllDuringAnOutage checks that followers that share a breaker make
 // far fewer failing calls than independent ones, and all read the store soon after it recovers.
 func TestOneFollowerProbesForAllDuringAnOutage(t *testing.T) {
-	calls := func(followers int, breaker *replica.Outage) int64 {
+	calls := func(followers int, breaker *replica.CircuitBreaker) int64 {
 		var failed, answered atomic.Int64
 		synctest.Test(t, func(t *testing.T) {
 			const outage = 6 * time.Second
@@ -34,7 +34,7 @@
 			for range followers {
 				f := &replica.Follower{
 					Store: provider.Store{List: list, ListStale: list}, Table: &replica.Table{}, PollInterval: func() time.Duration { return time.Minute },
-					Outage: breaker, Now: time.Now,
+					Breaker: breaker, Now: time.Now,
 				}
 				f.Start()
 				all = append(all, f)
@@ -52,7 +52,7 @@
 	for range outages {
 		single += calls(1, nil)
 		separate += calls(3, nil)
-		shared += calls(3, &replica.Outage{})
+		shared += calls(3, &replica.CircuitBreaker{})
 	}
 	t.Logf("failed calls in %d outages: %d of one follower, %d of three, %d of three that share a breaker", outages, single, separate, shared)
 	assert.Less(t, 2*shared, separate)
--- a/daemon/internal/process/replica/follower.go
+++ b/daemon/internal/process/replica/follower.go
@@ -85,8 +85,8 @@
 	// BootstrapDone reports whether the remaining prefixes of Before can be skipped. Nil means
 	// never.
 	BootstrapDone func() bool
-	// Outage is shared by the followers of a process; nil means that none is used.
-	Outage *Outage
+	// Breaker is shared by the followers of a process; nil means that none is used.
+	Breaker *CircuitBreaker
 	// OnConnectionChange is called with the error when calls to the store begin to fail, and with
 	// nil when the store answers again. It may be nil.
 	OnConnectionChange func(prefix string, lost error)
@@ -191,7 +191,7 @@
 			backoff = minBackoff
 			continue
 		}
-		f.Outage.wait(f)
+		f.Breaker.wait(f)
 		err := f.step(calls)
 		f.currentData.Store(0)
 		f.recordResult(err)
@@ -399,10 +399,10 @@
 	failing := err != nil && !errors.Is(err, provider.ErrCompacted) && f.tomb.Alive()
 	if failing {
 		f.failures.Add(1)
-		f.Outage.recordFailure(f)
+		f.Breaker.recordFailure(f)
 	} else {
 		f.failures.Store(0)
-		f.Outage.recordSuccess()
+		f.Breaker.recordSuccess()
 	}
 	if failing != f.failing && f.OnConnectionChange != nil {
 		f.OnConnectionChange(f.Prefix, err)
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -162,11 +162,11 @@
 // a router of this hall while one answers: watches of the store by each loader are most calls
 // of a calm fleet. The versions are read from the store as well, first and now and then.
 func (p *Process) addFollowers() {
-	outage := &replica.Outage{}
+	outage := &replica.CircuitBreaker{}
 	follower := func(prefix string) *replica.Follower {
 		return &replica.Follower{
 			Store: p.provider.Store, Prefix: prefix, Table: p.table, OnConnectionChange: p.telemetry.Contact,
-			Outage: outage,
+			Breaker: outage,
 		}
 	}
 	p.versions = follower(p.provider.Prefixes.Versions)
