--- a/daemon/internal/connection/peering/peering_test.go
+++ b/daemon/internal/connection/peering/peering_test.go
@@ -261,7 +261,7 @@
 	d.table.Apply(entries(5))
 	require.NoError(t, puller.pull(t.Context(), d.address))
 	assert.Len(t, follower.Table.Since(0).Entries, 3)
-	assert.Equal(t, provider.Revision(7), follower.At())
+	assert.Equal(t, provider.Revision(7), follower.Revision())
 }
 
 // TestEngineNeeds: a loader is told what it needs, and when nothing is known yet.
@@ -296,8 +296,8 @@
 	puller := &Puller{Client: d.client, Follower: follower, First: "m/hall/"}
 	require.NoError(t, puller.ask(t.Context(), d.address))
 	assert.Len(t, follower.Table.Since(0).Entries, 1)
-	assert.Zero(t, follower.At(), "nothing is complete by it")
+	assert.Zero(t, follower.Revision(), "nothing is complete by it")
 	require.NoError(t, puller.ask(t.Context(), d.address))
 	assert.Len(t, follower.Table.Since(0).Entries, 2)
-	assert.Equal(t, provider.Revision(9), follower.At())
+	assert.Equal(t, provider.Revision(9), follower.Revision())
 }
--- a/daemon/internal/connection/peering/puller.go
+++ b/daemon/internal/connection/peering/puller.go
@@ -62,7 +62,7 @@
 		if !ok {
 			continue
 		}
-		if err := p.ask(ctx, peer); err != nil && p.Follower.At() == 0 {
+		if err := p.ask(ctx, peer); err != nil && p.Follower.Revision() == 0 {
 			pause += rand.N(pullSlowest)
 		}
 	}
@@ -71,7 +71,7 @@
 
 // ask asks one peer for what is to be known next.
 func (p *Puller) ask(ctx context.Context, peer netip.AddrPort) error {
-	if p.First != "" && !p.hasFirst && p.Follower.At() == 0 {
+	if p.First != "" && !p.hasFirst && p.Follower.Revision() == 0 {
 		return p.pullFirst(ctx, peer)
 	}
 	return p.pull(ctx, peer)
@@ -94,7 +94,7 @@
 // complete. The highest revision that is known would not do: a copy that has it may
 // lack older ones.
 func (p *Puller) pull(ctx context.Context, peer netip.AddrPort) error {
-	news, err := ask(ctx, p.Client, peer, question{prefix: p.Follower.Prefix, after: p.Follower.At(), packed: true})
+	news, err := ask(ctx, p.Client, peer, question{prefix: p.Follower.Prefix, after: p.Follower.Revision(), packed: true})
 	fresh := 0
 	if err == nil {
 		fresh = p.Follower.ApplyUpdate(news)
--- a/daemon/internal/process/replica/follower.go
+++ b/daemon/internal/process/replica/follower.go
@@ -148,28 +148,28 @@
 	return f.elapsed() - time.Duration(f.lastAnswer.Load())
 }
 
-// Regained returns the time since the store last answered after a failure. It returns
+// SinceReconnect returns the time since the store last answered after a failure. It returns
 // false if there was no such answer.
-func (f *Follower) Regained() (time.Duration, bool) {
+func (f *Follower) SinceReconnect() (time.Duration, bool) {
 	at := f.reconnectedAt.Load()
 	return f.elapsed() - time.Duration(at), at != 0
 }
 
-// At returns the revision up to which the replica is complete, or 0.
-func (f *Follower) At() provider.Revision { return provider.Revision(f.revision.Load()) }
+// Revision returns the revision up to which the replica is complete, or 0.
+func (f *Follower) Revision() provider.Revision { return provider.Revision(f.revision.Load()) }
 
 // Status returns how current the replica is.
 func (f *Follower) Status() Status {
 	now := f.elapsed()
 	data := max(f.lastData.Load(), f.currentData.Load())
 	return Status{
-		Revision: f.At(), SinceAnswer: f.Age(), SinceData: now - time.Duration(data), Disconnected: f.failures.Load() >= disconnectFailures,
+		Revision: f.Revision(), SinceAnswer: f.Age(), SinceData: now - time.Duration(data), Disconnected: f.failures.Load() >= disconnectFailures,
 		Generation: f.generation.Load(), Hops: int(f.hops.Load()),
 	}
 }
 
-// Known reports whether the prefix was ever read from the store or a peer.
-func (f *Follower) Known() bool { return f.lastAnswer.Load() != 0 }
+// Synced reports whether the prefix was ever read from the store or a peer.
+func (f *Follower) Synced() bool { return f.lastAnswer.Load() != 0 }
 
 func (f *Follower) run() error {
 	ctx := f.tomb.Context(nil) //nolint:staticcheck // nil asks the tomb for its own context
@@ -208,7 +208,7 @@
 // listsStoreFirst reports whether the prefix must be listed from the store before a peer
 // is queried.
 func (f *Follower) listsStoreFirst() bool {
-	return f.StaleFirstList && f.At() == 0 && f.failures.Load() < disconnectFailures
+	return f.StaleFirstList && f.Revision() == 0 && f.failures.Load() < disconnectFailures
 }
 
 // bootstrap lists a bootstrap prefix until the list is recent enough.
@@ -270,7 +270,7 @@
 // which bounds lists to half of the time. Watches resume once few entries are new.
 func (f *Follower) catchUp(ctx context.Context) error {
 	started := clock.Now()
-	known := f.At()
+	known := f.Revision()
 	listing, err := f.list(ctx)
 	if err != nil {
 		return err
@@ -323,7 +323,7 @@
 	defer endRechecks()
 	ctx, end := readLimit(wait).Context(ctx)
 	defer end()
-	changes, err := f.Store.Watch(ctx, f.Prefix, f.At(), wait)
+	changes, err := f.Store.Watch(ctx, f.Prefix, f.Revision(), wait)
 	if cause := context.Cause(ctx); errors.Is(cause, errProbeFailed) || errors.Is(cause, errMissedChange) {
 		return changes, errors.Join(err, cause)
 	}
@@ -352,7 +352,7 @@
 
 // list lists the prefix and replaces its part of the table.
 func (f *Follower) list(ctx context.Context) (provider.Listing, error) {
-	initial := f.At() == 0
+	initial := f.Revision() == 0
 	limit := readLimit(0)
 	if initial {
 		limit = initialReadLimit
@@ -370,7 +370,7 @@
 	f.recordAnswer(0, 0)
 	f.hops.Store(0)
 	f.Table.Replace(f.Prefix, listing)
-	if f.relist || f.At() == 0 {
+	if f.relist || f.Revision() == 0 {
 		f.generation.Add(1)
 	}
 	f.advance(listing.At)
--- a/daemon/internal/process/replica/peer.go
+++ b/daemon/internal/process/replica/peer.go
@@ -92,7 +92,7 @@
 	if f.QueryPeer == nil {
 		return false
 	}
-	after := f.At()
+	after := f.Revision()
 	if f.relist || f.Age() > maxIncrementalAge {
 		after = 0
 	}
--- a/daemon/internal/process/replica/peer_test.go
+++ b/daemon/internal/process/replica/peer_test.go
@@ -92,7 +92,7 @@
 		helpers.Pause(10*time.Second, nil)
 		watches, lists, _ := p.counts()
 		assert.Zero(t, lists+watches)
-		assert.Equal(t, provider.Revision(5), follower.At())
+		assert.Equal(t, provider.Revision(5), follower.Revision())
 		assert.Equal(t, provider.Revision(0), p.revisions()[0], "the complete replica first")
 		assert.Equal(t, provider.Revision(5), p.revisions()[1])
 		assert.GreaterOrEqual(t, follower.Age(), 3*time.Second, "the age of the peer's data counts")
--- a/daemon/internal/process/replica/probe.go
+++ b/daemon/internal/process/replica/probe.go
@@ -103,7 +103,7 @@
 // which the watch must be canceled. A failed list is no such cause: the watch may be intact.
 func (f *Follower) recheck(ctx context.Context) error {
 	for helpers.Pause(f.RecheckInterval, ctx.Done()) {
-		known := f.At()
+		known := f.Revision()
 		listing, err := f.recheckOnce(ctx)
 		if err != nil || ctx.Err() != nil || f.currentData.Load() != 0 {
 			continue
--- a/daemon/internal/process/replica/probe_test.go
+++ b/daemon/internal/process/replica/probe_test.go
@@ -140,7 +140,7 @@
 
 		s.set(func() { s.at = 2 })
 		helpers.Pause(50*time.Millisecond, nil)
-		assert.Equal(t, provider.Revision(2), follower.At(), "changes arrive at once")
+		assert.Equal(t, provider.Revision(2), follower.Revision(), "changes arrive at once")
 	})
 }
 
@@ -153,7 +153,7 @@
 		helpers.Pause(10*time.Second, nil)
 		s.set(func() { s.at, s.deaf = 2, false })
 		helpers.Pause(2800*time.Millisecond, nil)
-		assert.Equal(t, provider.Revision(2), follower.At())
+		assert.Equal(t, provider.Revision(2), follower.Revision())
 	})
 }
 
@@ -171,7 +171,7 @@
 				s.withheld, s.stale = s.at, s.at-1
 			})
 			helpers.Pause(2100*time.Millisecond, nil)
-			assert.Equal(t, s.at, follower.At())
+			assert.Equal(t, s.at, follower.Revision())
 		}
 	})
 }
@@ -191,7 +191,7 @@
 		s.set(func() { s.down, s.deaf, s.at = false, false, 2 })
 		helpers.Pause(1300*time.Millisecond, nil)
 		assert.False(t, follower.Status().Stale())
-		assert.Equal(t, provider.Revision(2), follower.At())
+		assert.Equal(t, provider.Revision(2), follower.Revision())
 	})
 }
 
@@ -205,7 +205,7 @@
 		before := 0
 		s.set(func() { s.at, before = 2, s.watches })
 		helpers.Pause(6100*time.Millisecond, nil)
-		assert.Equal(t, provider.Revision(2), follower.At())
+		assert.Equal(t, provider.Revision(2), follower.Revision())
 		s.set(func() { assert.Equal(t, before+1, s.watches, "the next watch is pending") })
 	})
 }
--- a/daemon/internal/process/replica/replica_test.go
+++ b/daemon/internal/process/replica/replica_test.go
@@ -134,7 +134,7 @@
 		gone[entry.Key] = entry.Gone
 	}
 	assert.Equal(t, map[string]bool{"a": true, "b": false}, gone, "the key removed meanwhile has a tombstone")
-	assert.True(t, follower.Known())
+	assert.True(t, follower.Synced())
 }
 
 func TestFollowerReportsConnectionLossAndRecoveryOnce(t *testing.T) {
@@ -182,7 +182,7 @@
 	follower := &replica.Follower{Table: table, Store: s.store(func() provider.Listing { return provider.Listing{At: 1} })}
 	reconnected := make(chan bool, 8)
 	table.OnChange = func([]provider.Entry) {
-		_, ok := follower.Regained()
+		_, ok := follower.SinceReconnect()
 		reconnected <- ok
 	}
 	follower.Start()
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -243,7 +243,7 @@
 // plan says what an engine that holds some version should hold.
 func (p *Process) plan(held int) (keep.Plan, bool) {
 	known := p.needs.Load()
-	if known == nil || !p.versions.Known() {
+	if known == nil || !p.versions.Synced() {
 		return keep.Plan{}, false
 	}
 	model := known.Engine.Model
--- a/daemon/router/hall.go
+++ b/daemon/router/hall.go
@@ -106,7 +106,7 @@
 // silent reports whether the store has not answered for too long, so that what is
 // known may be out of date.
 func (p *Process) silent() bool {
-	return !p.follower.Known() || p.follower.Age() > p.silentAfter()
+	return !p.follower.Synced() || p.follower.Age() > p.silentAfter()
 }
 
 // needsPeer is asked a few times a second: whether another router is to be asked for news.
@@ -118,7 +118,7 @@
 // cutOff reports whether nothing at all came of the store for too long. An answer
 // that is long under way leaves a router silent, but not cut off.
 func (p *Process) cutOff() bool {
-	return !p.follower.Known() || p.follower.Status().SinceData > p.silentAfter()
+	return !p.follower.Synced() || p.follower.Status().SinceData > p.silentAfter()
 }
 
 // peer returns a router to ask while the store is silent, of this hall or another.
@@ -139,7 +139,7 @@
 			far = append(far, seed)
 		}
 	}
-	if p.follower.At() == 0 {
+	if p.follower.Revision() == 0 {
 		return peering.Choose(near, far, wholeFarOneOf)
 	}
 	return peering.Choose(near, far, farOneOf)
--- a/daemon/router/upstreams.go
+++ b/daemon/router/upstreams.go
@@ -50,7 +50,7 @@
 // lapses reports whether entries of upstreams may go only because the store was
 // away: it is for this router, or was a moment ago.
 func (p *Process) lapses() bool {
-	ago, ever := p.follower.Regained()
+	ago, ever := p.follower.SinceReconnect()
 	return p.silent() || ever && ago < lapseAfter
 }
 
