--- a/daemon/internal/process/replica/peer_test.go
+++ b/daemon/internal/process/replica/peer_test.go
@@ -175,7 +175,7 @@
 	compiler := &replica.Compiler{Decode: decode}
 	compiler.Take([]provider.Entry{entry(t, "m/r", 1, provider.Record{Member: &provider.Member{Name: "r"}})})
 	compiler.Take([]provider.Entry{entry(t, "v/m", 2, provider.Record{Target: &provider.Target{Model: "m", Version: 2}})})
-	assert.True(t, compiler.View().Targets["m"].Found)
+	assert.True(t, compiler.View().Targets["m"].Initial)
 }
 
 // TestErrorResponsesDoNotCountAsData guards against taking the bytes of an error response as
--- a/daemon/internal/process/replica/replica_test.go
+++ b/daemon/internal/process/replica/replica_test.go
@@ -270,19 +270,19 @@
 	}
 	declared := compiler.View().Targets["m"]
 	linked := 0
-	for d := &declared; d != nil; d = d.Before {
+	for d := &declared; d != nil; d = d.Previous {
 		assert.Equal(t, 9-linked, d.Version)
 		linked++
 	}
 	assert.Equal(t, 4, linked, "the history is bounded")
 
 	const grace, apply = 6 * time.Second, 8 * time.Second
-	now := declared.Learned
-	declared.Before.Learned = now.Add(-7 * time.Second)
-	assert.Equal(t, 8, declared.Required(now, grace, apply), "only the older deadline has passed")
-	assert.Equal(t, 9, declared.Required(now.Add(grace+time.Second), grace, apply))
-	declared.Before = nil
-	assert.Zero(t, declared.Required(now, grace, apply))
-	declared.Found = true
-	assert.Equal(t, 9, declared.Required(now.Add(2*time.Second), grace, apply), "a declaration of the first state may be old")
+	now := declared.ReceivedAt
+	declared.Previous.ReceivedAt = now.Add(-7 * time.Second)
+	assert.Equal(t, 8, declared.MinVersion(now, grace, apply), "only the older deadline has passed")
+	assert.Equal(t, 9, declared.MinVersion(now.Add(grace+time.Second), grace, apply))
+	declared.Previous = nil
+	assert.Zero(t, declared.MinVersion(now, grace, apply))
+	declared.Initial = true
+	assert.Equal(t, 9, declared.MinVersion(now.Add(2*time.Second), grace, apply), "a declaration of the first state may be old")
 }
--- a/daemon/internal/process/replica/suspension_test.go
+++ b/daemon/internal/process/replica/suspension_test.go
@@ -72,7 +72,7 @@
 	const apply, grace = 8 * time.Second, 7 * time.Second
 	declared := compiler.View().Targets["m"]
 	h.suspend(5 * time.Second)
-	assert.Equal(t, 1, declared.Required(now(), grace, apply), "6 s after the declaration")
+	assert.Equal(t, 1, declared.MinVersion(now(), grace, apply), "6 s after the declaration")
 	h.suspend(500 * time.Millisecond)
-	assert.Equal(t, 2, declared.Required(now(), grace, apply), "7.5 s after the declaration")
+	assert.Equal(t, 2, declared.MinVersion(now(), grace, apply), "7.5 s after the declaration")
 }
--- a/daemon/internal/process/replica/versionpolicy.go
+++ b/daemon/internal/process/replica/versionpolicy.go
@@ -35,11 +35,11 @@
 
 // Demand returns the policy in force for a model's newest declaration and those before
 // it, each of which is to be applied within applyTimeout.
-func (d *Declared) Demand(now time.Time, applyTimeout time.Duration) Demand {
-	policy := Demand{Lowest: d.Required(now, elapsedAt(cutoff, applyTimeout), applyTimeout)}
+func (d *Declaration) Demand(now time.Time, applyTimeout time.Duration) Demand {
+	policy := Demand{Lowest: d.MinVersion(now, elapsedAt(cutoff, applyTimeout), applyTimeout)}
 	start, full := elapsedAt(penaltyStart, applyTimeout), elapsedAt(penaltyFull, applyTimeout)
 	if declared := d.olderThan(start, now, applyTimeout); declared != nil {
-		elapsed := now.Sub(declared.Since(applyTimeout))
+		elapsed := now.Sub(declared.DeclaredAt(applyTimeout))
 		policy.Preferred = declared.Version
 		policy.Avoid = min(float64(elapsed-start)/float64(full-start), 1)
 	}
--- a/daemon/internal/process/replica/versionpolicy_test.go
+++ b/daemon/internal/process/replica/versionpolicy_test.go
@@ -16,7 +16,7 @@
 func TestOldVersionsAreAvoidedTowardsTheDeadline(t *testing.T) {
 	const apply = 8 * time.Second
 	declared := time.Unix(1000, 0)
-	target := &replica.Declared{Target: provider.Target{Model: "m", Version: 2}, Learned: declared}
+	target := &replica.Declaration{Target: provider.Target{Model: "m", Version: 2}, ReceivedAt: declared}
 	assert.Zero(t, target.Demand(declared.Add(apply/2), apply), "no change yet")
 	early := target.Demand(declared.Add(apply*75/100), apply)
 	assert.Equal(t, []int{0, 2}, []int{early.Lowest, early.Preferred})
@@ -30,7 +30,7 @@
 // stay constant for long timeouts: queued requests need the same time to finish.
 func TestLongApplyTimeoutsDoNotLengthenTheCutoff(t *testing.T) {
 	declared := time.Unix(1000, 0)
-	target := &replica.Declared{Target: provider.Target{Model: "m", Version: 2}, Learned: declared}
+	target := &replica.Declaration{Target: provider.Target{Model: "m", Version: 2}, ReceivedAt: declared}
 	for _, apply := range []time.Duration{8 * time.Second, 13400 * time.Millisecond, time.Minute} {
 		assert.Zero(t, target.Demand(declared.Add(apply-time.Second), apply).Lowest, "%s", apply)
 		assert.Equal(t, 2, target.Demand(declared.Add(apply-900*time.Millisecond), apply).Lowest, "%s", apply)
@@ -44,10 +44,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		apply := time.Duration(rapid.IntRange(100, 20000).Draw(t, "apply")) * time.Millisecond
 		at := time.Unix(1000, 0)
-		var newest *replica.Declared
+		var newest *replica.Declaration
 		for version := range rapid.IntRange(1, 4).Draw(t, "versions") {
 			at = at.Add(time.Duration(rapid.IntRange(0, 20000).Draw(t, "pause")) * time.Millisecond)
-			newest = &replica.Declared{Target: provider.Target{Version: version + 2}, Learned: at, Before: newest}
+			newest = &replica.Declaration{Target: provider.Target{Version: version + 2}, ReceivedAt: at, Previous: newest}
 		}
 		previous := replica.Demand{}
 		for range 30 {
--- a/daemon/internal/process/replica/view.go
+++ b/daemon/internal/process/replica/view.go
@@ -23,7 +23,7 @@
 	// without those of evacuated halls.
 	Upstreams map[string][]*provider.Upstream
 	// Targets holds the declared version of each model.
-	Targets map[string]Declared
+	Targets map[string]Declaration
 	// Members holds the routers by name.
 	Members map[string]*provider.Member
 
@@ -36,36 +36,36 @@
 	objectives map[string]time.Duration
 }
 
-// Declared is a declared version of a model and when this daemon received it.
-type Declared struct {
+// Declaration is a declared version of a model and when this daemon received it.
+type Declaration struct {
 	provider.Target
 	Revision provider.Revision
-	// Learned is when this daemon received the declaration.
-	Learned time.Time
-	// Found says that the declaration was part of the first state this daemon received,
+	// ReceivedAt is when this daemon received the declaration.
+	ReceivedAt time.Time
+	// Initial says that the declaration was part of the first state this daemon received,
 	// so it may be much older than Learned.
-	Found bool
-	// Before is the declaration that this one replaced, if it was received. At most
+	Initial bool
+	// Previous is the declaration that this one replaced, if it was received. At most
 	// maxDeclarations are linked.
-	Before *Declared
+	Previous *Declaration
 }
 
 // maxDeclarations is the number of declarations that are kept of a model.
 const maxDeclarations = 4
 
-// Since returns when the version was declared, as far as this daemon can tell. A
+// DeclaredAt returns when the version was declared, as far as this daemon can tell. A
 // declaration that preceded this daemon counts as being partway through its apply timeout.
-func (d *Declared) Since(applyTimeout time.Duration) time.Time {
+func (d *Declaration) DeclaredAt(applyTimeout time.Duration) time.Time {
 	const elapsedPart = 0.6
-	if d.Found {
-		return d.Learned.Add(-time.Duration(elapsedPart * float64(applyTimeout)))
+	if d.Initial {
+		return d.ReceivedAt.Add(-time.Duration(elapsedPart * float64(applyTimeout)))
 	}
-	return d.Learned
+	return d.ReceivedAt
 }
 
-// Required returns the lowest version that may serve now: the newest that was declared
+// MinVersion returns the lowest version that may serve now: the newest that was declared
 // longer than grace ago, or 0.
-func (d *Declared) Required(now time.Time, grace, applyTimeout time.Duration) int {
+func (d *Declaration) MinVersion(now time.Time, grace, applyTimeout time.Duration) int {
 	if declared := d.olderThan(grace, now, applyTimeout); declared != nil {
 		return declared.Version
 	}
@@ -73,9 +73,9 @@
 }
 
 // olderThan returns the newest declaration that is older than age, or nil.
-func (d *Declared) olderThan(age time.Duration, now time.Time, applyTimeout time.Duration) *Declared {
-	for declared := d; declared != nil; declared = declared.Before {
-		if now.Sub(declared.Since(applyTimeout)) > age {
+func (d *Declaration) olderThan(age time.Duration, now time.Time, applyTimeout time.Duration) *Declaration {
+	for declared := d; declared != nil; declared = declared.Previous {
+		if now.Sub(declared.DeclaredAt(applyTimeout)) > age {
 			return declared
 		}
 	}
@@ -120,7 +120,7 @@
 	view atomic.Pointer[View]
 	// upstreams, targets and members are decoded entries by key. Only Take accesses them.
 	upstreams map[string]listed
-	targets   map[string]Declared
+	targets   map[string]Declaration
 	members   map[string]*provider.Member
 	// evacuated holds the evacuated halls, which get no requests, by key.
 	evacuated map[string]string
@@ -171,7 +171,7 @@
 func (c *Compiler) Take(changed []provider.Entry) {
 	if c.upstreams == nil {
 		c.upstreams = map[string]listed{}
-		c.targets = map[string]Declared{}
+		c.targets = map[string]Declaration{}
 		c.members = map[string]*provider.Member{}
 		c.expired = map[string]expired{}
 		c.evacuated = map[string]string{}
@@ -193,7 +193,7 @@
 		}
 		next.Upstreams[upstream.Service] = append(next.Upstreams[upstream.Service], upstream.Upstream)
 	}
-	next.Targets = map[string]Declared{}
+	next.Targets = map[string]Declaration{}
 	for _, target := range c.targets {
 		next.Targets[target.Model] = target
 	}
@@ -301,23 +301,23 @@
 
 // declare links a declaration to the earlier ones, whose deadlines still apply: an engine
 // may be loading one of them.
-func (c *Compiler) declare(entry provider.Entry, target provider.Target) Declared {
-	declared := Declared{Target: target, Revision: entry.Revision, Learned: c.now(), Found: !c.synced}
+func (c *Compiler) declare(entry provider.Entry, target provider.Target) Declaration {
+	declared := Declaration{Target: target, Revision: entry.Revision, ReceivedAt: c.now(), Initial: !c.synced}
 	previous, ok := c.targets[entry.Key]
 	if !ok {
 		return declared
 	}
-	declared.Before = &previous
+	declared.Previous = &previous
 	last := &declared
 	for range maxDeclarations - 1 {
-		if last.Before == nil {
+		if last.Previous == nil {
 			return declared
 		}
-		copied := *last.Before
-		last.Before = &copied
+		copied := *last.Previous
+		last.Previous = &copied
 		last = &copied
 	}
-	last.Before = nil
+	last.Previous = nil
 	return declared
 }
 
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -255,7 +255,7 @@
 	}
 	if declared, ok := p.compiler.View().Targets[model]; ok {
 		plan.Goal = p.goal(&declared, held)
-		for before := declared.Before; before != nil; before = before.Before {
+		for before := declared.Previous; before != nil; before = before.Previous {
 			plan.Earlier = append(plan.Earlier, p.goal(before, held))
 		}
 	}
@@ -263,13 +263,13 @@
 }
 
 // goal works out when this host's engine may take a declared version.
-func (p *Process) goal(declared *replica.Declared, held int) keep.Goal {
+func (p *Process) goal(declared *replica.Declaration, held int) keep.Goal {
 	apply := p.current.Load().Bounds.VersionApply.Std()
 	due := time.Time{}
-	for before := declared.Before; before != nil && before.Version > held; before = before.Before {
-		due = before.Since(apply).Add(apply)
+	for before := declared.Previous; before != nil && before.Version > held; before = before.Previous {
+		due = before.DeclaredAt(apply).Add(apply)
 	}
-	window := turn.NewWindow(declared.Since(apply), apply, due)
+	window := turn.NewWindow(declared.DeclaredAt(apply), apply, due)
 	if c := p.held.Get(declared.Version); c != nil {
 		window = window.After(c.Completed())
 	}
--- a/daemon/router/serving.go
+++ b/daemon/router/serving.go
@@ -72,7 +72,7 @@
 }
 
 // demand says on which versions of a model requests may run.
-func (p *Process) demand(declared *replica.Declared) replica.Demand {
+func (p *Process) demand(declared *replica.Declaration) replica.Demand {
 	return declared.Demand(clock.Now(), p.current.Load().Bounds.VersionApply.Std())
 }
 
