--- a/daemon/internal/process/replica/versionpolicy.go
+++ b/daemon/internal/process/replica/versionpolicy.go
@@ -23,25 +23,25 @@
 	return applyTimeout - left
 }
 
-// Demand says on which versions of a model requests may run.
-type Demand struct {
-	// Lowest is the lowest version that may serve, 0 for any.
-	Lowest int
-	// Preferred is the version below which upstreams are avoided, 0 for none, and
+// VersionPolicy says on which versions of a model requests may run.
+type VersionPolicy struct {
+	// MinVersion is the lowest version that may serve, 0 for any.
+	MinVersion int
+	// PreferredVersion is the version below which upstreams are avoided, 0 for none, and
 	// Avoid how strongly: from 0, not at all, to 1.
-	Preferred int
-	Avoid     float64
+	PreferredVersion int
+	AvoidWeight      float64
 }
 
-// Demand returns the policy in force for a model's newest declaration and those before
+// VersionPolicy returns the policy in force for a model's newest declaration and those before
 // it, each of which is to be applied within applyTimeout.
-func (d *Declaration) Demand(now time.Time, applyTimeout time.Duration) Demand {
-	policy := Demand{Lowest: d.MinVersion(now, elapsedAt(cutoff, applyTimeout), applyTimeout)}
+func (d *Declaration) VersionPolicy(now time.Time, applyTimeout time.Duration) VersionPolicy {
+	policy := VersionPolicy{MinVersion: d.MinVersion(now, elapsedAt(cutoff, applyTimeout), applyTimeout)}
 	start, full := elapsedAt(penaltyStart, applyTimeout), elapsedAt(penaltyFull, applyTimeout)
 	if declared := d.olderThan(start, now, applyTimeout); declared != nil {
 		elapsed := now.Sub(declared.DeclaredAt(applyTimeout))
-		policy.Preferred = declared.Version
-		policy.Avoid = min(float64(elapsed-start)/float64(full-start), 1)
+		policy.PreferredVersion = declared.Version
+		policy.AvoidWeight = min(float64(elapsed-start)/float64(full-start), 1)
 	}
 	return policy
 }
--- a/daemon/internal/process/replica/versionpolicy_test.go
+++ b/daemon/internal/process/replica/versionpolicy_test.go
@@ -17,13 +17,13 @@
 	const apply = 8 * time.Second
 	declared := time.Unix(1000, 0)
 	target := &replica.Declaration{Target: provider.Target{Model: "m", Version: 2}, ReceivedAt: declared}
-	assert.Zero(t, target.Demand(declared.Add(apply/2), apply), "no change yet")
-	early := target.Demand(declared.Add(apply*75/100), apply)
-	assert.Equal(t, []int{0, 2}, []int{early.Lowest, early.Preferred})
-	later := target.Demand(declared.Add(apply*82/100), apply)
-	assert.Greater(t, later.Avoid, early.Avoid)
-	end := target.Demand(declared.Add(apply*9/10), apply)
-	assert.Equal(t, replica.Demand{Lowest: 2, Preferred: 2, Avoid: 1}, end)
+	assert.Zero(t, target.VersionPolicy(declared.Add(apply/2), apply), "no change yet")
+	early := target.VersionPolicy(declared.Add(apply*75/100), apply)
+	assert.Equal(t, []int{0, 2}, []int{early.MinVersion, early.PreferredVersion})
+	later := target.VersionPolicy(declared.Add(apply*82/100), apply)
+	assert.Greater(t, later.AvoidWeight, early.AvoidWeight)
+	end := target.VersionPolicy(declared.Add(apply*9/10), apply)
+	assert.Equal(t, replica.VersionPolicy{MinVersion: 2, PreferredVersion: 2, AvoidWeight: 1}, end)
 }
 
 // TestLongApplyTimeoutsDoNotLengthenTheCutoff checks that the margins before the deadline
@@ -32,9 +32,9 @@
 	declared := time.Unix(1000, 0)
 	target := &replica.Declaration{Target: provider.Target{Model: "m", Version: 2}, ReceivedAt: declared}
 	for _, apply := range []time.Duration{8 * time.Second, 13400 * time.Millisecond, time.Minute} {
-		assert.Zero(t, target.Demand(declared.Add(apply-time.Second), apply).Lowest, "%s", apply)
-		assert.Equal(t, 2, target.Demand(declared.Add(apply-900*time.Millisecond), apply).Lowest, "%s", apply)
-		assert.Zero(t, target.Demand(declared.Add(apply-2300*time.Millisecond), apply).Preferred, "%s", apply)
+		assert.Zero(t, target.VersionPolicy(declared.Add(apply-time.Second), apply).MinVersion, "%s", apply)
+		assert.Equal(t, 2, target.VersionPolicy(declared.Add(apply-900*time.Millisecond), apply).MinVersion, "%s", apply)
+		assert.Zero(t, target.VersionPolicy(declared.Add(apply-2300*time.Millisecond), apply).PreferredVersion, "%s", apply)
 	}
 }
 
@@ -49,16 +49,16 @@
 			at = at.Add(time.Duration(rapid.IntRange(0, 20000).Draw(t, "pause")) * time.Millisecond)
 			newest = &replica.Declaration{Target: provider.Target{Version: version + 2}, ReceivedAt: at, Previous: newest}
 		}
-		previous := replica.Demand{}
+		previous := replica.VersionPolicy{}
 		for range 30 {
 			at = at.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "step")) * time.Millisecond)
-			policy := newest.Demand(at, apply)
-			assert.GreaterOrEqual(t, policy.Lowest, previous.Lowest)
-			assert.GreaterOrEqual(t, policy.Preferred, previous.Preferred)
-			assert.LessOrEqual(t, policy.Lowest, policy.Preferred)
-			assert.True(t, 0 <= policy.Avoid && policy.Avoid <= 1)
-			if policy.Preferred == previous.Preferred {
-				assert.GreaterOrEqual(t, policy.Avoid, previous.Avoid)
+			policy := newest.VersionPolicy(at, apply)
+			assert.GreaterOrEqual(t, policy.MinVersion, previous.MinVersion)
+			assert.GreaterOrEqual(t, policy.PreferredVersion, previous.PreferredVersion)
+			assert.LessOrEqual(t, policy.MinVersion, policy.PreferredVersion)
+			assert.True(t, 0 <= policy.AvoidWeight && policy.AvoidWeight <= 1)
+			if policy.PreferredVersion == previous.PreferredVersion {
+				assert.GreaterOrEqual(t, policy.AvoidWeight, previous.AvoidWeight)
 			}
 			previous = policy
 		}
--- a/daemon/internal/request/dispatch/dispatch.go
+++ b/daemon/internal/request/dispatch/dispatch.go
@@ -49,7 +49,7 @@
 	// Region returns the region of a data hall, "" where it is not known. It may be nil.
 	Region func(hall string) string
 	// Demand says on which versions of a model requests may run.
-	Demand func(declared *replica.Declaration) replica.Demand
+	Demand func(declared *replica.Declaration) replica.VersionPolicy
 	// AskPlace asks the loader beside an engine for a place there. An error says
 	// that it did not answer. Nil means that there are no loaders.
 	AskPlace func(ctx context.Context, engine *provider.Upstream, limit places.Limit) (places.Load, bool, error)
@@ -292,7 +292,7 @@
 	query.ReservedPlaces = admission.Reserve(admission.Service{Full: q.Pace.Share(q.service.Name)}, q.standing())
 	if declared, ok := q.View().Targets[query.Model]; ok {
 		demand := q.Demand(&declared)
-		query.MinVersion, query.PreferredVersion, query.AvoidWeight = demand.Lowest, demand.Preferred, demand.Avoid
+		query.MinVersion, query.PreferredVersion, query.AvoidWeight = demand.MinVersion, demand.PreferredVersion, demand.AvoidWeight
 	}
 	return query
 }
--- a/daemon/internal/request/dispatch/place_test.go
+++ b/daemon/internal/request/dispatch/place_test.go
@@ -68,7 +68,7 @@
 	q := &request{
 		Dispatcher: &Dispatcher{
 			Pool: f.pool, Pace: &Pace{}, AskPlace: f.ask, View: func() *replica.View { return f.view },
-			Demand: func(*replica.Declaration) replica.Demand { return replica.Demand{} },
+			Demand: func(*replica.Declaration) replica.VersionPolicy { return replica.VersionPolicy{} },
 		},
 		Request: httptest.NewRequest("GET", "/", nil), view: f.view, service: f.view.Service("s"), sent: sent, story: &Story{},
 	}
--- a/daemon/router/serving.go
+++ b/daemon/router/serving.go
@@ -72,8 +72,8 @@
 }
 
 // demand says on which versions of a model requests may run.
-func (p *Process) demand(declared *replica.Declaration) replica.Demand {
-	return declared.Demand(clock.Now(), p.current.Load().Bounds.VersionApply.Std())
+func (p *Process) demand(declared *replica.Declaration) replica.VersionPolicy {
+	return declared.VersionPolicy(clock.Now(), p.current.Load().Bounds.VersionApply.Std())
 }
 
 // readyPages answers the balancer: ready while a configuration is known and no
