--- a/daemon/internal/connection/peering/engine.go
+++ b/daemon/internal/connection/peering/engine.go
@@ -30,7 +30,7 @@
 
 // EngineNews is what a configuration says of an engine's service.
 type EngineNews struct {
-	replica.EngineNeeds
+	replica.EngineConfig
 	// Revision is the configuration's.
 	Revision provider.Revision `json:"revision"`
 }
@@ -43,13 +43,13 @@
 			http.Error(w, "no configuration is known yet", http.StatusServiceUnavailable)
 			return
 		}
-		needs, err := replica.NeedsOf(known.Configuration, r.URL.Query().Get("service"))
+		needs, err := replica.EngineConfigFor(known.Configuration, r.URL.Query().Get("service"))
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusNotFound)
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(EngineNews{EngineNeeds: needs, Revision: known.ConfigurationRevision})
+		_ = json.NewEncoder(w).Encode(EngineNews{EngineConfig: needs, Revision: known.ConfigurationRevision})
 	}
 }
 
--- a/daemon/internal/connection/peering/peering_test.go
+++ b/daemon/internal/connection/peering/peering_test.go
@@ -281,7 +281,7 @@
 	}}
 	news, err := neighbours.Engine(t.Context(), "s")
 	require.NoError(t, err)
-	assert.Equal(t, EngineNews{EngineNeeds: replica.EngineNeeds{Engine: engine, Origin: origin}, Revision: 9}, news)
+	assert.Equal(t, EngineNews{EngineConfig: replica.EngineConfig{Engine: engine, Origin: origin}, Revision: 9}, news)
 	_, err = neighbours.Engine(t.Context(), "other")
 	require.Error(t, err)
 	assert.False(t, errors.Is(err, replica.ErrNoPeer))
--- a/daemon/internal/process/replica/engineconfig.go
+++ b/daemon/internal/process/replica/engineconfig.go
@@ -7,8 +7,8 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// EngineNeeds is the part of the configuration that the loader of an engine needs.
-type EngineNeeds struct {
+// EngineConfig is the part of the configuration that the loader of an engine config.
+type EngineConfig struct {
 	Engine provider.EngineSpec `json:"engine"`
 	// Origin is the address of the origin of weights.
 	Origin netip.AddrPort `json:"origin"`
@@ -17,24 +17,24 @@
 }
 
 // Complete reports whether a loader can work with it.
-func (n *EngineNeeds) Complete() bool { return n.Engine.Model != "" && n.Origin.IsValid() }
+func (c *EngineConfig) Complete() bool { return c.Engine.Model != "" && c.Origin.IsValid() }
 
-// ErrNoEngine is returned when a configuration lacks what a loader needs.
+// ErrNoEngine is returned when a configuration lacks what a loader config.
 var ErrNoEngine = errors.New("configuration has no engine service of this name or no origin")
 
-// NeedsOf returns the part of a configuration that the loaders of a service need.
-func NeedsOf(configuration *provider.Configuration, service string) (EngineNeeds, error) {
-	var needs EngineNeeds
+// EngineConfigFor returns the part of a configuration that the loaders of a service need.
+func EngineConfigFor(configuration *provider.Configuration, service string) (EngineConfig, error) {
+	var config EngineConfig
 	for _, declared := range configuration.Services {
 		if declared.Engine != nil && declared.Name == service {
-			needs.Engine = *declared.Engine
+			config.Engine = *declared.Engine
 		}
 		if declared.Origin.IsValid() {
-			needs.Origin, needs.OriginRate = declared.Origin, declared.OriginRate
+			config.Origin, config.OriginRate = declared.Origin, declared.OriginRate
 		}
 	}
-	if !needs.Complete() {
-		return EngineNeeds{}, ErrNoEngine
+	if !config.Complete() {
+		return EngineConfig{}, ErrNoEngine
 	}
-	return needs, nil
+	return config, nil
 }
--- a/daemon/internal/process/replica/engineconfig_test.go
+++ b/daemon/internal/process/replica/engineconfig_test.go
@@ -18,11 +18,11 @@
 	engine := provider.Service{Name: "s", Engine: &provider.EngineSpec{Model: "m", Places: 4}}
 	other := provider.Service{Name: "t", Engine: &provider.EngineSpec{Model: "n"}}
 	weights := provider.Service{Name: "o", Origin: origin, OriginRate: 5e5}
-	config, err := replica.NeedsOf(&provider.Configuration{Services: []provider.Service{other, engine, weights}}, "s")
+	config, err := replica.EngineConfigFor(&provider.Configuration{Services: []provider.Service{other, engine, weights}}, "s")
 	require.NoError(t, err)
-	assert.Equal(t, replica.EngineNeeds{Engine: *engine.Engine, Origin: origin, OriginRate: 5e5}, config)
+	assert.Equal(t, replica.EngineConfig{Engine: *engine.Engine, Origin: origin, OriginRate: 5e5}, config)
 	for _, services := range [][]provider.Service{{other, weights}, {engine}, nil} {
-		_, err := replica.NeedsOf(&provider.Configuration{Services: services}, "s")
+		_, err := replica.EngineConfigFor(&provider.Configuration{Services: services}, "s")
 		require.ErrorIs(t, err, replica.ErrNoEngine)
 	}
 }
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -105,7 +105,7 @@
 	client                   *http.Client
 
 	// needs is what the configuration says of the engine's service.
-	needs atomic.Pointer[replica.EngineNeeds]
+	needs atomic.Pointer[replica.EngineConfig]
 	// neighbours are the routers of this hall.
 	neighbours *peering.Neighbours
 	// received counts chunks by where they came from.
@@ -286,7 +286,7 @@
 // originTime is how long the origin takes for one copy: by its own link where that is
 // declared. Taken for as fast as this host's, which carries 7.3 Mbit/s, an origin of 4.38 was
 // asked for each chunk long before it could send it.
-func (p *Process) originTime(known *replica.EngineNeeds) time.Duration {
+func (p *Process) originTime(known *replica.EngineConfig) time.Duration {
 	bytes := known.Engine.Chunks * known.Engine.ChunkBytes
 	if known.OriginRate <= 0 {
 		return p.linkTime(bytes)
--- a/daemon/loader/needs.go
+++ b/daemon/loader/needs.go
@@ -79,7 +79,7 @@
 	if err != nil {
 		return err
 	}
-	if known := p.needs.Swap(&news.EngineNeeds); known == nil || *known != news.EngineNeeds {
+	if known := p.needs.Swap(&news.EngineConfig); known == nil || *known != news.EngineConfig {
 		p.log.WithFields(log.Fields{
 			fieldDecision: "believe", "model": news.Engine.Model, "origin": news.Origin, "revision": news.Revision,
 		}).Info("belief changed")
@@ -103,8 +103,8 @@
 		p.log.WithField("reason", err.Error()).Error("configuration not taken, the last good one stays")
 		return peering.EngineNews{}, fmt.Errorf("decode the configuration: %w", err)
 	}
-	needs, err := replica.NeedsOf(record.Configuration, p.current.Load().Service)
-	return peering.EngineNews{EngineNeeds: needs, Revision: entry.Revision}, err
+	needs, err := replica.EngineConfigFor(record.Configuration, p.current.Load().Service)
+	return peering.EngineNews{EngineConfig: needs, Revision: entry.Revision}, err
 }
 
 // neighbour returns the router of this hall to ask: each loader prefers another one.
--- a/daemon/loader/notes_test.go
+++ b/daemon/loader/notes_test.go
@@ -36,7 +36,7 @@
 func TestTheOriginIsAsFastAsItsLink(t *testing.T) {
 	p := &Process{}
 	p.current.Store(&settings.Loader{Bounds: settings.LoaderBounds{LinkMbps: 8}})
-	needs := &replica.EngineNeeds{Engine: provider.EngineSpec{Chunks: 100, ChunkBytes: 20000}}
+	needs := &replica.EngineConfig{Engine: provider.EngineSpec{Chunks: 100, ChunkBytes: 20000}}
 	assert.Equal(t, 2*time.Second, p.originTime(needs))
 	needs.OriginRate = 5e5
 	assert.Equal(t, 4*time.Second, p.originTime(needs))
