--- a/daemon/internal/connection/peering/listings.go
+++ b/daemon/internal/connection/peering/listings.go
@@ -37,7 +37,7 @@
 // of lists a table, once for each of its states.
 func (l *listings) of(table *replica.Table, prefix string, after provider.Revision) *listing {
 	// Read before the entries: a change between the two is listed once more.
-	changes := table.Changes()
+	changes := table.ChangeCount()
 	key := listingKey{prefix: prefix, after: after}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -46,7 +46,7 @@
 	}
 	known := l.kept[key]
 	if known == nil {
-		known = &listing{entries: table.SinceUnder(prefix, after).Entries}
+		known = &listing{entries: table.PrefixEntriesAfter(prefix, after).Entries}
 		l.kept[key] = known
 	}
 	return known
--- a/daemon/internal/connection/peering/peering_test.go
+++ b/daemon/internal/connection/peering/peering_test.go
@@ -256,11 +256,11 @@
 	follower := &replica.Follower{Table: &replica.Table{}}
 	puller := &Puller{Client: d.client, Follower: follower}
 	require.NoError(t, puller.pull(t.Context(), d.address))
-	assert.Equal(t, provider.Revision(7), follower.Table.Newest())
+	assert.Equal(t, provider.Revision(7), follower.Table.LatestRevision())
 	d.stand(replica.Status{Revision: 7})
 	d.table.Apply(entries(5))
 	require.NoError(t, puller.pull(t.Context(), d.address))
-	assert.Len(t, follower.Table.Since(0).Entries, 3)
+	assert.Len(t, follower.Table.EntriesAfter(0).Entries, 3)
 	assert.Equal(t, provider.Revision(7), follower.Revision())
 }
 
@@ -295,9 +295,9 @@
 	follower := &replica.Follower{Table: &replica.Table{}}
 	puller := &Puller{Client: d.client, Follower: follower, First: "m/hall/"}
 	require.NoError(t, puller.ask(t.Context(), d.address))
-	assert.Len(t, follower.Table.Since(0).Entries, 1)
+	assert.Len(t, follower.Table.EntriesAfter(0).Entries, 1)
 	assert.Zero(t, follower.Revision(), "nothing is complete by it")
 	require.NoError(t, puller.ask(t.Context(), d.address))
-	assert.Len(t, follower.Table.Since(0).Entries, 2)
+	assert.Len(t, follower.Table.EntriesAfter(0).Entries, 2)
 	assert.Equal(t, provider.Revision(9), follower.Revision())
 }
--- a/daemon/internal/process/replica/follower_test.go
+++ b/daemon/internal/process/replica/follower_test.go
@@ -72,7 +72,7 @@
 		helpers.Pause(5*time.Second, nil)
 		for range 40 {
 			helpers.Pause(100*time.Millisecond, nil)
-			lag := time.Duration(s.newest()-table.Newest()) * interval
+			lag := time.Duration(s.newest()-table.LatestRevision()) * interval
 			assert.LessOrEqual(t, lag, bound)
 		}
 		follower.Stop()
@@ -127,6 +127,6 @@
 		helpers.Pause(20*time.Second, nil)
 		follower.Stop()
 		assert.Equal(t, 1, lists)
-		assert.Equal(t, at, table.Newest())
+		assert.Equal(t, at, table.LatestRevision())
 	})
 }
--- a/daemon/internal/process/replica/peer_test.go
+++ b/daemon/internal/process/replica/peer_test.go
@@ -162,7 +162,7 @@
 		helpers.Pause(2*time.Second, nil)
 		assert.Contains(t, p.revisions()[2:], provider.Revision(0))
 		gone := map[string]bool{}
-		for _, entry := range table.Since(0).Entries {
+		for _, entry := range table.EntriesAfter(0).Entries {
 			gone[entry.Key] = entry.Gone
 		}
 		assert.Equal(t, map[string]bool{"a": false, "b": true}, gone)
@@ -252,10 +252,10 @@
 		follower.Start()
 		defer follower.Stop()
 		helpers.Pause(time.Second, nil)
-		assert.Equal(t, provider.Revision(3), table.Newest(), "the first list is read from the store")
+		assert.Equal(t, provider.Revision(3), table.LatestRevision(), "the first list is read from the store")
 		stored.Store(9)
 		helpers.Pause(6*time.Second, nil)
-		assert.Equal(t, provider.Revision(9), table.Newest())
+		assert.Equal(t, provider.Revision(9), table.LatestRevision())
 		watches, lists, queries := p.counts()
 		assert.Zero(t, watches+lists)
 		assert.Greater(t, queries, 5)
--- a/daemon/internal/process/replica/replica_test.go
+++ b/daemon/internal/process/replica/replica_test.go
@@ -80,7 +80,7 @@
 			},
 			"": func(t *rapid.T) {
 				got := map[string]provider.Entry{}
-				for _, entry := range table.Since(0).Entries {
+				for _, entry := range table.EntriesAfter(0).Entries {
 					got[entry.Key] = entry
 				}
 				for key, entry := range want {
@@ -130,7 +130,7 @@
 	s.watches <- func() (provider.Listing, error) { return provider.Listing{At: 9}, nil }
 	assert.Equal(t, int64(2), s.lists.Load())
 	gone := map[string]bool{}
-	for _, entry := range table.Since(0).Entries {
+	for _, entry := range table.EntriesAfter(0).Entries {
 		gone[entry.Key] = entry.Gone
 	}
 	assert.Equal(t, map[string]bool{"a": true, "b": false}, gone, "the key removed meanwhile has a tombstone")
@@ -171,7 +171,7 @@
 		return provider.Listing{At: 2, Entries: []provider.Entry{{Key: "a", Revision: 2}}}, nil
 	}
 	require.NoError(t, <-contacts)
-	assert.Len(t, table.Since(0).Entries, 1)
+	assert.Len(t, table.EntriesAfter(0).Entries, 1)
 }
 
 // TestReconnectIsRecordedBeforeChangesApply checks the order on which the treatment of
--- a/daemon/internal/process/replica/sharedlink_test.go
+++ b/daemon/internal/process/replica/sharedlink_test.go
@@ -100,7 +100,7 @@
 		// the other two, and each watch begins 0.8 s after the previous answer.
 		helpers.Pause(time.Until(started.Add(12*time.Second)), nil)
 		for _, follower := range followers {
-			assert.Equal(t, store.newest(), follower.Table.Newest())
+			assert.Equal(t, store.newest(), follower.Table.LatestRevision())
 			follower.Stop()
 		}
 	})
--- a/daemon/internal/process/replica/table.go
+++ b/daemon/internal/process/replica/table.go
@@ -132,18 +132,20 @@
 	return t.changed
 }
 
-// Changes returns the number of changes.
-func (t *Table) Changes() uint64 {
+// ChangeCount returns the number of changes.
+func (t *Table) ChangeCount() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.changes
 }
 
-// Since returns the entries above a revision, tombstones included; 0 returns all.
-func (t *Table) Since(after provider.Revision) provider.Listing { return t.SinceUnder("", after) }
+// EntriesAfter returns the entries above a revision, tombstones included; 0 returns all.
+func (t *Table) EntriesAfter(after provider.Revision) provider.Listing {
+	return t.PrefixEntriesAfter("", after)
+}
 
-// SinceUnder returns the entries under a prefix above a revision, tombstones included.
-func (t *Table) SinceUnder(prefix string, after provider.Revision) provider.Listing {
+// PrefixEntriesAfter returns the entries under a prefix above a revision, tombstones included.
+func (t *Table) PrefixEntriesAfter(prefix string, after provider.Revision) provider.Listing {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	listing := provider.Listing{At: after}
@@ -157,8 +159,8 @@
 	return listing
 }
 
-// Newest returns the highest revision of any entry, or 0.
-func (t *Table) Newest() provider.Revision {
+// LatestRevision returns the highest revision of any entry, or 0.
+func (t *Table) LatestRevision() provider.Revision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.newest
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -248,7 +248,7 @@
 	}
 	model := known.Engine.Model
 	plan := keep.Plan{
-		Goal:   keep.Goal{Model: model, Version: firstVersion, Fence: p.table.Newest()},
+		Goal:   keep.Goal{Model: model, Version: firstVersion, Fence: p.table.LatestRevision()},
 		Origin: known.Origin, Places: known.Engine.Places,
 		Chunks: known.Engine.Chunks, ChunkBytes: known.Engine.ChunkBytes,
 		OriginTime: p.originTime(known),
@@ -274,7 +274,7 @@
 		window = window.After(c.Completed())
 	}
 	place, hosts := p.place(declared.Model, declared.Version)
-	return keep.Goal{Model: declared.Model, Version: declared.Version, Fence: p.table.Newest(), Turn: window.Of(place, hosts)}
+	return keep.Goal{Model: declared.Model, Version: declared.Version, Fence: p.table.LatestRevision(), Turn: window.Of(place, hosts)}
 }
 
 // place is this host's place among some hosts in the order of their turns.
