--- a/daemon/internal/process/replica/expiry_test.go
+++ b/daemon/internal/process/replica/expiry_test.go
@@ -23,10 +23,10 @@
 		Decode: func(entry provider.Entry) (provider.Record, error) {
 			return provider.Record{Upstream: &provider.Upstream{ID: entry.Key, Service: "s", Leaving: leaving}}, nil
 		},
-		Lapses: func() bool { return unreachable },
-		Now:    func() time.Time { return now },
+		MayHaveExpired: func() bool { return unreachable },
+		Now:            func() time.Time { return now },
 	}
-	table.OnChange = compiler.Take
+	table.OnChange = compiler.Apply
 	revision := provider.Revision(0)
 	apply := func(key string, gone bool) {
 		revision++
@@ -37,16 +37,16 @@
 	apply("a", false)
 	apply("a", true)
 	assert.Equal(t, 1, inUse(), "the entry may only have expired")
-	require.True(t, compiler.Lapsed())
+	require.True(t, compiler.HasExpired())
 	apply("a", false)
 	assert.Equal(t, 1, inUse(), "registered again, listed once")
-	assert.False(t, compiler.Lapsed())
+	assert.False(t, compiler.HasExpired())
 
 	apply("a", true)
 	now = now.Add(time.Minute)
 	table.Recompile()
 	assert.Zero(t, inUse(), "the grace is over")
-	assert.False(t, compiler.Lapsed())
+	assert.False(t, compiler.HasExpired())
 
 	leaving = true
 	apply("b", false)
@@ -67,7 +67,7 @@
 		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, 1}), 80)
 		return provider.Record{Upstream: &provider.Upstream{ID: entry.Key, Service: "s", Address: address}}, nil
 	}}
-	table.OnChange = compiler.Take
+	table.OnChange = compiler.Apply
 	inUse := func() []string {
 		var ids []string
 		for _, upstream := range compiler.View().Upstreams["s"] {
--- a/daemon/internal/process/replica/peer_test.go
+++ b/daemon/internal/process/replica/peer_test.go
@@ -173,8 +173,8 @@
 // routers' records, which are read first, still counts as declared earlier.
 func TestRouterRecordsDoNotMarkTheReplicaAsSynced(t *testing.T) {
 	compiler := &replica.Compiler{Decode: decode}
-	compiler.Take([]provider.Entry{entry(t, "m/r", 1, provider.Record{Member: &provider.Member{Name: "r"}})})
-	compiler.Take([]provider.Entry{entry(t, "v/m", 2, provider.Record{Target: &provider.Target{Model: "m", Version: 2}})})
+	compiler.Apply([]provider.Entry{entry(t, "m/r", 1, provider.Record{Member: &provider.Member{Name: "r"}})})
+	compiler.Apply([]provider.Entry{entry(t, "v/m", 2, provider.Record{Target: &provider.Target{Model: "m", Version: 2}})})
 	assert.True(t, compiler.View().Targets["m"].Initial)
 }
 
--- a/daemon/internal/process/replica/priority_test.go
+++ b/daemon/internal/process/replica/priority_test.go
@@ -21,7 +21,7 @@
 		compiler := &replica.Compiler{Decode: func(provider.Entry) (provider.Record, error) {
 			return provider.Record{Configuration: &provider.Configuration{Routes: routes, Accounts: accounts}}, nil
 		}}
-		compiler.Take([]provider.Entry{{Key: "configuration", Revision: 1}})
+		compiler.Apply([]provider.Entry{{Key: "configuration", Revision: 1}})
 		return compiler.View()
 	}
 	plain, prioritized := provider.Account{Name: "plain"}, provider.Account{Name: "hasty", Priority: &urgent}
--- a/daemon/internal/process/replica/replica_test.go
+++ b/daemon/internal/process/replica/replica_test.go
@@ -219,8 +219,8 @@
 		Version: 7, Routes: []provider.Route{{Name: "short", Host: "h", Prefix: "/a/"}, {Name: "long", Host: "h", Prefix: "/a/b/"}},
 		Accounts: []provider.Account{{Name: "x", Keys: []string{"k"}}},
 	}})
-	compiler.Take([]provider.Entry{valid})
-	compiler.Take([]provider.Entry{{Key: "c", Value: []byte("{"), Revision: 2}})
+	compiler.Apply([]provider.Entry{valid})
+	compiler.Apply([]provider.Entry{{Key: "c", Value: []byte("{"), Revision: 2}})
 	view := compiler.View()
 	assert.Equal(t, uint64(7), view.Configuration.Version)
 	assert.Equal(t, "long", view.Route("h", "/a/b/c").Name, "the longest prefix")
@@ -236,37 +236,37 @@
 func TestInvalidEntryDropsItsUpstream(t *testing.T) {
 	var last replica.EntryChange
 	compiler := &replica.Compiler{
-		Decode: decode, Lapses: func() bool { return true }, OnEntryChange: func(b replica.EntryChange) { last = b },
+		Decode: decode, MayHaveExpired: func() bool { return true }, OnEntryChange: func(b replica.EntryChange) { last = b },
 	}
 	inUse := func() int { return len(compiler.View().Upstreams["s"]) }
 	list := func(key, address string, revision provider.Revision) {
 		record := provider.Record{Upstream: &provider.Upstream{ID: key, Service: "s", Address: netip.MustParseAddrPort(address)}}
-		compiler.Take([]provider.Entry{entry(t, key, revision, record)})
+		compiler.Apply([]provider.Entry{entry(t, key, revision, record)})
 	}
 	list("a", "10.0.0.1:80", 1)
 	list("b", "10.0.0.2:80", 2)
 	require.Equal(t, 2, inUse())
 
-	compiler.Take([]provider.Entry{{Key: "a", Value: []byte{0xff, 0}, Revision: 3}})
+	compiler.Apply([]provider.Entry{{Key: "a", Value: []byte{0xff, 0}, Revision: 3}})
 	assert.Equal(t, 1, inUse())
 	assert.True(t, last.Dropped)
 	require.Error(t, last.Err)
-	assert.False(t, compiler.Lapsed())
+	assert.False(t, compiler.HasExpired())
 
 	list("a", "10.0.0.1:80", 4)
 	assert.Equal(t, 2, inUse())
 
-	compiler.Take([]provider.Entry{{Key: "c", Value: []byte("{"), Revision: 5}})
+	compiler.Apply([]provider.Entry{{Key: "c", Value: []byte("{"), Revision: 5}})
 	assert.False(t, last.Dropped, "the key named no upstream")
 	assert.Equal(t, 2, inUse())
 }
 
 func TestEarlierDeclarationsKeepTheirDeadlines(t *testing.T) {
 	compiler := &replica.Compiler{Decode: decode}
-	compiler.Take([]provider.Entry{entry(t, "c", 1, provider.Record{})}) // the declarations are not part of the first state
+	compiler.Apply([]provider.Entry{entry(t, "c", 1, provider.Record{})}) // the declarations are not part of the first state
 	for version := 2; version <= 9; version++ {
 		target := &provider.Target{Model: "m", Version: version}
-		compiler.Take([]provider.Entry{entry(t, "v/m", provider.Revision(version), provider.Record{Target: target})})
+		compiler.Apply([]provider.Entry{entry(t, "v/m", provider.Revision(version), provider.Record{Target: target})})
 	}
 	declared := compiler.View().Targets["m"]
 	linked := 0
--- a/daemon/internal/process/replica/suspension_test.go
+++ b/daemon/internal/process/replica/suspension_test.go
@@ -64,7 +64,7 @@
 	compiler := &replica.Compiler{Decode: decode, Now: now}
 	declare := func(version int, revision provider.Revision) {
 		record := provider.Record{Target: &provider.Target{Model: "m", Version: version}}
-		compiler.Take([]provider.Entry{entry(t, "v", revision, record)})
+		compiler.Apply([]provider.Entry{entry(t, "v", revision, record)})
 	}
 	declare(1, 1)
 	h.steady, h.boot = h.steady+time.Minute, h.boot+time.Minute
--- a/daemon/internal/process/replica/view.go
+++ b/daemon/internal/process/replica/view.go
@@ -110,10 +110,10 @@
 	OnEntryChange func(EntryChange)
 	// OnSuspect takes the routers' notes on quarantined contents. It may be nil.
 	OnSuspect func(note []byte) error
-	// Lapses reports whether an entry that is removed now may have expired only because
+	// MayHaveExpired reports whether an entry that is removed now may have expired only because
 	// its upstream could not reach the store. Nil means never. Such an upstream stays in
 	// use for expiryGrace, after which the owner of the compiler must call Take.
-	Lapses func() bool
+	MayHaveExpired func() bool
 	// Now is the clock; nil means clock.Now.
 	Now func() time.Time
 
@@ -165,10 +165,10 @@
 	return &View{}
 }
 
-// Take compiles changed entries into a new view. A value that cannot be decoded is
+// Apply compiles changed entries into a new view. A value that cannot be decoded is
 // reported to OnEntryChange. The last valid declaration of an operator stays in force then,
 // while an upstream is dropped.
-func (c *Compiler) Take(changed []provider.Entry) {
+func (c *Compiler) Apply(changed []provider.Entry) {
 	if c.upstreams == nil {
 		c.upstreams = map[string]listed{}
 		c.targets = map[string]Declaration{}
@@ -178,7 +178,7 @@
 	}
 	next := *c.View()
 	for _, entry := range changed {
-		c.takeEntry(&next, entry)
+		c.applyEntry(&next, entry)
 	}
 	c.synced = c.synced || slices.ContainsFunc(changed, c.isNotMember)
 	c.pruneExpired()
@@ -235,8 +235,8 @@
 	return byAddress
 }
 
-// takeEntry takes one changed entry.
-func (c *Compiler) takeEntry(next *View, entry provider.Entry) {
+// applyEntry takes one changed entry.
+func (c *Compiler) applyEntry(next *View, entry provider.Entry) {
 	if entry.Gone {
 		c.keepExpired(entry.Key)
 		delete(c.upstreams, entry.Key)
@@ -288,16 +288,16 @@
 // keepExpired keeps an upstream whose entry is removed, if the entry may only have expired.
 func (c *Compiler) keepExpired(key string) {
 	upstream, ok := c.upstreams[key]
-	if ok && !upstream.Leaving && c.Lapses != nil && c.Lapses() {
+	if ok && !upstream.Leaving && c.MayHaveExpired != nil && c.MayHaveExpired() {
 		c.expired[key] = expired{listed: upstream, until: c.now().Add(expiryGrace)}
 	}
 }
 
 func (c *Compiler) now() time.Time { return helpers.Now(c.Now) }
 
-// Lapsed reports whether upstreams whose entries expired are in use. It must not be called
+// HasExpired reports whether upstreams whose entries expired are in use. It must not be called
 // concurrently with Take.
-func (c *Compiler) Lapsed() bool { return len(c.expired) > 0 }
+func (c *Compiler) HasExpired() bool { return len(c.expired) > 0 }
 
 // declare links a declaration to the earlier ones, whose deadlines still apply: an engine
 // may be loading one of them.
--- a/daemon/internal/request/dispatch/place_test.go
+++ b/daemon/internal/request/dispatch/place_test.go
@@ -53,7 +53,7 @@
 	for key := range records {
 		entries = append(entries, provider.Entry{Key: key, Revision: 1})
 	}
-	compiler.Take(entries)
+	compiler.Apply(entries)
 	f.view = compiler.View()
 	return f
 }
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -146,7 +146,7 @@
 	calls := &http.Client{Transport: dial.NewHostTransport(options.Dial, originIdle)}
 	p.provider = options.Provider(s.Store, p.client, calls)
 	p.compiler = &replica.Compiler{Decode: p.provider.Decode, OnEntryChange: p.noteBelief}
-	p.table.OnChange = p.compiler.Take
+	p.table.OnChange = p.compiler.Apply
 	p.neighbours = p.newNeighbours()
 	p.neighbours.Hold = p.starting
 	p.addFollowers()
--- a/daemon/loader/start_test.go
+++ b/daemon/loader/start_test.go
@@ -42,7 +42,7 @@
 
 	member := &provider.Member{Name: "r", Hall: p.current.Load().Hall, Peers: netip.MustParseAddrPort("127.0.0.1:1")}
 	p.compiler.Decode = func(provider.Entry) (provider.Record, error) { return provider.Record{Member: member}, nil }
-	p.compiler.Take([]provider.Entry{{Key: "m/r", Revision: 1}})
+	p.compiler.Apply([]provider.Entry{{Key: "m/r", Revision: 1}})
 	for range 100 {
 		assert.Greater(t, p.routersPause(), routersSoon, "once one is known, they are not")
 	}
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -148,7 +148,7 @@
 	p.current.Store(&s)
 	client := &http.Client{Transport: dial.NewHostTransport(options.Dial, storeIdle)}
 	p.provider = options.Provider(s.Store, client, client)
-	p.compiler = &replica.Compiler{Decode: p.provider.Decode, OnEntryChange: p.recorder.belief, Lapses: p.lapses, OnSuspect: p.takeSuspect}
+	p.compiler = &replica.Compiler{Decode: p.provider.Decode, OnEntryChange: p.recorder.belief, MayHaveExpired: p.lapses, OnSuspect: p.takeSuspect}
 	p.table.OnChange = p.takeChanges
 	p.loads = &loadfeed.Reader{Client: client, OnLine: p.takeLoad}
 	p.asker = &places.Client{Client: client}
--- a/daemon/router/upstreams.go
+++ b/daemon/router/upstreams.go
@@ -14,8 +14,8 @@
 // takeChanges compiles changes of the store's copy and follows the load of the
 // engines that it lists.
 func (p *Process) takeChanges(changed []provider.Entry) {
-	p.compiler.Take(changed)
-	if p.compiler.Lapsed() {
+	p.compiler.Apply(changed)
+	if p.compiler.HasExpired() {
 		time.AfterFunc(lapseAgain, p.lookAtLapsed)
 	}
 	if p.compiler.View().Configuration != nil && !p.draining.Load() {
