--- a/daemon/internal/process/balance/balance.go
+++ b/daemon/internal/process/balance/balance.go
@@ -8,9 +8,9 @@
 // cannot be told from a bad upstream without a long history.
 //
 // Load reports are tens of milliseconds old and the same for all routers. With a load
-// measure finer than the number of waiting requests, all routers would send to the upstream
-// that looks best until its next report. So running requests do not count until all places
-// are in use, and ties are broken at random. See docs/ROUTING.md.
+// measure finer than the number of waiting requests, all routers would send to the
+// upstream that looks best until its next report. So running requests do not count until
+// all places are in use, and ties are broken at random. See docs/ROUTING.md.
 package balance
 
 import (
@@ -60,7 +60,7 @@
 	// Moved means that the address has another upstream by now, or the upstream another
 	// version.
 	Moved
-	// Canceled requests were canceled, which says nothing about the upstream.
+	// Canceled requests say nothing about the upstream.
 	Canceled
 )
 
@@ -125,13 +125,13 @@
 	// MinVersion its lowest version.
 	Model      string
 	MinVersion int
-	// ReservedPlaces is the number of places of each upstream that are reserved for more urgent
-	// requests.
+	// ReservedPlaces is the number of places of each upstream that are reserved for more
+	// urgent requests.
 	ReservedPlaces int
 	// Duration is the expected duration of the request, 0 if it does not matter.
 	Duration time.Duration
-	// PreferredVersion is the version below which upstreams are avoided, and Avoid how
-	// strongly, from 0 to 1.
+	// PreferredVersion is the version below which upstreams are avoided, and
+	// AvoidWeight how strongly, from 0 to 1.
 	PreferredVersion int
 	AvoidWeight      float64
 }
@@ -253,8 +253,8 @@
 	}
 }
 
-// Unresponsive reports whether the host of an upstream has stopped reporting: it is unreachable,
-// frozen or overloaded, or its loader has stopped.
+// Unresponsive reports whether the host of an upstream has stopped reporting: it is
+// unreachable, frozen or overloaded, or its loader has stopped.
 func (p *Pool) Unresponsive(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -295,8 +295,8 @@
 	s.reportedAt, s.sentSinceReport = now, 0
 }
 
-// Throttle withholds requests from an upstream for a while, because its rate limit is used up.
-// A wait of 0 ends that.
+// Throttle withholds requests from an upstream for a while, because its rate limit is used
+// up. A wait of 0 ends that.
 func (p *Pool) Throttle(id string, wait time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -312,8 +312,8 @@
 	return s != nil && s.throttledUntil.After(p.now())
 }
 
-// ThrottledFor reports whether any of the upstreams that are not leaving is throttled, and the time
-// until the first of them is available.
+// ThrottledFor reports whether any of the upstreams that are not leaving is throttled, and
+// the time until the first of them is available.
 func (p *Pool) ThrottledFor(upstreams []*provider.Upstream) (time.Duration, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/daemon/internal/process/balance/balance_test.go
+++ b/daemon/internal/process/balance/balance_test.go
@@ -90,8 +90,8 @@
 	assert.Positive(t, counts["u1"])
 }
 
-// TestLowFailureRatesAreTolerated guards against avoiding healthy upstreams of a service that
-// fail one request in seven.
+// TestLowFailureRatesAreTolerated guards against avoiding healthy upstreams of a service
+// that fail one request in seven.
 func TestLowFailureRatesAreTolerated(t *testing.T) {
 	pool := &balance.Pool{}
 	candidates := upstreams(4)
@@ -137,7 +137,8 @@
 	assert.True(t, pool.Loading("u0"))
 }
 
-// TestOwnHallIsPreferred checks that upstreams of the own hall are chosen unless they are busier.
+// TestOwnHallIsPreferred checks that upstreams of the own hall are chosen unless they are
+// busier.
 func TestOwnHallIsPreferred(t *testing.T) {
 	candidates := upstreams(4)
 	candidates[0].Hall, candidates[1].Hall = "own", "own"
@@ -164,8 +165,8 @@
 	}), 50)
 }
 
-// TestChoiceReportsTheQueue checks that a choice counts the last load report and the requests
-// sent since.
+// TestChoiceReportsTheQueue checks that a choice counts the last load report and the
+// requests sent since.
 func TestChoiceReportsTheQueue(t *testing.T) {
 	candidates := upstreams(1)
 	pool := &balance.Pool{}
@@ -197,8 +198,8 @@
 	assert.Equal(t, "u1", choice.Upstream.ID, "waiting requests outweigh running ones, and a loading upstream ranks last")
 }
 
-// TestReportedVersionOverridesTheRecord checks that a load report outranks the older record in
-// the store.
+// TestReportedVersionOverridesTheRecord checks that a load report outranks the older
+// record in the store.
 func TestReportedVersionOverridesTheRecord(t *testing.T) {
 	pool := &balance.Pool{}
 	candidates := upstreams(2)
@@ -235,8 +236,8 @@
 	assert.True(t, ok, "a blocked upstream is chosen if there is no other")
 }
 
-// TestOldLoadReportsDoNotCount guards against refusing a request or avoiding an upstream for
-// a load that was reported long ago.
+// TestOldLoadReportsDoNotCount guards against refusing a request or avoiding an upstream
+// for a load that was reported long ago.
 func TestOldLoadReportsDoNotCount(t *testing.T) {
 	now := time.Unix(1000, 0)
 	candidates := upstreams(1)
@@ -250,8 +251,8 @@
 	assert.Equal(t, time.Minute, old.ReportAge)
 }
 
-// TestClosingUpstreamsGetShortRequests checks that an upstream that closes before a request is
-// likely to end is avoided.
+// TestClosingUpstreamsGetShortRequests checks that an upstream that closes before a
+// request is likely to end is avoided.
 func TestClosingUpstreamsGetShortRequests(t *testing.T) {
 	now := time.Unix(1000, 0)
 	candidates := upstreams(2)
@@ -303,8 +304,8 @@
 	assert.Less(t, choice.Score, 20.0, "an older entry that arrives late restores nothing")
 }
 
-// TestThrottledUpstreamsGetNoRequests checks that a throttled upstream is not chosen even if
-// there is no other, until its time passes or it is released.
+// TestThrottledUpstreamsGetNoRequests checks that a throttled upstream is not chosen even
+// if there is no other, until its time passes or it is released.
 func TestThrottledUpstreamsGetNoRequests(t *testing.T) {
 	now := time.Unix(1000, 0)
 	pool := &balance.Pool{Now: func() time.Time { return now }}
@@ -328,8 +329,8 @@
 	assert.False(t, pool.Throttled("a"))
 }
 
-// TestLoadWithoutModelsKeepsTheVersion guards against an answer to a request for a place, which
-// names no versions, making the engine look as if it held none.
+// TestLoadWithoutModelsKeepsTheVersion guards against an answer to a request for a place,
+// which names no versions, making the engine look as if it held none.
 func TestLoadWithoutModelsKeepsTheVersion(t *testing.T) {
 	now := time.Unix(1000, 0)
 	pool := &balance.Pool{Now: func() time.Time { return now }}
--- a/daemon/internal/process/readers/readers.go
+++ b/daemon/internal/process/readers/readers.go
@@ -4,13 +4,14 @@
 // Every router needs each change of the store, over the narrow link that a hall shares to
 // the store's region. One reader per hall minimizes the use of that link, but its fan-out
 // grows with the hall. So a large hall has relays between the reader and the rest, each
-// with fanOut followers on average. Routers with the widest links become reader and relays.
+// with fanOut followers on average. Routers with the widest links become reader and
+// relays.
 //
 // All routers of a hall compute the same ranking and need no agreement. A router follows
 // only routers that rank before it, which rules out cycles. The next in the ranking
-// replaces an unreachable reader at once. A stale reader may be the only one that the store
-// rejects, so the next two read the store at once as well; each further router starts only
-// after a longer wait.
+// replaces an unreachable reader at once. A stale reader may be the only one that the
+// store rejects, so the next two read the store at once as well; each further router
+// starts only after a longer wait.
 //
 // Rejected: several readers from the start, which multiplies the load on the store and the
 // link; an election, which needs the store that does not answer.
@@ -74,9 +75,9 @@
 	Wait
 )
 
-// shards is the number of parts into which a hall's routers are divided. A router that starts
-// lists its shard, and only the first of each shard lists the hall: if all did, the bytes of a
-// simultaneous start would grow with the square of the hall's size.
+// shards is the number of parts into which a hall's routers are divided. A router that
+// starts lists its shard, and only the first of each shard lists the hall: if all did, the
+// bytes of a simultaneous start would grow with the square of the hall's size.
 const shards = 16
 
 // Shard returns the shard of a router, by its name.
@@ -85,8 +86,8 @@
 }
 
 // Rank returns routers in the order in which they become reader and relays: by the rate of
-// their links, widest first, and then by a hash of their names. The text that is hashed must
-// be the same in all routers of a hall.
+// their links, widest first, and then by a hash of their names. The text that is hashed
+// must be the same in all routers of a hall.
 func Rank(routers []Router) []Router {
 	all := make([]scored, len(routers))
 	for i, router := range routers {
@@ -136,8 +137,8 @@
 	return Wait, ""
 }
 
-// relayFor returns the relay that a router follows. It returns false if there is none: in a
-// small hall, for the reader and the relays, and if no relay is usable.
+// relayFor returns the relay that a router follows. It returns false if there is none: in
+// a small hall, for the reader and the relays, and if no relay is usable.
 func relayFor(own Router, ranked []Router, rank int) (string, bool) {
 	relays := relayCount(len(ranked))
 	if rank <= relays {
@@ -153,7 +154,8 @@
 	return relay, relay != ""
 }
 
-// relayCount returns the number of relays of a hall. They follow the reader in the ranking.
+// relayCount returns the number of relays of a hall. They follow the reader in the
+// ranking.
 func relayCount(routers int) int {
 	if routers <= fanOut+1 {
 		return 0
--- a/daemon/internal/process/readers/readers_test.go
+++ b/daemon/internal/process/readers/readers_test.go
@@ -28,8 +28,8 @@
 	follows map[string]string
 }
 
-// decide returns the actions of the reachable routers of a hall, which all see each other in
-// the same state.
+// decide returns the actions of the reachable routers of a hall, which all see each other
+// in the same state.
 func decide(hall []readers.Router, sinceData time.Duration) outcome {
 	result := outcome{follows: map[string]string{}}
 	for _, own := range hall {
@@ -58,8 +58,8 @@
 	return counts
 }
 
-// TestSmallHallHasOneReader checks that, whichever routers of a small hall are unreachable, one
-// of the others reads the store and all others follow it.
+// TestSmallHallHasOneReader checks that, whichever routers of a small hall are
+// unreachable, one of the others reads the store and all others follow it.
 func TestSmallHallHasOneReader(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		routers := hall(rapid.IntRange(1, 20).Draw(t, "routers"))
@@ -82,8 +82,8 @@
 	})
 }
 
-// TestReachableHallHasAReader checks that in any combination of states at least one router reads
-// the store if any is reachable.
+// TestReachableHallHasAReader checks that in any combination of states at least one router
+// reads the store if any is reachable.
 func TestReachableHallHasAReader(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		routers := hall(rapid.IntRange(1, 80).Draw(t, "routers"))
@@ -98,8 +98,8 @@
 	})
 }
 
-// TestReadersAreBoundedWhileAllAreStale guards against a stale hall whose routers all read the
-// store at once and overload the link to its region.
+// TestReadersAreBoundedWhileAllAreStale guards against a stale hall whose routers all read
+// the store at once and overload the link to its region.
 func TestReadersAreBoundedWhileAllAreStale(t *testing.T) {
 	routers := hall(30)
 	for i := range routers {
@@ -115,8 +115,8 @@
 	}
 }
 
-// TestRejectedRoutersDoNotDelayTheHall checks that, if the store rejects a third of a hall's
-// routers, another router reads it within 2 s in 97 of 100 halls.
+// TestRejectedRoutersDoNotDelayTheHall checks that, if the store rejects a third of a
+// hall's routers, another router reads it within 2 s in 97 of 100 halls.
 func TestRejectedRoutersDoNotDelayTheHall(t *testing.T) {
 	const halls, sinceData = 1000, 2 * time.Second
 	draw := rand.New(rand.NewPCG(1, 2))
@@ -139,7 +139,8 @@
 	assert.LessOrEqual(t, failed, halls*3/100)
 }
 
-// TestUnregisteredRouterFollows checks that a router decides before its own record is listed.
+// TestUnregisteredRouterFollows checks that a router decides before its own record is
+// listed.
 func TestUnregisteredRouterFollows(t *testing.T) {
 	routers := hall(6)
 	follows := 0
@@ -151,8 +152,8 @@
 	assert.Greater(t, follows, 10)
 }
 
-// TestFanOutIsBounded checks that routers have at most 32 followers on average and none more
-// than 64, and that updates reach each follower over at most one relay.
+// TestFanOutIsBounded checks that routers have at most 32 followers on average and none
+// more than 64, and that updates reach each follower over at most one relay.
 func TestFanOutIsBounded(t *testing.T) {
 	for _, size := range []int{33, 57, 110, 220, 440} {
 		result := decide(hall(size), 0)
@@ -170,7 +171,8 @@
 	}
 }
 
-// TestOnlyRoutersWithWideLinksAreFollowed uses a hall where one router in ten has a wide link.
+// TestOnlyRoutersWithWideLinksAreFollowed uses a hall where one router in ten has a wide
+// link.
 func TestOnlyRoutersWithWideLinksAreFollowed(t *testing.T) {
 	routers := hall(117)
 	wide := map[string]bool{}
@@ -186,8 +188,9 @@
 	}
 }
 
-// TestFollowersReplaceUnreachableRelays checks that every router follows a reachable router
-// that ranks before it, or reads the store, whichever relays and readers are unreachable.
+// TestFollowersReplaceUnreachableRelays checks that every router follows a reachable
+// router that ranks before it, or reads the store, whichever relays and readers are
+// unreachable.
 func TestFollowersReplaceUnreachableRelays(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		routers := hall(117)
--- a/daemon/internal/process/replica/breaker.go
+++ b/daemon/internal/process/replica/breaker.go
@@ -9,9 +9,9 @@
 // It then calls the store itself, because only the prober's own calls may be failing.
 const maxBlock = 2500 * time.Millisecond
 
-// CircuitBreaker is a circuit breaker that the followers of one process share: while one follower
-// probes a store that failed, the others wait for it instead of calling the store too. The
-// zero value is ready to use, and a nil CircuitBreaker never blocks.
+// CircuitBreaker is shared by the followers of one process: while one follower probes a
+// store that failed, the others wait for it instead of calling the store too. The zero value
+// is ready to use, and a nil CircuitBreaker never blocks.
 type CircuitBreaker struct {
 	mu sync.Mutex
 	// prober is the follower whose call failed first, nil while the store answers.
--- a/daemon/internal/process/replica/breaker_test.go
+++ b/daemon/internal/process/replica/breaker_test.go
@@ -14,8 +14,9 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// TestOneFollowerProbesForAllDuringAnOutage checks that followers that share a breaker make
-// far fewer failing calls than independent ones, and all read the store soon after it recovers.
+// TestOneFollowerProbesForAllDuringAnOutage checks that followers that share a breaker
+// make far fewer failing calls than independent ones, and all read the store soon after it
+// recovers.
 func TestOneFollowerProbesForAllDuringAnOutage(t *testing.T) {
 	calls := func(followers int, breaker *replica.CircuitBreaker) int64 {
 		var failed, answered atomic.Int64
--- a/daemon/internal/process/replica/engineconfig_test.go
+++ b/daemon/internal/process/replica/engineconfig_test.go
@@ -11,8 +11,8 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// TestEngineConfigIsThatOfTheService checks that a loader gets its own engine and the origin
-// from a configuration with several services, or an error if either is missing.
+// TestEngineConfigIsThatOfTheService checks that a loader gets its own engine and the
+// origin from a configuration with several services, or an error if either is missing.
 func TestEngineConfigIsThatOfTheService(t *testing.T) {
 	origin := netip.MustParseAddrPort("10.0.0.1:80")
 	engine := provider.Service{Name: "s", Engine: &provider.EngineSpec{Model: "m", Places: 4}}
--- a/daemon/internal/process/replica/follower.go
+++ b/daemon/internal/process/replica/follower.go
@@ -48,7 +48,7 @@
 	Prefix string
 	Table  *Table
 	// WatchWait returns the duration of one watch; nil means 2.5 s. It is unused where
-	// PulseEvery is set.
+	// ProbeInterval is set.
 	WatchWait func() time.Duration
 	// ProbeInterval, if not 0, is the interval at which the store is probed beside a
 	// watch. Watches wait longer then.
@@ -69,26 +69,26 @@
 	// revision; revision 0 asks for the complete replica. On ErrNoPeer the store is
 	// read instead; after any other error QueryPeer is called again. It may be nil.
 	QueryPeer func(ctx context.Context, prefix string, after provider.Revision) (Update, error)
-	// PeerAttempts is the number of consecutive failed calls of Near after which the store
-	// is read once; 0 means 2.
+	// PeerAttempts is the number of consecutive failed calls of QueryPeer after which the
+	// store is read once; 0 means 2.
 	PeerAttempts int
 	// RecheckInterval is the interval of stale lists beside watches or peer queries, which
 	// detect changes that those did not report. 0 means none.
 	RecheckInterval time.Duration
-	// BootstrapPrefixes holds prefixes that are listed in order before anything else: those of the
-	// records by which peers are found.
+	// BootstrapPrefixes holds prefixes that are listed in order before anything else: those
+	// of the records by which peers are found.
 	BootstrapPrefixes []string
-	// BootstrapRecent reports whether the list of a bootstrap prefix is recent enough. While it is
-	// not, the prefix is listed again for up to bootstrapTimeout. Nil means that one
+	// BootstrapRecent reports whether the list of a bootstrap prefix is recent enough. While
+	// it is not, the prefix is listed again for up to bootstrapTimeout. Nil means that one
 	// list suffices.
 	BootstrapRecent func() bool
-	// BootstrapDone reports whether the remaining prefixes of Before can be skipped. Nil means
+	// BootstrapDone reports whether the remaining BootstrapPrefixes can be skipped. Nil means
 	// never.
 	BootstrapDone func() bool
 	// Breaker is shared by the followers of a process; nil means that none is used.
 	Breaker *CircuitBreaker
-	// OnConnectionChange is called with the error when calls to the store begin to fail, and with
-	// nil when the store answers again. It may be nil.
+	// OnConnectionChange is called with the error when calls to the store begin to fail, and
+	// with nil when the store answers again. It may be nil.
 	OnConnectionChange func(prefix string, lost error)
 	// OnBytes is called with the number of bytes of each part of an answer. It may be nil.
 	OnBytes func(bytes int)
@@ -103,7 +103,7 @@
 	// generation changes when the replica is rebuilt. It starts at a random value, so
 	// that peers detect a restart of the process at the same address.
 	generation atomic.Uint64
-	// peerFailures counts the consecutive failed calls of Near.
+	// peerFailures counts the consecutive failed calls of QueryPeer.
 	peerFailures int
 	// hops is the number of daemons between this one and the store.
 	hops atomic.Int64
@@ -148,8 +148,8 @@
 	return f.elapsed() - time.Duration(f.lastAnswer.Load())
 }
 
-// SinceReconnect returns the time since the store last answered after a failure. It returns
-// false if there was no such answer.
+// SinceReconnect returns the time since the store last answered after a failure. It
+// returns false if there was no such answer.
 func (f *Follower) SinceReconnect() (time.Duration, bool) {
 	at := f.reconnectedAt.Load()
 	return f.elapsed() - time.Duration(at), at != 0
@@ -244,7 +244,8 @@
 	f.countBytes(bytes)
 }
 
-// step makes one call to the store: a list if the replica is empty or polled, else a watch.
+// step makes one call to the store: a list if the replica is empty or polled, else a
+// watch.
 func (f *Follower) step(ctx context.Context) error {
 	if f.PollInterval != nil {
 		_, err := f.list(ctx)
--- a/daemon/internal/process/replica/peer.go
+++ b/daemon/internal/process/replica/peer.go
@@ -43,8 +43,8 @@
 type Status struct {
 	// Revision is the revision up to which the replica is complete, or 0.
 	Revision provider.Revision
-	// SinceAnswer is the time since the store last answered completely, and SinceData the time
-	// since a part of an answer last arrived, which is less while a long answer is in
+	// SinceAnswer is the time since the store last answered completely, and SinceData the
+	// time since a part of an answer last arrived, which is less while a long answer is in
 	// progress.
 	SinceAnswer, SinceData time.Duration
 	// Disconnected says that calls to the store fail repeatedly.
@@ -58,8 +58,8 @@
 	Generation uint64
 }
 
-// ReaderMaxStaleness is the maximum time since a daemon that reads the store last received data
-// from it, for its replica to count as current. Such a daemon probes the store each
+// ReaderMaxStaleness is the maximum time since a daemon that reads the store last received
+// data from it, for its replica to count as current. Such a daemon probes the store each
 // second, and pauses after a change.
 const ReaderMaxStaleness = 2 * time.Second
 
@@ -67,8 +67,8 @@
 // state that it reports may be older by this at each hop.
 const HopWait = 500 * time.Millisecond
 
-// MaxStaleness returns the maximum time since data of the store last arrived, for the replica
-// to count as current.
+// MaxStaleness returns the maximum time since data of the store last arrived, for the
+// replica to count as current.
 func (s Status) MaxStaleness() time.Duration {
 	return ReaderMaxStaleness + time.Duration(s.Hops)*HopWait
 }
--- a/daemon/internal/process/replica/peer_test.go
+++ b/daemon/internal/process/replica/peer_test.go
@@ -47,7 +47,8 @@
 	p.update, p.err = update, err
 }
 
-// counts returns the numbers of watches and lists of the store, and of queries of the peer.
+// counts returns the numbers of watches and lists of the store, and of queries of the
+// peer.
 func (p *fakePeer) counts() (watches, lists, queries int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -135,8 +136,8 @@
 	}
 }
 
-// TestOldReplicaIsReplacedCompletely checks that a replica older than the peers' tombstones is
-// not updated incrementally: removals would be missed.
+// TestOldReplicaIsReplacedCompletely checks that a replica older than the peers'
+// tombstones is not updated incrementally: removals would be missed.
 func TestOldReplicaIsReplacedCompletely(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &fakePeer{update: replica.Update{
@@ -169,8 +170,8 @@
 	})
 }
 
-// TestRouterRecordsDoNotMarkTheReplicaAsSynced checks that a version received right after the
-// routers' records, which are read first, still counts as declared earlier.
+// TestRouterRecordsDoNotMarkTheReplicaAsSynced checks that a version received right after
+// the routers' records, which are read first, still counts as declared earlier.
 func TestRouterRecordsDoNotMarkTheReplicaAsSynced(t *testing.T) {
 	compiler := &replica.Compiler{Decode: decode}
 	compiler.Apply([]provider.Entry{entry(t, "m/r", 1, provider.Record{Member: &provider.Member{Name: "r"}})})
@@ -178,9 +179,9 @@
 	assert.True(t, compiler.View().Targets["m"].Initial)
 }
 
-// TestErrorResponsesDoNotCountAsData guards against taking the bytes of an error response as
-// proof of a connection: routers would keep following a reader that the store rejects, and
-// accept keys that were removed.
+// TestErrorResponsesDoNotCountAsData guards against taking the bytes of an error response
+// as proof of a connection: routers would keep following a reader that the store rejects,
+// and accept keys that were removed.
 func TestErrorResponsesDoNotCountAsData(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var rejecting atomic.Bool
@@ -235,8 +236,8 @@
 	})
 }
 
-// TestRecheckFindsChangesThatThePeerMissed checks that a peer with an undetected loss of the
-// store hides a change for one recheck interval only, without watches of the store.
+// TestRecheckFindsChangesThatThePeerMissed checks that a peer with an undetected loss of
+// the store hides a change for one recheck interval only, without watches of the store.
 func TestRecheckFindsChangesThatThePeerMissed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &fakePeer{update: replica.Update{Status: replica.Status{Revision: 5}}}
@@ -262,8 +263,8 @@
 	})
 }
 
-// TestHopsExtendTheAllowedStaleness checks that each daemon between a follower and the store
-// extends the allowed staleness by its wait, and that reading the store resets it.
+// TestHopsExtendTheAllowedStaleness checks that each daemon between a follower and the
+// store extends the allowed staleness by its wait, and that reading the store resets it.
 func TestHopsExtendTheAllowedStaleness(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &fakePeer{update: replica.Update{Status: replica.Status{Revision: 5, Hops: 1}}}
@@ -279,9 +280,9 @@
 	})
 }
 
-// TestBootstrapRepeatsUntilTheListIsRecent checks that a bootstrap prefix is listed again while
-// the list predates this daemon's own record, since it lacks daemons that started at the same
-// time, and that the next prefix is listed only if needed.
+// TestBootstrapRepeatsUntilTheListIsRecent checks that a bootstrap prefix is listed again
+// while the list predates this daemon's own record, since it lacks daemons that started at
+// the same time, and that the next prefix is listed only if needed.
 func TestBootstrapRepeatsUntilTheListIsRecent(t *testing.T) {
 	for name, test := range map[string]struct {
 		listsUntilRecent int
--- a/daemon/internal/process/replica/probe.go
+++ b/daemon/internal/process/replica/probe.go
@@ -76,7 +76,8 @@
 	}
 }
 
-// errMissedChange is the cause for which a watch is canceled that did not deliver a change.
+// errMissedChange is the cause for which a watch is canceled that did not deliver a
+// change.
 var errMissedChange = errors.New("stale list has a change that the watch did not deliver")
 
 // rechecking returns a context for a watch that is canceled when a recheck finds a change
@@ -100,7 +101,8 @@
 }
 
 // recheck lists the prefix periodically until the context ends, and returns the cause for
-// which the watch must be canceled. A failed list is no such cause: the watch may be intact.
+// which the watch must be canceled. A failed list is no such cause: the watch may be
+// intact.
 func (f *Follower) recheck(ctx context.Context) error {
 	for helpers.Pause(f.RecheckInterval, ctx.Done()) {
 		known := f.Revision()
--- a/daemon/internal/process/replica/probe_test.go
+++ b/daemon/internal/process/replica/probe_test.go
@@ -16,8 +16,8 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// quietStore is a store with few changes. It counts the cost of calls, in tenths of that of
-// a watch or a consistent list; a stale list costs one tenth.
+// quietStore is a store with few changes. It counts the cost of calls, in tenths of that
+// of a watch or a consistent list; a stale list costs one tenth.
 type quietStore struct {
 	mu sync.Mutex
 	at provider.Revision
@@ -127,8 +127,8 @@
 	return follower
 }
 
-// TestIdleFollowersCostTheStoreLittle checks that probes make idle following cheaper than a
-// watch each second, while changes still arrive at once.
+// TestIdleFollowersCostTheStoreLittle checks that probes make idle following cheaper than
+// a watch each second, while changes still arrive at once.
 func TestIdleFollowersCostTheStoreLittle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &quietStore{at: 1}
@@ -144,8 +144,8 @@
 	})
 }
 
-// TestDeafWatchIsReplaced checks that a watch that delivers nothing, while the store answers
-// other calls, ends in time.
+// TestDeafWatchIsReplaced checks that a watch that delivers nothing, while the store
+// answers other calls, ends in time.
 func TestDeafWatchIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &quietStore{at: 1, deaf: true}
@@ -195,8 +195,8 @@
 	})
 }
 
-// TestSlowAnswerOfAWatchIsNotCanceled guards against canceling and repeating a watch forever
-// whose large answer takes longer to arrive than the probes' interval.
+// TestSlowAnswerOfAWatchIsNotCanceled guards against canceling and repeating a watch
+// forever whose large answer takes longer to arrive than the probes' interval.
 func TestSlowAnswerOfAWatchIsNotCanceled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &quietStore{at: 1, transfer: 6 * time.Second}
@@ -210,8 +210,9 @@
 	})
 }
 
-// TestRecheckReplacesAnUnansweredWatch guards against a watch that the store never answers,
-// because it was opened during an interruption, and that hides changes for its whole wait.
+// TestRecheckReplacesAnUnansweredWatch guards against a watch that the store never
+// answers, because it was opened during an interruption, and that hides changes for its
+// whole wait.
 func TestRecheckReplacesAnUnansweredWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var at atomic.Uint64
--- a/daemon/internal/process/replica/replica_test.go
+++ b/daemon/internal/process/replica/replica_test.go
@@ -154,8 +154,8 @@
 	require.NoError(t, <-contacts, "one call for the loss, one for the recovery")
 }
 
-// TestHangingWatchTimesOut checks that a store that does not answer counts as disconnected,
-// and that its next answer is applied.
+// TestHangingWatchTimesOut checks that a store that does not answer counts as
+// disconnected, and that its next answer is applied.
 func TestHangingWatchTimesOut(t *testing.T) {
 	s := &scriptedStore{watches: make(chan func() (provider.Listing, error))}
 	contacts := make(chan error, 8)
@@ -231,8 +231,8 @@
 	require.Error(t, changes[1].Err)
 }
 
-// TestInvalidEntryDropsItsUpstream checks that an upstream whose entry was corrupted by another
-// writer is dropped, that others stay, and that its next valid entry restores it.
+// TestInvalidEntryDropsItsUpstream checks that an upstream whose entry was corrupted by
+// another writer is dropped, that others stay, and that its next valid entry restores it.
 func TestInvalidEntryDropsItsUpstream(t *testing.T) {
 	var last replica.EntryChange
 	compiler := &replica.Compiler{
--- a/daemon/internal/process/replica/suspension_test.go
+++ b/daemon/internal/process/replica/suspension_test.go
@@ -28,8 +28,8 @@
 	h.boot += time.Second
 }
 
-// TestReplicaAgesDuringSuspension guards against a replica that counts as current after its
-// host was suspended, because the monotonic clock stood still meanwhile.
+// TestReplicaAgesDuringSuspension guards against a replica that counts as current after
+// its host was suspended, because the monotonic clock stood still meanwhile.
 func TestReplicaAgesDuringSuspension(t *testing.T) {
 	h := &host{steady: time.Second}
 	answered := make(chan struct{})
@@ -56,8 +56,8 @@
 	follower.Stop()
 }
 
-// TestVersionDeadlinesPassDuringSuspension guards against a suspension that extends the use
-// of engines with an old version.
+// TestVersionDeadlinesPassDuringSuspension guards against a suspension that extends the
+// use of engines with an old version.
 func TestVersionDeadlinesPassDuringSuspension(t *testing.T) {
 	h := &host{steady: time.Second}
 	now := h.now()
--- a/daemon/internal/process/replica/table.go
+++ b/daemon/internal/process/replica/table.go
@@ -144,7 +144,8 @@
 	return t.PrefixEntriesAfter("", after)
 }
 
-// PrefixEntriesAfter returns the entries under a prefix above a revision, tombstones included.
+// PrefixEntriesAfter returns the entries under a prefix above a revision, tombstones
+// included.
 func (t *Table) PrefixEntriesAfter(prefix string, after provider.Revision) provider.Listing {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/daemon/internal/process/replica/versionpolicy.go
+++ b/daemon/internal/process/replica/versionpolicy.go
@@ -15,7 +15,8 @@
 	referenceTimeout = 8 * time.Second
 )
 
-// elapsedAt returns the time since a declaration at which left remains of its apply timeout.
+// elapsedAt returns the time since a declaration at which left remains of its apply
+// timeout.
 func elapsedAt(left, applyTimeout time.Duration) time.Duration {
 	if applyTimeout < referenceTimeout {
 		left = time.Duration(float64(left) * float64(applyTimeout) / float64(referenceTimeout))
@@ -28,13 +29,13 @@
 	// MinVersion is the lowest version that may serve, 0 for any.
 	MinVersion int
 	// PreferredVersion is the version below which upstreams are avoided, 0 for none, and
-	// Avoid how strongly: from 0, not at all, to 1.
+	// AvoidWeight how strongly: from 0, not at all, to 1.
 	PreferredVersion int
 	AvoidWeight      float64
 }
 
-// VersionPolicy returns the policy in force for a model's newest declaration and those before
-// it, each of which is to be applied within applyTimeout.
+// VersionPolicy returns the policy in force for a model's newest declaration and those
+// before it, each of which is to be applied within applyTimeout.
 func (d *Declaration) VersionPolicy(now time.Time, applyTimeout time.Duration) VersionPolicy {
 	policy := VersionPolicy{MinVersion: d.MinVersion(now, elapsedAt(cutoff, applyTimeout), applyTimeout)}
 	start, full := elapsedAt(penaltyStart, applyTimeout), elapsedAt(penaltyFull, applyTimeout)
--- a/daemon/internal/process/replica/versionpolicy_test.go
+++ b/daemon/internal/process/replica/versionpolicy_test.go
@@ -11,8 +11,9 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// TestOldVersionsAreAvoidedTowardsTheDeadline checks that upstreams with an old version are
-// avoided increasingly before the deadline of the new one and excluded shortly before it.
+// TestOldVersionsAreAvoidedTowardsTheDeadline checks that upstreams with an old version
+// are avoided increasingly before the deadline of the new one and excluded shortly before
+// it.
 func TestOldVersionsAreAvoidedTowardsTheDeadline(t *testing.T) {
 	const apply = 8 * time.Second
 	declared := time.Unix(1000, 0)
--- a/daemon/internal/process/replica/view.go
+++ b/daemon/internal/process/replica/view.go
@@ -43,7 +43,7 @@
 	// ReceivedAt is when this daemon received the declaration.
 	ReceivedAt time.Time
 	// Initial says that the declaration was part of the first state this daemon received,
-	// so it may be much older than Learned.
+	// so it may be much older than ReceivedAt.
 	Initial bool
 	// Previous is the declaration that this one replaced, if it was received. At most
 	// maxDeclarations are linked.
@@ -110,15 +110,15 @@
 	OnEntryChange func(EntryChange)
 	// OnSuspect takes the routers' notes on quarantined contents. It may be nil.
 	OnSuspect func(note []byte) error
-	// MayHaveExpired reports whether an entry that is removed now may have expired only because
-	// its upstream could not reach the store. Nil means never. Such an upstream stays in
-	// use for expiryGrace, after which the owner of the compiler must call Take.
+	// MayHaveExpired reports whether an entry that is removed now may have expired only
+	// because its upstream could not reach the store. Nil means never. Such an upstream stays
+	// in use for expiryGrace, after which the owner of the compiler must call Apply.
 	MayHaveExpired func() bool
 	// Now is the clock; nil means clock.Now.
 	Now func() time.Time
 
 	view atomic.Pointer[View]
-	// upstreams, targets and members are decoded entries by key. Only Take accesses them.
+	// upstreams, targets and members are decoded entries by key. Only Apply accesses them.
 	upstreams map[string]listed
 	targets   map[string]Declaration
 	members   map[string]*provider.Member
@@ -166,8 +166,8 @@
 }
 
 // Apply compiles changed entries into a new view. A value that cannot be decoded is
-// reported to OnEntryChange. The last valid declaration of an operator stays in force then,
-// while an upstream is dropped.
+// reported to OnEntryChange. The last valid declaration of an operator stays in force
+// then, while an upstream is dropped.
 func (c *Compiler) Apply(changed []provider.Entry) {
 	if c.upstreams == nil {
 		c.upstreams = map[string]listed{}
@@ -285,7 +285,8 @@
 	return upstream || member
 }
 
-// keepExpired keeps an upstream whose entry is removed, if the entry may only have expired.
+// keepExpired keeps an upstream whose entry is removed, if the entry may only have
+// expired.
 func (c *Compiler) keepExpired(key string) {
 	upstream, ok := c.upstreams[key]
 	if ok && !upstream.Leaving && c.MayHaveExpired != nil && c.MayHaveExpired() {
@@ -295,8 +296,8 @@
 
 func (c *Compiler) now() time.Time { return helpers.Now(c.Now) }
 
-// HasExpired reports whether upstreams whose entries expired are in use. It must not be called
-// concurrently with Take.
+// HasExpired reports whether upstreams whose entries expired are in use. It must not be
+// called concurrently with Apply.
 func (c *Compiler) HasExpired() bool { return len(c.expired) > 0 }
 
 // declare links a declaration to the earlier ones, whose deadlines still apply: an engine
