--- a/daemon/internal/process/replica/peer.go
+++ b/daemon/internal/process/replica/peer.go
@@ -20,14 +20,14 @@
 // ErrStale is returned when a peer answers, but its replica is stale.
 var ErrStale = errors.New("replica is stale")
 
-// waitPause is the pause after ErrHold.
+// waitPause is the pause after ErrWait.
 const waitPause = 100 * time.Millisecond
 
 // maxIncrementalAge is the maximum age of a replica that is updated incrementally. An
 // older one is read anew, because peers drop tombstones after tombstoneRetention.
 const maxIncrementalAge = tombstoneRetention / 2
 
-// defaultPeerAttempts is the default of Follower.NearTries. Many daemons of a hall may be
+// defaultPeerAttempts is the default of Follower.PeerAttempts. Many daemons of a hall may be
 // unreachable, and each attempt takes its time to fail.
 const defaultPeerAttempts = 2
 
