--- a/daemon/internal/request/relay/relay.go
+++ b/daemon/internal/request/relay/relay.go
@@ -1,9 +1,9 @@
-// Package relay hands one request to the next hop and streams the answer back.
-// The entry and the agent use the same code, each for its own hop.
+// Package relay sends one request to the next hop and streams the response back. The entry
+// and the agent both use it, each for its own hop.
 //
-// It does little on purpose: no buffering beyond one read, no decompression,
-// no rewriting of bodies. What matters is that it knows whether a failed
-// request can have been seen by the next hop.
+// It buffers no more than one read, and neither decompresses nor rewrites bodies. It reports
+// whether the next hop may have received a request that failed, because only a request that
+// was not received may be retried freely.
 package relay
 
 import (
@@ -20,18 +20,18 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/upstream"
 )
 
-// copyBytes is the size of one read of an answer.
+// copyBytes is the size of one read of a response.
 const copyBytes = 32 << 10
 
 var buffers = sync.Pool{New: func() any { b := make([]byte, copyBytes); return &b }}
 
-// hopHeaders belong to one connection and are not handed on.
+// hopHeaders are the hop-by-hop headers, which are not forwarded.
 var hopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// Hop is one request on its way to the next hop.
+// Hop describes the request to the next hop.
 type Hop struct {
 	Transport *http.Transport
 	Peer      netip.AddrPort
@@ -39,23 +39,23 @@
 	Path string
 	// Header is set on the request over the caller's headers.
 	Header http.Header
-	// Body replaces the caller's body; nil hands that on.
+	// Body replaces the caller's body, nil forwards that.
 	Body io.Reader
-	// ExpectContinue has the peer say that it takes the request before any
-	// byte of the body is read from the caller, so that a refused request
-	// can be sent elsewhere with its body whole.
+	// ExpectContinue makes the peer accept the request before any byte of the body is read
+	// from the caller, so that a refused request can be sent elsewhere with its complete
+	// body.
 	ExpectContinue bool
 }
 
-// Failure says that no answer came.
+// Failure is the error of a request without a response.
 type Failure struct {
 	Peer netip.AddrPort
-	// HandedOver is true when the peer may have seen the request.
+	// HandedOver reports whether the peer may have received the request.
 	HandedOver bool
 	Err        error
 }
 
-// Error names the peer and whether it may have seen the request.
+// Error names the peer and whether it may have received the request.
 func (f *Failure) Error() string {
 	step := "reach"
 	if f.HandedOver {
@@ -67,12 +67,12 @@
 // Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.Err }
 
-// Send hands the request on and returns the answer's head, whose body the
-// caller passes to Copy or closes. The error is a *Failure.
+// Send forwards the request and returns the head of the response. The caller must pass the
+// response to Copy or close its body. The error is a *Failure.
 func Send(ctx context.Context, in *http.Request, hop *Hop) (*http.Response, error) {
 	handedOver := false
 	trace := &httptrace.ClientTrace{
-		// From here on bytes may reach the peer.
+		// Once there is a connection, bytes may reach the peer.
 		GotConn: func(httptrace.GotConnInfo) { handedOver = true },
 	}
 	out, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), in.Method, "http://"+hop.Peer.String()+hop.Path, nil)
@@ -84,7 +84,7 @@
 		out.Header[name] = values
 	}
 	if _, named := out.Header["User-Agent"]; !named {
-		out.Header.Set("User-Agent", "") // else the transport names itself
+		out.Header.Set("User-Agent", "") // otherwise the transport sets its own
 	}
 	setBody(out, in, hop)
 	response, err := hop.Transport.RoundTrip(out)
@@ -109,7 +109,7 @@
 	}
 }
 
-// copyHeader adds the headers that are handed on.
+// copyHeader copies the headers that are forwarded.
 func copyHeader(to, from http.Header) {
 	dropped := strings.Split(from.Get("Connection"), ",")
 	for name, values := range from {
@@ -125,7 +125,7 @@
 	}
 }
 
-// CopyHead writes the answer's status and headers.
+// CopyHead writes the status and headers of the response.
 func CopyHead(w http.ResponseWriter, response *http.Response) {
 	copyHeader(w.Header(), response.Header)
 	w.WriteHeader(response.StatusCode)
@@ -134,10 +134,10 @@
 // errWrite marks an error of the caller's connection.
 var errWrite = errors.New("write to the caller")
 
-// IsCallerGone reports whether Copy failed because the caller left.
+// IsCallerGone reports whether Copy failed because the caller disconnected.
 func IsCallerGone(err error) bool { return errors.Is(err, errWrite) }
 
-// Copy streams the answer's body, each piece as it comes, and closes it.
+// Copy streams the body of the response as it arrives, and closes it.
 func Copy(w http.ResponseWriter, response *http.Response) error {
 	defer func() { _ = response.Body.Close() }()
 	buffer, _ := buffers.Get().(*[]byte)
@@ -149,8 +149,8 @@
 			if _, writeErr := w.Write((*buffer)[:n]); writeErr != nil {
 				return fmt.Errorf("%w: %w", errWrite, writeErr)
 			}
-			// A body of known length needs no flush for its pieces: the
-			// server sends it when the buffer is full or the handler ends.
+			// A body of known length needs no flush: the server writes it when its
+			// buffer is full or the handler returns.
 			if response.ContentLength < 0 && err == nil {
 				_ = controller.Flush()
 			}
@@ -159,7 +159,7 @@
 		case errors.Is(err, io.EOF):
 			return nil
 		case err != nil:
-			return fmt.Errorf("read the answer of %s: %w", response.Request.URL.Host, err)
+			return fmt.Errorf("read response of %s: %w", response.Request.URL.Host, err)
 		}
 	}
 }
--- a/daemon/internal/request/relay/relay_test.go
+++ b/daemon/internal/request/relay/relay_test.go
@@ -18,18 +18,18 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/upstream"
 )
 
-// breaker answers the first request on each connection and drops the
-// connection after it has read a later one, as a server that restarts does.
-type breaker struct {
+// breakingServer answers the first request on each connection, and closes the connection
+// after it has read a second one, like a server that restarts.
+type breakingServer struct {
 	listener net.Listener
 	requests atomic.Int64
 }
 
-func startBreaker(t *testing.T) *breaker {
+func startBreakingServer(t *testing.T) *breakingServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	b := &breaker{listener: listener}
+	b := &breakingServer{listener: listener}
 	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
@@ -43,7 +43,7 @@
 	return b
 }
 
-func (b *breaker) serve(conn net.Conn) {
+func (b *breakingServer) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
 	for first := true; ; first = false {
@@ -64,17 +64,17 @@
 	}
 }
 
-func (b *breaker) address() netip.AddrPort {
+func (b *breakingServer) address() netip.AddrPort {
 	return netip.MustParseAddrPort(b.listener.Addr().String())
 }
 
-// TestTransportNeverReplays covers every method, also those that net/http
-// would send again by itself when a reused connection breaks.
+// TestTransportNeverReplays covers every method, because net/http resends some of them by
+// itself when a reused connection breaks.
 func TestTransportNeverReplays(t *testing.T) {
 	for _, method := range []string{"GET", "HEAD", "OPTIONS", "POST", "PUT", "DELETE"} {
 		for _, body := range []string{"", "credit 5 points"} {
 			t.Run(method+" "+body, func(t *testing.T) {
-				b := startBreaker(t)
+				b := startBreakingServer(t)
 				transport := upstream.NewTransport(nil)
 				defer transport.CloseIdleConnections()
 				send := func() error {
@@ -92,13 +92,13 @@
 				var failure *Failure
 				require.ErrorAs(t, err, &failure)
 				assert.True(t, failure.HandedOver)
-				assert.Equal(t, int64(2), b.requests.Load(), "the broken request reached the peer once")
+				assert.Equal(t, int64(2), b.requests.Load(), "the request that broke reached the peer once")
 			})
 		}
 	}
 }
 
-func TestNeverConnectedIsNotHandedOver(t *testing.T) {
+func TestFailedConnectIsNotReceived(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := netip.MustParseAddrPort(listener.Addr().String())
@@ -121,7 +121,7 @@
 	response, err := Send(t.Context(), in, &Hop{Transport: upstream.NewTransport(nil), Peer: peer, Path: "/", ExpectContinue: true})
 	require.NoError(t, err)
 	_ = response.Body.Close()
-	assert.Equal(t, int(body.Size()), body.Len(), "not one byte was taken from the caller")
+	assert.Equal(t, int(body.Size()), body.Len(), "no byte was read from the caller")
 }
 
 func TestHeaders(t *testing.T) {
@@ -150,7 +150,7 @@
 	assert.Equal(t, "yes", recorder.Header().Get("X-Answer"))
 }
 
-func TestCutAnswerIsAnError(t *testing.T) {
+func TestTruncatedResponseIsAnError(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, "part")
 		_ = http.NewResponseController(w).Flush()
@@ -166,13 +166,13 @@
 	assert.False(t, IsCallerGone(err))
 }
 
-func TestCallerGoneReachesThePeer(t *testing.T) {
-	left := make(chan struct{})
+func TestCallerDisconnectCancelsPeerRequest(t *testing.T) {
+	canceled := make(chan struct{})
 	entered := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		close(entered)
 		<-r.Context().Done()
-		close(left)
+		close(canceled)
 	}))
 	defer server.Close()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -180,5 +180,5 @@
 	hop := &Hop{Transport: upstream.NewTransport(nil), Peer: netip.MustParseAddrPort(server.Listener.Addr().String()), Path: "/"}
 	_, err := Send(ctx, httptest.NewRequest("GET", "/", nil), hop)
 	require.Error(t, err)
-	<-left
+	<-canceled
 }
