--- a/daemon/internal/request/intake/budget.go
+++ b/daemon/internal/request/intake/budget.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// defaultRetryShare is the share of requests that may be tried again.
+	// defaultRetryShare is the default share of requests that may be retried.
 	defaultRetryShare = 0.2
-	// freeRetries is what a service may retry before it has any history.
-	freeRetries = 10.0
-	// maxSaved bounds the retries that a quiet time saves up.
-	maxSaved = 100.0
+	// initialRetries is the number of retries that a service starts with.
+	initialRetries = 10.0
+	// maxTokens bounds the retries that accumulate while few are used.
+	maxTokens = 100.0
 )
 
 // Budgets holds one retry budget per service. The zero value is ready to use.
@@ -30,19 +30,19 @@
 	}
 	budget := b.budgets[service.Name]
 	if budget == nil {
-		budget = &Budget{saved: freeRetries}
+		budget = &Budget{tokens: initialRetries}
 		b.budgets[service.Name] = budget
 	}
 	budget.setShare(service.Service.Limits.RetryShare)
 	return budget
 }
 
-// Budget allows retries as a share of requests: each request saves up a part
-// of a retry, each retry spends a whole one.
+// Budget is a token bucket of retries: each request adds a share of a token, and each retry
+// takes one.
 type Budget struct {
-	mu    sync.Mutex
-	share float64
-	saved float64
+	mu     sync.Mutex
+	share  float64
+	tokens float64
 }
 
 func (b *Budget) setShare(share float64) {
@@ -58,16 +58,16 @@
 func (b *Budget) Request() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.saved = min(b.saved+b.share, maxSaved)
+	b.tokens = min(b.tokens+b.share, maxTokens)
 }
 
-// Retry spends a retry and reports whether there was one.
+// Retry takes a token and reports whether there was one.
 func (b *Budget) Retry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.saved < 1 {
+	if b.tokens < 1 {
 		return false
 	}
-	b.saved--
+	b.tokens--
 	return true
 }
--- a/daemon/internal/request/intake/budget_test.go
+++ b/daemon/internal/request/intake/budget_test.go
@@ -18,7 +18,7 @@
 		}
 		return retries
 	}
-	assert.Equal(t, int(freeRetries), count(), "a fresh service may retry a little")
+	assert.Equal(t, int(initialRetries), count(), "a new service may retry a few requests")
 	assert.Zero(t, count())
 	for range 1000 {
 		budgets.For(service).Request()
@@ -27,5 +27,5 @@
 	for range 1_000_000 {
 		budgets.For(service).Request()
 	}
-	assert.LessOrEqual(t, count(), int(maxSaved), "quiet times save up only so much")
+	assert.LessOrEqual(t, count(), int(maxTokens), "accumulated retries are bounded")
 }
--- a/daemon/internal/request/intake/intake.go
+++ b/daemon/internal/request/intake/intake.go
@@ -1,12 +1,11 @@
-// Package intake takes callers' requests at an entry and sees each through to
-// one final answer.
+// Package intake accepts callers' requests at an entry and proxies each to a host until it
+// has one final response. The entry process registers it on its callers' port.
 //
-// A request is tried at another host only when the first one truly did not run
-// it: the agent refused it, or no connection could be made. Each try elsewhere
-// draws on a budget that is a share of the service's recent requests, so that
-// retries cannot multiply an overload. Only the try after a refusal for the
-// version is free: the host is not loaded, this entry's view of it is old, and
-// while a version changes such refusals come in numbers.
+// A request is retried at another host only if the first one did not run it: the agent
+// refused it, or no connection was made. Retries draw on a budget that is a share of the
+// service's recent requests, so that they cannot multiply an overload. A retry after a
+// version mismatch is free: the host is not overloaded, this entry's view of it is stale,
+// and such refusals are frequent while a version changes.
 package intake
 
 import (
@@ -37,25 +36,24 @@
 )
 
 const (
-	// defaultTimeout is the deadline of a request where nobody names one.
+	// defaultTimeout applies if neither the caller nor the service names one.
 	defaultTimeout = 60 * time.Second
-	// maxTimeout bounds what a caller may ask for.
+	// maxTimeout bounds the timeout that a caller may request.
 	maxTimeout = time.Hour
-	// maxTries bounds the hosts that one request is tried at.
+	// maxTries bounds the hosts that a request is sent to.
 	maxTries = 4
-	// replayBytes is the size up to which a repeatable body is kept for a
-	// second try. Larger ones, and all that may run only once, are held at the
-	// caller until the agent has admitted the request.
+	// replayBytes is the size up to which a repeatable body is buffered for a retry. Larger
+	// bodies, and those of requests that run at most once, are not read from the caller until
+	// the agent has admitted the request.
 	replayBytes = 64 << 10
-	// noUpstreamRetry is the time after which a caller may come back when no
-	// host serves the service.
+	// noUpstreamRetry is the backoff sent to callers when no host serves the service.
 	noUpstreamRetry = time.Second
 )
 
-// pathPrefix is where callers reach services.
+// pathPrefix is the path under which callers reach services.
 const pathPrefix = "/v1/services/"
 
-// Handler is the entry's end of a request's path.
+// Handler serves callers' requests at an entry.
 type Handler struct {
 	Table     *tables.Table
 	Members   *members.Table
@@ -70,7 +68,6 @@
 	metrics handlerMetrics
 }
 
-// handlerMetrics are the handler's counters.
 type handlerMetrics struct {
 	requests tally.Counter
 	retries  tally.Counter
@@ -101,45 +98,45 @@
 	}
 }
 
-// passage is one request on its way through the entry.
-type passage struct {
+// proxyRequest is the state of one request at the entry.
+type proxyRequest struct {
 	handler *Handler
 	w       http.ResponseWriter
 	r       *http.Request
 	id      string
 	service *api.Resource
 	account *api.Resource
-	// once is set for a request that runs at most once.
-	once bool
-	// body is the kept body of a repeatable request, nil where none is kept.
+	// atMostOnce is set for a request that must not run twice.
+	atMostOnce bool
+	// body is the buffered body of a repeatable request, nil if none is buffered.
 	body []byte
 	// tried names the hosts that refused the request.
 	tried []string
-	// again is the host to try next, nil where any may be: it refused the
-	// request for its version and told the one that it serves now.
-	again *route.Choice
+	// corrected is the host to retry next, nil if any may be chosen. It refused the request
+	// for its version and named the one that it serves now.
+	corrected *route.Choice
 }
 
 func (h *Handler) serve(w http.ResponseWriter, r bunrouter.Request) error {
 	started := time.Now()
 	h.metrics.requests.Inc(1)
 	defer func() { h.metrics.seconds.Record(time.Since(started)) }()
-	p := &passage{handler: h, w: w, r: r.Request}
+	p := &proxyRequest{handler: h, w: w, r: r.Request}
 	if refusal := p.admit(r.Param("service"), started); refusal != nil {
 		p.refuse(refusal)
 	}
 	return nil
 }
 
-// refuse gives the final answer of a request that has none from an upstream.
-func (p *passage) refuse(refusal *outcome.Refusal) {
+// refuse writes the final response of a request that has none from an upstream.
+func (p *proxyRequest) refuse(refusal *outcome.Refusal) {
 	p.handler.metrics.outcomes[refusal.Outcome].Inc(1)
-	p.decide("", string(refusal.Outcome), refusal.Error(), 0)
+	p.logDecision("", string(refusal.Outcome), refusal.Error(), 0)
 	refusal.Write(p.w)
 }
 
-// decide logs one decision on the request.
-func (p *passage) decide(host, choice, reason string, candidates int) {
+// logDecision logs one decision on the request.
+func (p *proxyRequest) logDecision(host, choice, reason string, candidates int) {
 	details := map[string]any{"request": p.id, "host": host, "candidates": candidates, "tried": p.tried}
 	if p.service != nil {
 		details["service"] = p.service.Name
@@ -152,9 +149,9 @@
 	})
 }
 
-// admit checks the request and sees it through. A refusal it returns is the
-// final answer, still to be written.
-func (p *passage) admit(service string, now time.Time) *outcome.Refusal {
+// admit validates the request and runs it. A refusal that it returns is the final response
+// and must still be written.
+func (p *proxyRequest) admit(service string, now time.Time) *outcome.Refusal {
 	view := p.handler.Table.View()
 	p.id = p.r.Header.Get(api.HeaderRequestID)
 	if p.id == "" {
@@ -169,7 +166,7 @@
 	if p.service = view.Services[service]; p.service == nil {
 		return outcome.NotRun(http.StatusNotFound, outcome.ReasonNoService, fmt.Sprintf("service %q is not declared", service))
 	}
-	p.once = p.service.Service.NotRepeatable || strings.EqualFold(p.r.Header.Get(api.HeaderRepeatable), "no")
+	p.atMostOnce = p.service.Service.NotRepeatable || strings.EqualFold(p.r.Header.Get(api.HeaderRepeatable), "no")
 	timeout, refusal := p.timeout()
 	if refusal != nil {
 		return refusal
@@ -177,11 +174,11 @@
 	if p.r.ContentLength > p.handler.MaxBodyBytes {
 		return outcome.NotRun(http.StatusRequestEntityTooLarge, outcome.ReasonTooLarge, fmt.Sprintf("the body may take %d bytes", p.handler.MaxBodyBytes))
 	}
-	leave, refusal := p.handler.Accounts.Enter(client, now)
+	release, refusal := p.handler.Accounts.Enter(client, now)
 	if refusal != nil {
 		return refusal
 	}
-	defer leave()
+	defer release()
 	ctx, cancel := context.WithTimeout(p.r.Context(), timeout)
 	defer cancel()
 	return p.run(ctx)
@@ -193,14 +190,14 @@
 	return hex.EncodeToString(id[:])
 }
 
-// timeout returns the request's time: the caller's, else the service's.
-func (p *passage) timeout() (time.Duration, *outcome.Refusal) {
+// timeout returns the caller's timeout, else the service's.
+func (p *proxyRequest) timeout() (time.Duration, *outcome.Refusal) {
 	if text := p.r.Header.Get(api.HeaderTimeout); text != "" {
-		asked, err := time.ParseDuration(text)
-		if err != nil || asked <= 0 {
+		requested, err := time.ParseDuration(text)
+		if err != nil || requested <= 0 {
 			return 0, outcome.NotRun(http.StatusBadRequest, outcome.ReasonMalformed, fmt.Sprintf("%s: %q is not a duration such as \"1.2s\"", api.HeaderTimeout, text))
 		}
-		return min(asked, maxTimeout), nil
+		return min(requested, maxTimeout), nil
 	}
 	if declared := p.service.Service.Limits.Timeout.Std(); declared > 0 {
 		return declared, nil
@@ -208,19 +205,19 @@
 	return defaultTimeout, nil
 }
 
-// run tries hosts until one has the request.
-func (p *passage) run(ctx context.Context) *outcome.Refusal {
+// run sends the request to hosts until one has accepted it.
+func (p *proxyRequest) run(ctx context.Context) *outcome.Refusal {
 	p.r.Body = http.MaxBytesReader(p.w, p.r.Body, p.handler.MaxBodyBytes)
-	if refusal := p.keepBody(); refusal != nil {
+	if refusal := p.bufferBody(); refusal != nil {
 		return refusal
 	}
 	budget := p.handler.Budgets.For(p.service)
 	budget.Request()
 	var last *outcome.Refusal
-	for try := range maxTries {
-		if try > 0 {
+	for attempt := range maxTries {
+		if attempt > 0 {
 			if last.Reason != outcome.ReasonWrongVersion && !budget.Retry() {
-				p.decide("", "no-retry", "the service's retry budget is used up", 0)
+				p.logDecision("", "no-retry", "the service's retry budget is used up", 0)
 				return last
 			}
 			p.handler.metrics.retries.Inc(1)
@@ -229,34 +226,33 @@
 		if !ok {
 			return p.noUpstream(last)
 		}
-		p.decide(choice.Host, "try", choice.Reason, choice.Candidates)
-		refusal, final := p.try(ctx, choice)
+		p.logDecision(choice.Host, "try", choice.Reason, choice.Candidates)
+		refusal, final := p.attempt(ctx, choice)
 		if final {
 			return refusal
 		}
 		last = refusal
-		if p.again == nil {
+		if p.corrected == nil {
 			p.tried = append(p.tried, choice.Host)
 		}
 	}
 	return last
 }
 
-// choose returns the host for the next try, false where there is none.
-func (p *passage) choose() (route.Choice, bool) {
+// choose returns the host for the next attempt, false if there is none.
+func (p *proxyRequest) choose() (route.Choice, bool) {
 	router := p.handler.Router
-	if p.again == nil {
+	if p.corrected == nil {
 		return router.Choose(route.Query{Service: p.service, Members: p.handler.Members.View(), Tried: p.tried})
 	}
-	choice := *p.again
-	p.again = nil
+	choice := *p.corrected
+	p.corrected = nil
 	router.Again(choice)
 	return choice, true
 }
 
-// noUpstream is the answer when no host is left to try: that of the last host
-// that refused, or that there was none.
-func (p *passage) noUpstream(last *outcome.Refusal) *outcome.Refusal {
+// noUpstream returns the response when no host remains to try: the last refusal, if any.
+func (p *proxyRequest) noUpstream(last *outcome.Refusal) *outcome.Refusal {
 	if last != nil {
 		return last
 	}
@@ -264,9 +260,9 @@
 		fmt.Sprintf("no host serves %q now", p.service.Name)).Retry(noUpstreamRetry)
 }
 
-// keepBody reads a small repeatable body, so that it can be sent again.
-func (p *passage) keepBody() *outcome.Refusal {
-	if p.once || p.r.ContentLength <= 0 || p.r.ContentLength > replayBytes {
+// bufferBody reads a small repeatable body, so that it can be sent again.
+func (p *proxyRequest) bufferBody() *outcome.Refusal {
+	if p.atMostOnce || p.r.ContentLength <= 0 || p.r.ContentLength > replayBytes {
 		return nil
 	}
 	body, err := io.ReadAll(p.r.Body)
@@ -277,8 +273,8 @@
 	return nil
 }
 
-// hop describes the way to a chosen host.
-func (p *passage) hop(ctx context.Context, choice route.Choice) *relay.Hop {
+// hop returns the request for a chosen host.
+func (p *proxyRequest) hop(ctx context.Context, choice route.Choice) *relay.Hop {
 	path := strings.TrimPrefix(p.r.URL.RequestURI(), pathPrefix)
 	if slash := strings.IndexByte(path, '/'); slash >= 0 {
 		path = path[slash:]
@@ -290,7 +286,7 @@
 	if deadline, ok := ctx.Deadline(); ok {
 		header.Set(api.HeaderTimeout, time.Until(deadline).Round(time.Millisecond).String())
 	}
-	header["Authorization"] = nil // the account's key ends at the entry
+	header["Authorization"] = nil // the account's key must not leave the entry
 	hop := &relay.Hop{
 		Transport: p.handler.Transport, Peer: choice.Address, Path: gate.PathPrefix + path,
 		Header: header, ExpectContinue: p.body == nil,
@@ -301,13 +297,13 @@
 	return hop
 }
 
-// try sends the request to one host. It reports true when the request has its
-// final answer: written already, or the refusal returned.
-func (p *passage) try(ctx context.Context, choice route.Choice) (*outcome.Refusal, bool) {
+// attempt sends the request to one host. It returns true once the request has its final
+// response: either written already, or the returned refusal.
+func (p *proxyRequest) attempt(ctx context.Context, choice route.Choice) (*outcome.Refusal, bool) {
 	router := p.handler.Router
 	response, err := relay.Send(ctx, p.r, p.hop(ctx, choice))
 	if err != nil {
-		return p.sendFailed(ctx, choice, err)
+		return p.handleSendError(ctx, choice, err)
 	}
 	if inFlight, err := strconv.Atoi(response.Header.Get(gate.HeaderInFlight)); err == nil {
 		router.Report(choice.Host, inFlight)
@@ -317,7 +313,7 @@
 	case api.OutcomeNotRun:
 		_ = response.Body.Close()
 		router.Done(choice.Host, route.ResultRefused)
-		p.again = corrected(choice, response.Header.Get(gate.HeaderServes))
+		p.corrected = correctedChoice(choice, response.Header.Get(gate.HeaderServes))
 		return refusalOf(response, choice), false
 	case api.OutcomeDone:
 		p.stream(response, choice, route.ResultAnswered)
@@ -327,7 +323,7 @@
 	return nil, true
 }
 
-func (p *passage) sendFailed(ctx context.Context, choice route.Choice, err error) (*outcome.Refusal, bool) {
+func (p *proxyRequest) handleSendError(ctx context.Context, choice route.Choice, err error) (*outcome.Refusal, bool) {
 	callerGone := p.r.Context().Err() != nil
 	result := route.ResultFailed
 	if callerGone {
@@ -343,19 +339,19 @@
 	return refusal, final
 }
 
-// corrected returns the choice with the version that the host told, nil where
-// it told none or the one that it was asked for.
-func corrected(choice route.Choice, serves string) *route.Choice {
+// correctedChoice returns the choice with the version that the host named, nil if it named
+// none or the one that was requested.
+func correctedChoice(choice route.Choice, serves string) *route.Choice {
 	if serves == "" || serves == choice.Manifest {
 		return nil
 	}
 	choice.Manifest = serves
-	choice.Reason = "the host serves another version than its last heartbeat said"
+	choice.Reason = "the host serves another version than in its last heartbeat"
 	return &choice
 }
 
-// refusalOf turns an agent's refusal into one of this entry, should it become
-// the final answer.
+// refusalOf converts an agent's refusal into one of this entry, in case it becomes the final
+// response.
 func refusalOf(response *http.Response, choice route.Choice) *outcome.Refusal {
 	reason := outcome.Reason(response.Header.Get(outcome.HeaderReason))
 	refusal := outcome.NotRun(http.StatusServiceUnavailable, reason, fmt.Sprintf("host %s refused it (%s)", choice.Host, reason))
@@ -365,11 +361,11 @@
 	return refusal.Retry(noUpstreamRetry)
 }
 
-// stream writes an answer as it comes. An answer that breaks off ends the
-// caller's connection, so that nobody takes the part for the whole.
-func (p *passage) stream(response *http.Response, choice route.Choice, result route.Result) {
+// stream writes a response as it arrives. If it is truncated, the caller's connection is
+// closed, so that the caller does not take it for complete.
+func (p *proxyRequest) stream(response *http.Response, choice route.Choice, result route.Result) {
 	_ = http.NewResponseController(p.w).EnableFullDuplex()
-	p.w.Header().Del(api.HeaderRequestID) // the answer carries it
+	p.w.Header().Del(api.HeaderRequestID) // the response carries it
 	response.Header.Set(api.HeaderRequestID, p.id)
 	relay.CopyHead(p.w, response)
 	err := relay.Copy(p.w, response)
@@ -383,7 +379,7 @@
 	p.handler.Router.Done(choice.Host, result)
 	if err != nil {
 		p.handler.metrics.cut.Inc(1)
-		p.decide(choice.Host, "cut", err.Error(), choice.Candidates)
+		p.logDecision(choice.Host, "cut", err.Error(), choice.Candidates)
 		panic(http.ErrAbortHandler)
 	}
 	o := api.Outcome(response.Header.Get(api.HeaderOutcome))
--- a/daemon/internal/request/intake/intake_test.go
+++ b/daemon/internal/request/intake/intake_test.go
@@ -27,35 +27,34 @@
 
 const testKey = "secret"
 
-// changedHost is an agent that serves another version than its last heartbeat
-// said.
+// changedHost is an agent that serves another version than in its last heartbeat.
 type changedHost struct {
 	*httptest.Server
 	gate *gate.Gate
-	// asked lists the versions that requests were routed for.
-	asked []string
+	// requested lists the versions that requests were routed for.
+	requested []string
 }
 
 func startChangedHost(t *testing.T, name string) *changedHost {
 	t.Helper()
 	h := &changedHost{gate: &gate.Gate{}}
 	mux := http.NewServeMux()
-	handler := &gate.Handler{Gate: h.gate, Name: name, Transport: &http.Transport{}, Telemetry: quiet(t)}
+	handler := &gate.Handler{Gate: h.gate, Name: name, Transport: &http.Transport{}, Telemetry: silentTelemetry(t)}
 	handler.Register(mux)
 	upstream := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }))
 	t.Cleanup(upstream.Close)
 	handler.Upstream = address(t, upstream)
 	h.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		h.asked = append(h.asked, r.Header.Get(gate.HeaderManifest))
+		h.requested = append(h.requested, r.Header.Get(gate.HeaderManifest))
 		mux.ServeHTTP(w, r)
 	}))
 	t.Cleanup(h.Close)
 	return h
 }
 
-// TestAHostThatChangedIsAskedAgain: every host is a version ahead of what the
-// entry knows; the request is answered, by the version that the host told.
-func TestAHostThatChangedIsAskedAgain(t *testing.T) {
+// TestRetriesChangedHostWithItsVersion: a stale view of the version must not fail the request
+// while the host names the version that it serves.
+func TestRetriesChangedHostWithItsVersion(t *testing.T) {
 	host := startChangedHost(t, "a")
 	host.gate.Open(gate.Serving{Services: []string{"s"}, Manifest: "v2"})
 	caller := startIntake(t, &wire.Member{Name: "a", Address: address(t, host.Server).String(), ReadyService: "s", ReadyManifest: "v1", Incarnation: 1})
@@ -63,13 +62,12 @@
 	response := get(t, caller)
 	assert.Equal(t, http.StatusOK, response.StatusCode)
 	assert.Equal(t, "v2", response.Header.Get(api.HeaderVersion))
-	assert.Empty(t, response.Header.Get(gate.HeaderServes), "for entries only")
-	assert.Equal(t, []string{"v1", "v2"}, host.asked)
+	assert.Empty(t, response.Header.Get(gate.HeaderServes), "this header is for entries only")
+	assert.Equal(t, []string{"v1", "v2"}, host.requested)
 }
 
-// TestAHostThatIsChangingIsLeft: while it admits nothing there is no version to
-// come back with.
-func TestAHostThatIsChangingIsLeft(t *testing.T) {
+// TestDoesNotRetryClosedHost: a host that admits nothing names no version to retry with.
+func TestDoesNotRetryClosedHost(t *testing.T) {
 	host := startChangedHost(t, "a")
 	host.gate.Open(gate.Serving{Services: []string{"s"}, Manifest: "v2"})
 	require.NoError(t, host.gate.Close(t.Context()))
@@ -79,21 +77,21 @@
 	assert.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
 	assert.Equal(t, string(api.OutcomeNotRun), response.Header.Get(api.HeaderOutcome))
 	assert.NotEmpty(t, response.Header.Get("Retry-After"))
-	assert.Equal(t, []string{"v1"}, host.asked)
+	assert.Equal(t, []string{"v1"}, host.requested)
 }
 
-// TestOldViewsDrawOnNoBudget: a change of version refuses more requests at first
-// than the retry budget would allow to try again.
-func TestOldViewsDrawOnNoBudget(t *testing.T) {
+// TestVersionMismatchIsNotChargedToBudget: a change of version causes more refusals than the
+// retry budget allows to retry.
+func TestVersionMismatchIsNotChargedToBudget(t *testing.T) {
 	host := startChangedHost(t, "a")
 	host.gate.Open(gate.Serving{Services: []string{"s"}, Manifest: "v2"})
 	caller := startIntake(t, &wire.Member{Name: "a", Address: address(t, host.Server).String(), ReadyService: "s", ReadyManifest: "v1", Incarnation: 1})
-	for range 3 * int(freeRetries) {
+	for range 3 * int(initialRetries) {
 		assert.Equal(t, http.StatusOK, get(t, caller).StatusCode)
 	}
 }
 
-// startIntake starts an entry's end of the path that knows the given hosts.
+// startIntake starts a handler whose member table holds the given hosts.
 func startIntake(t *testing.T, hosts ...*wire.Member) *httptest.Server {
 	t.Helper()
 	sum := sha256.Sum256([]byte(testKey))
@@ -107,7 +105,7 @@
 	router := bunrouter.New()
 	(&Handler{
 		Table: table, Members: known, Router: &route.Router{}, Accounts: &account.Limiter{}, Budgets: &Budgets{},
-		Transport: &http.Transport{}, Telemetry: quiet(t), MaxBodyBytes: 1 << 20,
+		Transport: &http.Transport{}, Telemetry: silentTelemetry(t), MaxBodyBytes: 1 << 20,
 	}).Register(router)
 	server := httptest.NewServer(router)
 	t.Cleanup(server.Close)
@@ -139,9 +137,9 @@
 	return server.Listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-func quiet(t *testing.T) *telemetry.Telemetry {
+func silentTelemetry(t *testing.T) *telemetry.Telemetry {
 	t.Helper()
-	quiet, err := telemetry.New(telemetry.Options{Level: "error", Output: io.Discard})
+	silentTelemetry, err := telemetry.New(telemetry.Options{Level: "error", Output: io.Discard})
 	require.NoError(t, err)
-	return quiet
+	return silentTelemetry
 }
