--- a/daemon/internal/request/dispatch/admit.go
+++ b/daemon/internal/request/dispatch/admit.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	// defaultDeadline holds for callers that name none.
+	// defaultDeadline applies to callers that declare none.
 	defaultDeadline = time.Minute
-	// longestDeadline is the longest time that a caller may name.
-	longestDeadline = time.Hour
-	// defaultMaxBody bounds a body where the configuration does not.
+	// maxDeadline is the longest time that a caller may declare.
+	maxDeadline = time.Hour
+	// defaultMaxBody bounds a body, in bytes, if the configuration does not.
 	defaultMaxBody = 4 << 20
-	// bodyTimeout bounds the time in which a body arrives.
+	// bodyTimeout limits the time in which a body must arrive.
 	bodyTimeout = 10 * time.Second
 )
 
-// admit finds the route and the account, reads the body, and sets the deadline.
-// Where it returns false the request has its answer.
+// admit resolves the route and the account, reads the body, and sets the deadline. If it
+// returns false, the request has been answered.
 func (q *request) admit() bool {
 	if q.view.Configuration == nil {
 		q.refuse(admission.NotReady, "no configuration is known yet")
@@ -42,15 +42,15 @@
 	if !q.readBody() {
 		return false
 	}
-	q.story.Content = q.contentName()
-	if q.Admit != nil && q.Admit(q.story.Content) == quarantine.Held {
-		q.hold()
+	q.trace.Content = q.contentName()
+	if q.Admit != nil && q.Admit(q.trace.Content) == quarantine.Held {
+		q.refuseQuarantined()
 		return false
 	}
-	q.deadline = q.story.Started.Add(min(q.callerPatience(), q.routePatience()))
-	q.story.Left, q.story.Returned = q.callerStanding()
+	q.deadline = q.trace.Started.Add(min(q.callerTimeout(), q.routeTimeout()))
+	q.trace.Left, q.trace.Returned = q.retryState()
 	q.rank, q.ranks = q.view.Rank(q.service.Name, q.route, q.account)
-	q.priority = q.priorityOf()
+	q.priority = q.queuePriority()
 	return true
 }
 
@@ -62,10 +62,10 @@
 	path, _, _ := strings.Cut(q.RequestURI, "?")
 	q.route = q.view.Route(host, path)
 	if q.route != nil {
-		q.story.Route = q.route.Name
+		q.trace.Route = q.route.Name
 		return true
 	}
-	q.rejectUnknown(http.StatusNotFound, "no route")
+	q.rejectUnknown(http.StatusNotFound, "no matching route")
 	return false
 }
 
@@ -76,7 +76,7 @@
 		q.account = q.view.Account(strings.TrimSpace(key))
 	}
 	if q.account != nil {
-		q.story.Account = q.account.Name
+		q.trace.Account = q.account.Name
 		return true
 	}
 	if q.route.Public || !q.view.HasAccounts() {
@@ -86,18 +86,19 @@
 	return false
 }
 
-// rejectUnknown answers for a route or key that is not in the configuration. A
-// configuration that may be out of date is no ground for a final no.
+// rejectUnknown answers a request whose route or key is not in the configuration. It only
+// refuses if the configuration may be out of date, so that a new route or key is not
+// rejected for good.
 func (q *request) rejectUnknown(status int, cause string) {
 	if q.Stale() {
-		q.story.Stale = true
+		q.trace.Stale = true
 		q.refuse(admission.NotReady, cause+" in a configuration that may be out of date")
 		return
 	}
 	q.reject(status, cause)
 }
 
-// findService draws one of the route's services by weight.
+// findService picks one of the route's services at random, by weight.
 func (q *request) findService() {
 	total := 0
 	for _, share := range q.route.Shares {
@@ -112,10 +113,10 @@
 		}
 		draw -= max(share.Weight, 0)
 	}
-	q.story.Service = name
+	q.trace.Service = name
 	q.service = q.view.Service(name)
 	if q.service == nil {
-		q.service = &provider.Service{Name: name} // known by its upstreams only
+		q.service = &provider.Service{Name: name} // not declared, but may have upstreams
 	}
 }
 
@@ -125,62 +126,62 @@
 		limit = defaultMaxBody
 	}
 	_ = http.NewResponseController(q.writer).SetReadDeadline(time.Now().Add(bodyTimeout))
-	q.reading = &holding.Body{Reader: http.MaxBytesReader(q.writer, q.Body, limit), Budget: &q.Holding}
-	body, err := io.ReadAll(q.reading)
+	q.bodyReader = &holding.Body{Reader: http.MaxBytesReader(q.writer, q.Body, limit), Budget: &q.Holding}
+	body, err := io.ReadAll(q.bodyReader)
 	_ = http.NewResponseController(q.writer).SetReadDeadline(time.Time{})
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		q.reject(http.StatusRequestEntityTooLarge, "the body is too large")
+		q.reject(http.StatusRequestEntityTooLarge, "request body is too large")
 		return false
 	case errors.Is(err, holding.ErrFull):
 		q.refuse(admission.EnginesFull, err.Error())
 		return false
 	case err != nil:
-		q.end(EndLeft, 0, "the body did not arrive: "+err.Error())
+		q.setOutcome(EndLeft, 0, "request body did not arrive: "+err.Error())
 		panic(http.ErrAbortHandler)
 	}
 	q.body = body
 	return true
 }
 
-// contentName names what is asked for.
+// contentName identifies what is requested.
 func (q *request) contentName() content.Name {
 	return content.Request{
 		Account: q.accountName(), Method: q.Method, Host: q.Host, Target: q.RequestURI, Body: q.body,
 	}.Name()
 }
 
-// callerPatience is the time that the caller waits.
-func (q *request) callerPatience() time.Duration {
-	if told, ok := q.toldPatience(); ok {
-		return told
+// callerTimeout returns how long the caller waits.
+func (q *request) callerTimeout() time.Duration {
+	if declared, ok := q.declaredTimeout(); ok {
+		return declared
 	}
 	return defaultDeadline
 }
 
-// toldPatience is the time that the caller says it waits, false where it says none or one
-// that no caller can mean.
-func (q *request) toldPatience() (time.Duration, bool) {
+// declaredTimeout returns how long the caller says it waits, false if it says nothing or an
+// invalid time.
+func (q *request) declaredTimeout() (time.Duration, bool) {
 	ms, err := strconv.ParseFloat(q.Header.Get(q.Headers.Deadline), 64)
-	if err != nil || !(ms > 0 && ms <= float64(longestDeadline/time.Millisecond)) {
+	if err != nil || !(ms > 0 && ms <= float64(maxDeadline/time.Millisecond)) {
 		return 0, false
 	}
 	return time.Duration(ms * float64(time.Millisecond)), true
 }
 
-// callerStanding is the time that the caller says it has left, 0 where it does not, and
-// whether it was likely refused before.
-func (q *request) callerStanding() (left time.Duration, returned bool) {
-	left, told := q.toldPatience()
-	if !told {
+// retryState returns the remaining time that the caller declared, 0 if none, and whether the
+// request is probably a retry after a refusal.
+func (q *request) retryState() (remaining time.Duration, retried bool) {
+	remaining, declared := q.declaredTimeout()
+	if !declared {
 		return 0, false
 	}
-	return left, q.Callers.Returned(admission.Seen{Route: q.route.Name, Left: left, Most: q.route.Timeout})
+	return remaining, q.Callers.Returned(admission.Seen{Route: q.route.Name, Left: remaining, Most: q.route.Timeout})
 }
 
-// routePatience is the time that the operator wants the request held.
-func (q *request) routePatience() time.Duration {
+// routeTimeout returns how long the route lets a request take.
+func (q *request) routeTimeout() time.Duration {
 	if q.route.Timeout <= 0 {
 		return defaultDeadline
 	}
--- a/daemon/internal/request/dispatch/budget.go
+++ b/daemon/internal/request/dispatch/budget.go
@@ -8,23 +8,22 @@
 )
 
 const (
-	// budgetParts is the number of parts that the window is counted in.
-	budgetParts = 10
-	// budgetMargin is the part of the allowance that is spent: the windows of
-	// processes are not aligned, and the count of members lags.
+	// budgetBuckets is the number of buckets that the window is counted in.
+	budgetBuckets = 10
+	// budgetMargin is the part of the allowance that is used, because the windows of the
+	// processes are not aligned and the count of members lags.
 	budgetMargin = 0.7
 )
 
-// Budget allows second sends as a share of each service's requests and a fixed
-// number, over a sliding window and all processes together. This process spends
-// from its own requests and its part of the fixed number. The zero value allows
-// none.
+// Budget limits retries to a share of each service's requests plus a fixed number, over a
+// sliding window and all processes together. This process counts its own requests and gets
+// an equal part of the fixed number. The zero value allows none.
 type Budget struct {
-	// Ratio, Slack and Window are the bounds that hold for all processes.
+	// Ratio, Slack and Window are the limits for all processes together.
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
-	// Processes returns how many share the budget.
+	// Processes returns how many processes share the budget.
 	Processes func() int
 	// Now is the clock; nil means clock.Now.
 	Now func() time.Time
@@ -33,13 +32,13 @@
 	services map[string]*usage
 }
 
-// usage counts one service's requests and second sends in parts of the window.
+// usage counts one service's requests and retries in buckets of the window.
 type usage struct {
-	requests, repeats [budgetParts]int
-	part              int64
+	requests, retries [budgetBuckets]int
+	bucket            int64
 }
 
-// SetBounds takes changed bounds.
+// SetBounds replaces the limits.
 func (b *Budget) SetBounds(ratio, slack float64, window time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -51,30 +50,30 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	u := b.current(service)
-	u.requests[u.part%budgetParts]++
+	u.requests[u.bucket%budgetBuckets]++
 }
 
-// Take allows one second send and counts it, or reports false.
+// Take reports whether one more retry is allowed, and counts it if so.
 func (b *Budget) Take(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	u := b.current(service)
-	if float64(sum(u.repeats))+1 > b.allowed(u) {
+	if float64(sum(u.retries))+1 > b.limit(u) {
 		return false
 	}
-	u.repeats[u.part%budgetParts]++
+	u.retries[u.bucket%budgetBuckets]++
 	return true
 }
 
-// Left returns how many second sends are left, for logs and metrics.
+// Left returns the remaining number of retries.
 func (b *Budget) Left(service string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	u := b.current(service)
-	return b.allowed(u) - float64(sum(u.repeats))
+	return b.limit(u) - float64(sum(u.retries))
 }
 
-func (b *Budget) allowed(u *usage) float64 {
+func (b *Budget) limit(u *usage) float64 {
 	processes := 1
 	if b.Processes != nil {
 		processes = max(b.Processes(), 1)
@@ -82,32 +81,32 @@
 	return budgetMargin * (b.Ratio*float64(sum(u.requests)) + b.Slack/float64(processes))
 }
 
-// current returns a service's counts with the parts that have passed emptied.
+// current returns a service's counts after clearing the buckets that have expired.
 func (b *Budget) current(service string) *usage {
 	if b.services == nil {
 		b.services = map[string]*usage{}
 	}
 	now := int64(0)
 	if b.Window > 0 {
-		now = helpers.Now(b.Now).UnixNano() / int64(b.Window/budgetParts)
+		now = helpers.Now(b.Now).UnixNano() / int64(b.Window/budgetBuckets)
 	}
 	u := b.services[service]
 	if u == nil {
-		u = &usage{part: now}
+		u = &usage{bucket: now}
 		b.services[service] = u
 	}
-	for passed := 0; u.part < now && passed < budgetParts; passed++ {
-		u.part++
-		u.requests[u.part%budgetParts] = 0
-		u.repeats[u.part%budgetParts] = 0
+	for cleared := 0; u.bucket < now && cleared < budgetBuckets; cleared++ {
+		u.bucket++
+		u.requests[u.bucket%budgetBuckets] = 0
+		u.retries[u.bucket%budgetBuckets] = 0
 	}
-	u.part = max(u.part, now)
+	u.bucket = max(u.bucket, now)
 	return u
 }
 
-func sum(parts [budgetParts]int) int {
+func sum(buckets [budgetBuckets]int) int {
 	total := 0
-	for _, n := range parts {
+	for _, n := range buckets {
 		total += n
 	}
 	return total
--- a/daemon/internal/request/dispatch/budget_test.go
+++ b/daemon/internal/request/dispatch/budget_test.go
@@ -10,12 +10,12 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/dispatch"
 )
 
-func TestBudgetOfNothingIsNothing(t *testing.T) {
+func TestZeroBudgetAllowsNothing(t *testing.T) {
 	assert.False(t, (&dispatch.Budget{}).Take("s"))
 }
 
-// TestBudgetHoldsForAllProcesses: whatever each process sees, all of them
-// together stay within the ratio and the slack.
+// TestBudgetHoldsForAllProcesses: all processes together stay within the ratio and the slack,
+// however the requests are spread among them.
 func TestBudgetHoldsForAllProcesses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		processes := rapid.IntRange(1, 12).Draw(t, "processes")
@@ -38,16 +38,16 @@
 	})
 }
 
-func TestServicesHaveTheirOwn(t *testing.T) {
+func TestServicesHaveSeparateBudgets(t *testing.T) {
 	budget := &dispatch.Budget{Slack: 2, Window: time.Hour}
 	assert.True(t, budget.Take("a"))
 	assert.False(t, budget.Take("a"))
 	assert.True(t, budget.Take("b"))
 }
 
-// TestASuspensionPassesTheWindow: what was sent before the host was suspended is as long ago
-// for the upstreams as it was.
-func TestASuspensionPassesTheWindow(t *testing.T) {
+// TestSuspensionCountsTowardsWindow: time that passed while the host was suspended ages the
+// counted retries.
+func TestSuspensionCountsTowardsWindow(t *testing.T) {
 	now := time.Unix(1000, 0)
 	budget := &dispatch.Budget{Slack: 10, Window: 10 * time.Second, Now: func() time.Time { return now }}
 	taken := 0
--- a/daemon/internal/request/dispatch/candidates.go
+++ b/daemon/internal/request/dispatch/candidates.go
@@ -7,12 +7,12 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// errNoHome says that upstreams of the service stand only where the request must not run.
-var errNoHome = fmt.Errorf("%w in the regions that the request may run in", errNoneFit)
+// errNoRegion means that the service has upstreams only where the request must not run.
+var errNoRegion = fmt.Errorf("%w in the regions that are allowed for the request", errNoUpstream)
 
-// candidates returns the upstreams at which the request may run, for its first send and for
-// every other. The newest view counts: an upstream may have left since the request came in,
-// or its hall may have been evacuated.
+// candidates returns the upstreams at which the request may run. Each send uses the newest
+// view, because an upstream may have left or its hall may have been evacuated since the
+// request arrived.
 func (q *request) candidates() ([]*provider.Upstream, error) {
 	all := q.View().Upstreams[q.service.Name]
 	rule := q.residency()
@@ -26,7 +26,7 @@
 		}
 	}
 	if len(allowed) == 0 && len(all) > 0 {
-		return nil, errNoHome
+		return nil, errNoRegion
 	}
 	return allowed, nil
 }
--- a/daemon/internal/request/dispatch/dispatch.go
+++ b/daemon/internal/request/dispatch/dispatch.go
@@ -1,12 +1,15 @@
-// Package dispatch takes callers' requests and sees each to its one answer.
+// Package dispatch answers callers' requests by sending them to upstreams.
 //
-// A request is admitted (admit.go), sent to an upstream and, where its mode and
-// what is known of the send allow it, to another (dispatch.go), and answered,
-// as a whole (answer.go) or as a stream that may go on at another upstream
-// (stream.go). What may be sent again is decided in one place, mayRepeat.
+// A request is admitted (admit.go), sent to an upstream (send.go) and, if its route's mode
+// and the result of the send allow it, retried at another (dispatch.go). The response is
+// forwarded buffered (response.go) or as a stream that may resume at another upstream
+// (stream.go, resume.go). Package router calls it once per request. A place is an
+// execution slot of an engine.
 //
-// Waiting in a queue of our own was rejected: the upstreams' queues already
-// order by priority, see every process's requests, and refuse with a promise.
+// Each request gets exactly one response, and mayRetry alone decides what may be sent
+// again. The router has no queue of its own: the upstreams' queues already order the
+// requests of all routers by priority, and refuse with the promise that a request did not
+// run.
 package dispatch
 
 import (
@@ -32,85 +35,88 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// Dispatcher answers requests. All fields must be set.
+// Dispatcher answers requests. All fields must be set, except those that may be nil.
 type Dispatcher struct {
 	Headers provider.Headers
 	Client  *exchange.Client
 	Pool    *balance.Pool
 	Budget  *Budget
 	Pace    *Pace
-	// Callers tells which requests come back after a refusal.
+	// Callers recognises retries of refused requests.
 	Callers *admission.Callers
-	// View returns what is in force, Stale whether it may be out of date.
+	// View returns the configuration and the upstreams in force, and Stale reports whether
+	// they may be out of date.
 	View  func() *mirror.View
 	Stale func() bool
-	// Holding bounds the bytes that are held for callers and upstreams that are slow.
+	// Holding bounds the bytes that are buffered for slow callers and upstreams.
 	Holding holding.Budget
-	// Region returns the region of a data hall, "" where it is not known. It may be nil.
+	// Region returns the region of a data hall, "" if unknown. It may be nil.
 	Region func(hall string) string
-	// Demand says on which versions of a model requests may run.
+	// Demand returns the versions of a model on which requests may run.
 	Demand func(declared *mirror.Declared) mirror.Demand
-	// AskPlace asks the loader beside an engine for a place there. An error says
-	// that it did not answer. Nil means that there are no loaders.
+	// AskPlace requests a place from an engine's loader. An error means that the loader did
+	// not answer. Nil means that there are no loaders.
 	AskPlace func(ctx context.Context, engine *provider.Upstream, limit places.Limit) (places.Load, bool, error)
-	// Heard is told what each answer says of its upstream's limit.
+	// Heard is called with what each response says about its upstream's rate limit. It may
+	// be nil.
 	Heard func(Heard)
-	// Allow reports whether a request may go to an upstream now that no loader has given a
-	// place at, by this router's share of the upstream's limit, and counts it. Else it returns
-	// after what time to ask again. Both may be nil.
+	// Allow reports whether this router's share of an upstream's rate limit admits a request
+	// that no loader gave a place, and counts the request. If it does not, it returns how
+	// long to wait before asking again. It may be nil.
 	Allow func(upstream *provider.Upstream, door Door) (time.Duration, bool)
-	// Broke is told of each send whose connection broke, before the request is sent again.
+	// Broke is called for each send whose connection broke, before the request is retried.
 	// It may be nil.
 	Broke func(Break)
-	// Admit says what may be done with a content under which upstreams ended, as a request
-	// comes, and Judge the same of one that was let in. Whole is told of each content that
-	// was answered whole. All may be nil.
+	// Admit returns the quarantine verdict on the content of an arriving request, and Judge
+	// the one on the content of an admitted request. Whole is called for each content that
+	// got a complete response. All may be nil.
 	Admit, Judge func(content.Name) quarantine.Verdict
 	Whole        func(content.Name)
-	// Over is closed shortly before a process that stops cuts its callers. Nil means never.
+	// Over is closed shortly before a stopping process closes its callers' connections. Nil
+	// means never.
 	Over <-chan struct{}
-	// Report is told once of each request that ended.
+	// Report is called once for each request that ended.
 	Report func(*Story)
 }
 
-// Heard is what an answer says of its upstream's limit.
+// Heard is what a response says about its upstream's rate limit.
 type Heard struct {
 	Request  string
 	Upstream *provider.Upstream
-	// Sent is when the request went out.
+	// Sent is when the request was sent.
 	Sent time.Time
 	Said ratelimit.Said
 }
 
-// Story is what happened to one request, for logs and metrics.
+// Story records one request for logs and metrics.
 type Story struct {
 	ID, Route, Service, Account string
-	// Content names what was asked for; it is the same each time the caller comes back.
+	// Content identifies what was requested; a retry by the caller has the same content.
 	Content content.Name
 	Started time.Time
-	// FirstByte is when the answer's head went out; zero if none did.
+	// FirstByte is when the head of the response was written, zero if none was.
 	FirstByte time.Time
 	Status    int
 	Outcome   Ending
 	Cause     string
 	Tries     []Try
-	// Returned says that the caller was likely refused before.
+	// Returned reports whether the request is probably a retry after a refusal.
 	Returned bool
-	// Left is the time that the caller said it had left, 0 where it did not.
+	// Left is the remaining time that the caller declared, 0 if it declared none.
 	Left time.Duration
-	// RetryAfter is when the caller was told to come back, 0 where it was not.
+	// RetryAfter is the backoff that was sent to the caller, 0 if none was.
 	RetryAfter time.Duration
-	// Asked are the questions for a place at an engine.
+	// Asked lists the requests for a place at an engine.
 	Asked []Asked
-	// Configuration is the revision that the request was decided by, and Stale
-	// says that it may have been out of date.
+	// Configuration is the revision by which the request was decided, and Stale reports
+	// whether it may have been out of date.
 	Configuration provider.Revision
 	Stale         bool
-	// BudgetLeft is how many second sends this process had left for the service.
+	// BudgetLeft is what remained of this process's retry budget for the service.
 	BudgetLeft float64
 }
 
-// Try is one send.
+// Try is one send of a request to an upstream.
 type Try struct {
 	Upstream string         `json:"upstream"`
 	Address  netip.AddrPort `json:"address"`
@@ -118,53 +124,54 @@
 	Took     time.Duration  `json:"took"`
 	Fate     string         `json:"fate"`
 	Cause    string         `json:"cause,omitempty"`
-	// BrokenBy says who ended a send without a whole answer, and Loading that the
-	// upstream was known to take a version then.
+	// BrokenBy is why a send has no complete response, and Loading reports whether the
+	// upstream was loading a version then.
 	BrokenBy   Breaker `json:"brokenBy,omitempty"`
 	Loading    bool    `json:"loading,omitempty"`
 	Version    int     `json:"version,omitempty"`
 	InFlight   int     `json:"inFlight"`
 	Candidates int     `json:"candidates"`
-	// Waiting, Beyond and Running are the load that the upstream was chosen by,
-	// of all routers, and Age how old that was.
+	// Waiting, Beyond and Running are the load, over all routers, by which the upstream was
+	// chosen. Beyond is the number of requests that must finish first. Age is the age of
+	// the load report.
 	Waiting int           `json:"waiting"`
 	Beyond  int           `json:"beyond"`
 	Running int           `json:"running"`
 	Age     time.Duration `json:"age"`
-	// Door says what let the request through to the upstream, and Limit what the answer
-	// said of the upstream's limit, nothing where it named none.
+	// Door is the admission path to the upstream, and Limit the rate limit that the
+	// response named, "" if none.
 	Door  Door   `json:"door,omitempty"`
 	Limit string `json:"limit,omitempty"`
 }
 
-// Door is what lets a request through to an upstream.
+// Door is the path by which a request was admitted to an upstream.
 type Door string
 
-// The doors.
+// Admission paths.
 const (
-	DoorLoader Door = "loader" // the loader beside the engine gave a place
-	DoorNews   Door = "news"   // it did not answer, and what it told last allowed it
-	DoorOwn    Door = "own"    // there is none to ask
+	DoorLoader Door = "loader" // the engine's loader gave a place
+	DoorNews   Door = "news"   // the loader did not answer, the last load report had room
+	DoorOwn    Door = "own"    // the upstream has no loader
 )
 
 // Ending is how a request ended for its caller.
 type Ending string
 
-// The endings.
+// Outcomes.
 const (
 	EndServed   Ending = "served"
-	EndFailed   Ending = "failed"    // the upstream's own failure, passed on
-	EndRefused  Ending = "refused"   // not run
+	EndFailed   Ending = "failed"    // error response of the upstream, forwarded
+	EndRefused  Ending = "refused"   // did not run
 	EndUnknown  Ending = "unknown"   // may have run
-	EndCut      Ending = "cut"       // broken off after the head
-	EndLeft     Ending = "left"      // the caller left
+	EndCut      Ending = "cut"       // response truncated after its head
+	EndLeft     Ending = "left"      // the caller disconnected
 	EndRejected Ending = "rejected"  // 400, 401, 404, 413
-	EndHeld     Ending = "held"      // not run: too many upstreams ended under its content
-	EndTimedOut Ending = "timed-out" // held as long as the route allows
-	EndPanicked Ending = "panicked"  // a fault of ours: the connection ended
+	EndHeld     Ending = "held"      // did not run: its content is quarantined
+	EndTimedOut Ending = "timed-out" // the deadline of the caller or the route expired
+	EndPanicked Ending = "panicked"  // internal error: the connection was closed
 )
 
-// request is one caller's request on its way.
+// request is the state of one caller's request.
 type request struct {
 	*Dispatcher
 	*http.Request
@@ -174,78 +181,78 @@
 	service *provider.Service
 	account *provider.Account
 	body    []byte
-	// reading is what read the body, nil before that.
-	reading *holding.Body
-	// deadline is when the caller or the route gives up, whichever is first.
+	// bodyReader read the body, nil before that.
+	bodyReader *holding.Body
+	// deadline is the caller's or the route's, whichever is earlier.
 	deadline time.Time
-	// rank is the place of the request's priority among the ranks of its service,
-	// 0 for the most urgent.
+	// rank is the index of the request's priority among those of its service, 0 for the
+	// most urgent, and ranks their number.
 	rank, ranks int
-	// priority is the class in an upstream's queue; below 0 means none.
+	// priority is the class in an upstream's queue; negative means none.
 	priority int
-	// sent is the number of upstreams that have been given the request.
+	// sent is the number of upstreams that the request was sent to.
 	sent  int
 	tried []string
-	// doors are what let the request through, by upstream.
-	doors map[string]Door
-	// answering is the try whose answer is read.
-	answering int
-	// failure is an upstream's own failure, kept until another upstream has answered.
-	failure *wholeAnswer
-	story   *Story
+	// paths are the admission paths by upstream.
+	paths map[string]Door
+	// answeredAttempt is the index of the attempt whose response is being read.
+	answeredAttempt int
+	// errorResponse is an upstream's failure, kept until another upstream has responded.
+	errorResponse *bufferedResponse
+	trace         *Story
 }
 
 // ServeHTTP answers one request.
 func (d *Dispatcher) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	q := &request{Dispatcher: d, Request: r, writer: w, view: d.View()}
-	q.story = &Story{ID: r.Header.Get(d.Headers.RequestID), Started: clock.Now(), Configuration: q.view.ConfigurationRevision}
-	defer q.ended()
+	q.trace = &Story{ID: r.Header.Get(d.Headers.RequestID), Started: clock.Now(), Configuration: q.view.ConfigurationRevision}
+	defer q.finish()
 	if !q.admit() {
 		return
 	}
-	defer q.boundWrites()()
+	defer q.limitWrites()()
 	ctx, cancel := context.WithTimeout(r.Context(), clock.Until(q.deadline))
 	defer cancel()
 	d.Budget.Request(q.service.Name)
 	q.run(ctx)
-	q.story.BudgetLeft = d.Budget.Left(q.service.Name)
+	q.trace.BudgetLeft = d.Budget.Left(q.service.Name)
 }
 
-// writeGrace is how long after the request's deadline its answer may still be written: it is
-// delivered late too, but a caller that reads nothing any more holds memory.
+// writeGrace is how long after the request's deadline its response may still be written. It
+// keeps callers that stopped reading from holding memory.
 const writeGrace = 10 * time.Second
 
-// boundWrites ends the writing of the answer some time after the deadline. What it returns is
-// called at the end, because the connection may be used again.
-func (q *request) boundWrites() func() {
+// limitWrites limits the time for writing the response. The returned function lifts the
+// limit, because the connection may be reused.
+func (q *request) limitWrites() func() {
 	controller := http.NewResponseController(q.writer)
 	_ = controller.SetWriteDeadline(time.Now().Add(clock.Until(q.deadline) + writeGrace))
 	return func() { _ = controller.SetWriteDeadline(time.Time{}) }
 }
 
-// run sends the request until it has an answer.
+// run sends the request until it has a response.
 func (q *request) run(ctx context.Context) {
 	for {
-		choice, result, err := q.try(ctx, "")
+		choice, result, err := q.attempt(ctx, "")
 		if err != nil {
-			q.refuse(whyUnplaced(err), err.Error())
+			q.refuse(unplacedReason(err), err.Error())
 			return
 		}
 		if result.Fate == exchange.Answered {
-			if q.answer(ctx, choice, result.Response) {
+			if q.forward(ctx, choice, result.Response) {
 				return
 			}
 			continue
 		}
 		if q.Context().Err() != nil {
-			q.end(EndLeft, 0, "the caller left")
-			panic(http.ErrAbortHandler) // a handler that returns sends an empty answer
+			q.setOutcome(EndLeft, 0, "caller disconnected")
+			panic(http.ErrAbortHandler) // returning would send an empty response
 		}
-		if ctx.Err() != nil || q.overdue() {
+		if ctx.Err() != nil || q.expired() {
 			q.timeOut(result)
 			return
 		}
-		if !q.mayRepeat(result.Fate) {
+		if !q.mayRetry(result.Fate) {
 			q.giveUp(result)
 			return
 		}
@@ -253,22 +260,22 @@
 }
 
 var (
-	errNoneFit    = errors.New("no upstream is fit")
-	errOverloaded = errors.New("every upstream is so loaded that the answer would be late")
-	errLimited    = errors.New("every upstream that is fit has used up the limit that it named")
+	errNoUpstream   = errors.New("no upstream is available")
+	errOverloaded   = errors.New("all available upstreams are overloaded")
+	errLimitsUsedUp = errors.New("rate limits of all available upstreams are used up")
 )
 
-// whyUnplaced is why no upstream was chosen.
-func whyUnplaced(err error) admission.Why {
-	if errors.Is(err, errNoneFit) {
+// unplacedReason returns why no upstream was chosen, which decides the caller's backoff.
+func unplacedReason(err error) admission.Why {
+	if errors.Is(err, errNoUpstream) {
 		return admission.NotReady
 	}
 	return admission.EnginesFull
 }
 
-// overdue reports whether the request's time is over, because the process stops too. A
-// context's own timer stands still while the host is suspended.
-func (q *request) overdue() bool {
+// expired reports whether the request's time is over, also because the process is stopping.
+// It compares the clock, because a context's timer stands still while the host is suspended.
+func (q *request) expired() bool {
 	select {
 	case <-q.Over:
 		return true
@@ -277,19 +284,19 @@
 	}
 }
 
-// usualPrompt stands for the prompts that wait, in tokens, where the configuration does
-// not tell.
-const usualPrompt = 900.0
+// defaultPrompt is the assumed length of waiting prompts, in tokens, if the configuration
+// names none.
+const defaultPrompt = 900.0
 
-// query says what the upstream must hold.
-func (q *request) query() balance.Query {
+// upstreamQuery returns the conditions that an upstream must meet.
+func (q *request) upstreamQuery() balance.Query {
 	query := balance.Query{Tried: q.tried}
 	if q.service.Engine == nil {
 		return query
 	}
 	query.Model = q.service.Engine.Model
-	query.Lasts = q.lasts()
-	query.Reserve = admission.Reserve(admission.Service{Full: q.Pace.Share(q.service.Name)}, q.standing())
+	query.Lasts = q.expectedHold()
+	query.Reserve = admission.Reserve(admission.Service{Full: q.Pace.Share(q.service.Name)}, q.admissionRequest())
 	if declared, ok := q.View().Targets[query.Model]; ok {
 		demand := q.Demand(&declared)
 		query.Version, query.Preferred, query.Avoid = demand.Lowest, demand.Preferred, demand.Avoid
@@ -297,7 +304,7 @@
 	return query
 }
 
-func (q *request) outcomeOf(fate exchange.Fate) balance.Outcome {
+func (q *request) balanceOutcome(fate exchange.Fate) balance.Outcome {
 	switch {
 	case q.Context().Err() != nil:
 		return balance.Abandoned
@@ -312,18 +319,18 @@
 	}
 }
 
-// mayRepeat decides whether the request may go to another upstream after a send
-// with this fate, and takes that from the budget.
+// mayRetry decides whether the request may go to another upstream after a send with this
+// result, and charges the retry budget for it.
 //
 //	mode                  unsent  refused, misdirected  unknown
 //	unsafe                yes     yes, within attempts  no
 //	stream, not resumable yes     yes, within attempts  no
 //	safe, resumable       yes     yes, within attempts  yes, within attempts
 //
-// Of a content under which upstreams ended one after the other only what has not run is sent
-// again, and nothing of one that is held back.
-func (q *request) mayRepeat(fate exchange.Fate) bool {
-	if fate == exchange.Answered || len(q.tried) >= maxTried {
+// Content that crashed several upstreams in a row is sent again only if it did not run, and
+// quarantined content not at all.
+func (q *request) mayRetry(fate exchange.Fate) bool {
+	if fate == exchange.Answered || len(q.tried) >= maxUpstreams {
 		return false
 	}
 	if verdict := q.verdict(); verdict == quarantine.Held || verdict == quarantine.Once && fate == exchange.Unknown {
@@ -353,27 +360,27 @@
 	return q.account.Name
 }
 
-func (q *request) noteTry(choice balance.Choice, result exchange.Result, started time.Time) {
-	try := Try{
-		Upstream: choice.Upstream.ID, Address: choice.Upstream.Address, At: started.Sub(q.story.Started), Took: clock.Since(started), Fate: result.Fate.String(),
+func (q *request) recordAttempt(choice balance.Choice, result exchange.Result, started time.Time) {
+	attempt := Try{
+		Upstream: choice.Upstream.ID, Address: choice.Upstream.Address, At: started.Sub(q.trace.Started), Took: clock.Since(started), Fate: result.Fate.String(),
 		Version: choice.Version, InFlight: choice.InFlight, Candidates: choice.Candidates,
 		Waiting: choice.Waiting, Beyond: choice.Beyond, Running: choice.Running, Age: choice.Age,
-		Door: q.doors[choice.Upstream.ID], Limit: result.Said.String(),
+		Door: q.paths[choice.Upstream.ID], Limit: result.Said.String(),
 	}
 	if result.Err != nil {
-		q.broken(&try, result.Err)
-		q.tellBroken(choice, try, result.Err)
+		q.recordInterrupt(&attempt, result.Err)
+		q.reportDisconnect(choice, attempt, result.Err)
 	}
 	if result.Fate == exchange.Answered {
-		q.answering = len(q.story.Tries)
+		q.answeredAttempt = len(q.trace.Tries)
 	}
-	q.story.Tries = append(q.story.Tries, try)
+	q.trace.Tries = append(q.trace.Tries, attempt)
 }
 
-// priorityOf is the class of a request in an upstream's queue, 0 first. The more
-// urgent go first, and among those that are as urgent, those that are likely to
-// be done soon: it lets most requests begin early, and the queue itself ages.
-func (q *request) priorityOf() int {
+// queuePriority returns the request's class in an upstream's queue, 0 first. More urgent
+// ranks go first, and within a rank the requests that are likely to finish soon, so that
+// most requests start early. The queue itself ages its requests, so none starves.
+func (q *request) queuePriority() int {
 	if q.service.Engine == nil || q.service.Engine.PromptRate <= 0 {
 		return -1
 	}
@@ -382,43 +389,43 @@
 	if err != nil {
 		return -1
 	}
-	estimate := promptTokens/q.service.Engine.PromptRate + q.hint()*hintWeight.Seconds()
-	size := min(int(estimate/priorityStep.Seconds()), classes-1)
-	return classOf(q.rank, q.ranks, size)
+	estimate := promptTokens/q.service.Engine.PromptRate + q.answerHint()*hintWeight.Seconds()
+	size := min(int(estimate/priorityStep.Seconds()), priorityClasses-1)
+	return priorityClass(q.rank, q.ranks, size)
 }
 
-// hint is the tokens that the caller expects of the answer, or those of a usual one.
-func (q *request) hint() float64 {
+// answerHint returns the number of tokens that the caller expects, or that of a usual answer.
+func (q *request) answerHint() float64 {
 	hint, err := strconv.ParseFloat(q.Header.Get(q.Headers.LengthHint), 64)
-	if err != nil || !(hint > 0 && hint <= mostHint) {
+	if err != nil || !(hint > 0 && hint <= maxHint) {
 		return q.usualAnswer()
 	}
 	return hint
 }
 
 func (q *request) usualAnswer() float64 {
-	return helpers.OrDefault(q.service.Engine.UsualAnswer, usualLength)
+	return helpers.OrDefault(q.service.Engine.UsualAnswer, defaultAnswer)
 }
 
-// classOf divides the classes among the ranks, and those of a rank by size.
-func classOf(rank, ranks, size int) int {
-	ranks = min(ranks, classes)
+// priorityClass divides the classes among the ranks, and those of a rank by size.
+func priorityClass(rank, ranks, size int) int {
+	ranks = min(ranks, priorityClasses)
 	rank = min(rank, ranks-1)
-	each := classes / ranks
-	return rank*each + size*each/classes
+	each := priorityClasses / ranks
+	return rank*each + size*each/priorityClasses
 }
 
 const (
-	// classes is the number of classes in an upstream's queue.
-	classes = 10
-	// usualLength stands for a missing hint, in tokens, where the configuration
-	// does not tell.
-	usualLength = 92.0
-	// mostHint is the most tokens that a caller can expect.
-	mostHint = 1e6
-	// hintWeight is what one hinted token counts beside the time of reading the
-	// prompt: less than it takes, because hints are often far off.
+	// priorityClasses is the number of classes in an upstream's queue.
+	priorityClasses = 10
+	// defaultAnswer replaces a missing hint, in tokens, if the configuration names no usual
+	// length.
+	defaultAnswer = 92.0
+	// maxHint bounds the hint of a caller, in tokens.
+	maxHint = 1e6
+	// hintWeight is the time that one hinted token adds to the estimate. It is less than the
+	// token takes, because hints are often far off.
 	hintWeight = 2 * time.Millisecond
-	// priorityStep is the estimate that one priority class spans.
+	// priorityStep is the estimated time that one priority class spans.
 	priorityStep = 60 * time.Millisecond
 )
--- a/daemon/internal/request/dispatch/interrupt.go
+++ b/daemon/internal/request/dispatch/interrupt.go
@@ -15,52 +15,52 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// Break is a send whose connection broke before the answer was whole. Its upstream may
-// have ended, and the request may be the cause.
+// Break is a send whose connection broke before the response was complete. Its upstream may
+// have crashed, and the request may be the cause.
 type Break struct {
 	Request  string
 	Content  content.Name
 	Upstream *provider.Upstream
-	// After is the time since the request was sent there.
+	// After is the time from the send to the break.
 	After time.Duration
 }
 
-// Breaker says who ended a send that has no whole answer. Without it a line cannot tell
-// an upstream that ends its connection from one that this router gave up.
+// Breaker is why a send has no complete response. It tells an upstream that closed its
+// connection from a send that this router canceled.
 type Breaker string
 
-// The breakers.
+// Interrupt reasons.
 const (
 	BrokenByUpstream Breaker = "upstream"
-	BrokenBySilence  Breaker = "silence"  // this router waited no longer for a head or an event
-	BrokenByVersion  Breaker = "version"  // the upstream's version must not begin it any more
+	BrokenBySilence  Breaker = "silence"  // no response head or event arrived in time
+	BrokenByVersion  Breaker = "version"  // the upstream's version must not start requests any more
 	BrokenByDeadline Breaker = "deadline" // the caller's or the route's
-	BrokenByCaller   Breaker = "caller"   // it left
-	BrokenByStop     Breaker = "stop"     // this router ends
-	BrokenByHold     Breaker = "hold"     // its content was held back before it had begun
+	BrokenByCaller   Breaker = "caller"   // the caller disconnected
+	BrokenByStop     Breaker = "stop"     // this router is stopping
+	BrokenByHold     Breaker = "hold"     // the content was quarantined before the response began
 )
 
-// Errors of sends that this router ended itself.
+// Causes of sends that this router canceled.
 var (
-	errOvertaken = errors.New("no head of an answer in time, and another upstream answered")
-	errOutdated  = errors.New("it had not begun, and its version is not to be used any more")
-	errStalled   = errors.New("no event came in time")
-	errStopping  = errors.New("this router stops, and the upstream has not begun to answer")
-	errHeld      = errors.New("too many upstreams ended under the same content")
+	errSuperseded  = errors.New("no response head in time, and another upstream responded")
+	errOutdated    = errors.New("no response head yet, and the upstream's version is outdated")
+	errStalled     = errors.New("no event in time")
+	errStopping    = errors.New("no response head yet, and this router is stopping")
+	errQuarantined = errors.New("content is quarantined: too many upstreams crashed under it")
 )
 
-// breakerOf tells from the error of a send who ended it.
-func (q *request) breakerOf(err error) Breaker {
+// interruptReason returns why a send was interrupted, from its error.
+func (q *request) interruptReason(err error) Breaker {
 	switch {
 	case q.Context().Err() != nil:
 		return BrokenByCaller
-	case errors.Is(err, errOvertaken) || errors.Is(err, errStalled):
+	case errors.Is(err, errSuperseded) || errors.Is(err, errStalled):
 		return BrokenBySilence
 	case errors.Is(err, errOutdated):
 		return BrokenByVersion
 	case errors.Is(err, errStopping):
 		return BrokenByStop
-	case errors.Is(err, errHeld):
+	case errors.Is(err, errQuarantined):
 		return BrokenByHold
 	case errors.Is(err, context.DeadlineExceeded):
 		return BrokenByDeadline
@@ -69,26 +69,26 @@
 	}
 }
 
-// broken notes on a try why it has no whole answer, who ended it, and whether the
-// upstream was known to take a version then.
-func (q *request) broken(try *Try, err error) {
-	try.Cause, try.BrokenBy, try.Loading = err.Error(), q.breakerOf(err), q.Pool.Loading(try.Upstream)
+// recordInterrupt records on an attempt why it has no complete response, and whether the
+// upstream was loading a version then.
+func (q *request) recordInterrupt(attempt *Try, err error) {
+	attempt.Cause, attempt.BrokenBy, attempt.Loading = err.Error(), q.interruptReason(err), q.Pool.Loading(attempt.Upstream)
 }
 
-// tellBroken tells of a send whose connection broke, unless this router ended it.
-func (q *request) tellBroken(choice balance.Choice, try Try, err error) {
-	if q.Broke == nil || try.BrokenBy != BrokenByUpstream || !connectionBroke(err) {
+// reportDisconnect reports a send whose connection broke, unless this router canceled it.
+func (q *request) reportDisconnect(choice balance.Choice, attempt Try, err error) {
+	if q.Broke == nil || attempt.BrokenBy != BrokenByUpstream || !isDisconnect(err) {
 		return
 	}
 	q.Broke(Break{
-		Request: q.story.ID, Content: q.story.Content, Upstream: choice.Upstream,
-		After: clock.Since(q.story.Started) - try.At,
+		Request: q.trace.ID, Content: q.trace.Content, Upstream: choice.Upstream,
+		After: clock.Since(q.trace.Started) - attempt.At,
 	})
 }
 
-// connectionBroke reports whether an error says that a connection ended early, and not that
-// an answer was wrong.
-func connectionBroke(err error) bool {
+// isDisconnect reports whether an error means that a connection closed early, and not that a
+// response was invalid.
+func isDisconnect(err error) bool {
 	for _, cause := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE, exchange.ErrPartialEvent} {
 		if errors.Is(err, cause) {
 			return true
@@ -97,16 +97,16 @@
 	return false
 }
 
-// ended reports the request's story, also where its handler panics: the connection then
-// ends without an answer, and nothing else would say so.
-func (q *request) ended() {
+// finish reports the request's trace, also if the handler panics: the connection is then
+// closed without a response, and nothing else would record it.
+func (q *request) finish() {
 	failure := recover()
-	if failure != nil && q.story.Outcome == "" {
-		q.end(EndPanicked, 0, fmt.Sprint(failure))
+	if failure != nil && q.trace.Outcome == "" {
+		q.setOutcome(EndPanicked, 0, fmt.Sprint(failure))
 	}
-	q.Report(q.story)
-	if q.reading != nil {
-		q.reading.Release()
+	q.Report(q.trace)
+	if q.bodyReader != nil {
+		q.bodyReader.Release()
 	}
 	if failure != nil {
 		panic(failure)
--- a/daemon/internal/request/dispatch/interrupt_test.go
+++ b/daemon/internal/request/dispatch/interrupt_test.go
@@ -14,48 +14,48 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
 )
 
-// TestWhoEndedASend: a line tells an upstream that ended its connection from a send that
-// this router gave up, and whether the upstream was known to take a version.
-func TestWhoEndedASend(t *testing.T) {
-	q := &request{Dispatcher: &Dispatcher{Pool: &balance.Pool{}}, Request: httptest.NewRequest("GET", "/", nil), story: &Story{}}
+// TestInterruptReasonFollowsError: logs must tell a connection that the upstream closed from
+// a send that this router canceled.
+func TestInterruptReasonFollowsError(t *testing.T) {
+	q := &request{Dispatcher: &Dispatcher{Pool: &balance.Pool{}}, Request: httptest.NewRequest("GET", "/", nil), trace: &Story{}}
 	q.Pool.Tell("u1", balance.Told{Loading: true})
-	for breaker, err := range map[Breaker]error{
+	for reason, err := range map[Breaker]error{
 		BrokenByUpstream: errors.New("connection reset by peer"),
-		BrokenBySilence:  fmt.Errorf("send to u1: %w", errOvertaken),
+		BrokenBySilence:  fmt.Errorf("send to u1: %w", errSuperseded),
 		BrokenByVersion:  fmt.Errorf("send to u1: %w", errOutdated),
 		BrokenByDeadline: fmt.Errorf("stream from u1: %w", context.DeadlineExceeded),
 	} {
-		try := Try{Upstream: "u1"}
-		q.broken(&try, err)
-		assert.Equal(t, breaker, try.BrokenBy)
-		assert.Equal(t, err.Error(), try.Cause)
-		assert.True(t, try.Loading)
+		attempt := Try{Upstream: "u1"}
+		q.recordInterrupt(&attempt, err)
+		assert.Equal(t, reason, attempt.BrokenBy)
+		assert.Equal(t, err.Error(), attempt.Cause)
+		assert.True(t, attempt.Loading)
 	}
-	left, leave := context.WithCancel(context.Background())
-	leave()
-	q.Request = q.WithContext(left)
-	assert.Equal(t, BrokenByCaller, q.breakerOf(errors.New("context canceled")))
+	canceled, cancel := context.WithCancel(context.Background())
+	cancel()
+	q.Request = q.WithContext(canceled)
+	assert.Equal(t, BrokenByCaller, q.interruptReason(errors.New("context canceled")))
 }
 
-// TestAPanicIsTold: the connection ends without an answer, and the story says so; a
-// stream that is cut on purpose keeps its own ending.
-func TestAPanicIsTold(t *testing.T) {
+// TestPanicIsReported: a panicking handler still reports its request, and a response that is
+// truncated on purpose keeps its own outcome.
+func TestPanicIsReported(t *testing.T) {
 	for outcome, failure := range map[Ending]any{EndPanicked: "a fault", EndCut: http.ErrAbortHandler} {
-		var told *Story
+		var reported *Story
 		d := &Dispatcher{
-			Report: func(story *Story) { told = story },
+			Report: func(trace *Story) { reported = trace },
 			View: func() *mirror.View {
 				panic(failure)
 			},
 		}
-		q := &request{Dispatcher: d, story: &Story{}}
+		q := &request{Dispatcher: d, trace: &Story{}}
 		if outcome == EndCut {
-			q.end(EndCut, 0, "")
+			q.setOutcome(EndCut, 0, "")
 		}
 		assert.PanicsWithValue(t, failure, func() {
-			defer q.ended()
+			defer q.finish()
 			d.View()
 		})
-		assert.Equal(t, outcome, told.Outcome)
+		assert.Equal(t, outcome, reported.Outcome)
 	}
 }
--- a/daemon/internal/request/dispatch/limit_test.go
+++ b/daemon/internal/request/dispatch/limit_test.go
@@ -15,70 +15,70 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// turn is when an upstream whose limit is used up takes a request again.
-const turn = 300 * time.Millisecond
+// retryWait is the wait that an upstream with a used up limit names.
+const retryWait = 300 * time.Millisecond
 
-// limitedBut has the loaders of all engines but one say that their limits are used up.
-func (f *fleet) limitedBut(q *request, free string) {
+// limitAllBut makes all loaders but one answer that the engine's limit is used up.
+func (f *fleet) limitAllBut(q *request, free string) {
 	q.AskPlace = func(_ context.Context, engine *provider.Upstream, _ places.Limit) (places.Load, bool, error) {
 		if engine.ID == free {
 			return places.Load{}, true, nil
 		}
-		return places.Load{Wait: turn}, false, nil
+		return places.Load{Wait: retryWait}, false, nil
 	}
 }
 
-// TestAUsedUpLimitIsNoQuestion: engines whose limits are used up cost a request none of its
-// questions, and nobody asks them again before their turn.
-func TestAUsedUpLimitIsNoQuestion(t *testing.T) {
+// TestUsedUpLimitDoesNotCountAsQuery: an engine whose limit is used up must not reduce the
+// number of engines that a request queries, and is not queried again before its wait is over.
+func TestUsedUpLimitDoesNotCountAsQuery(t *testing.T) {
 	engines := 2 * admission.StandingWays().Questions
 	f := newFleet(t, engines, nil)
 	q := f.request("hasty", 0)
-	f.limitedBut(q, "u3")
-	choice, err := q.place(context.Background())
+	f.limitAllBut(q, "u3")
+	choice, err := q.choosePlace(context.Background())
 	require.NoError(t, err)
 	assert.Equal(t, "u3", choice.Upstream.ID)
-	asked := len(q.story.Asked)
+	asked := len(q.trace.Asked)
 
 	second := f.request("hasty", 0)
-	f.limitedBut(second, "u3")
+	f.limitAllBut(second, "u3")
 	for range engines {
-		choice, err = second.place(context.Background())
+		choice, err = second.choosePlace(context.Background())
 		require.NoError(t, err)
 		assert.Equal(t, "u3", choice.Upstream.ID)
 	}
-	assert.LessOrEqual(t, asked+len(second.story.Asked), 2*engines, "each engine was asked once, but the free one")
-	assert.Positive(t, q.story.Asked[0].Wait+q.story.Asked[asked-1].Wait+second.story.Asked[0].Wait, "lines say why")
+	assert.LessOrEqual(t, asked+len(second.trace.Asked), 2*engines, "each engine but the free one is queried once")
+	assert.Positive(t, q.trace.Asked[0].Wait+q.trace.Asked[asked-1].Wait+second.trace.Asked[0].Wait, "the wait is recorded")
 }
 
-// TestAllLimitsUsedUpIsARefusal that says so, and none is sent past them.
-func TestAllLimitsUsedUpIsARefusal(t *testing.T) {
+// TestRefusesWhenAllLimitsAreUsedUp: nothing is sent past the limits.
+func TestRefusesWhenAllLimitsAreUsedUp(t *testing.T) {
 	f := newFleet(t, 5, nil)
 	q := f.request("patient", 1)
-	f.limitedBut(q, "")
-	_, err := q.place(context.Background())
-	require.ErrorIs(t, err, errLimited)
-	assert.Equal(t, admission.EnginesFull, whyUnplaced(err), "its caller comes back when others do")
+	f.limitAllBut(q, "")
+	_, err := q.choosePlace(context.Background())
+	require.ErrorIs(t, err, errLimitsUsedUp)
+	assert.Equal(t, admission.EnginesFull, unplacedReason(err), "the caller gets the backoff for full engines")
 	for _, upstream := range f.view.Upstreams["s"] {
 		assert.True(t, f.pool.Holds(upstream.ID))
 	}
 }
 
-// TestManyUsedUpLimitsEndTheSearch: where most of hundreds of engines name limits a request does
-// not ask them all.
-func TestManyUsedUpLimitsEndTheSearch(t *testing.T) {
-	const engines, most = 200, 20
+// TestManyUsedUpLimitsEndSearch: a request must not query hundreds of engines that are all at
+// their limits.
+func TestManyUsedUpLimitsEndSearch(t *testing.T) {
+	const engines, maxQueries = 200, 20
 	f := newFleet(t, engines, nil)
 	q := f.request("patient", 0)
-	f.limitedBut(q, "")
-	_, err := q.place(context.Background())
-	require.ErrorIs(t, err, errLimited)
-	assert.LessOrEqual(t, len(q.story.Asked), most)
+	f.limitAllBut(q, "")
+	_, err := q.choosePlace(context.Background())
+	require.ErrorIs(t, err, errLimitsUsedUp)
+	assert.LessOrEqual(t, len(q.trace.Asked), maxQueries)
 }
 
-// TestWhoWasAskedFirstIsAskedAgain: an engine that gives no place to the first who asks may
-// give one to the last. Where that was to be one whose limit is used up, it is asked once more.
-func TestWhoWasAskedFirstIsAskedAgain(t *testing.T) {
+// TestDenyingEngineIsQueriedAgain: if the engine that was to be queried last, with the
+// loosest limit, is at its rate limit, the one that denied a place before is queried again.
+func TestDenyingEngineIsQueriedAgain(t *testing.T) {
 	f := newFleet(t, 2, nil)
 	q := f.request("hasty", 0)
 	asked := map[string]int{}
@@ -91,49 +91,48 @@
 		if engine.ID == first {
 			return places.Load{Waiting: 1}, limit.Waiting > 0, nil
 		}
-		return places.Load{Wait: turn}, false, nil
+		return places.Load{Wait: retryWait}, false, nil
 	}
-	choice, err := q.place(context.Background())
+	choice, err := q.choosePlace(context.Background())
 	require.NoError(t, err)
 	assert.Equal(t, first, choice.Upstream.ID)
 	assert.Equal(t, 2, asked[first])
 }
 
-// TestNoDoorLeadsPastALimit: where no loader answers, with news of the engine's load or
-// without, and where there is none, this router's share of the limit is asked for, also by
-// what was sent before.
-func TestNoDoorLeadsPastALimit(t *testing.T) {
-	errSilentLoader := errors.New("no answer")
+// TestEveryAdmissionPathChecksLimit: without an answer from a loader, and without a loader,
+// this router's share of the limit is checked, also for retries.
+func TestEveryAdmissionPathChecksLimit(t *testing.T) {
+	errNoAnswer := errors.New("no answer")
 	for name, c := range map[string]struct {
 		prepare func(q *request)
-		door    Door
+		path    Door
 	}{
-		"no loader answers, fresh news": {func(q *request) {
+		"no loader answers, recent report": {func(q *request) {
 			for _, upstream := range q.view.Upstreams["s"] {
 				q.Pool.Tell(upstream.ID, balance.Told{Models: upstream.Models})
 			}
 		}, DoorNews},
-		"no loader answers, old news": {func(q *request) { q.Pool = &balance.Pool{} }, DoorNews},
-		"there is no loader":          {func(q *request) { q.AskPlace = nil }, DoorOwn},
+		"no loader answers, stale report": {func(q *request) { q.Pool = &balance.Pool{} }, DoorNews},
+		"there is no loader":              {func(q *request) { q.AskPlace = nil }, DoorOwn},
 	} {
 		for sent := range 2 {
-			f := newFleet(t, 4, func(int) (bool, error) { return false, errSilentLoader })
+			f := newFleet(t, 4, func(int) (bool, error) { return false, errNoAnswer })
 			q := f.request("patient", sent)
 			c.prepare(q)
-			var doors []Door
-			q.Allow = func(upstream *provider.Upstream, door Door) (time.Duration, bool) {
-				doors = append(doors, door)
-				return turn, upstream.ID == "u2"
+			var paths []Door
+			q.Allow = func(upstream *provider.Upstream, path Door) (time.Duration, bool) {
+				paths = append(paths, path)
+				return retryWait, upstream.ID == "u2"
 			}
-			choice, err := q.place(context.Background())
+			choice, err := q.choosePlace(context.Background())
 			require.NoError(t, err, name)
 			assert.Equal(t, "u2", choice.Upstream.ID, name)
-			assert.Equal(t, c.door, q.doors["u2"], name)
-			assert.Subset(t, []Door{c.door}, doors, name)
+			assert.Equal(t, c.path, q.paths["u2"], name)
+			assert.Subset(t, []Door{c.path}, paths, name)
 
-			q.Allow = func(*provider.Upstream, Door) (time.Duration, bool) { return turn, false }
-			_, err = q.place(context.Background())
-			require.ErrorIs(t, err, errLimited, name)
+			q.Allow = func(*provider.Upstream, Door) (time.Duration, bool) { return retryWait, false }
+			_, err = q.choosePlace(context.Background())
+			require.ErrorIs(t, err, errLimitsUsedUp, name)
 		}
 	}
 }
--- a/daemon/internal/request/dispatch/pace.go
+++ b/daemon/internal/request/dispatch/pace.go
@@ -9,87 +9,85 @@
 )
 
 const (
-	// firstOccupied is how long a request occupies a place of an engine before
-	// any was seen to end.
-	firstOccupied = 1500 * time.Millisecond
-	// paceWeight is what one more request counts in the mean.
-	paceWeight = 0.02
-	// fullMemory is the time in which what was seen of full services loses two
-	// thirds of its weight.
-	fullMemory = 2500 * time.Millisecond
+	// initialHoldTime is how long a request is assumed to hold a place before any request
+	// has ended.
+	initialHoldTime = 1500 * time.Millisecond
+	// holdTimeWeight is the weight of one request in the moving average.
+	holdTimeWeight = 0.02
+	// fullTimeConstant is the time constant of the moving average over full services.
+	fullTimeConstant = 2500 * time.Millisecond
 )
 
-// Pace keeps what this process sees of each service's load over time. The zero
-// value is ready to use.
+// Pace tracks the load of each service as this process sees it. The zero value is ready to
+// use.
 type Pace struct {
 	// Now is the clock; nil means clock.Now.
 	Now func() time.Time
 
 	mu       sync.Mutex
-	services map[string]*servicePace
+	services map[string]*serviceLoad
 }
 
-// servicePace is one service's; Pace.mu guards it.
-type servicePace struct {
-	// occupied is how long requests occupy a place, on average.
-	occupied time.Duration
-	// full is the share of the time in which no upstream had a free place, as
-	// seen at lastSeen.
-	full     float64
-	lastSeen time.Time
+// serviceLoad is the load of one service; Pace.mu guards it.
+type serviceLoad struct {
+	// holdTime is how long requests hold a place on average.
+	holdTime time.Duration
+	// fullShare is the share of time in which no upstream had a free place, as of observed.
+	fullShare float64
+	observed  time.Time
 }
 
 func (p *Pace) now() time.Time { return helpers.Now(p.Now) }
 
 // service returns a service's state; the caller holds mu.
-func (p *Pace) service(name string) *servicePace {
+func (p *Pace) service(name string) *serviceLoad {
 	if p.services == nil {
-		p.services = map[string]*servicePace{}
+		p.services = map[string]*serviceLoad{}
 	}
 	s := p.services[name]
 	if s == nil {
-		s = &servicePace{occupied: firstOccupied, lastSeen: p.now()}
+		s = &serviceLoad{holdTime: initialHoldTime, observed: p.now()}
 		p.services[name] = s
 	}
 	return s
 }
 
-// Ended counts a request that was served, by the time from the first byte of its
-// answer to the last.
-func (p *Pace) Ended(service string, occupied time.Duration) {
+// Ended records a served request and how long it held its place: from the first byte of its
+// response to the last.
+func (p *Pace) Ended(service string, holdTime time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.service(service)
-	s.occupied += time.Duration(paceWeight * float64(occupied-s.occupied))
+	s.holdTime += time.Duration(holdTimeWeight * float64(holdTime-s.holdTime))
 }
 
-// Occupied returns how long requests to a service occupy a place, lately.
+// Occupied returns how long requests to a service recently held a place on average.
 func (p *Pace) Occupied(service string) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.service(service).occupied
+	return p.service(service).holdTime
 }
 
-// Share returns the share of the time in which a service had no free place, lately.
+// Share returns the share of recent time in which a service had no free place.
 func (p *Pace) Share(service string) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.service(service).full
+	return p.service(service).fullShare
 }
 
-// Full takes whether a service has no free place now, and returns the share of
-// the time in which it had none, lately.
+// Full records whether a service has no free place now, and returns the share of recent time
+// in which it had none.
 func (p *Pace) Full(service string, full bool) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.service(service)
 	now := p.now()
-	weight := 1 - math.Exp(-float64(now.Sub(s.lastSeen))/float64(fullMemory))
-	s.lastSeen = now
-	seen := 0.0
+	weight := 1 - math.Exp(-float64(now.Sub(s.observed))/float64(fullTimeConstant))
+	s.observed = now
+	current := 0.0
 	if full {
-		seen = 1
+		current = 1
 	}
-	s.full += weight * (seen - s.full)
-	return s.full
+	s.fullShare += weight * (current - s.fullShare)
+	return s.fullShare
 }
--- a/daemon/internal/request/dispatch/place_test.go
+++ b/daemon/internal/request/dispatch/place_test.go
@@ -20,13 +20,12 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// fleet is engines with loaders whose answers a test sets.
+// fleet is a set of engines whose loaders answer as a test sets.
 type fleet struct {
-	pool  *balance.Pool
-	view  *mirror.View
-	asked []places.Limit
-	// given says whether the loader beside the engine that is asked as the n-th
-	// gives a place.
+	pool    *balance.Pool
+	view    *mirror.View
+	queries []places.Limit
+	// given returns the result of the n-th request for a place.
 	given func(n int) (bool, error)
 }
 
@@ -58,19 +57,19 @@
 	return f
 }
 
-func (f *fleet) ask(_ context.Context, _ *provider.Upstream, limit places.Limit) (places.Load, bool, error) {
-	f.asked = append(f.asked, limit)
-	given, err := f.given(len(f.asked))
+func (f *fleet) answer(_ context.Context, _ *provider.Upstream, limit places.Limit) (places.Load, bool, error) {
+	f.queries = append(f.queries, limit)
+	given, err := f.given(len(f.queries))
 	return places.Load{Running: 10, Waiting: 1}, given, err
 }
 
 func (f *fleet) request(route string, sent int) *request {
 	q := &request{
 		Dispatcher: &Dispatcher{
-			Pool: f.pool, Pace: &Pace{}, AskPlace: f.ask, View: func() *mirror.View { return f.view },
+			Pool: f.pool, Pace: &Pace{}, AskPlace: f.answer, View: func() *mirror.View { return f.view },
 			Demand: func(*mirror.Declared) mirror.Demand { return mirror.Demand{} },
 		},
-		Request: httptest.NewRequest("GET", "/", nil), view: f.view, service: f.view.Service("s"), sent: sent, story: &Story{},
+		Request: httptest.NewRequest("GET", "/", nil), view: f.view, service: f.view.Service("s"), sent: sent, trace: &Story{},
 	}
 	for i := range f.view.Configuration.Routes {
 		if f.view.Configuration.Routes[i].Name == route {
@@ -80,7 +79,7 @@
 	return q
 }
 
-// inFlight is what the pool holds of an upstream's requests of this router.
+// inFlight returns the pool's count of requests in flight from this router.
 func (f *fleet) inFlight(t *testing.T) int {
 	t.Helper()
 	total := 0
@@ -93,65 +92,66 @@
 	return total
 }
 
-// TestPlaceIsAskedForInTurn: a no leads to another engine, and a yes ends it.
-func TestPlaceIsAskedForInTurn(t *testing.T) {
+// TestQueriesEnginesUntilOneGivesPlace: a denial leads to another engine.
+func TestQueriesEnginesUntilOneGivesPlace(t *testing.T) {
 	f := newFleet(t, 5, func(n int) (bool, error) { return n == 2, nil })
 	q := f.request("hasty", 0)
-	choice, err := q.place(context.Background())
+	choice, err := q.choosePlace(context.Background())
 	require.NoError(t, err)
-	require.Len(t, q.story.Asked, 2)
-	assert.NotEqual(t, q.story.Asked[0].Upstream, q.story.Asked[1].Upstream)
-	assert.Equal(t, q.story.Asked[1].Upstream, choice.Upstream.ID)
+	require.Len(t, q.trace.Asked, 2)
+	assert.NotEqual(t, q.trace.Asked[0].Upstream, q.trace.Asked[1].Upstream)
+	assert.Equal(t, q.trace.Asked[1].Upstream, choice.Upstream.ID)
 	assert.Equal(t, 10, choice.Running)
-	assert.Zero(t, f.asked[0].Waiting, "the first is asked for a place where nothing waits")
-	assert.Equal(t, 16-1, f.asked[1].Taken, "and never for one beyond those of the engine")
+	assert.Zero(t, f.queries[0].Waiting, "the first query is for an engine where nothing waits")
+	assert.Equal(t, 16-1, f.queries[1].Taken, "no query exceeds the engine's places")
 	assert.Equal(t, 1, f.inFlight(t))
 	choice.Done(balance.Served)
 	assert.Zero(t, f.inFlight(t))
 }
 
-// TestNoPlaceIsARefusal after a few questions, and leaves nothing behind.
-func TestNoPlaceIsARefusal(t *testing.T) {
+// TestRefusesWhenNoEngineGivesPlace: the number of queries is bounded, and nothing remains in
+// flight.
+func TestRefusesWhenNoEngineGivesPlace(t *testing.T) {
 	for engines, want := range map[int]int{1: 1, 2: 2, 9: admission.StandingWays().Questions} {
 		f := newFleet(t, engines, func(int) (bool, error) { return false, nil })
-		_, err := f.request("hasty", 0).place(context.Background())
+		_, err := f.request("hasty", 0).choosePlace(context.Background())
 		require.ErrorIs(t, err, errOverloaded)
-		assert.Len(t, f.asked, want)
+		assert.Len(t, f.queries, want)
 		assert.Zero(t, f.inFlight(t))
 	}
 }
 
-// TestSilentLoaderIsNoRefusal: without an answer the news of loads decides.
-func TestSilentLoaderIsNoRefusal(t *testing.T) {
+// TestUnresponsiveLoaderFallsBackToLoadReport: a loader that does not answer is no refusal.
+func TestUnresponsiveLoaderFallsBackToLoadReport(t *testing.T) {
 	f := newFleet(t, 3, func(int) (bool, error) { return false, errors.New("no answer") })
-	choice, err := f.request("hasty", 0).place(context.Background())
+	choice, err := f.request("hasty", 0).choosePlace(context.Background())
 	require.NoError(t, err)
 	assert.NotNil(t, choice.Upstream)
-	assert.Len(t, f.asked, 1)
+	assert.Len(t, f.queries, 1)
 }
 
-// TestLoaderWithoutNewsIsPassedOver: one that does not answer, and whose news is old,
-// may be cut off with its engine. Where all are, news decides all the same.
-func TestLoaderWithoutNewsIsPassedOver(t *testing.T) {
-	for answering, want := range map[int]int{2: 2, admission.MostSilent + 1: admission.MostSilent} {
+// TestSkipsUnresponsiveLoaderWithStaleReport: its host may be cut off. If all loaders are
+// unresponsive, load reports decide nevertheless.
+func TestSkipsUnresponsiveLoaderWithStaleReport(t *testing.T) {
+	for firstAnswering, want := range map[int]int{2: 2, admission.MostSilent + 1: admission.MostSilent} {
 		f := newFleet(t, 5, func(n int) (bool, error) {
-			if n < answering {
+			if n < firstAnswering {
 				return false, errors.New("no answer")
 			}
 			return true, nil
 		})
-		f.pool.Now = func() time.Time { return time.Now().Add(freshNews) }
-		choice, err := f.request("hasty", 0).place(context.Background())
+		f.pool.Now = func() time.Time { return time.Now().Add(maxReportAge) }
+		choice, err := f.request("hasty", 0).choosePlace(context.Background())
 		require.NoError(t, err)
 		assert.NotNil(t, choice.Upstream)
-		assert.Len(t, f.asked, want)
+		assert.Len(t, f.queries, want)
 		assert.Equal(t, 1, f.inFlight(t))
 	}
 }
 
-// TestUnknownEnginesAreAskedToo: a router does not follow the loads of most engines of a
-// large fleet. Where such a loader does not answer another engine is asked.
-func TestUnknownEnginesAreAskedToo(t *testing.T) {
+// TestQueriesEnginesWithoutLoadReport: in a large fleet a router receives no load reports of
+// most engines. If the loader of such an engine does not answer, another engine is queried.
+func TestQueriesEnginesWithoutLoadReport(t *testing.T) {
 	f := newFleet(t, 5, func(n int) (bool, error) {
 		if n == 1 {
 			return false, errors.New("no answer")
@@ -159,25 +159,25 @@
 		return true, nil
 	})
 	f.pool = &balance.Pool{}
-	choice, err := f.request("hasty", 0).place(context.Background())
+	choice, err := f.request("hasty", 0).choosePlace(context.Background())
 	require.NoError(t, err)
 	assert.NotNil(t, choice.Upstream)
-	assert.Len(t, f.asked, 2)
+	assert.Len(t, f.queries, 2)
 }
 
-// TestSentBeforeTakesAnyPlace: what was done for it would be lost.
-func TestSentBeforeTakesAnyPlace(t *testing.T) {
+// TestRetriedSendTakesAnyPlace: otherwise the work done for the request would be lost.
+func TestRetriedSendTakesAnyPlace(t *testing.T) {
 	f := newFleet(t, 9, func(int) (bool, error) { return false, nil })
-	_, _ = f.request("hasty", 1).place(context.Background())
-	assert.Equal(t, places.Limit{Waiting: math.MaxInt32, Taken: math.MaxInt32}, f.asked[len(f.asked)-1])
+	_, _ = f.request("hasty", 1).choosePlace(context.Background())
+	assert.Equal(t, places.Limit{Waiting: math.MaxInt32, Taken: math.MaxInt32}, f.queries[len(f.queries)-1])
 }
 
-// TestRoutesOfAServiceHaveOneLimit, so that the patient do not take every place
+// TestRoutesOfServiceShareLimits: routes with a long objective must not take every place
 // before the others may.
-func TestRoutesOfAServiceHaveOneLimit(t *testing.T) {
+func TestRoutesOfServiceShareLimits(t *testing.T) {
 	f := newFleet(t, 1, func(int) (bool, error) { return false, nil })
-	_, _ = f.request("hasty", 0).place(context.Background())
-	_, _ = f.request("patient", 0).place(context.Background())
-	require.Len(t, f.asked, 2)
-	assert.Equal(t, f.asked[0], f.asked[1])
+	_, _ = f.request("hasty", 0).choosePlace(context.Background())
+	_, _ = f.request("patient", 0).choosePlace(context.Background())
+	require.Len(t, f.queries, 2)
+	assert.Equal(t, f.queries[0], f.queries[1])
 }
--- a/daemon/internal/request/dispatch/priority_test.go
+++ b/daemon/internal/request/dispatch/priority_test.go
@@ -7,21 +7,21 @@
 	"pgregory.net/rapid"
 )
 
-// TestUrgentRequestsGoBeforeShortOnes: whatever the sizes, a more urgent rank
-// never comes behind a less urgent one, and with one rank all classes are used.
-func TestUrgentRequestsGoBeforeShortOnes(t *testing.T) {
-	for size := range classes {
-		assert.Equal(t, size, classOf(0, 1, size))
+// TestUrgentRanksPrecedeShortRequests: no size places a request before a more urgent rank,
+// and with a single rank all classes are used.
+func TestUrgentRanksPrecedeShortRequests(t *testing.T) {
+	for size := range priorityClasses {
+		assert.Equal(t, size, priorityClass(0, 1, size))
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		ranks := rapid.IntRange(1, 20).Draw(t, "ranks")
 		rank := rapid.IntRange(0, ranks-1).Draw(t, "rank")
 		other := rapid.IntRange(rank, ranks-1).Draw(t, "less urgent")
-		size := rapid.IntRange(0, classes-1).Draw(t, "size")
-		otherSize := rapid.IntRange(0, classes-1).Draw(t, "its size")
-		class, behind := classOf(rank, ranks, size), classOf(other, ranks, otherSize)
-		assert.True(t, 0 <= class && class < classes)
-		if other > rank && ranks <= classes {
+		size := rapid.IntRange(0, priorityClasses-1).Draw(t, "size")
+		otherSize := rapid.IntRange(0, priorityClasses-1).Draw(t, "its size")
+		class, behind := priorityClass(rank, ranks, size), priorityClass(other, ranks, otherSize)
+		assert.True(t, 0 <= class && class < priorityClasses)
+		if other > rank && ranks <= priorityClasses {
 			assert.Less(t, class, behind)
 		}
 	})
--- a/daemon/internal/request/dispatch/quarantine.go
+++ b/daemon/internal/request/dispatch/quarantine.go
@@ -6,26 +6,26 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/quarantine"
 )
 
-// This file keeps a request from upstreams when it is known that they end under it.
+// This file keeps quarantined content from upstreams, because they crash under it.
 
-// verdict says what may be done with the request's content by now.
+// verdict returns the current quarantine verdict on the request's content.
 func (q *request) verdict() quarantine.Verdict {
 	if q.Judge == nil {
 		return quarantine.Free
 	}
-	return q.Judge(q.story.Content)
+	return q.Judge(q.trace.Content)
 }
 
-// hold answers a request whose content is held back. It has not run. There is no time to
-// come back: the caller who comes all the same gets the same answer.
-func (q *request) hold() {
-	q.fail(http.StatusServiceUnavailable, EndHeld, errHeld.Error())
+// refuseQuarantined answers a request whose content is quarantined. The request did not run.
+// No backoff is sent, because a retry gets the same response.
+func (q *request) refuseQuarantined() {
+	q.fail(http.StatusServiceUnavailable, EndHeld, errQuarantined.Error())
 }
 
-// endHeld ends sends that have not begun once their content is held back. Without it a
-// caller who comes twice a second ends 5.3 engines of 20 and not 4.5, because visits overlap.
-func (q *request) endHeld(sends ...*sending) {
+// cancelQuarantined cancels sends without a response head once their content is quarantined.
+// Otherwise overlapping requests for one content crash more engines after the verdict.
+func (q *request) cancelQuarantined(sends ...*pendingSend) {
 	if q.verdict() == quarantine.Held {
-		endAll(errHeld, sends...)
+		cancelAll(errQuarantined, sends...)
 	}
 }
--- a/daemon/internal/request/dispatch/quarantine_test.go
+++ b/daemon/internal/request/dispatch/quarantine_test.go
@@ -15,50 +15,50 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// heldRequest is a request that may run twice, with a verdict on its content.
-func heldRequest(verdict *quarantine.Verdict) *request {
+// requestWithVerdict returns a repeatable request whose content has the given verdict.
+func requestWithVerdict(verdict *quarantine.Verdict) *request {
 	return &request{
 		Dispatcher: &Dispatcher{
 			Pool: &balance.Pool{}, Budget: &Budget{Slack: 100, Window: time.Minute},
 			Judge: func(content.Name) quarantine.Verdict { return *verdict },
 		},
-		Request: httptest.NewRequest("GET", "/", nil), story: &Story{}, sent: 1,
+		Request: httptest.NewRequest("GET", "/", nil), trace: &Story{}, sent: 1,
 		route: &provider.Route{Mode: provider.ModeSafe, MaxAttempts: 3}, service: &provider.Service{Name: "s"},
 	}
 }
 
-// TestVerdictsBoundSends: a content under which two upstreams ended goes to another upstream
-// only where it has not run, and one that is held back to none.
-func TestVerdictsBoundSends(t *testing.T) {
+// TestVerdictLimitsRetries: content that crashed two upstreams is retried only if it has not
+// run, and quarantined content never.
+func TestVerdictLimitsRetries(t *testing.T) {
 	fates := []exchange.Fate{exchange.Unknown, exchange.Unsent, exchange.Refused, exchange.Misdirected}
 	for verdict, want := range map[quarantine.Verdict][]bool{
 		quarantine.Free: {true, true, true, true},
 		quarantine.Once: {false, true, true, true},
 		quarantine.Held: {false, false, false, false},
 	} {
-		q := heldRequest(&verdict)
+		q := requestWithVerdict(&verdict)
 		for i, fate := range fates {
-			assert.Equal(t, want[i], q.mayRepeat(fate), "%s after %s", verdict, fate)
+			assert.Equal(t, want[i], q.mayRetry(fate), "%s after %s", verdict, fate)
 		}
-		assert.Equal(t, verdict == quarantine.Free, q.mayHaveSecond(), "%s", verdict)
+		assert.Equal(t, verdict == quarantine.Free, q.mayHedge(), "%s", verdict)
 	}
 }
 
-// TestWhatHasNotBegunIsTakenBack once its content is held back, and says why.
-func TestWhatHasNotBegunIsTakenBack(t *testing.T) {
+// TestQuarantineCancelsPendingSends: only sends without a response head are canceled.
+func TestQuarantineCancelsPendingSends(t *testing.T) {
 	verdict := quarantine.Once
-	q := heldRequest(&verdict)
+	q := requestWithVerdict(&verdict)
 	ctx, cancel := context.WithCancelCause(context.Background())
-	waiting := &sending{cancel: cancel}
-	begunContext, cancelBegun := context.WithCancelCause(context.Background())
-	begun := &sending{cancel: cancelBegun}
-	begun.settled.Store(true) // its head has come
+	waiting := &pendingSend{cancel: cancel}
+	begunCtx, cancelBegun := context.WithCancelCause(context.Background())
+	begun := &pendingSend{cancel: cancelBegun}
+	begun.settled.Store(true) // its response head has arrived
 
-	q.endHeld(waiting, begun, nil)
+	q.cancelQuarantined(waiting, begun, nil)
 	assert.NoError(t, ctx.Err())
 	verdict = quarantine.Held
-	q.endHeld(waiting, begun, nil)
-	assert.ErrorIs(t, context.Cause(ctx), errHeld)
-	assert.NoError(t, begunContext.Err())
-	assert.Equal(t, BrokenByHold, q.breakerOf(context.Cause(ctx)))
+	q.cancelQuarantined(waiting, begun, nil)
+	assert.ErrorIs(t, context.Cause(ctx), errQuarantined)
+	assert.NoError(t, begunCtx.Err())
+	assert.Equal(t, BrokenByHold, q.interruptReason(context.Cause(ctx)))
 }
--- a/daemon/internal/request/dispatch/response.go
+++ b/daemon/internal/request/dispatch/response.go
@@ -16,57 +16,57 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// maxWhole bounds an answer that is held until it is whole. A longer one is passed on as it
-// comes, so that callers who read slowly hold little.
-const maxWhole = 64 << 10
+// maxBuffered bounds a response, in bytes, that is buffered completely before it is
+// forwarded. Longer ones are streamed, so that slow callers hold little memory.
+const maxBuffered = 64 << 10
 
-// answer passes an upstream's answer on. It reports false where nothing went
-// out and the budget was charged for another send.
-func (q *request) answer(ctx context.Context, choice balance.Choice, response *http.Response) bool {
+// forward writes an upstream's response to the caller. It returns false if nothing was
+// written and the budget was charged for a retry.
+func (q *request) forward(ctx context.Context, choice balance.Choice, response *http.Response) bool {
 	if q.route.Mode == provider.ModeStream && response.StatusCode/100 == 2 {
-		return q.stream(ctx, choice, response)
+		return q.forwardStream(ctx, choice, response)
 	}
-	return q.whole(choice, response)
+	return q.forwardWhole(choice, response)
 }
 
-// whole reads an answer to its end before a byte of it goes out, so that the request can be
-// sent again where it breaks off. Of a long one that is given up.
-func (q *request) whole(choice balance.Choice, response *http.Response) bool {
+// forwardWhole reads a response completely before it writes any of it, so that the request
+// can be retried if the response is truncated. Long responses are streamed instead.
+func (q *request) forwardWhole(choice balance.Choice, response *http.Response) bool {
 	defer func() { _ = response.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxWhole))
-	if err == nil && len(body) == maxWhole {
-		q.passLong(choice, response, body)
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxBuffered))
+	if err == nil && len(body) == maxBuffered {
+		q.forwardLong(choice, response, body)
 		return true
 	}
 	if err != nil {
-		choice.Done(q.outcomeOf(exchange.Unknown))
-		q.amendTry(choice, q.answering, fmt.Errorf("the answer broke off: %w", err))
-		if q.Context().Err() == nil && q.mayRepeat(exchange.Unknown) {
+		choice.Done(q.balanceOutcome(exchange.Unknown))
+		q.amendAttempt(choice, q.answeredAttempt, fmt.Errorf("response truncated: %w", err))
+		if q.Context().Err() == nil && q.mayRetry(exchange.Unknown) {
 			return false
 		}
 		q.giveUp(exchange.Result{Fate: exchange.Unknown, Err: err})
 		return true
 	}
-	answer := wholeAnswer{response, body}
+	buffered := bufferedResponse{response, body}
 	if response.StatusCode < http.StatusInternalServerError {
 		choice.Done(balance.Served)
-		q.passWhole(answer)
+		q.writeBuffered(buffered)
 		return true
 	}
 	choice.Done(balance.Failed)
-	if q.mayRepeat(exchange.Unknown) {
-		q.amendTry(choice, q.answering, fmt.Errorf("status %d", response.StatusCode))
-		q.failure = &answer
+	if q.mayRetry(exchange.Unknown) {
+		q.amendAttempt(choice, q.answeredAttempt, fmt.Errorf("status %d", response.StatusCode))
+		q.errorResponse = &buffered
 		return false
 	}
-	q.passWhole(answer)
+	q.writeBuffered(buffered)
 	return true
 }
 
-// passLong passes an answer on as it comes, after its first part. One that breaks off is cut,
-// so that it does not look complete.
-func (q *request) passLong(choice balance.Choice, response *http.Response, first []byte) {
-	q.passHead(response)
+// forwardLong writes the first part of a long response and streams the rest. If the rest is
+// truncated, it closes the connection, so that the response does not look complete.
+func (q *request) forwardLong(choice balance.Choice, response *http.Response, first []byte) {
+	q.copyHeader(response)
 	if response.ContentLength >= 0 {
 		q.writer.Header().Set("Content-Length", strconv.FormatInt(response.ContentLength, 10))
 	}
@@ -76,58 +76,57 @@
 		_, err = io.Copy(q.writer, response.Body)
 	}
 	if err != nil {
-		choice.Done(q.outcomeOf(exchange.Unknown))
-		q.amendTry(choice, q.answering, fmt.Errorf("the answer broke off: %w", err))
-		q.breakOff(err)
+		choice.Done(q.balanceOutcome(exchange.Unknown))
+		q.amendAttempt(choice, q.answeredAttempt, fmt.Errorf("response truncated: %w", err))
+		q.abort(err)
 	}
 	outcome := balance.Served
 	if response.StatusCode >= http.StatusInternalServerError {
 		outcome = balance.Failed
 	}
 	choice.Done(outcome)
-	q.endWhole(response.StatusCode)
+	q.complete(response.StatusCode)
 }
 
-// breakOff ends the connection without a whole answer, so that one that has begun does not look
+// abort closes the caller's connection, so that a response that has begun does not look
 // complete.
-func (q *request) breakOff(cause error) {
+func (q *request) abort(cause error) {
 	if q.Context().Err() != nil {
-		q.end(EndLeft, 0, "the caller left")
+		q.setOutcome(EndLeft, 0, "caller disconnected")
 	} else {
-		q.end(EndCut, 0, cause.Error())
+		q.setOutcome(EndCut, 0, cause.Error())
 	}
 	panic(http.ErrAbortHandler)
 }
 
-// wholeAnswer is an upstream's answer and its body, to the end.
-type wholeAnswer struct {
+// bufferedResponse is an upstream's response with its complete body.
+type bufferedResponse struct {
 	*http.Response
 	body []byte
 }
 
-// passWhole passes a whole answer on.
-func (q *request) passWhole(answer wholeAnswer) {
-	q.passHead(answer.Response)
-	q.writer.Header().Set("Content-Length", strconv.Itoa(len(answer.body)))
-	q.writer.WriteHeader(answer.StatusCode)
-	_, _ = q.writer.Write(answer.body)
-	q.endWhole(answer.StatusCode)
+func (q *request) writeBuffered(buffered bufferedResponse) {
+	q.copyHeader(buffered.Response)
+	q.writer.Header().Set("Content-Length", strconv.Itoa(len(buffered.body)))
+	q.writer.WriteHeader(buffered.StatusCode)
+	_, _ = q.writer.Write(buffered.body)
+	q.complete(buffered.StatusCode)
 }
 
-// endWhole ends a request that an upstream has answered whole. A failure clears no content:
-// the upstream may have given it without running the request.
-func (q *request) endWhole(status int) {
+// complete ends a request with a complete response. An error response does not clear the
+// content: the upstream may have sent it without running the request.
+func (q *request) complete(status int) {
 	if q.Whole != nil && status/100 == 2 {
-		q.Whole(q.story.Content)
+		q.Whole(q.trace.Content)
 	}
 	ending := EndServed
 	if status >= http.StatusBadRequest {
 		ending = EndFailed
 	}
-	q.end(ending, status, "")
+	q.setOutcome(ending, status, "")
 }
 
-func (q *request) passHead(response *http.Response) {
+func (q *request) copyHeader(response *http.Response) {
 	header := q.writer.Header()
 	exchange.CutConnectionHeaders(response.Header)
 	for name, values := range response.Header {
@@ -139,17 +138,17 @@
 	if _, ok := header["Content-Type"]; !ok {
 		header["Content-Type"] = nil
 	}
-	q.story.FirstByte = clock.Now()
+	q.trace.FirstByte = clock.Now()
 }
 
-// giveUp ends a request that is not tried again.
+// giveUp ends a request that is not retried.
 func (q *request) giveUp(result exchange.Result) {
-	cause := "no cause"
+	cause := "unknown cause"
 	if result.Err != nil {
 		cause = result.Err.Error()
 	}
 	if result.Fate.NotRun() && q.neverRan() {
-		q.refuse(whyNotRun(result.Fate), cause)
+		q.refuse(notRunReason(result.Fate), cause)
 		return
 	}
 	q.fail(http.StatusBadGateway, EndUnknown, cause)
@@ -157,17 +156,17 @@
 
 // neverRan reports whether no send so far can have run.
 func (q *request) neverRan() bool {
-	for _, try := range q.story.Tries {
-		if try.Fate == exchange.Unknown.String() || try.Fate == exchange.Answered.String() {
+	for _, attempt := range q.trace.Tries {
+		if attempt.Fate == exchange.Unknown.String() || attempt.Fate == exchange.Answered.String() {
 			return false
 		}
 	}
 	return true
 }
 
-// timeOut ends a request whose time is over.
+// timeOut ends a request whose deadline has expired.
 func (q *request) timeOut(result exchange.Result) {
-	cause := "the time is over"
+	cause := "deadline expired"
 	if result.Err != nil {
 		cause += ": " + result.Err.Error()
 	}
@@ -178,15 +177,15 @@
 	q.fail(http.StatusGatewayTimeout, EndTimedOut, cause)
 }
 
-// whyNotRun is why a request that did not run at an upstream is refused.
-func whyNotRun(fate exchange.Fate) admission.Why {
+// notRunReason returns why a request that an upstream did not run is refused.
+func notRunReason(fate exchange.Fate) admission.Why {
 	if fate == exchange.Refused {
 		return admission.EnginesFull
 	}
 	return admission.NotReady
 }
 
-// refuse answers a request that has not run: it says so, and when to come back.
+// refuse answers a request that has not run, and sends the backoff for its retry.
 func (q *request) refuse(why admission.Why, cause string) {
 	if !q.neverRan() {
 		q.fail(http.StatusBadGateway, EndUnknown, cause)
@@ -194,46 +193,46 @@
 	}
 	q.Callers.Refused()
 	wait := admission.Back(why, rand.Float64())
-	q.story.RetryAfter = wait
+	q.trace.RetryAfter = wait
 	q.writer.Header().Set("Retry-After", strconv.FormatFloat(wait.Seconds(), 'f', 3, 64))
 	q.fail(http.StatusServiceUnavailable, EndRefused, cause)
 }
 
-// reject answers a request that is wrong.
+// reject answers an invalid request.
 func (q *request) reject(status int, cause string) {
 	q.fail(status, EndRejected, cause)
 }
 
-// fail writes an answer of our own, which never carries a signature, or the upstream's own
-// failure where one was kept while another upstream was tried.
+// fail writes a response of the router's own, which never carries a signature. If a retry
+// followed an upstream's failure, it forwards that failure instead.
 func (q *request) fail(status int, ending Ending, cause string) {
-	if q.failure != nil {
-		q.passWhole(*q.failure)
-		q.story.Cause = "none answered after the failure: " + cause
+	if q.errorResponse != nil {
+		q.writeBuffered(*q.errorResponse)
+		q.trace.Cause = "no other upstream responded after the failure: " + cause
 		return
 	}
 	header := q.writer.Header()
-	if q.story.ID != "" {
-		header.Set(q.Headers.RequestID, q.story.ID)
+	if q.trace.ID != "" {
+		header.Set(q.Headers.RequestID, q.trace.ID)
 	}
 	header.Set("Content-Type", "text/plain; charset=utf-8")
 	body := string(ending) + "\n"
 	header.Set("Content-Length", strconv.Itoa(len(body)))
 	q.writer.WriteHeader(status)
 	_, _ = io.WriteString(q.writer, body)
-	q.end(ending, status, cause)
+	q.setOutcome(ending, status, cause)
 }
 
-func (q *request) end(ending Ending, status int, cause string) {
-	q.story.Outcome, q.story.Status, q.story.Cause = ending, status, cause
+func (q *request) setOutcome(ending Ending, status int, cause string) {
+	q.trace.Outcome, q.trace.Status, q.trace.Cause = ending, status, cause
 }
 
-// amendTry adds to a try why its answer was not passed on.
-func (q *request) amendTry(choice balance.Choice, number int, err error) {
+// amendAttempt records why the response of an attempt was not forwarded.
+func (q *request) amendAttempt(choice balance.Choice, number int, err error) {
 	if errors.Is(err, io.EOF) {
 		return
 	}
-	try := &q.story.Tries[number]
-	q.broken(try, err)
-	q.tellBroken(choice, *try, err)
+	attempt := &q.trace.Tries[number]
+	q.recordInterrupt(attempt, err)
+	q.reportDisconnect(choice, *attempt, err)
 }
--- a/daemon/internal/request/dispatch/resume.go
+++ b/daemon/internal/request/dispatch/resume.go
@@ -11,39 +11,39 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/balance"
 )
 
-// This file looks for the upstream at which a stream goes on. Silence alone ends nothing:
-// the first upstream is read on until the second has begun, because one that only paused
-// has the whole answer, and there may be no place elsewhere.
+// This file finds the upstream at which a stream resumes. A stall alone ends nothing: the
+// first upstream is read until the second has begun, because an upstream that only paused
+// holds the whole response, and there may be no place elsewhere.
 
 const (
-	// stallTime is the longest pause between events before a stream is looked for elsewhere
-	// too.
-	stallTime = 1200 * time.Millisecond
-	// gapMost is how long after its last event a stream that broke off may go on. Callers
-	// give one up after two seconds without an event.
-	gapMost = 1800 * time.Millisecond
-	// seekLeast is how long a place is looked for in any case.
-	seekLeast = 300 * time.Millisecond
+	// stallTimeout is the longest pause between events before a second upstream is searched
+	// for.
+	stallTimeout = 1200 * time.Millisecond
+	// maxResumeGap is how long after its last event a broken stream may resume. Callers give
+	// up after two seconds without an event.
+	maxResumeGap = 1800 * time.Millisecond
+	// minResumeSearch is how long a place is searched for at least.
+	minResumeSearch = 300 * time.Millisecond
 )
 
-// begun is a stream that goes on at an upstream.
-type begun struct {
+// resumption is a stream that resumes at an upstream.
+type resumption struct {
 	choice   balance.Choice
 	response *http.Response
 }
 
-// seek looks for an upstream until the stream goes on there, or until the time of seeking
-// or the stream's own is over, or no send is left. It returns nil where it does not go on.
-func (s *stream) seek(ctx, seeking context.Context) *begun {
-	for seeking.Err() == nil && s.mayHaveSecond() {
-		send := s.beginSecond(ctx, seeking, s.lastEvent())
+// findResumption searches for an upstream at which the stream resumes. It returns nil once
+// searchCtx or the stream's own context is done, or once no send remains.
+func (s *stream) findResumption(ctx, searchCtx context.Context) *resumption {
+	for searchCtx.Err() == nil && s.mayHedge() {
+		send := s.startHedge(ctx, searchCtx, s.lastEvent())
 		if send == nil {
-			helpers.Pause(seekAgain, seeking.Done())
+			helpers.Pause(searchInterval, searchCtx.Done())
 			continue
 		}
-		choice, result := s.await(ctx, seeking, send, s.lastEvent())
-		if good(result) {
-			return &begun{choice, result.Response}
+		choice, result := s.awaitHead(ctx, searchCtx, send, s.lastEvent())
+		if isSuccess(result) {
+			return &resumption{choice, result.Response}
 		}
 		if result.Response != nil {
 			_ = result.Response.Body.Close()
@@ -53,97 +53,98 @@
 	return nil
 }
 
-// lastEvent is the event after which the stream goes on, "" for its begin.
+// lastEvent returns the ID of the event after which the stream resumes, "" for its start.
 func (s *stream) lastEvent() string {
-	if !s.hasLast {
+	if !s.hasLastID {
 		return ""
 	}
-	return strconv.FormatInt(s.last, 10)
+	return strconv.FormatInt(s.lastID, 10)
 }
 
-// goOn looks for another upstream after the stream broke off.
-func (s *stream) goOn(ctx context.Context) *begun {
-	seeking, cancel := context.WithTimeout(ctx, s.gapLeft())
+// resume searches for another upstream after the stream broke.
+func (s *stream) resume(ctx context.Context) *resumption {
+	searchCtx, cancel := context.WithTimeout(ctx, s.remainingGap())
 	defer cancel()
-	return s.seek(ctx, seeking)
+	return s.findResumption(ctx, searchCtx)
 }
 
-// gapLeft is how long a stream that has broken off may take to go on.
-func (s *stream) gapLeft() time.Duration {
-	return max(clock.Until(s.passed.Add(gapMost)), seekLeast)
+// remainingGap returns how long a broken stream may still take to resume.
+func (s *stream) remainingGap() time.Duration {
+	return max(clock.Until(s.lastWrite.Add(maxResumeGap)), minResumeSearch)
 }
 
-// drop ends a stream that is not needed.
-func (b *begun) drop() {
-	if b != nil {
-		_ = b.response.Body.Close()
-		b.choice.Done(balance.Abandoned)
+// discard closes a stream that is not needed.
+func (r *resumption) discard() {
+	if r != nil {
+		_ = r.response.Body.Close()
+		r.choice.Done(balance.Abandoned)
 	}
 }
 
-// stall looks for a second upstream once the first has sent no event for a while.
-type stall struct {
+// stallWatch searches for a second upstream once the first has sent no event for a while.
+type stallWatch struct {
 	stream *stream
-	ctx    context.Context //nolint:containedctx // the stream's, for as long as one copy of it
+	ctx    context.Context //nolint:containedctx // the stream's, while one upstream is read
 	first  *http.Response
 	timer  *time.Timer
 
-	// seeking is what ends the search, and found its outcome once done is closed. The
-	// goroutine that reads the first upstream touches the request only while none is
-	// under way.
-	seeking context.Context //nolint:containedctx // made anew with each search
-	cancel  context.CancelFunc
-	done    chan struct{}
-	found   *begun
-	// closedFirst says that the first upstream was silent until the second had begun.
+	// searchCtx ends the search, and found is its result once done is closed. The goroutine
+	// that reads the first upstream uses the request only while no search runs, so that the
+	// two do not race.
+	searchCtx context.Context //nolint:containedctx // created with each search
+	cancel    context.CancelFunc
+	done      chan struct{}
+	found     *resumption
+	// closedFirst reports whether the first upstream sent nothing until the second had begun.
 	closedFirst bool
 }
 
-// watch begins to wait for a stall.
-func (s *stream) watch(ctx context.Context, first *http.Response) *stall {
-	w := &stall{stream: s, ctx: ctx, first: first}
+// watchStall starts to wait for a stall.
+func (s *stream) watchStall(ctx context.Context, first *http.Response) *stallWatch {
+	w := &stallWatch{stream: s, ctx: ctx, first: first}
 	w.arm()
 	return w
 }
 
-func (w *stall) arm() {
-	w.seeking, w.cancel = context.WithCancel(w.ctx)
+func (w *stallWatch) arm() {
+	w.searchCtx, w.cancel = context.WithCancel(w.ctx)
 	w.done = make(chan struct{})
-	w.timer = time.AfterFunc(stallTime, w.run)
+	w.timer = time.AfterFunc(stallTimeout, w.run)
 }
 
-// run seeks, and has the reader of the first upstream return where the stream goes on.
-func (w *stall) run() {
+// run searches, and if the stream resumes, closes the first upstream so that its reader
+// returns.
+func (w *stallWatch) run() {
 	defer close(w.done)
-	if w.found = w.stream.seek(w.ctx, w.seeking); w.found != nil {
+	if w.found = w.stream.findResumption(w.ctx, w.searchCtx); w.found != nil {
 		w.closedFirst = true
 		_ = w.first.Body.Close()
 	}
 }
 
-// rest is called when the first upstream has sent an event or ended. It ends a search and
-// returns the second upstream where that has begun.
-func (w *stall) rest() *begun { return w.outcome(0) }
+// stop ends a search after the first upstream has sent an event or ended. It returns the
+// second upstream if that has begun.
+func (w *stallWatch) stop() *resumption { return w.stopAfter(0) }
 
-// outcome is called when the first upstream has broken off. It gives a search that is under
-// way some time more: ended, it would have taken a send for nothing, maybe the last.
-func (w *stall) outcome(left time.Duration) *begun {
+// stopAfter ends a search after the first upstream broke. It lets a running search go on for
+// the grace time: canceled at once, it would waste a send, perhaps the last.
+func (w *stallWatch) stopAfter(grace time.Duration) *resumption {
 	if w.timer.Stop() {
 		return nil
 	}
-	helpers.Pause(left, w.done)
+	helpers.Pause(grace, w.done)
 	w.cancel()
 	<-w.done
 	return w.found
 }
 
-// again waits for the next stall.
-func (w *stall) again() {
+// rearm waits for the next stall.
+func (w *stallWatch) rearm() {
 	select {
 	case <-w.done:
 		w.cancel()
 		w.arm()
 	default:
-		w.timer.Reset(stallTime)
+		w.timer.Reset(stallTimeout)
 	}
 }
--- a/daemon/internal/request/dispatch/retry_test.go
+++ b/daemon/internal/request/dispatch/retry_test.go
@@ -15,28 +15,28 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// TestWhyDecidesWhenToComeBack: callers refused because nothing is ready come back before
-// those for whom engines are full.
-func TestWhyDecidesWhenToComeBack(t *testing.T) {
+// TestBackoffDependsOnReason: callers refused because nothing is ready retry sooner than
+// those refused because engines are full.
+func TestBackoffDependsOnReason(t *testing.T) {
 	full := newFleet(t, 9, func(int) (bool, error) { return false, nil })
-	_, err := full.request("hasty", 0).place(context.Background())
+	_, err := full.request("hasty", 0).choosePlace(context.Background())
 	require.ErrorIs(t, err, errOverloaded)
-	assert.Equal(t, admission.EnginesFull, whyUnplaced(err))
+	assert.Equal(t, admission.EnginesFull, unplacedReason(err))
 	empty := newFleet(t, 0, nil)
-	_, err = empty.request("hasty", 0).place(context.Background())
-	require.ErrorIs(t, err, errNoneFit)
-	assert.Equal(t, admission.NotReady, whyUnplaced(err))
-	assert.Equal(t, admission.EnginesFull, whyNotRun(exchange.Refused))
-	assert.Equal(t, admission.NotReady, whyNotRun(exchange.Misdirected))
-	assert.Equal(t, admission.NotReady, whyNotRun(exchange.Unsent))
+	_, err = empty.request("hasty", 0).choosePlace(context.Background())
+	require.ErrorIs(t, err, errNoUpstream)
+	assert.Equal(t, admission.NotReady, unplacedReason(err))
+	assert.Equal(t, admission.EnginesFull, notRunReason(exchange.Refused))
+	assert.Equal(t, admission.NotReady, notRunReason(exchange.Misdirected))
+	assert.Equal(t, admission.NotReady, notRunReason(exchange.Unsent))
 	for drawn := 0.0; drawn < 1; drawn += 0.1 {
 		assert.Less(t, admission.Back(admission.NotReady, drawn), admission.Back(admission.EnginesFull, drawn))
 	}
 }
 
-// TestTimesThatNobodyMeansAreNone: the caller waits as long as one that names none, and is
-// not taken for one who came back.
-func TestTimesThatNobodyMeansAreNone(t *testing.T) {
+// TestIgnoresInvalidTimes: an invalid deadline counts as none, and does not mark the request
+// as a retry.
+func TestIgnoresInvalidTimes(t *testing.T) {
 	for _, text := range []string{"", "soon", "-1", "0", "NaN", "+Inf", "1e300", "3600001"} {
 		q := &request{
 			Dispatcher: &Dispatcher{Headers: provider.Headers{Deadline: "Left", LengthHint: "Hint"}},
@@ -45,13 +45,13 @@
 		}
 		q.Header.Set("Left", text)
 		q.Header.Set("Hint", text)
-		assert.Equal(t, defaultDeadline, q.callerPatience(), text)
-		left, returned := q.callerStanding()
-		assert.Zero(t, left, text)
-		assert.False(t, returned, text)
-		assert.False(t, math.IsNaN(q.hint()) || q.hint() > mostHint || q.hint() <= 0, text)
+		assert.Equal(t, defaultDeadline, q.callerTimeout(), text)
+		remaining, retried := q.retryState()
+		assert.Zero(t, remaining, text)
+		assert.False(t, retried, text)
+		assert.False(t, math.IsNaN(q.answerHint()) || q.answerHint() > maxHint || q.answerHint() <= 0, text)
 	}
 	q := &request{Dispatcher: &Dispatcher{Headers: provider.Headers{Deadline: "Left"}}, Request: httptest.NewRequest("GET", "/", nil)}
 	q.Header.Set("Left", "1500.5")
-	assert.Equal(t, 1500500*time.Microsecond, q.callerPatience())
+	assert.Equal(t, 1500500*time.Microsecond, q.callerTimeout())
 }
--- a/daemon/internal/request/dispatch/send.go
+++ b/daemon/internal/request/dispatch/send.go
@@ -13,43 +13,43 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/quarantine"
 )
 
-// This file sends a request to an upstream and waits for the head of its answer. Where that
-// is late, a second upstream is asked, and the first is kept until the second has begun:
-// one that is only slow answers in the end, and a second may refuse.
+// This file sends a request to an upstream and waits for the head of the response. If the
+// head is late, the request is hedged: it goes to a second upstream, and the first send
+// continues until the second has responded. A slow upstream responds in the end, and a
+// second one may refuse.
 
 const (
-	// headPatience is how long the head of an answer may take before the request is sent
-	// elsewhere too, and silentPatience the same where the upstream's host has fallen
-	// silent.
-	headPatience   = 1500 * time.Millisecond
-	silentPatience = 300 * time.Millisecond
-	// patienceStep is the interval in which that is looked at, and seekAgain the one in
-	// which a place is looked for again where there was none.
-	patienceStep = 100 * time.Millisecond
-	seekAgain    = 200 * time.Millisecond
-	// maxTried bounds the upstreams that a request is meant for: connections that fail are
-	// no sends, but take time.
-	maxTried = 4
+	// headTimeout is how long a response head may take before the request is hedged, and
+	// unresponsiveTimeout the same if the upstream's host has stopped reporting.
+	headTimeout         = 1500 * time.Millisecond
+	unresponsiveTimeout = 300 * time.Millisecond
+	// checkInterval is the interval of checks on pending sends, and searchInterval that of
+	// searches for a place where there was none.
+	checkInterval  = 100 * time.Millisecond
+	searchInterval = 200 * time.Millisecond
+	// maxUpstreams bounds the upstreams that a request is tried at. Connections that fail do
+	// not count as sends, but take time.
+	maxUpstreams = 4
 )
 
-// sending is one send under way.
-type sending struct {
+// pendingSend is a send that is in progress.
+type pendingSend struct {
 	choice  balance.Choice
 	started time.Time
 	cancel  context.CancelCauseFunc
 	result  chan exchange.Result
-	// settled is taken once, by the head of the answer or by what ends the send before: a
-	// head that arrives as it is ended must not be read under a context that is over.
+	// settled is set once, by the response head or by the cancellation of the send. Without
+	// it, a head that arrives during the cancellation would be read under a canceled context.
 	settled atomic.Bool
 }
 
-// begin sends the request to an upstream.
-func (q *request) begin(ctx context.Context, choice balance.Choice, lastEvent string) *sending {
+// startSend sends the request to an upstream.
+func (q *request) startSend(ctx context.Context, choice balance.Choice, lastEvent string) *pendingSend {
 	ctx, cancel := context.WithCancelCause(ctx)
-	s := &sending{choice: choice, started: clock.Now(), cancel: cancel, result: make(chan exchange.Result, 1)}
+	s := &pendingSend{choice: choice, started: clock.Now(), cancel: cancel, result: make(chan exchange.Result, 1)}
 	expected := 0
-	if q.query().Version > 0 {
-		expected = choice.Version // an engine that is not what it seems refuses
+	if q.upstreamQuery().Version > 0 {
+		expected = choice.Version // an engine with another version refuses
 	}
 	send := exchange.Send{
 		Incoming: q.Request, Body: q.body, Upstream: choice.Upstream, Account: q.accountName(),
@@ -61,7 +61,7 @@
 	go func() {
 		result := q.Client.Do(ctx, send)
 		if q.Heard != nil {
-			q.Heard(Heard{Request: q.story.ID, Upstream: choice.Upstream, Sent: s.started, Said: result.Said})
+			q.Heard(Heard{Request: q.trace.ID, Upstream: choice.Upstream, Sent: s.started, Said: result.Said})
 		}
 		if !s.settled.CompareAndSwap(false, true) && result.Fate == exchange.Answered {
 			_ = result.Response.Body.Close()
@@ -72,62 +72,62 @@
 	return s
 }
 
-// end ends a send whose head has not come.
-func (s *sending) end(cause error) {
+// cancelUnsettled cancels a send whose response head has not arrived.
+func (s *pendingSend) cancelUnsettled(cause error) {
 	if s.settled.CompareAndSwap(false, true) {
 		s.cancel(cause)
 	}
 }
 
-// settle notes what became of a send.
-func (q *request) settle(s *sending, result exchange.Result) {
-	q.note(s, result)
+// settle records the result of a send.
+func (q *request) settle(s *pendingSend, result exchange.Result) {
+	q.recordSend(s, result)
 	switch {
-	case errors.Is(result.Err, errOvertaken) || errors.Is(result.Err, errHeld) || errors.Is(result.Err, errStopping):
+	case errors.Is(result.Err, errSuperseded) || errors.Is(result.Err, errQuarantined) || errors.Is(result.Err, errStopping):
 		s.choice.Done(balance.Abandoned)
 	case result.Fate != exchange.Answered:
-		s.choice.Done(q.outcomeOf(result.Fate))
+		s.choice.Done(q.balanceOutcome(result.Fate))
 	}
 }
 
-func (q *request) note(s *sending, result exchange.Result) {
+func (q *request) recordSend(s *pendingSend, result exchange.Result) {
 	if result.Fate == exchange.Unsent {
 		q.sent--
 	}
-	q.noteTry(s.choice, result, s.started)
+	q.recordAttempt(s.choice, result, s.started)
 }
 
-// overtaken ends a send whose request another upstream has answered first, and says what
-// that tells of its own.
-func (q *request) overtaken(s *sending, outcome balance.Outcome) {
+// supersede cancels a send after another upstream has responded, and reports the given
+// outcome for its own.
+func (q *request) supersede(s *pendingSend, outcome balance.Outcome) {
 	if s == nil {
 		return
 	}
-	s.end(errOvertaken)
+	s.cancelUnsettled(errSuperseded)
 	result := <-s.result
 	if result.Fate == exchange.Answered {
 		_ = result.Response.Body.Close()
-		result = exchange.Result{Fate: exchange.Unknown, Err: errOvertaken}
+		result = exchange.Result{Fate: exchange.Unknown, Err: errSuperseded}
 	}
-	q.note(s, result)
+	q.recordSend(s, result)
 	s.choice.Done(outcome)
 }
 
-// await waits for the head of the answer to a send. Where it is late it sends the request
-// elsewhere too, and returns whichever answers first. All sends end with the time of
-// seeking, if none has answered by then; the answer's body is read under ctx.
-func (q *request) await(ctx, seeking context.Context, first *sending, lastEvent string) (balance.Choice, exchange.Result) {
-	var second *sending
-	look := time.NewTicker(patienceStep)
-	defer look.Stop()
-	seekAt, over, stopping := time.Time{}, seeking.Done(), q.Over
+// awaitHead waits for the response head of a send. If it is late, the request is hedged, and
+// the first response wins. Without a response, all sends are canceled once searchCtx is
+// done. The response body is read under ctx.
+func (q *request) awaitHead(ctx, searchCtx context.Context, first *pendingSend, lastEvent string) (balance.Choice, exchange.Result) {
+	var second *pendingSend
+	ticker := time.NewTicker(checkInterval)
+	defer ticker.Stop()
+	nextSearch, searchDone, stopping := time.Time{}, searchCtx.Done(), q.Over
 	for {
 		select {
-		case <-over:
-			endAll(errOvertaken, first, second)
-			over = nil
+		case <-searchDone:
+			cancelAll(errSuperseded, first, second)
+			searchDone = nil
 		case <-stopping:
-			endAll(errStopping, first, second)
+			cancelAll(errStopping, first, second)
 			stopping = nil
 		case result := <-first.result:
 			if result.Fate != exchange.Answered && second != nil {
@@ -135,7 +135,7 @@
 				first, second = second, nil
 				continue
 			}
-			q.overtaken(second, balance.Abandoned)
+			q.supersede(second, balance.Abandoned)
 			q.settle(first, result)
 			return first.choice, result
 		case result := <-resultOf(second):
@@ -144,73 +144,72 @@
 				second = nil
 				continue
 			}
-			q.overtaken(first, balance.Failed)
+			q.supersede(first, balance.Failed)
 			q.settle(second, result)
 			return second.choice, result
-		case now := <-look.C:
-			q.endOutdated(first, second)
-			q.endHeld(first, second)
-			q.endOverdue(first, second)
-			if second == nil && q.slow(first) && now.After(seekAt) {
-				second = q.beginSecond(ctx, seeking, lastEvent)
-				seekAt = now.Add(seekAgain)
+		case now := <-ticker.C:
+			q.cancelOutdated(first, second)
+			q.cancelQuarantined(first, second)
+			q.cancelExpired(first, second)
+			if second == nil && q.slow(first) && now.After(nextSearch) {
+				second = q.startHedge(ctx, searchCtx, lastEvent)
+				nextSearch = now.Add(searchInterval)
 			}
 		}
 	}
 }
 
-// resultOf is where a send's result comes, never where there is no send.
-func resultOf(s *sending) <-chan exchange.Result {
+// resultOf returns the channel of a send's result, nil if there is no send.
+func resultOf(s *pendingSend) <-chan exchange.Result {
 	if s == nil {
 		return nil
 	}
 	return s.result
 }
 
-// endAll ends sends whose heads have not come.
-func endAll(cause error, sends ...*sending) {
+// cancelAll cancels sends whose response heads have not arrived.
+func cancelAll(cause error, sends ...*pendingSend) {
 	for _, s := range sends {
 		if s != nil {
-			s.end(cause)
+			s.cancelUnsettled(cause)
 		}
 	}
 }
 
-// endOutdated ends sends that have not begun and must not begin any more on the version
-// that their upstream held.
-func (q *request) endOutdated(sends ...*sending) {
+// cancelOutdated cancels sends without a response head whose upstream's version must not
+// start requests any more.
+func (q *request) cancelOutdated(sends ...*pendingSend) {
 	for _, s := range sends {
-		if s != nil && s.choice.Version > 0 && s.choice.Version < q.query().Version {
-			s.end(errOutdated)
+		if s != nil && s.choice.Version > 0 && s.choice.Version < q.upstreamQuery().Version {
+			s.cancelUnsettled(errOutdated)
 		}
 	}
 }
 
-// endOverdue ends sends that have not begun once the request's time is over.
-func (q *request) endOverdue(sends ...*sending) {
-	if q.overdue() {
-		endAll(context.DeadlineExceeded, sends...)
+// cancelExpired cancels sends without a response head once the request's time is over.
+func (q *request) cancelExpired(sends ...*pendingSend) {
+	if q.expired() {
+		cancelAll(context.DeadlineExceeded, sends...)
 	}
 }
 
-func (q *request) slow(s *sending) bool {
+func (q *request) slow(s *pendingSend) bool {
 	waited := clock.Since(s.started)
-	return waited > headPatience || waited > silentPatience && q.Pool.Silent(s.choice.Upstream.ID)
+	return waited > headTimeout || waited > unresponsiveTimeout && q.Pool.Silent(s.choice.Upstream.ID)
 }
 
-// mayHaveSecond reports whether the request, which is under way, may go to another
-// upstream too.
-func (q *request) mayHaveSecond() bool {
-	return q.repeatable() && q.sent < q.route.MaxAttempts && len(q.tried) < maxTried && q.verdict() == quarantine.Free
+// mayHedge reports whether a request with a pending send may go to another upstream too.
+func (q *request) mayHedge() bool {
+	return q.repeatable() && q.sent < q.route.MaxAttempts && len(q.tried) < maxUpstreams && q.verdict() == quarantine.Free
 }
 
-// beginSecond sends the request to another upstream if one has a place, which is asked for
-// as long as the time of seeking lasts, and the budget allows it. Else it returns nil.
-func (q *request) beginSecond(ctx, seeking context.Context, lastEvent string) *sending {
-	if !q.mayHaveSecond() || q.Budget.Left(q.service.Name) < 1 {
+// startHedge sends the request to another upstream, if one has a place before searchCtx is
+// done and the budget allows it. Otherwise it returns nil.
+func (q *request) startHedge(ctx, searchCtx context.Context, lastEvent string) *pendingSend {
+	if !q.mayHedge() || q.Budget.Left(q.service.Name) < 1 {
 		return nil
 	}
-	choice, err := q.place(seeking)
+	choice, err := q.choosePlace(searchCtx)
 	if err != nil {
 		return nil
 	}
@@ -218,22 +217,21 @@
 		choice.Done(balance.Abandoned)
 		return nil
 	}
-	return q.begin(ctx, choice, lastEvent)
+	return q.startSend(ctx, choice, lastEvent)
 }
 
-// try chooses an upstream and sends the request there. Where there is none, or
-// none that could begin in time, it sends nothing and returns why. lastEvent is
-// the event after which a stream goes on.
-func (q *request) try(ctx context.Context, lastEvent string) (balance.Choice, exchange.Result, error) {
-	choice, err := q.place(ctx)
+// attempt chooses an upstream and sends the request there. If no upstream can respond in
+// time, it sends nothing and returns why. A stream resumes after lastEvent.
+func (q *request) attempt(ctx context.Context, lastEvent string) (balance.Choice, exchange.Result, error) {
+	choice, err := q.choosePlace(ctx)
 	if err != nil {
 		return choice, exchange.Result{}, err
 	}
-	choice, result := q.await(ctx, ctx, q.begin(ctx, choice, lastEvent), lastEvent)
+	choice, result := q.awaitHead(ctx, ctx, q.startSend(ctx, choice, lastEvent), lastEvent)
 	return choice, result, nil
 }
 
-// good reports whether a stream may go on with an answer.
-func good(result exchange.Result) bool {
+// isSuccess reports whether a stream may resume with this response.
+func isSuccess(result exchange.Result) bool {
 	return result.Fate == exchange.Answered && result.Response.StatusCode/100 == http.StatusOK/100
 }
--- a/daemon/internal/request/dispatch/stream.go
+++ b/daemon/internal/request/dispatch/stream.go
@@ -15,135 +15,136 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/holding"
 )
 
-var errGap = errors.New("an event is missing")
+var errMissingEvent = errors.New("event missing from the stream")
 
-// aheadMost is how far a stream is read ahead of its caller, in bytes: most streams whole.
-const aheadMost = 64 << 10
+// maxReadAhead is how many bytes a stream is read ahead of its caller: most streams fit.
+const maxReadAhead = 64 << 10
 
-// stream passes events on as they come, whole ones only. Where an upstream
-// breaks off, the stream goes on at another after the last event that went out;
-// the head and its signature stay those of the first.
-func (q *request) stream(ctx context.Context, choice balance.Choice, response *http.Response) bool {
-	s := &stream{request: q, passed: clock.Now()}
-	s.last, s.hasLast = q.callersLast()
+// forwardStream forwards complete events as they arrive. If an upstream breaks, the stream
+// resumes at another after the last forwarded event; the head and its signature stay those
+// of the first upstream.
+func (q *request) forwardStream(ctx context.Context, choice balance.Choice, response *http.Response) bool {
+	s := &stream{request: q, lastWrite: clock.Now()}
+	s.lastID, s.hasLastID = q.callerLastEvent()
 	for {
-		reading := q.answering
-		next, err := s.copy(ctx, choice, response)
+		index := q.answeredAttempt
+		next, err := s.copyEvents(ctx, choice, response)
 		if err == nil {
 			choice.Done(balance.Served)
 			if !s.headSent {
-				s.sendHead(response)
+				s.writeHead(response)
 			}
-			s.Pace.Ended(s.service.Name, clock.Since(s.story.FirstByte))
-			q.endWhole(http.StatusOK)
+			s.Pace.Ended(s.service.Name, clock.Since(s.trace.FirstByte))
+			q.complete(http.StatusOK)
 			return true
 		}
-		choice.Done(q.brokenOff(choice))
-		q.amendTry(choice, reading, err)
+		choice.Done(q.streamOutcome(choice))
+		q.amendAttempt(choice, index, err)
 		if next == nil {
-			next = s.goOn(ctx)
+			next = s.resume(ctx)
 		}
 		if next == nil {
-			return s.cut(ctx, err)
+			return s.failStream(ctx, err)
 		}
 		choice, response = next.choice, next.response
 	}
 }
 
-// brokenOff is what a stream that broke off says of its upstream.
-func (q *request) brokenOff(choice balance.Choice) balance.Outcome {
+// streamOutcome returns what a broken stream says about its upstream: nothing, if the
+// upstream broke it to load a version.
+func (q *request) streamOutcome(choice balance.Choice) balance.Outcome {
 	if q.Pool.Loading(choice.Upstream.ID) {
 		return balance.Abandoned
 	}
-	return q.outcomeOf(exchange.Unknown)
+	return q.balanceOutcome(exchange.Unknown)
 }
 
-// callersLast is the event after which the caller asks to go on.
-func (q *request) callersLast() (int64, bool) {
+// callerLastEvent returns the event after which the caller asks to resume.
+func (q *request) callerLastEvent() (int64, bool) {
 	id, err := strconv.ParseInt(q.Header.Get(q.Headers.LastEvent), 10, 64)
 	return id, err == nil
 }
 
-// stream is one answer made of one or more upstreams' events.
+// stream is one response made of the events of one or more upstreams.
 type stream struct {
 	*request
 	headSent bool
-	// last is the number of the last event that went out, if there was one.
-	last    int64
-	hasLast bool
-	// passed is when the last event went out, or the stream began.
-	passed time.Time
+	// lastID is the ID of the last forwarded event, if hasLastID.
+	lastID    int64
+	hasLastID bool
+	// lastWrite is when the last event was forwarded, or the stream started.
+	lastWrite time.Time
 }
 
-// copy passes one upstream's events on until its end; no error means a good one. Where the
-// stream has begun at another upstream meanwhile, it returns that.
-func (s *stream) copy(ctx context.Context, choice balance.Choice, response *http.Response) (*begun, error) {
-	response.Body = holding.ReadAhead(response.Body, &s.Holding, aheadMost)
+// copyEvents forwards one upstream's events until its end; a nil error means a complete
+// stream. If the stream has resumed at another upstream meanwhile, it returns that.
+func (s *stream) copyEvents(ctx context.Context, choice balance.Choice, response *http.Response) (*resumption, error) {
+	response.Body = holding.ReadAhead(response.Body, &s.Holding, maxReadAhead)
 	defer func() { _ = response.Body.Close() }()
-	stalled := s.watch(ctx, response)
-	defer func() { stalled.cancel() }()
+	watch := s.watchStall(ctx, response)
+	defer func() { watch.cancel() }()
 	framed := response.ContentLength >= 0 || len(response.TransferEncoding) > 0
 	events := exchange.NewEvents(response.Body, framed)
 	for {
 		event, err := events.Next()
 		if errors.Is(err, io.EOF) {
-			stalled.rest().drop()
+			watch.stop().discard()
 			return nil, nil
 		}
 		if err != nil {
-			next := stalled.outcome(s.gapLeft())
-			if stalled.closedFirst {
+			next := watch.stopAfter(s.remainingGap())
+			if watch.closedFirst {
 				err = errStalled
 			}
 			return next, fmt.Errorf("stream from %s: %w", choice.Upstream.ID, err)
 		}
-		if next := stalled.rest(); next != nil {
+		if next := watch.stop(); next != nil {
 			return next, fmt.Errorf("stream from %s: %w", choice.Upstream.ID, errStalled)
 		}
-		if err := s.pass(response, event); err != nil {
+		if err := s.forwardEvent(response, event); err != nil {
 			return nil, err
 		}
 		if !events.Buffered() {
 			_ = http.NewResponseController(s.writer).Flush()
 		}
-		stalled.again()
+		watch.rearm()
 	}
 }
 
-// pass sends one event on, unless it went out before.
-func (s *stream) pass(response *http.Response, event exchange.Event) error {
-	if event.HasID && s.hasLast {
-		if event.ID <= s.last {
+// forwardEvent forwards one event, unless it was forwarded before.
+func (s *stream) forwardEvent(response *http.Response, event exchange.Event) error {
+	if event.HasID && s.hasLastID {
+		if event.ID <= s.lastID {
 			return nil
 		}
-		if event.ID != s.last+1 {
-			return fmt.Errorf("%w: %d follows %d", errGap, event.ID, s.last)
+		if event.ID != s.lastID+1 {
+			return fmt.Errorf("%w: %d follows %d", errMissingEvent, event.ID, s.lastID)
 		}
 	}
 	if !s.headSent {
-		s.sendHead(response)
+		s.writeHead(response)
 	}
 	if _, err := s.writer.Write(event.Bytes); err != nil {
 		return fmt.Errorf("write to the caller: %w", err)
 	}
-	s.passed = clock.Now()
+	s.lastWrite = clock.Now()
 	if event.HasID {
-		s.last, s.hasLast = event.ID, true
+		s.lastID, s.hasLastID = event.ID, true
 	}
 	return nil
 }
 
-func (s *stream) sendHead(response *http.Response) {
-	s.passHead(response)
+func (s *stream) writeHead(response *http.Response) {
+	s.copyHeader(response)
 	s.writer.WriteHeader(response.StatusCode)
 	s.headSent = true
 }
 
-// cut ends a stream that cannot go on, so that it does not look complete.
-func (s *stream) cut(ctx context.Context, cause error) bool {
+// failStream ends a stream that cannot resume, so that it does not look complete.
+func (s *stream) failStream(ctx context.Context, cause error) bool {
 	switch {
 	case s.headSent || s.Context().Err() != nil:
-		s.breakOff(cause)
+		s.abort(cause)
 	case ctx.Err() != nil:
 		s.timeOut(exchange.Result{Err: cause})
 	default:
--- a/daemon/internal/request/dispatch/stream_test.go
+++ b/daemon/internal/request/dispatch/stream_test.go
@@ -10,12 +10,12 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// TestStreamCutByALoadIsNoFault of its upstream, which is to be chosen again
-// once it has the new version.
-func TestStreamCutByALoadIsNoFault(t *testing.T) {
+// TestStreamBrokenByLoadIsNoFailure: the upstream must remain eligible once it has loaded the
+// new version.
+func TestStreamBrokenByLoadIsNoFailure(t *testing.T) {
 	q := &request{Dispatcher: &Dispatcher{Pool: &balance.Pool{}}, Request: httptest.NewRequest("GET", "/", nil)}
 	choice := balance.Choice{Upstream: &provider.Upstream{ID: "u0"}}
-	assert.Equal(t, balance.Failed, q.brokenOff(choice))
+	assert.Equal(t, balance.Failed, q.streamOutcome(choice))
 	q.Pool.Tell("u0", balance.Told{Loading: true})
-	assert.Equal(t, balance.Abandoned, q.brokenOff(choice))
+	assert.Equal(t, balance.Abandoned, q.streamOutcome(choice))
 }
