--- a/daemon/internal/request/dispatch/dispatch.go
+++ b/daemon/internal/request/dispatch/dispatch.go
@@ -76,7 +76,7 @@
 	// means never.
 	Over <-chan struct{}
 	// Report is called once for each request that ended.
-	Report func(*Story)
+	Report func(*Trace)
 }
 
 // Heard is what a response says about its upstream's rate limit.
@@ -88,8 +88,8 @@
 	Said ratelimit.Said
 }
 
-// Story records one request for logs and metrics.
-type Story struct {
+// Trace records one request for logs and metrics.
+type Trace struct {
 	ID, Route, Service, Account string
 	// Content identifies what was requested; a retry by the caller has the same content.
 	Content content.Name
@@ -199,13 +199,13 @@
 	answeredAttempt int
 	// errorResponse is an upstream's failure, kept until another upstream has responded.
 	errorResponse *bufferedResponse
-	trace         *Story
+	trace         *Trace
 }
 
 // ServeHTTP answers one request.
 func (d *Dispatcher) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	q := &request{Dispatcher: d, Request: r, writer: w, view: d.View()}
-	q.trace = &Story{ID: r.Header.Get(d.Headers.RequestID), Started: clock.Now(), Configuration: q.view.ConfigurationRevision}
+	q.trace = &Trace{ID: r.Header.Get(d.Headers.RequestID), Started: clock.Now(), Configuration: q.view.ConfigurationRevision}
 	defer q.finish()
 	if !q.admit() {
 		return
--- a/daemon/internal/request/dispatch/interrupt_test.go
+++ b/daemon/internal/request/dispatch/interrupt_test.go
@@ -17,7 +17,7 @@
 // TestInterruptReasonFollowsError: logs must tell a connection that the upstream closed from
 // a send that this router canceled.
 func TestInterruptReasonFollowsError(t *testing.T) {
-	q := &request{Dispatcher: &Dispatcher{Pool: &balance.Pool{}}, Request: httptest.NewRequest("GET", "/", nil), trace: &Story{}}
+	q := &request{Dispatcher: &Dispatcher{Pool: &balance.Pool{}}, Request: httptest.NewRequest("GET", "/", nil), trace: &Trace{}}
 	q.Pool.Tell("u1", balance.Told{Loading: true})
 	for reason, err := range map[Breaker]error{
 		BrokenByUpstream: errors.New("connection reset by peer"),
@@ -41,14 +41,14 @@
 // truncated on purpose keeps its own outcome.
 func TestPanicIsReported(t *testing.T) {
 	for outcome, failure := range map[Ending]any{EndPanicked: "a fault", EndCut: http.ErrAbortHandler} {
-		var reported *Story
+		var reported *Trace
 		d := &Dispatcher{
-			Report: func(trace *Story) { reported = trace },
+			Report: func(trace *Trace) { reported = trace },
 			View: func() *mirror.View {
 				panic(failure)
 			},
 		}
-		q := &request{Dispatcher: d, trace: &Story{}}
+		q := &request{Dispatcher: d, trace: &Trace{}}
 		if outcome == EndCut {
 			q.setOutcome(EndCut, 0, "")
 		}
--- a/daemon/internal/request/dispatch/overload_test.go
+++ b/daemon/internal/request/dispatch/overload_test.go
@@ -36,7 +36,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			q := &request{
 				Dispatcher: &Dispatcher{Pace: &Pace{Now: frozenNow}}, Request: httptest.NewRequest("GET", "/", nil), sent: test.sent,
-				trace: &Story{}, service: &provider.Service{Name: "s", Engine: test.engine}, route: &provider.Route{Objective: test.objective},
+				trace: &Trace{}, service: &provider.Service{Name: "s", Engine: test.engine}, route: &provider.Route{Objective: test.objective},
 			}
 			makeFull(q.Pace)
 			choice := balance.Choice{Upstream: &provider.Upstream{Places: 16}, Running: test.running, Waiting: test.waiting}
@@ -50,7 +50,7 @@
 func TestToleratesShortPeaks(t *testing.T) {
 	q := &request{
 		Dispatcher: &Dispatcher{Pace: &Pace{Now: frozenNow}}, Request: httptest.NewRequest("GET", "/", nil),
-		trace: &Story{}, service: &provider.Service{Name: "s", Engine: &provider.EngineSpec{Model: "m"}}, route: &provider.Route{Objective: 400 * time.Millisecond},
+		trace: &Trace{}, service: &provider.Service{Name: "s", Engine: &provider.EngineSpec{Model: "m"}}, route: &provider.Route{Objective: 400 * time.Millisecond},
 	}
 	choice := balance.Choice{Upstream: &provider.Upstream{Places: 16}, Running: 16}
 	assert.False(t, q.overloaded(choice))
@@ -84,7 +84,7 @@
 func TestLessUrgentRequestsAreRefusedSooner(t *testing.T) {
 	q := &request{
 		Dispatcher: &Dispatcher{Pace: &Pace{Now: frozenNow}}, Request: httptest.NewRequest("GET", "/", nil),
-		trace: &Story{}, service: &provider.Service{Name: "s", Engine: &provider.EngineSpec{Model: "m"}}, route: &provider.Route{Objective: 400 * time.Millisecond},
+		trace: &Trace{}, service: &provider.Service{Name: "s", Engine: &provider.EngineSpec{Model: "m"}}, route: &provider.Route{Objective: 400 * time.Millisecond},
 	}
 	makeFull(q.Pace)
 	choice := balance.Choice{Upstream: &provider.Upstream{Places: 16}, Running: 13}
--- a/daemon/internal/request/dispatch/place_test.go
+++ b/daemon/internal/request/dispatch/place_test.go
@@ -69,7 +69,7 @@
 			Pool: f.pool, Pace: &Pace{}, AskPlace: f.answer, View: func() *mirror.View { return f.view },
 			Demand: func(*mirror.Declared) mirror.Demand { return mirror.Demand{} },
 		},
-		Request: httptest.NewRequest("GET", "/", nil), view: f.view, service: f.view.Service("s"), sent: sent, trace: &Story{},
+		Request: httptest.NewRequest("GET", "/", nil), view: f.view, service: f.view.Service("s"), sent: sent, trace: &Trace{},
 	}
 	for i := range f.view.Configuration.Routes {
 		if f.view.Configuration.Routes[i].Name == route {
--- a/daemon/internal/request/dispatch/quarantine_test.go
+++ b/daemon/internal/request/dispatch/quarantine_test.go
@@ -22,7 +22,7 @@
 			Pool: &balance.Pool{}, Budget: &Budget{Slack: 100, Window: time.Minute},
 			Judge: func(content.Name) quarantine.Verdict { return *verdict },
 		},
-		Request: httptest.NewRequest("GET", "/", nil), trace: &Story{}, sent: 1,
+		Request: httptest.NewRequest("GET", "/", nil), trace: &Trace{}, sent: 1,
 		route: &provider.Route{Mode: provider.ModeSafe, MaxAttempts: 3}, service: &provider.Service{Name: "s"},
 	}
 }
--- a/daemon/router/recorder.go
+++ b/daemon/router/recorder.go
@@ -60,7 +60,7 @@
 }
 
 // request writes one line for a request that ended.
-func (r *recorder) request(story *dispatch.Story) {
+func (r *recorder) request(story *dispatch.Trace) {
 	r.count(story)
 	limiter := r.failed
 	if story.Outcome == dispatch.EndServed && len(story.Tries) < 2 {
@@ -217,7 +217,7 @@
 	r.log.WithField("count", r.leftOut.Swap(0)).Warn("request lines left out")
 }
 
-func (r *recorder) count(story *dispatch.Story) {
+func (r *recorder) count(story *dispatch.Trace) {
 	r.scope.Tagged(map[string]string{"outcome": string(story.Outcome)}).Counter("requests").Inc(1)
 	if len(story.Tries) > 1 {
 		r.scope.Counter("second_sends").Inc(int64(len(story.Tries) - 1))
