--- a/daemon/internal/request/dispatch/admit.go
+++ b/daemon/internal/request/dispatch/admit.go
@@ -138,7 +138,7 @@
 		q.refuse(admission.EnginesFull, err.Error())
 		return false
 	case err != nil:
-		q.setOutcome(EndLeft, 0, "request body did not arrive: "+err.Error())
+		q.setOutcome(OutcomeDisconnected, 0, "request body did not arrive: "+err.Error())
 		panic(http.ErrAbortHandler)
 	}
 	q.body = body
--- a/daemon/internal/request/dispatch/dispatch.go
+++ b/daemon/internal/request/dispatch/dispatch.go
@@ -97,7 +97,7 @@
 	// FirstByte is when the head of the response was written, zero if none was.
 	FirstByte time.Time
 	Status    int
-	Outcome   Ending
+	Outcome   Outcome
 	Cause     string
 	Tries     []Try
 	// Returned reports whether the request is probably a retry after a refusal.
@@ -154,21 +154,21 @@
 	DoorOwn    Door = "own"    // the upstream has no loader
 )
 
-// Ending is how a request ended for its caller.
-type Ending string
+// Outcome is how a request ended for its caller.
+type Outcome string
 
 // Outcomes.
 const (
-	EndServed   Ending = "served"
-	EndFailed   Ending = "failed"    // error response of the upstream, forwarded
-	EndRefused  Ending = "refused"   // did not run
-	EndUnknown  Ending = "unknown"   // may have run
-	EndCut      Ending = "cut"       // response truncated after its head
-	EndLeft     Ending = "left"      // the caller disconnected
-	EndRejected Ending = "rejected"  // 400, 401, 404, 413
-	EndHeld     Ending = "held"      // did not run: its content is quarantined
-	EndTimedOut Ending = "timed-out" // the deadline of the caller or the route expired
-	EndPanicked Ending = "panicked"  // internal error: the connection was closed
+	OutcomeServed       Outcome = "served"
+	OutcomeFailed       Outcome = "failed"    // error response of the upstream, forwarded
+	OutcomeRefused      Outcome = "refused"   // did not run
+	OutcomeUnknown      Outcome = "unknown"   // may have run
+	OutcomeTruncated    Outcome = "cut"       // response truncated after its head
+	OutcomeDisconnected Outcome = "left"      // the caller disconnected
+	OutcomeRejected     Outcome = "rejected"  // 400, 401, 404, 413
+	OutcomeQuarantined  Outcome = "held"      // did not run: its content is quarantined
+	OutcomeTimedOut     Outcome = "timed-out" // the deadline of the caller or the route expired
+	OutcomePanicked     Outcome = "panicked"  // internal error: the connection was closed
 )
 
 // request is the state of one caller's request.
@@ -245,7 +245,7 @@
 			continue
 		}
 		if q.Context().Err() != nil {
-			q.setOutcome(EndLeft, 0, "caller disconnected")
+			q.setOutcome(OutcomeDisconnected, 0, "caller disconnected")
 			panic(http.ErrAbortHandler) // returning would send an empty response
 		}
 		if ctx.Err() != nil || q.expired() {
--- a/daemon/internal/request/dispatch/interrupt.go
+++ b/daemon/internal/request/dispatch/interrupt.go
@@ -102,7 +102,7 @@
 func (q *request) finish() {
 	failure := recover()
 	if failure != nil && q.trace.Outcome == "" {
-		q.setOutcome(EndPanicked, 0, fmt.Sprint(failure))
+		q.setOutcome(OutcomePanicked, 0, fmt.Sprint(failure))
 	}
 	q.Report(q.trace)
 	if q.bodyReader != nil {
--- a/daemon/internal/request/dispatch/interrupt_test.go
+++ b/daemon/internal/request/dispatch/interrupt_test.go
@@ -40,7 +40,7 @@
 // TestPanicIsReported: a panicking handler still reports its request, and a response that is
 // truncated on purpose keeps its own outcome.
 func TestPanicIsReported(t *testing.T) {
-	for outcome, failure := range map[Ending]any{EndPanicked: "a fault", EndCut: http.ErrAbortHandler} {
+	for outcome, failure := range map[Outcome]any{OutcomePanicked: "a fault", OutcomeTruncated: http.ErrAbortHandler} {
 		var reported *Trace
 		d := &Dispatcher{
 			Report: func(trace *Trace) { reported = trace },
@@ -49,8 +49,8 @@
 			},
 		}
 		q := &request{Dispatcher: d, trace: &Trace{}}
-		if outcome == EndCut {
-			q.setOutcome(EndCut, 0, "")
+		if outcome == OutcomeTruncated {
+			q.setOutcome(OutcomeTruncated, 0, "")
 		}
 		assert.PanicsWithValue(t, failure, func() {
 			defer q.finish()
--- a/daemon/internal/request/dispatch/quarantine.go
+++ b/daemon/internal/request/dispatch/quarantine.go
@@ -19,7 +19,7 @@
 // refuseQuarantined answers a request whose content is quarantined. The request did not run.
 // No backoff is sent, because a retry gets the same response.
 func (q *request) refuseQuarantined() {
-	q.fail(http.StatusServiceUnavailable, EndHeld, errQuarantined.Error())
+	q.fail(http.StatusServiceUnavailable, OutcomeQuarantined, errQuarantined.Error())
 }
 
 // cancelQuarantined cancels sends without a response head once their content is quarantined.
--- a/daemon/internal/request/dispatch/response.go
+++ b/daemon/internal/request/dispatch/response.go
@@ -92,9 +92,9 @@
 // complete.
 func (q *request) abort(cause error) {
 	if q.Context().Err() != nil {
-		q.setOutcome(EndLeft, 0, "caller disconnected")
+		q.setOutcome(OutcomeDisconnected, 0, "caller disconnected")
 	} else {
-		q.setOutcome(EndCut, 0, cause.Error())
+		q.setOutcome(OutcomeTruncated, 0, cause.Error())
 	}
 	panic(http.ErrAbortHandler)
 }
@@ -119,9 +119,9 @@
 	if q.Whole != nil && status/100 == 2 {
 		q.Whole(q.trace.Content)
 	}
-	ending := EndServed
+	ending := OutcomeServed
 	if status >= http.StatusBadRequest {
-		ending = EndFailed
+		ending = OutcomeFailed
 	}
 	q.setOutcome(ending, status, "")
 }
@@ -151,7 +151,7 @@
 		q.refuse(notRunReason(result.Fate), cause)
 		return
 	}
-	q.fail(http.StatusBadGateway, EndUnknown, cause)
+	q.fail(http.StatusBadGateway, OutcomeUnknown, cause)
 }
 
 // neverRan reports whether no send so far can have run.
@@ -174,7 +174,7 @@
 		q.refuse(admission.EnginesFull, cause)
 		return
 	}
-	q.fail(http.StatusGatewayTimeout, EndTimedOut, cause)
+	q.fail(http.StatusGatewayTimeout, OutcomeTimedOut, cause)
 }
 
 // notRunReason returns why a request that an upstream did not run is refused.
@@ -188,24 +188,24 @@
 // refuse answers a request that has not run, and sends the backoff for its retry.
 func (q *request) refuse(why admission.Why, cause string) {
 	if !q.neverRan() {
-		q.fail(http.StatusBadGateway, EndUnknown, cause)
+		q.fail(http.StatusBadGateway, OutcomeUnknown, cause)
 		return
 	}
 	q.Callers.Refused()
 	wait := admission.Back(why, rand.Float64())
 	q.trace.RetryAfter = wait
 	q.writer.Header().Set("Retry-After", strconv.FormatFloat(wait.Seconds(), 'f', 3, 64))
-	q.fail(http.StatusServiceUnavailable, EndRefused, cause)
+	q.fail(http.StatusServiceUnavailable, OutcomeRefused, cause)
 }
 
 // reject answers an invalid request.
 func (q *request) reject(status int, cause string) {
-	q.fail(status, EndRejected, cause)
+	q.fail(status, OutcomeRejected, cause)
 }
 
 // fail writes a response of the router's own, which never carries a signature. If a retry
 // followed an upstream's failure, it forwards that failure instead.
-func (q *request) fail(status int, ending Ending, cause string) {
+func (q *request) fail(status int, ending Outcome, cause string) {
 	if q.errorResponse != nil {
 		q.writeBuffered(*q.errorResponse)
 		q.trace.Cause = "no other upstream responded after the failure: " + cause
@@ -223,7 +223,7 @@
 	q.setOutcome(ending, status, cause)
 }
 
-func (q *request) setOutcome(ending Ending, status int, cause string) {
+func (q *request) setOutcome(ending Outcome, status int, cause string) {
 	q.trace.Outcome, q.trace.Status, q.trace.Cause = ending, status, cause
 }
 
--- a/daemon/internal/request/dispatch/stream.go
+++ b/daemon/internal/request/dispatch/stream.go
@@ -148,7 +148,7 @@
 	case ctx.Err() != nil:
 		s.timeOut(exchange.Result{Err: cause})
 	default:
-		s.fail(http.StatusBadGateway, EndUnknown, cause.Error())
+		s.fail(http.StatusBadGateway, OutcomeUnknown, cause.Error())
 	}
 	return true
 }
--- a/daemon/router/recorder.go
+++ b/daemon/router/recorder.go
@@ -63,7 +63,7 @@
 func (r *recorder) request(story *dispatch.Trace) {
 	r.count(story)
 	limiter := r.failed
-	if story.Outcome == dispatch.EndServed && len(story.Tries) < 2 {
+	if story.Outcome == dispatch.OutcomeServed && len(story.Tries) < 2 {
 		limiter = r.served
 	}
 	if !limiter.Allow() {
@@ -80,7 +80,7 @@
 	if !story.FirstByte.IsZero() {
 		fields["firstByte"] = story.FirstByte.Sub(story.Started).Round(time.Microsecond).String()
 	}
-	if len(story.Tries) > 1 || story.Outcome != dispatch.EndServed {
+	if len(story.Tries) > 1 || story.Outcome != dispatch.OutcomeServed {
 		fields["content"] = story.Content
 	}
 	if len(story.Asked) > 0 {
--- a/daemon/router/recorder_test.go
+++ b/daemon/router/recorder_test.go
@@ -21,9 +21,9 @@
 	defer made.Close()
 	r := newRecorder(made)
 	for range 3 * servedLines {
-		r.request(&dispatch.Trace{ID: "served", Started: time.Now(), Outcome: dispatch.EndServed})
+		r.request(&dispatch.Trace{ID: "served", Started: time.Now(), Outcome: dispatch.OutcomeServed})
 	}
-	r.request(&dispatch.Trace{ID: "failed", Started: time.Now(), Outcome: dispatch.EndUnknown})
+	r.request(&dispatch.Trace{ID: "failed", Started: time.Now(), Outcome: dispatch.OutcomeUnknown})
 	text := lines.String()
 	assert.Less(t, bytes.Count(lines.Bytes(), []byte(`"served"`)), 4*servedLines)
 	assert.Contains(t, text, `"request":"failed"`)
