--- a/daemon/internal/request/dispatch/dispatch.go
+++ b/daemon/internal/request/dispatch/dispatch.go
@@ -63,7 +63,7 @@
 	// Allow reports whether this router's share of an upstream's rate limit admits a request
 	// that no loader gave a place, and counts the request. If it does not, it returns how
 	// long to wait before asking again. It may be nil.
-	Allow func(upstream *provider.Upstream, door Door) (time.Duration, bool)
+	Allow func(upstream *provider.Upstream, path AdmissionPath) (time.Duration, bool)
 	// Broke is called for each send whose connection broke, before the request is retried.
 	// It may be nil.
 	Broke func(Break)
@@ -138,20 +138,20 @@
 	Beyond  int           `json:"beyond"`
 	Running int           `json:"running"`
 	Age     time.Duration `json:"age"`
-	// Door is the admission path to the upstream, and Limit the rate limit that the
+	// Path is the admission path to the upstream, and Limit the rate limit that the
 	// response named, "" if none.
-	Door  Door   `json:"door,omitempty"`
-	Limit string `json:"limit,omitempty"`
+	Path  AdmissionPath `json:"door,omitempty"`
+	Limit string        `json:"limit,omitempty"`
 }
 
-// Door is the path by which a request was admitted to an upstream.
-type Door string
+// AdmissionPath is the path by which a request was admitted to an upstream.
+type AdmissionPath string
 
 // Admission paths.
 const (
-	DoorLoader Door = "loader" // the engine's loader gave a place
-	DoorNews   Door = "news"   // the loader did not answer, the last load report had room
-	DoorOwn    Door = "own"    // the upstream has no loader
+	PathLoader     AdmissionPath = "loader" // the engine's loader gave a place
+	PathLoadReport AdmissionPath = "news"   // the loader did not answer, the last load report had room
+	PathNoLoader   AdmissionPath = "own"    // the upstream has no loader
 )
 
 // Outcome is how a request ended for its caller.
@@ -194,7 +194,7 @@
 	sent  int
 	tried []string
 	// paths are the admission paths by upstream.
-	paths map[string]Door
+	paths map[string]AdmissionPath
 	// answeredAttempt is the index of the attempt whose response is being read.
 	answeredAttempt int
 	// errorResponse is an upstream's failure, kept until another upstream has responded.
@@ -365,7 +365,7 @@
 		Upstream: choice.Upstream.ID, Address: choice.Upstream.Address, At: started.Sub(q.trace.Started), Took: clock.Since(started), Fate: result.Fate.String(),
 		Version: choice.Version, InFlight: choice.InFlight, Candidates: choice.Candidates,
 		Waiting: choice.Waiting, Beyond: choice.Beyond, Running: choice.Running, Age: choice.Age,
-		Door: q.paths[choice.Upstream.ID], Limit: result.Said.String(),
+		Path: q.paths[choice.Upstream.ID], Limit: result.Said.String(),
 	}
 	if result.Err != nil {
 		q.recordInterrupt(&attempt, result.Err)
--- a/daemon/internal/request/dispatch/limit_test.go
+++ b/daemon/internal/request/dispatch/limit_test.go
@@ -105,22 +105,22 @@
 	errNoAnswer := errors.New("no answer")
 	for name, c := range map[string]struct {
 		prepare func(q *request)
-		path    Door
+		path    AdmissionPath
 	}{
 		"no loader answers, recent report": {func(q *request) {
 			for _, upstream := range q.view.Upstreams["s"] {
 				q.Pool.Tell(upstream.ID, balance.Told{Models: upstream.Models})
 			}
-		}, DoorNews},
-		"no loader answers, stale report": {func(q *request) { q.Pool = &balance.Pool{} }, DoorNews},
-		"there is no loader":              {func(q *request) { q.AskPlace = nil }, DoorOwn},
+		}, PathLoadReport},
+		"no loader answers, stale report": {func(q *request) { q.Pool = &balance.Pool{} }, PathLoadReport},
+		"there is no loader":              {func(q *request) { q.AskPlace = nil }, PathNoLoader},
 	} {
 		for sent := range 2 {
 			f := newFleet(t, 4, func(int) (bool, error) { return false, errNoAnswer })
 			q := f.request("patient", sent)
 			c.prepare(q)
-			var paths []Door
-			q.Allow = func(upstream *provider.Upstream, path Door) (time.Duration, bool) {
+			var paths []AdmissionPath
+			q.Allow = func(upstream *provider.Upstream, path AdmissionPath) (time.Duration, bool) {
 				paths = append(paths, path)
 				return retryWait, upstream.ID == "u2"
 			}
@@ -128,9 +128,9 @@
 			require.NoError(t, err, name)
 			assert.Equal(t, "u2", choice.Upstream.ID, name)
 			assert.Equal(t, c.path, q.paths["u2"], name)
-			assert.Subset(t, []Door{c.path}, paths, name)
+			assert.Subset(t, []AdmissionPath{c.path}, paths, name)
 
-			q.Allow = func(*provider.Upstream, Door) (time.Duration, bool) { return retryWait, false }
+			q.Allow = func(*provider.Upstream, AdmissionPath) (time.Duration, bool) { return retryWait, false }
 			_, err = q.choosePlace(context.Background())
 			require.ErrorIs(t, err, errLimitsUsedUp, name)
 		}
--- a/daemon/internal/request/dispatch/place.go
+++ b/daemon/internal/request/dispatch/place.go
@@ -78,7 +78,7 @@
 // was. If it was not and there is no error, another upstream must be chosen.
 func (q *request) tryUpstream(ctx context.Context, choice balance.Choice, search *admission.Search, hold time.Duration) (balance.Choice, bool, error) {
 	if !q.hasLoader(choice) {
-		return q.admitUnqueried(choice, DoorOwn)
+		return q.admitUnqueried(choice, PathNoLoader)
 	}
 	search.Service = q.serviceState(choice, q.view.Objective(q.service.Name))
 	limit := search.Limit(choice.Candidates == 1)
@@ -89,10 +89,10 @@
 	switch {
 	case given:
 		q.Pace.Full(q.service.Name, load.Running+load.Waiting >= choice.Upstream.Places)
-		q.recordPath(choice, DoorLoader)
+		q.recordPath(choice, PathLoader)
 		return choice.WithLoad(load.Running, load.Waiting), true, nil
 	case err != nil && choice.Told && choice.Age < maxReportAge:
-		return q.admitUnqueried(choice, DoorNews)
+		return q.admitUnqueried(choice, PathLoadReport)
 	case err != nil:
 		search.Silent()
 	case load.Wait > 0:
@@ -113,7 +113,7 @@
 		if !ok {
 			return choice, q.unplacedError(candidates)
 		}
-		choice, admitted, err := q.admitUnqueried(choice, DoorNews)
+		choice, admitted, err := q.admitUnqueried(choice, PathLoadReport)
 		if admitted || err != nil {
 			return choice, err
 		}
@@ -139,7 +139,7 @@
 // its response would be late there. Refused at once, the caller can retry; a late request
 // would delay others. If the upstream's rate limit leaves no room, another upstream must be
 // chosen.
-func (q *request) admitUnqueried(choice balance.Choice, path Door) (balance.Choice, bool, error) {
+func (q *request) admitUnqueried(choice balance.Choice, path AdmissionPath) (balance.Choice, bool, error) {
 	if q.overloaded(choice) {
 		choice.Done(balance.Abandoned)
 		return choice, false, fmt.Errorf("%w: the best, %s, has %d waiting and %d that must finish first", errOverloaded, choice.Upstream.ID, choice.Waiting, choice.Beyond)
@@ -154,7 +154,7 @@
 }
 
 // limitAllows takes a request from this router's share of an upstream's rate limit.
-func (q *request) limitAllows(choice balance.Choice, path Door) (time.Duration, bool) {
+func (q *request) limitAllows(choice balance.Choice, path AdmissionPath) (time.Duration, bool) {
 	if q.Allow == nil {
 		return 0, true
 	}
@@ -162,9 +162,9 @@
 }
 
 // recordPath records the admission path to an upstream.
-func (q *request) recordPath(choice balance.Choice, path Door) {
+func (q *request) recordPath(choice balance.Choice, path AdmissionPath) {
 	if q.paths == nil {
-		q.paths = map[string]Door{}
+		q.paths = map[string]AdmissionPath{}
 	}
 	q.paths[choice.Upstream.ID] = path
 }
--- a/daemon/router/limits.go
+++ b/daemon/router/limits.go
@@ -78,9 +78,9 @@
 }
 
 // allow asks for this router's share of the limit of an upstream at which no loader counts.
-func (p *Process) allow(upstream *provider.Upstream, door dispatch.Door) (wait time.Duration, ok bool) {
+func (p *Process) allow(upstream *provider.Upstream, door dispatch.AdmissionPath) (wait time.Duration, ok bool) {
 	share := ratelimit.PastLoader
-	if door == dispatch.DoorOwn {
+	if door == dispatch.PathNoLoader {
 		share = ratelimit.Without
 	}
 	share = share.Among(p.routerCount())
@@ -144,7 +144,7 @@
 		return answer.Load, false, errNotCounted
 	}
 	if answer.Wait > 0 {
-		p.recorder.limitDenied(dispatch.DoorLoader)
+		p.recorder.limitDenied(dispatch.PathLoader)
 	}
 	return answer.Load, answer.Given, nil
 }
--- a/daemon/router/recorder.go
+++ b/daemon/router/recorder.go
@@ -204,7 +204,7 @@
 }
 
 // limitDenied counts requests that went elsewhere because an upstream's limit was used up.
-func (r *recorder) limitDenied(door dispatch.Door) {
+func (r *recorder) limitDenied(door dispatch.AdmissionPath) {
 	r.scope.Tagged(map[string]string{"by": string(door)}).Counter("limit_denied").Inc(1)
 }
 
