--- a/daemon/internal/request/dispatch/dispatch.go
+++ b/daemon/internal/request/dispatch/dispatch.go
@@ -124,13 +124,13 @@
 	Took     time.Duration  `json:"took"`
 	Fate     string         `json:"fate"`
 	Cause    string         `json:"cause,omitempty"`
-	// BrokenBy is why a send has no complete response, and Loading reports whether the
+	// Interrupt is why a send has no complete response, and Loading reports whether the
 	// upstream was loading a version then.
-	BrokenBy   Breaker `json:"brokenBy,omitempty"`
-	Loading    bool    `json:"loading,omitempty"`
-	Version    int     `json:"version,omitempty"`
-	InFlight   int     `json:"inFlight"`
-	Candidates int     `json:"candidates"`
+	Interrupt  InterruptReason `json:"brokenBy,omitempty"`
+	Loading    bool            `json:"loading,omitempty"`
+	Version    int             `json:"version,omitempty"`
+	InFlight   int             `json:"inFlight"`
+	Candidates int             `json:"candidates"`
 	// Waiting, Beyond and Running are the load, over all routers, by which the upstream was
 	// chosen. Beyond is the number of requests that must finish first. Age is the age of
 	// the load report.
--- a/daemon/internal/request/dispatch/interrupt.go
+++ b/daemon/internal/request/dispatch/interrupt.go
@@ -25,19 +25,19 @@
 	After time.Duration
 }
 
-// Breaker is why a send has no complete response. It tells an upstream that closed its
+// InterruptReason is why a send has no complete response. It tells an upstream that closed its
 // connection from a send that this router canceled.
-type Breaker string
+type InterruptReason string
 
 // Interrupt reasons.
 const (
-	BrokenByUpstream Breaker = "upstream"
-	BrokenBySilence  Breaker = "silence"  // no response head or event arrived in time
-	BrokenByVersion  Breaker = "version"  // the upstream's version must not start requests any more
-	BrokenByDeadline Breaker = "deadline" // the caller's or the route's
-	BrokenByCaller   Breaker = "caller"   // the caller disconnected
-	BrokenByStop     Breaker = "stop"     // this router is stopping
-	BrokenByHold     Breaker = "hold"     // the content was quarantined before the response began
+	InterruptUpstream   InterruptReason = "upstream"
+	InterruptTimeout    InterruptReason = "silence"  // no response head or event arrived in time
+	InterruptVersion    InterruptReason = "version"  // the upstream's version must not start requests any more
+	InterruptDeadline   InterruptReason = "deadline" // the caller's or the route's
+	InterruptCaller     InterruptReason = "caller"   // the caller disconnected
+	InterruptShutdown   InterruptReason = "stop"     // this router is stopping
+	InterruptQuarantine InterruptReason = "hold"     // the content was quarantined before the response began
 )
 
 // Causes of sends that this router canceled.
@@ -50,34 +50,34 @@
 )
 
 // interruptReason returns why a send was interrupted, from its error.
-func (q *request) interruptReason(err error) Breaker {
+func (q *request) interruptReason(err error) InterruptReason {
 	switch {
 	case q.Context().Err() != nil:
-		return BrokenByCaller
+		return InterruptCaller
 	case errors.Is(err, errSuperseded) || errors.Is(err, errStalled):
-		return BrokenBySilence
+		return InterruptTimeout
 	case errors.Is(err, errOutdated):
-		return BrokenByVersion
+		return InterruptVersion
 	case errors.Is(err, errStopping):
-		return BrokenByStop
+		return InterruptShutdown
 	case errors.Is(err, errQuarantined):
-		return BrokenByHold
+		return InterruptQuarantine
 	case errors.Is(err, context.DeadlineExceeded):
-		return BrokenByDeadline
+		return InterruptDeadline
 	default:
-		return BrokenByUpstream
+		return InterruptUpstream
 	}
 }
 
 // recordInterrupt records on an attempt why it has no complete response, and whether the
 // upstream was loading a version then.
 func (q *request) recordInterrupt(attempt *Try, err error) {
-	attempt.Cause, attempt.BrokenBy, attempt.Loading = err.Error(), q.interruptReason(err), q.Pool.Loading(attempt.Upstream)
+	attempt.Cause, attempt.Interrupt, attempt.Loading = err.Error(), q.interruptReason(err), q.Pool.Loading(attempt.Upstream)
 }
 
 // reportDisconnect reports a send whose connection broke, unless this router canceled it.
 func (q *request) reportDisconnect(choice balance.Choice, attempt Try, err error) {
-	if q.Broke == nil || attempt.BrokenBy != BrokenByUpstream || !isDisconnect(err) {
+	if q.Broke == nil || attempt.Interrupt != InterruptUpstream || !isDisconnect(err) {
 		return
 	}
 	q.Broke(Break{
--- a/daemon/internal/request/dispatch/interrupt_test.go
+++ b/daemon/internal/request/dispatch/interrupt_test.go
@@ -19,22 +19,22 @@
 func TestInterruptReasonFollowsError(t *testing.T) {
 	q := &request{Dispatcher: &Dispatcher{Pool: &balance.Pool{}}, Request: httptest.NewRequest("GET", "/", nil), trace: &Trace{}}
 	q.Pool.Tell("u1", balance.Told{Loading: true})
-	for reason, err := range map[Breaker]error{
-		BrokenByUpstream: errors.New("connection reset by peer"),
-		BrokenBySilence:  fmt.Errorf("send to u1: %w", errSuperseded),
-		BrokenByVersion:  fmt.Errorf("send to u1: %w", errOutdated),
-		BrokenByDeadline: fmt.Errorf("stream from u1: %w", context.DeadlineExceeded),
+	for reason, err := range map[InterruptReason]error{
+		InterruptUpstream: errors.New("connection reset by peer"),
+		InterruptTimeout:  fmt.Errorf("send to u1: %w", errSuperseded),
+		InterruptVersion:  fmt.Errorf("send to u1: %w", errOutdated),
+		InterruptDeadline: fmt.Errorf("stream from u1: %w", context.DeadlineExceeded),
 	} {
 		attempt := Try{Upstream: "u1"}
 		q.recordInterrupt(&attempt, err)
-		assert.Equal(t, reason, attempt.BrokenBy)
+		assert.Equal(t, reason, attempt.Interrupt)
 		assert.Equal(t, err.Error(), attempt.Cause)
 		assert.True(t, attempt.Loading)
 	}
 	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
 	q.Request = q.WithContext(canceled)
-	assert.Equal(t, BrokenByCaller, q.interruptReason(errors.New("context canceled")))
+	assert.Equal(t, InterruptCaller, q.interruptReason(errors.New("context canceled")))
 }
 
 // TestPanicIsReported: a panicking handler still reports its request, and a response that is
--- a/daemon/internal/request/dispatch/quarantine_test.go
+++ b/daemon/internal/request/dispatch/quarantine_test.go
@@ -60,5 +60,5 @@
 	q.cancelQuarantined(waiting, begun, nil)
 	assert.ErrorIs(t, context.Cause(ctx), errQuarantined)
 	assert.NoError(t, begunCtx.Err())
-	assert.Equal(t, BrokenByHold, q.interruptReason(context.Cause(ctx)))
+	assert.Equal(t, InterruptQuarantine, q.interruptReason(context.Cause(ctx)))
 }
--- a/daemon/router/recorder.go
+++ b/daemon/router/recorder.go
@@ -223,8 +223,8 @@
 		r.scope.Counter("second_sends").Inc(int64(len(story.Tries) - 1))
 	}
 	for _, try := range story.Tries {
-		if try.BrokenBy != "" {
-			r.scope.Tagged(map[string]string{"by": string(try.BrokenBy)}).Counter("sends_broken").Inc(1)
+		if try.Interrupt != "" {
+			r.scope.Tagged(map[string]string{"by": string(try.Interrupt)}).Counter("sends_broken").Inc(1)
 		}
 	}
 	if !story.FirstByte.IsZero() {
