--- a/daemon/internal/request/dispatch/dispatch.go
+++ b/daemon/internal/request/dispatch/dispatch.go
@@ -64,9 +64,9 @@
 	// that no loader gave a place, and counts the request. If it does not, it returns how
 	// long to wait before asking again. It may be nil.
 	Allow func(upstream *provider.Upstream, path AdmissionPath) (time.Duration, bool)
-	// Broke is called for each send whose connection broke, before the request is retried.
+	// OnDisconnect is called for each send whose connection broke, before the request is retried.
 	// It may be nil.
-	Broke func(Break)
+	OnDisconnect func(Disconnect)
 	// Admit returns the quarantine verdict on the content of an arriving request, and Judge
 	// the one on the content of an admitted request. Whole is called for each content that
 	// got a complete response. All may be nil.
--- a/daemon/internal/request/dispatch/interrupt.go
+++ b/daemon/internal/request/dispatch/interrupt.go
@@ -15,9 +15,9 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// Break is a send whose connection broke before the response was complete. Its upstream may
+// Disconnect is a send whose connection broke before the response was complete. Its upstream may
 // have crashed, and the request may be the cause.
-type Break struct {
+type Disconnect struct {
 	Request  string
 	Content  content.Name
 	Upstream *provider.Upstream
@@ -77,10 +77,10 @@
 
 // reportDisconnect reports a send whose connection broke, unless this router canceled it.
 func (q *request) reportDisconnect(choice balance.Choice, attempt Try, err error) {
-	if q.Broke == nil || attempt.Interrupt != InterruptUpstream || !isDisconnect(err) {
+	if q.OnDisconnect == nil || attempt.Interrupt != InterruptUpstream || !isDisconnect(err) {
 		return
 	}
-	q.Broke(Break{
+	q.OnDisconnect(Disconnect{
 		Request: q.trace.ID, Content: q.trace.Content, Upstream: choice.Upstream,
 		After: clock.Since(q.trace.Started) - attempt.At,
 	})
--- a/daemon/router/recorder.go
+++ b/daemon/router/recorder.go
@@ -107,7 +107,7 @@
 
 // broke writes one line for a send whose connection broke: whether the upstream itself
 // ended, and the content that ran there, by which requests are known again.
-func (r *recorder) broke(b dispatch.Break, ended bool) {
+func (r *recorder) broke(b dispatch.Disconnect, ended bool) {
 	r.scope.Tagged(map[string]string{"ended": strconv.FormatBool(ended)}).Counter("connections_broke").Inc(1)
 	if !r.failed.Allow() {
 		r.leftOut.Add(1)
--- a/daemon/router/suspects.go
+++ b/daemon/router/suspects.go
@@ -99,7 +99,7 @@
 }
 
 // end names the end of the upstream of a broken send, and reports whether it counts.
-func (s *suspects) end(b dispatch.Break) (quarantine.End, bool) {
+func (s *suspects) end(b dispatch.Disconnect) (quarantine.End, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Now()
@@ -133,7 +133,7 @@
 
 // broke finds out whether the upstream ended under a send whose connection broke. The
 // request waits for that, one round trip, before it is sent again.
-func (p *Process) broke(b dispatch.Break) {
+func (p *Process) broke(b dispatch.Disconnect) {
 	ended := p.probe.Ended(context.Background(), b.Upstream.Address)
 	p.recorder.broke(b, ended)
 	if !ended {
