--- a/daemon/internal/request/dispatch/dispatch.go
+++ b/daemon/internal/request/dispatch/dispatch.go
@@ -57,9 +57,9 @@
 	// AskPlace requests a place from an engine's loader. An error means that the loader did
 	// not answer. Nil means that there are no loaders.
 	AskPlace func(ctx context.Context, engine *provider.Upstream, limit places.Limit) (places.Load, bool, error)
-	// Heard is called with what each response says about its upstream's rate limit. It may
+	// OnLimit is called with what each response says about its upstream's rate limit. It may
 	// be nil.
-	Heard func(Heard)
+	OnLimit func(LimitReport)
 	// Allow reports whether this router's share of an upstream's rate limit admits a request
 	// that no loader gave a place, and counts the request. If it does not, it returns how
 	// long to wait before asking again. It may be nil.
@@ -79,13 +79,13 @@
 	Report func(*Trace)
 }
 
-// Heard is what a response says about its upstream's rate limit.
-type Heard struct {
+// LimitReport is what a response says about its upstream's rate limit.
+type LimitReport struct {
 	Request  string
 	Upstream *provider.Upstream
 	// Sent is when the request was sent.
-	Sent time.Time
-	Said ratelimit.Said
+	Sent  time.Time
+	Limit ratelimit.Said
 }
 
 // Trace records one request for logs and metrics.
--- a/daemon/internal/request/dispatch/send.go
+++ b/daemon/internal/request/dispatch/send.go
@@ -60,8 +60,8 @@
 	q.sent++
 	go func() {
 		result := q.Client.Do(ctx, send)
-		if q.Heard != nil {
-			q.Heard(Heard{Request: q.trace.ID, Upstream: choice.Upstream, Sent: s.started, Said: result.Said})
+		if q.OnLimit != nil {
+			q.OnLimit(LimitReport{Request: q.trace.ID, Upstream: choice.Upstream, Sent: s.started, Limit: result.Said})
 		}
 		if !s.settled.CompareAndSwap(false, true) && result.Fate == exchange.Answered {
 			_ = result.Response.Body.Close()
--- a/daemon/router/limits.go
+++ b/daemon/router/limits.go
@@ -42,15 +42,15 @@
 }
 
 // heard takes what an answer says of its upstream's limit, and tells the others what is new.
-func (p *Process) heard(heard dispatch.Heard) {
+func (p *Process) heard(heard dispatch.LimitReport) {
 	p.recorder.limitSaid(heard)
-	if heard.Said.Kind == ratelimit.Silent {
+	if heard.Limit.Kind == ratelimit.Silent {
 		return
 	}
 	upstream := startOf(heard.Upstream)
 	var change ratelimit.Change
 	p.limits.do(func(table *ratelimit.Table, now time.Time) {
-		change = table.Heard(upstream, heard.Said, heard.Sent, now)
+		change = table.Heard(upstream, heard.Limit, heard.Sent, now)
 	})
 	p.limitChanged(limitNews{upstream: upstream, change: change, from: sourceOwn, request: heard.Request})
 	if change.Tell && !p.limitTeller.Tell(ratelimit.Named{Upstream: upstream, Note: change.After}) {
--- a/daemon/router/recorder.go
+++ b/daemon/router/recorder.go
@@ -158,11 +158,11 @@
 func (r *recorder) notTold() { r.scope.Counter("notes_not_told").Inc(1) }
 
 // limitSaid counts what answers say of limits, and writes a line for what cannot be read.
-func (r *recorder) limitSaid(heard dispatch.Heard) {
-	if heard.Said.Kind == ratelimit.Limited {
+func (r *recorder) limitSaid(heard dispatch.LimitReport) {
+	if heard.Limit.Kind == ratelimit.Limited {
 		r.scope.Counter("answers_naming_limits").Inc(1)
 	}
-	if heard.Said.Unread == "" {
+	if heard.Limit.Unread == "" {
 		return
 	}
 	r.scope.Counter("limits_unread").Inc(1)
@@ -171,7 +171,7 @@
 		return
 	}
 	r.log.WithFields(log.Fields{
-		"request": heard.Request, "upstream": heard.Upstream.ID, "address": heard.Upstream.Address, "limit": heard.Said.String(),
+		"request": heard.Request, "upstream": heard.Upstream.ID, "address": heard.Upstream.Address, "limit": heard.Limit.String(),
 	}).Warn("limit of an upstream not read, the last good one stays")
 }
 
--- a/daemon/router/serving.go
+++ b/daemon/router/serving.go
@@ -59,7 +59,7 @@
 		Holding: holding.Budget{Most: p.holdMost()},
 		Region:  func(hall string) string { return p.current.Load().RegionOf(hall) },
 		Demand:  p.demand, Report: p.recorder.request, AskPlace: p.askPlace, OnDisconnect: p.broke,
-		Heard: p.heard, Allow: p.allow,
+		OnLimit: p.heard, Allow: p.allow,
 		Admit: p.admitContent, Judge: p.suspects.judge, Whole: p.answeredWhole, Over: p.over,
 	}
 }
