--- a/daemon/internal/request/dispatch/dispatch.go
+++ b/daemon/internal/request/dispatch/dispatch.go
@@ -99,7 +99,7 @@
 	Status    int
 	Outcome   Outcome
 	Cause     string
-	Tries     []Try
+	Attempts  []Attempt
 	// Returned reports whether the request is probably a retry after a refusal.
 	Returned bool
 	// Left is the remaining time that the caller declared, 0 if it declared none.
@@ -116,14 +116,15 @@
 	BudgetLeft float64
 }
 
-// Try is one send of a request to an upstream.
-type Try struct {
+// Attempt is one send of a request to an upstream.
+type Attempt struct {
 	Upstream string         `json:"upstream"`
 	Address  netip.AddrPort `json:"address"`
-	At       time.Duration  `json:"at"`
-	Took     time.Duration  `json:"took"`
-	Fate     string         `json:"fate"`
-	Cause    string         `json:"cause,omitempty"`
+	// Offset is when the request was sent, from its start.
+	Offset   time.Duration `json:"at"`
+	Duration time.Duration `json:"took"`
+	Result   string        `json:"fate"`
+	Cause    string        `json:"cause,omitempty"`
 	// Interrupt is why a send has no complete response, and Loading reports whether the
 	// upstream was loading a version then.
 	Interrupt  InterruptReason `json:"brokenBy,omitempty"`
@@ -132,12 +133,12 @@
 	InFlight   int             `json:"inFlight"`
 	Candidates int             `json:"candidates"`
 	// Waiting, Beyond and Running are the load, over all routers, by which the upstream was
-	// chosen. Beyond is the number of requests that must finish first. Age is the age of
-	// the load report.
+	// chosen. Beyond is the number of requests that must finish first. LoadAge is the
+	// age of the load report.
 	Waiting int           `json:"waiting"`
 	Beyond  int           `json:"beyond"`
 	Running int           `json:"running"`
-	Age     time.Duration `json:"age"`
+	LoadAge time.Duration `json:"age"`
 	// Path is the admission path to the upstream, and Limit the rate limit that the
 	// response named, "" if none.
 	Path  AdmissionPath `json:"door,omitempty"`
@@ -361,10 +362,10 @@
 }
 
 func (q *request) recordAttempt(choice balance.Choice, result exchange.Result, started time.Time) {
-	attempt := Try{
-		Upstream: choice.Upstream.ID, Address: choice.Upstream.Address, At: started.Sub(q.trace.Started), Took: clock.Since(started), Fate: result.Fate.String(),
+	attempt := Attempt{
+		Upstream: choice.Upstream.ID, Address: choice.Upstream.Address, Offset: started.Sub(q.trace.Started), Duration: clock.Since(started), Result: result.Fate.String(),
 		Version: choice.Version, InFlight: choice.InFlight, Candidates: choice.Candidates,
-		Waiting: choice.Waiting, Beyond: choice.Beyond, Running: choice.Running, Age: choice.Age,
+		Waiting: choice.Waiting, Beyond: choice.Beyond, Running: choice.Running, LoadAge: choice.Age,
 		Path: q.paths[choice.Upstream.ID], Limit: result.Said.String(),
 	}
 	if result.Err != nil {
@@ -372,9 +373,9 @@
 		q.reportDisconnect(choice, attempt, result.Err)
 	}
 	if result.Fate == exchange.Answered {
-		q.answeredAttempt = len(q.trace.Tries)
+		q.answeredAttempt = len(q.trace.Attempts)
 	}
-	q.trace.Tries = append(q.trace.Tries, attempt)
+	q.trace.Attempts = append(q.trace.Attempts, attempt)
 }
 
 // queuePriority returns the request's class in an upstream's queue, 0 first. More urgent
--- a/daemon/internal/request/dispatch/interrupt.go
+++ b/daemon/internal/request/dispatch/interrupt.go
@@ -71,18 +71,18 @@
 
 // recordInterrupt records on an attempt why it has no complete response, and whether the
 // upstream was loading a version then.
-func (q *request) recordInterrupt(attempt *Try, err error) {
+func (q *request) recordInterrupt(attempt *Attempt, err error) {
 	attempt.Cause, attempt.Interrupt, attempt.Loading = err.Error(), q.interruptReason(err), q.Pool.Loading(attempt.Upstream)
 }
 
 // reportDisconnect reports a send whose connection broke, unless this router canceled it.
-func (q *request) reportDisconnect(choice balance.Choice, attempt Try, err error) {
+func (q *request) reportDisconnect(choice balance.Choice, attempt Attempt, err error) {
 	if q.OnDisconnect == nil || attempt.Interrupt != InterruptUpstream || !isDisconnect(err) {
 		return
 	}
 	q.OnDisconnect(Disconnect{
 		Request: q.trace.ID, Content: q.trace.Content, Upstream: choice.Upstream,
-		After: clock.Since(q.trace.Started) - attempt.At,
+		After: clock.Since(q.trace.Started) - attempt.Offset,
 	})
 }
 
--- a/daemon/internal/request/dispatch/interrupt_test.go
+++ b/daemon/internal/request/dispatch/interrupt_test.go
@@ -25,7 +25,7 @@
 		InterruptVersion:  fmt.Errorf("send to u1: %w", errOutdated),
 		InterruptDeadline: fmt.Errorf("stream from u1: %w", context.DeadlineExceeded),
 	} {
-		attempt := Try{Upstream: "u1"}
+		attempt := Attempt{Upstream: "u1"}
 		q.recordInterrupt(&attempt, err)
 		assert.Equal(t, reason, attempt.Interrupt)
 		assert.Equal(t, err.Error(), attempt.Cause)
--- a/daemon/internal/request/dispatch/response.go
+++ b/daemon/internal/request/dispatch/response.go
@@ -156,8 +156,8 @@
 
 // neverRan reports whether no send so far can have run.
 func (q *request) neverRan() bool {
-	for _, attempt := range q.trace.Tries {
-		if attempt.Fate == exchange.Unknown.String() || attempt.Fate == exchange.Answered.String() {
+	for _, attempt := range q.trace.Attempts {
+		if attempt.Result == exchange.Unknown.String() || attempt.Result == exchange.Answered.String() {
 			return false
 		}
 	}
@@ -232,7 +232,7 @@
 	if errors.Is(err, io.EOF) {
 		return
 	}
-	attempt := &q.trace.Tries[number]
+	attempt := &q.trace.Attempts[number]
 	q.recordInterrupt(attempt, err)
 	q.reportDisconnect(choice, *attempt, err)
 }
--- a/daemon/router/recorder.go
+++ b/daemon/router/recorder.go
@@ -63,7 +63,7 @@
 func (r *recorder) request(story *dispatch.Trace) {
 	r.count(story)
 	limiter := r.failed
-	if story.Outcome == dispatch.OutcomeServed && len(story.Tries) < 2 {
+	if story.Outcome == dispatch.OutcomeServed && len(story.Attempts) < 2 {
 		limiter = r.served
 	}
 	if !limiter.Allow() {
@@ -74,13 +74,13 @@
 	r.tellLeftOut()
 	fields := log.Fields{
 		fieldDecision: "route", "request": story.ID, "route": story.Route, "service": story.Service, "account": story.Account,
-		"outcome": story.Outcome, "status": story.Status, "tries": story.Tries, "configuration": story.Configuration,
+		"outcome": story.Outcome, "status": story.Status, "tries": story.Attempts, "configuration": story.Configuration,
 		"took": clock.Since(story.Started).Round(time.Microsecond).String(),
 	}
 	if !story.FirstByte.IsZero() {
 		fields["firstByte"] = story.FirstByte.Sub(story.Started).Round(time.Microsecond).String()
 	}
-	if len(story.Tries) > 1 || story.Outcome != dispatch.OutcomeServed {
+	if len(story.Attempts) > 1 || story.Outcome != dispatch.OutcomeServed {
 		fields["content"] = story.Content
 	}
 	if len(story.Asked) > 0 {
@@ -219,10 +219,10 @@
 
 func (r *recorder) count(story *dispatch.Trace) {
 	r.scope.Tagged(map[string]string{"outcome": string(story.Outcome)}).Counter("requests").Inc(1)
-	if len(story.Tries) > 1 {
-		r.scope.Counter("second_sends").Inc(int64(len(story.Tries) - 1))
+	if len(story.Attempts) > 1 {
+		r.scope.Counter("second_sends").Inc(int64(len(story.Attempts) - 1))
 	}
-	for _, try := range story.Tries {
+	for _, try := range story.Attempts {
 		if try.Interrupt != "" {
 			r.scope.Tagged(map[string]string{"by": string(try.Interrupt)}).Counter("sends_broken").Inc(1)
 		}
