--- a/daemon/internal/request/dispatch/dispatch.go
+++ b/daemon/internal/request/dispatch/dispatch.go
@@ -54,9 +54,9 @@
 	Region func(hall string) string
 	// Demand returns the versions of a model on which requests may run.
 	Demand func(declared *mirror.Declared) mirror.Demand
-	// AskPlace requests a place from an engine's loader. An error means that the loader did
+	// RequestPlace requests a place from an engine's loader. An error means that the loader did
 	// not answer. Nil means that there are no loaders.
-	AskPlace func(ctx context.Context, engine *provider.Upstream, limit places.Limit) (places.Load, bool, error)
+	RequestPlace func(ctx context.Context, engine *provider.Upstream, limit places.Limit) (places.Load, bool, error)
 	// OnLimit is called with what each response says about its upstream's rate limit. It may
 	// be nil.
 	OnLimit func(LimitReport)
@@ -106,8 +106,8 @@
 	Left time.Duration
 	// RetryAfter is the backoff that was sent to the caller, 0 if none was.
 	RetryAfter time.Duration
-	// Asked lists the requests for a place at an engine.
-	Asked []Asked
+	// PlaceRequests lists the requests for a place at an engine.
+	PlaceRequests []PlaceRequest
 	// Configuration is the revision by which the request was decided, and Stale reports
 	// whether it may have been out of date.
 	Configuration provider.Revision
--- a/daemon/internal/request/dispatch/limit_test.go
+++ b/daemon/internal/request/dispatch/limit_test.go
@@ -20,7 +20,7 @@
 
 // limitAllBut makes all loaders but one answer that the engine's limit is used up.
 func (f *fleet) limitAllBut(q *request, free string) {
-	q.AskPlace = func(_ context.Context, engine *provider.Upstream, _ places.Limit) (places.Load, bool, error) {
+	q.RequestPlace = func(_ context.Context, engine *provider.Upstream, _ places.Limit) (places.Load, bool, error) {
 		if engine.ID == free {
 			return places.Load{}, true, nil
 		}
@@ -38,7 +38,7 @@
 	choice, err := q.choosePlace(context.Background())
 	require.NoError(t, err)
 	assert.Equal(t, "u3", choice.Upstream.ID)
-	asked := len(q.trace.Asked)
+	asked := len(q.trace.PlaceRequests)
 
 	second := f.request("hasty", 0)
 	f.limitAllBut(second, "u3")
@@ -47,8 +47,8 @@
 		require.NoError(t, err)
 		assert.Equal(t, "u3", choice.Upstream.ID)
 	}
-	assert.LessOrEqual(t, asked+len(second.trace.Asked), 2*engines, "each engine but the free one is queried once")
-	assert.Positive(t, q.trace.Asked[0].Wait+q.trace.Asked[asked-1].Wait+second.trace.Asked[0].Wait, "the wait is recorded")
+	assert.LessOrEqual(t, asked+len(second.trace.PlaceRequests), 2*engines, "each engine but the free one is queried once")
+	assert.Positive(t, q.trace.PlaceRequests[0].RetryAfter+q.trace.PlaceRequests[asked-1].RetryAfter+second.trace.PlaceRequests[0].RetryAfter, "the wait is recorded")
 }
 
 // TestRefusesWhenAllLimitsAreUsedUp: nothing is sent past the limits.
@@ -73,7 +73,7 @@
 	f.limitAllBut(q, "")
 	_, err := q.choosePlace(context.Background())
 	require.ErrorIs(t, err, errLimitsUsedUp)
-	assert.LessOrEqual(t, len(q.trace.Asked), maxQueries)
+	assert.LessOrEqual(t, len(q.trace.PlaceRequests), maxQueries)
 }
 
 // TestDenyingEngineIsQueriedAgain: if the engine that was to be queried last, with the
@@ -83,7 +83,7 @@
 	q := f.request("hasty", 0)
 	asked := map[string]int{}
 	first := ""
-	q.AskPlace = func(_ context.Context, engine *provider.Upstream, limit places.Limit) (places.Load, bool, error) {
+	q.RequestPlace = func(_ context.Context, engine *provider.Upstream, limit places.Limit) (places.Load, bool, error) {
 		if first == "" {
 			first = engine.ID
 		}
@@ -113,7 +113,7 @@
 			}
 		}, PathLoadReport},
 		"no loader answers, stale report": {func(q *request) { q.Pool = &balance.Pool{} }, PathLoadReport},
-		"there is no loader":              {func(q *request) { q.AskPlace = nil }, PathNoLoader},
+		"there is no loader":              {func(q *request) { q.RequestPlace = nil }, PathNoLoader},
 	} {
 		for sent := range 2 {
 			f := newFleet(t, 4, func(int) (bool, error) { return false, errNoAnswer })
--- a/daemon/internal/request/dispatch/place.go
+++ b/daemon/internal/request/dispatch/place.go
@@ -17,18 +17,18 @@
 // stay younger while weights fill a host's link, and grow older if the host is cut off.
 const maxReportAge = 150 * time.Millisecond
 
-// Asked is a request for a place at an engine and its result.
-type Asked struct {
-	Upstream string        `json:"upstream"`
-	Given    bool          `json:"given"`
-	Running  int           `json:"running"`
-	Waiting  int           `json:"waiting"`
-	Most     int           `json:"most"`  // waiting
-	Taken    int           `json:"taken"` // running and waiting
-	Took     time.Duration `json:"took"`
-	// Wait is when to ask again if the engine's rate limit is used up.
-	Wait  time.Duration `json:"wait,omitempty"`
-	Cause string        `json:"cause,omitempty"`
+// PlaceRequest is a request for a place at an engine and its result.
+type PlaceRequest struct {
+	Upstream   string        `json:"upstream"`
+	Granted    bool          `json:"given"`
+	Running    int           `json:"running"`
+	Waiting    int           `json:"waiting"`
+	MaxWaiting int           `json:"most"`
+	MaxInUse   int           `json:"taken"` // running and waiting
+	Duration   time.Duration `json:"took"`
+	// RetryAfter is when to ask again if the engine's rate limit is used up.
+	RetryAfter time.Duration `json:"wait,omitempty"`
+	Cause      string        `json:"cause,omitempty"`
 }
 
 // choosePlace chooses an upstream and gets the request admitted there. For an engine with a
@@ -132,7 +132,7 @@
 // hasLoader reports whether the upstream has a loader to request a place from. That holds
 // also for engines without load reports, which may be full.
 func (q *request) hasLoader(choice balance.Choice) bool {
-	return q.AskPlace != nil && q.service.Engine != nil && choice.Upstream.Places > 0
+	return q.RequestPlace != nil && q.service.Engine != nil && choice.Upstream.Places > 0
 }
 
 // admitUnqueried admits the request to an upstream that was chosen by load reports, unless
@@ -181,17 +181,17 @@
 // queryLoader requests a place and records the result.
 func (q *request) queryLoader(ctx context.Context, choice balance.Choice, limit places.Limit) (places.Load, bool, error) {
 	started := clock.Now()
-	load, given, err := q.AskPlace(ctx, choice.Upstream, limit)
-	result := Asked{
-		Upstream: choice.Upstream.ID, Given: given, Running: load.Running, Waiting: load.Waiting,
-		Most: limit.Waiting, Taken: limit.Taken, Took: clock.Since(started), Wait: load.Wait,
+	load, given, err := q.RequestPlace(ctx, choice.Upstream, limit)
+	result := PlaceRequest{
+		Upstream: choice.Upstream.ID, Granted: given, Running: load.Running, Waiting: load.Waiting,
+		MaxWaiting: limit.Waiting, MaxInUse: limit.Taken, Duration: clock.Since(started), RetryAfter: load.Wait,
 	}
 	if err != nil {
 		result.Cause = err.Error()
 	} else {
 		q.Pool.TellLoad(choice.Upstream.ID, load.Running, load.Waiting, load.Loading)
 	}
-	q.trace.Asked = append(q.trace.Asked, result)
+	q.trace.PlaceRequests = append(q.trace.PlaceRequests, result)
 	return load, given, err
 }
 
--- a/daemon/internal/request/dispatch/place_test.go
+++ b/daemon/internal/request/dispatch/place_test.go
@@ -66,7 +66,7 @@
 func (f *fleet) request(route string, sent int) *request {
 	q := &request{
 		Dispatcher: &Dispatcher{
-			Pool: f.pool, Pace: &Pace{}, AskPlace: f.answer, View: func() *mirror.View { return f.view },
+			Pool: f.pool, Pace: &Pace{}, RequestPlace: f.answer, View: func() *mirror.View { return f.view },
 			Demand: func(*mirror.Declared) mirror.Demand { return mirror.Demand{} },
 		},
 		Request: httptest.NewRequest("GET", "/", nil), view: f.view, service: f.view.Service("s"), sent: sent, trace: &Trace{},
@@ -98,9 +98,9 @@
 	q := f.request("hasty", 0)
 	choice, err := q.choosePlace(context.Background())
 	require.NoError(t, err)
-	require.Len(t, q.trace.Asked, 2)
-	assert.NotEqual(t, q.trace.Asked[0].Upstream, q.trace.Asked[1].Upstream)
-	assert.Equal(t, q.trace.Asked[1].Upstream, choice.Upstream.ID)
+	require.Len(t, q.trace.PlaceRequests, 2)
+	assert.NotEqual(t, q.trace.PlaceRequests[0].Upstream, q.trace.PlaceRequests[1].Upstream)
+	assert.Equal(t, q.trace.PlaceRequests[1].Upstream, choice.Upstream.ID)
 	assert.Equal(t, 10, choice.Running)
 	assert.Zero(t, f.queries[0].Waiting, "the first query is for an engine where nothing waits")
 	assert.Equal(t, 16-1, f.queries[1].Taken, "no query exceeds the engine's places")
--- a/daemon/router/recorder.go
+++ b/daemon/router/recorder.go
@@ -83,8 +83,8 @@
 	if len(story.Attempts) > 1 || story.Outcome != dispatch.OutcomeServed {
 		fields["content"] = story.Content
 	}
-	if len(story.Asked) > 0 {
-		fields["asked"] = story.Asked
+	if len(story.PlaceRequests) > 0 {
+		fields["asked"] = story.PlaceRequests
 	}
 	if story.Cause != "" {
 		fields["reason"] = story.Cause
--- a/daemon/router/serving.go
+++ b/daemon/router/serving.go
@@ -58,7 +58,7 @@
 		Pool: p.pool, Budget: p.budget, Pace: &dispatch.Pace{}, Callers: &admission.Callers{}, View: p.compiler.View, Stale: p.silent,
 		Holding: holding.Budget{Most: p.holdMost()},
 		Region:  func(hall string) string { return p.current.Load().RegionOf(hall) },
-		Demand:  p.demand, Report: p.recorder.request, AskPlace: p.askPlace, OnDisconnect: p.broke,
+		Demand:  p.demand, Report: p.recorder.request, RequestPlace: p.askPlace, OnDisconnect: p.broke,
 		OnLimit: p.heard, Allow: p.allow,
 		Admit: p.admitContent, Judge: p.suspects.judge, Whole: p.answeredWhole, Over: p.over,
 	}
