--- a/daemon/internal/request/dispatch/dispatch.go
+++ b/daemon/internal/request/dispatch/dispatch.go
@@ -37,11 +37,11 @@
 
 // Dispatcher answers requests. All fields must be set, except those that may be nil.
 type Dispatcher struct {
-	Headers provider.Headers
-	Client  *exchange.Client
-	Pool    *balance.Pool
-	Budget  *Budget
-	Pace    *Pace
+	Headers     provider.Headers
+	Client      *exchange.Client
+	Pool        *balance.Pool
+	Budget      *Budget
+	LoadTracker *LoadTracker
 	// Callers recognises retries of refused requests.
 	Callers *admission.Callers
 	// View returns the configuration and the upstreams in force, and Stale reports whether
@@ -297,7 +297,7 @@
 	}
 	query.Model = q.service.Engine.Model
 	query.Lasts = q.expectedHold()
-	query.Reserve = admission.Reserve(admission.Service{Full: q.Pace.Share(q.service.Name)}, q.admissionRequest())
+	query.Reserve = admission.Reserve(admission.Service{Full: q.LoadTracker.FullShare(q.service.Name)}, q.admissionRequest())
 	if declared, ok := q.View().Targets[query.Model]; ok {
 		demand := q.Demand(&declared)
 		query.Version, query.Preferred, query.Avoid = demand.Lowest, demand.Preferred, demand.Avoid
--- a/daemon/internal/request/dispatch/overload_test.go
+++ b/daemon/internal/request/dispatch/overload_test.go
@@ -35,10 +35,10 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			q := &request{
-				Dispatcher: &Dispatcher{Pace: &Pace{Now: frozenNow}}, Request: httptest.NewRequest("GET", "/", nil), sent: test.sent,
+				Dispatcher: &Dispatcher{LoadTracker: &LoadTracker{Now: frozenNow}}, Request: httptest.NewRequest("GET", "/", nil), sent: test.sent,
 				trace: &Trace{}, service: &provider.Service{Name: "s", Engine: test.engine}, route: &provider.Route{Objective: test.objective},
 			}
-			makeFull(q.Pace)
+			makeFull(q.LoadTracker)
 			choice := balance.Choice{Upstream: &provider.Upstream{Places: 16}, Running: test.running, Waiting: test.waiting}
 			assert.Equal(t, test.want, q.overloaded(choice))
 		})
@@ -49,44 +49,44 @@
 // time.
 func TestToleratesShortPeaks(t *testing.T) {
 	q := &request{
-		Dispatcher: &Dispatcher{Pace: &Pace{Now: frozenNow}}, Request: httptest.NewRequest("GET", "/", nil),
+		Dispatcher: &Dispatcher{LoadTracker: &LoadTracker{Now: frozenNow}}, Request: httptest.NewRequest("GET", "/", nil),
 		trace: &Trace{}, service: &provider.Service{Name: "s", Engine: &provider.EngineSpec{Model: "m"}}, route: &provider.Route{Objective: 400 * time.Millisecond},
 	}
 	choice := balance.Choice{Upstream: &provider.Upstream{Places: 16}, Running: 16}
 	assert.False(t, q.overloaded(choice))
-	makeFull(q.Pace)
+	makeFull(q.LoadTracker)
 	assert.True(t, q.overloaded(choice))
 }
 
 // frozenNow is a clock that stands still.
 func frozenNow() time.Time { return time.Unix(1000, 0) }
 
-func makeFull(pace *Pace) {
-	pace.Full("s", true)
-	pace.services["s"].fullShare = 1
+func makeFull(tracker *LoadTracker) {
+	tracker.RecordFull("s", true)
+	tracker.services["s"].fullShare = 1
 }
 
 // TestFullShareFollowsElapsedTime: the number of requests that see a full service must not
 // change the share.
 func TestFullShareFollowsElapsedTime(t *testing.T) {
 	now := time.Unix(1000, 0)
-	pace := &Pace{Now: func() time.Time { return now }}
+	tracker := &LoadTracker{Now: func() time.Time { return now }}
 	for range 100 {
-		assert.Zero(t, pace.Full("s", true), "no time has passed")
+		assert.Zero(t, tracker.RecordFull("s", true), "no time has passed")
 	}
 	now = now.Add(fullTimeConstant)
-	assert.InDelta(t, 0.63, pace.Full("s", true), 0.01)
+	assert.InDelta(t, 0.63, tracker.RecordFull("s", true), 0.01)
 	now = now.Add(10 * fullTimeConstant)
-	assert.InDelta(t, 0, pace.Full("s", false), 0.01)
+	assert.InDelta(t, 0, tracker.RecordFull("s", false), 0.01)
 }
 
 // TestLessUrgentRequestsAreRefusedSooner: they leave places to more urgent ones.
 func TestLessUrgentRequestsAreRefusedSooner(t *testing.T) {
 	q := &request{
-		Dispatcher: &Dispatcher{Pace: &Pace{Now: frozenNow}}, Request: httptest.NewRequest("GET", "/", nil),
+		Dispatcher: &Dispatcher{LoadTracker: &LoadTracker{Now: frozenNow}}, Request: httptest.NewRequest("GET", "/", nil),
 		trace: &Trace{}, service: &provider.Service{Name: "s", Engine: &provider.EngineSpec{Model: "m"}}, route: &provider.Route{Objective: 400 * time.Millisecond},
 	}
-	makeFull(q.Pace)
+	makeFull(q.LoadTracker)
 	choice := balance.Choice{Upstream: &provider.Upstream{Places: 16}, Running: 13}
 	assert.False(t, q.overloaded(choice))
 	q.rank = 1
@@ -95,13 +95,13 @@
 
 // TestHoldTimeIsSmoothed: a single long request changes the average little.
 func TestHoldTimeIsSmoothed(t *testing.T) {
-	pace := &Pace{}
-	assert.Equal(t, initialHoldTime, pace.Occupied("s"))
-	pace.Ended("s", time.Minute)
-	assert.Less(t, pace.Occupied("s"), 2*initialHoldTime)
+	tracker := &LoadTracker{}
+	assert.Equal(t, initialHoldTime, tracker.HoldTime("s"))
+	tracker.RecordServed("s", time.Minute)
+	assert.Less(t, tracker.HoldTime("s"), 2*initialHoldTime)
 	for range 500 {
-		pace.Ended("s", 400*time.Millisecond)
+		tracker.RecordServed("s", 400*time.Millisecond)
 	}
-	assert.InDelta(t, 0.4, pace.Occupied("s").Seconds(), 0.05)
-	assert.Equal(t, initialHoldTime, pace.Occupied("t"), "services differ")
+	assert.InDelta(t, 0.4, tracker.HoldTime("s").Seconds(), 0.05)
+	assert.Equal(t, initialHoldTime, tracker.HoldTime("t"), "services differ")
 }
--- a/daemon/internal/request/dispatch/place.go
+++ b/daemon/internal/request/dispatch/place.go
@@ -70,7 +70,7 @@
 	if denied == 0 {
 		return q.placeByReports(candidates)
 	}
-	q.Pace.Full(q.service.Name, search.AllFull())
+	q.LoadTracker.RecordFull(q.service.Name, search.AllFull())
 	return balance.Choice{}, fmt.Errorf("%w: %d engines have no place, %d more did not answer", errOverloaded, denied, unresponsive)
 }
 
@@ -88,7 +88,7 @@
 	load, given, err := q.queryLoader(ctx, choice, limit)
 	switch {
 	case given:
-		q.Pace.Full(q.service.Name, load.Running+load.Waiting >= choice.Upstream.Places)
+		q.LoadTracker.RecordFull(q.service.Name, load.Running+load.Waiting >= choice.Upstream.Places)
 		q.recordPath(choice, PathLoader)
 		return choice.WithLoad(load.Running, load.Waiting), true, nil
 	case err != nil && choice.Told && choice.Age < maxReportAge:
@@ -174,7 +174,7 @@
 		return false
 	}
 	state := q.serviceState(choice, q.route.Objective)
-	state.Full = q.Pace.Full(q.service.Name, choice.Running+choice.Waiting+1 > choice.Upstream.Places)
+	state.Full = q.LoadTracker.RecordFull(q.service.Name, choice.Running+choice.Waiting+1 > choice.Upstream.Places)
 	return admission.Overloaded(state, q.admissionRequest(), places.Load{Running: choice.Running, Waiting: choice.Waiting})
 }
 
@@ -200,7 +200,7 @@
 func (q *request) serviceState(choice balance.Choice, objective time.Duration) admission.Service {
 	return admission.Service{
 		Places: choice.Upstream.Places, ReadTime: q.promptTime(), PlaceEvery: q.placeInterval(choice),
-		Objective: objective, Full: q.Pace.Share(q.service.Name),
+		Objective: objective, Full: q.LoadTracker.FullShare(q.service.Name),
 	}
 }
 
@@ -212,7 +212,7 @@
 // expectedHold returns how long the request is likely to hold a place.
 func (q *request) expectedHold() time.Duration {
 	state := admission.Service{ReadTime: q.promptTime()}
-	return admission.Lasts(state, q.Pace.Occupied(q.service.Name), q.answerHint(), q.usualAnswer())
+	return admission.Lasts(state, q.LoadTracker.HoldTime(q.service.Name), q.answerHint(), q.usualAnswer())
 }
 
 // promptTime returns how long an engine takes to read a usual prompt, 0 if unknown.
@@ -227,5 +227,5 @@
 
 // placeInterval returns how often a full engine frees a place.
 func (q *request) placeInterval(choice balance.Choice) time.Duration {
-	return q.Pace.Occupied(q.service.Name) / time.Duration(choice.Upstream.Places)
+	return q.LoadTracker.HoldTime(q.service.Name) / time.Duration(choice.Upstream.Places)
 }
--- a/daemon/internal/request/dispatch/place_test.go
+++ b/daemon/internal/request/dispatch/place_test.go
@@ -66,7 +66,7 @@
 func (f *fleet) request(route string, sent int) *request {
 	q := &request{
 		Dispatcher: &Dispatcher{
-			Pool: f.pool, Pace: &Pace{}, RequestPlace: f.answer, View: func() *mirror.View { return f.view },
+			Pool: f.pool, LoadTracker: &LoadTracker{}, RequestPlace: f.answer, View: func() *mirror.View { return f.view },
 			Demand: func(*mirror.Declared) mirror.Demand { return mirror.Demand{} },
 		},
 		Request: httptest.NewRequest("GET", "/", nil), view: f.view, service: f.view.Service("s"), sent: sent, trace: &Trace{},
--- a/daemon/internal/request/dispatch/stream.go
+++ b/daemon/internal/request/dispatch/stream.go
@@ -34,7 +34,7 @@
 			if !s.headSent {
 				s.writeHead(response)
 			}
-			s.Pace.Ended(s.service.Name, clock.Since(s.trace.FirstByte))
+			s.LoadTracker.RecordServed(s.service.Name, clock.Since(s.trace.FirstByte))
 			q.complete(http.StatusOK)
 			return true
 		}
--- a/daemon/lab/router.go
+++ b/daemon/lab/router.go
@@ -16,7 +16,7 @@
 type router struct {
 	play    *play
 	pool    balance.Pool
-	pace    dispatch.Pace
+	pace    dispatch.LoadTracker
 	callers admission.Callers
 	list    []*provider.Upstream
 }
@@ -83,7 +83,7 @@
 	c.done = func(outcome balance.Outcome) {
 		choice.Done(outcome)
 		if outcome == balance.Served {
-			r.pace.Ended(service, c.lastByte-c.firstByte)
+			r.pace.RecordServed(service, c.lastByte-c.firstByte)
 		}
 	}
 	r.play.events.after(travel, func() { e.add(c) })
@@ -97,7 +97,7 @@
 	spec := r.play.Engine
 	return admission.Service{
 		Places: spec.Places, ReadTime: r.play.readTime(), Objective: r.play.objective(),
-		PlaceEvery: r.pace.Occupied(service) / time.Duration(spec.Places), Full: r.pace.Share(service),
+		PlaceEvery: r.pace.HoldTime(service) / time.Duration(spec.Places), Full: r.pace.FullShare(service),
 	}
 }
 
@@ -108,7 +108,7 @@
 	if r.play.policy.Ways != nil {
 		search.Ways = *r.play.policy.Ways
 	}
-	lasts := admission.Lasts(known, r.pace.Occupied(service), c.hint, r.play.usualAnswer())
+	lasts := admission.Lasts(known, r.pace.HoldTime(service), c.hint, r.play.usualAnswer())
 	query := balance.Query{Model: model, Lasts: lasts}
 	for !search.Over() {
 		choice, ok := r.pool.Choose(r.list, query)
@@ -123,7 +123,7 @@
 		load, given := e.ledger.Take(places.Question{Limit: limit, Engine: ratelimit.Upstream{ID: e.record.ID}, Known: e.known()})
 		r.pool.TellLoad(choice.Upstream.ID, load.Running, load.Waiting, load.Loading)
 		if given {
-			r.pace.Full(service, load.Running+load.Waiting >= choice.Upstream.Places)
+			r.pace.RecordFull(service, load.Running+load.Waiting >= choice.Upstream.Places)
 			return e, choice, true
 		}
 		if load.Wait > 0 {
@@ -134,7 +134,7 @@
 		choice.Done(balance.Abandoned)
 		query.Tried = append(query.Tried, choice.Upstream.ID)
 	}
-	r.pace.Full(service, search.AllFull())
+	r.pace.RecordFull(service, search.AllFull())
 	return nil, balance.Choice{}, false
 }
 
