--- a/daemon/internal/request/dispatch/admit.go
+++ b/daemon/internal/request/dispatch/admit.go
@@ -48,7 +48,7 @@
 		return false
 	}
 	q.deadline = q.trace.Started.Add(min(q.callerTimeout(), q.routeTimeout()))
-	q.trace.Left, q.trace.Returned = q.retryState()
+	q.trace.RemainingTime, q.trace.Retried = q.retryState()
 	q.rank, q.ranks = q.view.Rank(q.service.Name, q.route, q.account)
 	q.priority = q.queuePriority()
 	return true
--- a/daemon/internal/request/dispatch/budget.go
+++ b/daemon/internal/request/dispatch/budget.go
@@ -45,16 +45,16 @@
 	b.Ratio, b.Slack, b.Window = ratio, slack, window
 }
 
-// Request counts a request.
-func (b *Budget) Request(service string) {
+// CountRequest counts a request.
+func (b *Budget) CountRequest(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	u := b.current(service)
 	u.requests[u.bucket%budgetBuckets]++
 }
 
-// Take reports whether one more retry is allowed, and counts it if so.
-func (b *Budget) Take(service string) bool {
+// Allow reports whether one more retry is allowed, and counts it if so.
+func (b *Budget) Allow(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	u := b.current(service)
@@ -65,8 +65,8 @@
 	return true
 }
 
-// Left returns the remaining number of retries.
-func (b *Budget) Left(service string) float64 {
+// Remaining returns the remaining number of retries.
+func (b *Budget) Remaining(service string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	u := b.current(service)
--- a/daemon/internal/request/dispatch/budget_test.go
+++ b/daemon/internal/request/dispatch/budget_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestZeroBudgetAllowsNothing(t *testing.T) {
-	assert.False(t, (&dispatch.Budget{}).Take("s"))
+	assert.False(t, (&dispatch.Budget{}).Allow("s"))
 }
 
 // TestBudgetHoldsForAllProcesses: all processes together stay within the ratio and the slack,
@@ -25,14 +25,14 @@
 			own := rapid.IntRange(0, 300).Draw(t, "requests")
 			requests += own
 			for range own {
-				budget.Request("s")
+				budget.CountRequest("s")
 			}
 			for range rapid.IntRange(0, 200).Draw(t, "tries") {
-				if budget.Take("s") {
+				if budget.Allow("s") {
 					taken++
 				}
 			}
-			assert.False(t, budget.Left("s") < -1e-9)
+			assert.False(t, budget.Remaining("s") < -1e-9)
 		}
 		assert.LessOrEqual(t, float64(taken), 0.2*float64(requests)+100)
 	})
@@ -40,9 +40,9 @@
 
 func TestServicesHaveSeparateBudgets(t *testing.T) {
 	budget := &dispatch.Budget{Slack: 2, Window: time.Hour}
-	assert.True(t, budget.Take("a"))
-	assert.False(t, budget.Take("a"))
-	assert.True(t, budget.Take("b"))
+	assert.True(t, budget.Allow("a"))
+	assert.False(t, budget.Allow("a"))
+	assert.True(t, budget.Allow("b"))
 }
 
 // TestSuspensionCountsTowardsWindow: time that passed while the host was suspended ages the
@@ -51,10 +51,10 @@
 	now := time.Unix(1000, 0)
 	budget := &dispatch.Budget{Slack: 10, Window: 10 * time.Second, Now: func() time.Time { return now }}
 	taken := 0
-	for budget.Take("s") {
+	for budget.Allow("s") {
 		taken++
 	}
 	assert.Equal(t, 7, taken)
 	now = now.Add(11 * time.Second)
-	assert.True(t, budget.Take("s"))
+	assert.True(t, budget.Allow("s"))
 }
--- a/daemon/internal/request/dispatch/dispatch.go
+++ b/daemon/internal/request/dispatch/dispatch.go
@@ -100,10 +100,10 @@
 	Outcome   Outcome
 	Cause     string
 	Attempts  []Attempt
-	// Returned reports whether the request is probably a retry after a refusal.
-	Returned bool
-	// Left is the remaining time that the caller declared, 0 if it declared none.
-	Left time.Duration
+	// Retried reports whether the request is probably a retry after a refusal.
+	Retried bool
+	// RemainingTime is the remaining time that the caller declared, 0 if it declared none.
+	RemainingTime time.Duration
 	// RetryAfter is the backoff that was sent to the caller, 0 if none was.
 	RetryAfter time.Duration
 	// PlaceRequests lists the requests for a place at an engine.
@@ -112,8 +112,8 @@
 	// whether it may have been out of date.
 	Configuration provider.Revision
 	Stale         bool
-	// BudgetLeft is what remained of this process's retry budget for the service.
-	BudgetLeft float64
+	// RemainingRetries is what remained of this process's retry budget for the service.
+	RemainingRetries float64
 }
 
 // Attempt is one send of a request to an upstream.
@@ -214,9 +214,9 @@
 	defer q.limitWrites()()
 	ctx, cancel := context.WithTimeout(r.Context(), clock.Until(q.deadline))
 	defer cancel()
-	d.Budget.Request(q.service.Name)
+	d.Budget.CountRequest(q.service.Name)
 	q.run(ctx)
-	q.trace.BudgetLeft = d.Budget.Left(q.service.Name)
+	q.trace.RemainingRetries = d.Budget.Remaining(q.service.Name)
 }
 
 // writeGrace is how long after the request's deadline its response may still be written. It
@@ -346,7 +346,7 @@
 	if fate == exchange.Unknown && !q.repeatable() {
 		return false
 	}
-	return q.Budget.Take(q.service.Name)
+	return q.Budget.Allow(q.service.Name)
 }
 
 // repeatable reports whether the request may run more than once.
--- a/daemon/internal/request/dispatch/place.go
+++ b/daemon/internal/request/dispatch/place.go
@@ -206,7 +206,7 @@
 
 // admissionRequest returns what admission needs to know of the request.
 func (q *request) admissionRequest() admission.Request {
-	return admission.Request{Rank: q.rank, Returned: q.trace.Returned, Sent: q.sent > 0}
+	return admission.Request{Rank: q.rank, Returned: q.trace.Retried, Sent: q.sent > 0}
 }
 
 // expectedHold returns how long the request is likely to hold a place.
--- a/daemon/router/recorder.go
+++ b/daemon/router/recorder.go
@@ -88,16 +88,16 @@
 	}
 	if story.Cause != "" {
 		fields["reason"] = story.Cause
-		fields["budgetLeft"] = math.Round(story.BudgetLeft)
+		fields["budgetLeft"] = math.Round(story.RemainingRetries)
 	}
 	if story.Stale {
 		fields["stale"] = true
 	}
-	if story.Returned {
+	if story.Retried {
 		fields["returned"] = true
 	}
-	if story.Left > 0 {
-		fields["left"] = story.Left.Round(time.Millisecond).String()
+	if story.RemainingTime > 0 {
+		fields["left"] = story.RemainingTime.Round(time.Millisecond).String()
 	}
 	if story.RetryAfter > 0 {
 		fields["retryAfter"] = story.RetryAfter.Round(time.Millisecond).String()
