--- a/daemon/internal/request/dispatch/admit.go
+++ b/daemon/internal/request/dispatch/admit.go
@@ -43,7 +43,7 @@
 		return false
 	}
 	q.trace.Content = q.contentName()
-	if q.Admit != nil && q.Admit(q.trace.Content) == quarantine.Held {
+	if q.AdmitContent != nil && q.AdmitContent(q.trace.Content) == quarantine.Held {
 		q.refuseQuarantined()
 		return false
 	}
@@ -126,7 +126,7 @@
 		limit = defaultMaxBody
 	}
 	_ = http.NewResponseController(q.writer).SetReadDeadline(time.Now().Add(bodyTimeout))
-	q.bodyReader = &holding.Body{Reader: http.MaxBytesReader(q.writer, q.Body, limit), Budget: &q.Holding}
+	q.bodyReader = &holding.Body{Reader: http.MaxBytesReader(q.writer, q.Body, limit), Budget: &q.Buffers}
 	body, err := io.ReadAll(q.bodyReader)
 	_ = http.NewResponseController(q.writer).SetReadDeadline(time.Time{})
 	var tooLarge *http.MaxBytesError
--- a/daemon/internal/request/dispatch/dispatch.go
+++ b/daemon/internal/request/dispatch/dispatch.go
@@ -48,8 +48,8 @@
 	// they may be out of date.
 	View  func() *mirror.View
 	Stale func() bool
-	// Holding bounds the bytes that are buffered for slow callers and upstreams.
-	Holding holding.Budget
+	// Buffers bounds the bytes that are buffered for slow callers and upstreams.
+	Buffers holding.Budget
 	// Region returns the region of a data hall, "" if unknown. It may be nil.
 	Region func(hall string) string
 	// Demand returns the versions of a model on which requests may run.
@@ -67,14 +67,14 @@
 	// OnDisconnect is called for each send whose connection broke, before the request is retried.
 	// It may be nil.
 	OnDisconnect func(Disconnect)
-	// Admit returns the quarantine verdict on the content of an arriving request, and Judge
+	// AdmitContent returns the quarantine verdict on the content of an arriving request, and CheckContent
 	// the one on the content of an admitted request. Whole is called for each content that
 	// got a complete response. All may be nil.
-	Admit, Judge func(content.Name) quarantine.Verdict
-	Whole        func(content.Name)
-	// Over is closed shortly before a stopping process closes its callers' connections. Nil
+	AdmitContent, CheckContent func(content.Name) quarantine.Verdict
+	OnServed                   func(content.Name)
+	// ShutdownDeadline is closed shortly before a stopping process closes its callers' connections. Nil
 	// means never.
-	Over <-chan struct{}
+	ShutdownDeadline <-chan struct{}
 	// Report is called once for each request that ended.
 	Report func(*Trace)
 }
@@ -278,7 +278,7 @@
 // It compares the clock, because a context's timer stands still while the host is suspended.
 func (q *request) expired() bool {
 	select {
-	case <-q.Over:
+	case <-q.ShutdownDeadline:
 		return true
 	default:
 		return clock.Until(q.deadline) <= 0
--- a/daemon/internal/request/dispatch/quarantine.go
+++ b/daemon/internal/request/dispatch/quarantine.go
@@ -10,10 +10,10 @@
 
 // verdict returns the current quarantine verdict on the request's content.
 func (q *request) verdict() quarantine.Verdict {
-	if q.Judge == nil {
+	if q.CheckContent == nil {
 		return quarantine.Free
 	}
-	return q.Judge(q.trace.Content)
+	return q.CheckContent(q.trace.Content)
 }
 
 // refuseQuarantined answers a request whose content is quarantined. The request did not run.
--- a/daemon/internal/request/dispatch/response.go
+++ b/daemon/internal/request/dispatch/response.go
@@ -116,8 +116,8 @@
 // complete ends a request with a complete response. An error response does not clear the
 // content: the upstream may have sent it without running the request.
 func (q *request) complete(status int) {
-	if q.Whole != nil && status/100 == 2 {
-		q.Whole(q.trace.Content)
+	if q.OnServed != nil && status/100 == 2 {
+		q.OnServed(q.trace.Content)
 	}
 	ending := OutcomeServed
 	if status >= http.StatusBadRequest {
--- a/daemon/internal/request/dispatch/send.go
+++ b/daemon/internal/request/dispatch/send.go
@@ -120,7 +120,7 @@
 	var second *pendingSend
 	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
-	nextSearch, searchDone, stopping := time.Time{}, searchCtx.Done(), q.Over
+	nextSearch, searchDone, stopping := time.Time{}, searchCtx.Done(), q.ShutdownDeadline
 	for {
 		select {
 		case <-searchDone:
--- a/daemon/internal/request/dispatch/stream.go
+++ b/daemon/internal/request/dispatch/stream.go
@@ -79,7 +79,7 @@
 // copyEvents forwards one upstream's events until its end; a nil error means a complete
 // stream. If the stream has resumed at another upstream meanwhile, it returns that.
 func (s *stream) copyEvents(ctx context.Context, choice balance.Choice, response *http.Response) (*resumption, error) {
-	response.Body = holding.ReadAhead(response.Body, &s.Holding, maxReadAhead)
+	response.Body = holding.ReadAhead(response.Body, &s.Buffers, maxReadAhead)
 	defer func() { _ = response.Body.Close() }()
 	watch := s.watchStall(ctx, response)
 	defer func() { watch.cancel() }()
--- a/daemon/router/serving.go
+++ b/daemon/router/serving.go
@@ -56,11 +56,11 @@
 			Fresh:   dial.NewHostTransport(connect, 0),
 		},
 		Pool: p.pool, Budget: p.budget, LoadTracker: &dispatch.LoadTracker{}, Callers: &admission.Callers{}, View: p.compiler.View, Stale: p.silent,
-		Holding: holding.Budget{Most: p.holdMost()},
+		Buffers: holding.Budget{Most: p.holdMost()},
 		Region:  func(hall string) string { return p.current.Load().RegionOf(hall) },
 		Demand:  p.demand, Report: p.recorder.request, RequestPlace: p.askPlace, OnDisconnect: p.broke,
 		OnLimit: p.heard, Allow: p.allow,
-		Admit: p.admitContent, Judge: p.suspects.judge, Whole: p.answeredWhole, Over: p.over,
+		AdmitContent: p.admitContent, CheckContent: p.suspects.judge, OnServed: p.answeredWhole, ShutdownDeadline: p.over,
 	}
 }
 
