--- a/daemon/internal/request/gate/handler.go
+++ b/daemon/internal/request/gate/handler.go
@@ -93,7 +93,7 @@
 		Peer:      h.Upstream,
 		Path:      strings.TrimPrefix(r.URL.RequestURI(), PathPrefix),
 	}
-	response, err := relay.Send(r.Context(), r, hop) //nolint:bodyclose // relay.Copy closes it
+	response, err := relay.Send(r.Context(), r, hop) //nolint:bodyclose // relay.CopyBody closes it
 	if err != nil {
 		h.fail(w, r, stamp, err)
 		return
@@ -101,8 +101,8 @@
 	dropOwnHeaders(response.Header)
 	response.Header.Set(api.HeaderOutcome, string(api.OutcomeDone))
 	response.Header.Set(api.HeaderVersion, stamp.Manifest)
-	relay.CopyHead(w, response)
-	if err := relay.Copy(w, response); err != nil {
+	relay.WriteHead(w, response)
+	if err := relay.CopyBody(w, response); err != nil {
 		h.log(r, stamp, "cut", err.Error())
 		panic(http.ErrAbortHandler) // the caller must not take the part for the whole
 	}
@@ -129,7 +129,7 @@
 // never got it, else unknown.
 func Refuse(err, contextErr error) *outcome.Refusal {
 	var failure *relay.Failure
-	handedOver := !errors.As(err, &failure) || failure.HandedOver
+	handedOver := !errors.As(err, &failure) || failure.MaybeReceived
 	expired := contextErr != nil
 	switch {
 	case expired && handedOver:
--- a/daemon/internal/request/intake/intake.go
+++ b/daemon/internal/request/intake/intake.go
@@ -367,11 +367,11 @@
 	_ = http.NewResponseController(p.w).EnableFullDuplex()
 	p.w.Header().Del(api.HeaderRequestID) // the response carries it
 	response.Header.Set(api.HeaderRequestID, p.id)
-	relay.CopyHead(p.w, response)
-	err := relay.Copy(p.w, response)
+	relay.WriteHead(p.w, response)
+	err := relay.CopyBody(p.w, response)
 	switch {
 	case err == nil:
-	case relay.IsCallerGone(err) || p.r.Context().Err() != nil:
+	case relay.IsCallerDisconnect(err) || p.r.Context().Err() != nil:
 		result = route.ResultCallerGone
 	default:
 		result = route.ResultFailed
--- a/daemon/internal/request/relay/relay.go
+++ b/daemon/internal/request/relay/relay.go
@@ -50,15 +50,15 @@
 // Failure is the error of a request without a response.
 type Failure struct {
 	Peer netip.AddrPort
-	// HandedOver reports whether the peer may have received the request.
-	HandedOver bool
-	Err        error
+	// MaybeReceived reports whether the peer may have received the request.
+	MaybeReceived bool
+	Err           error
 }
 
 // Error names the peer and whether it may have received the request.
 func (f *Failure) Error() string {
 	step := "reach"
-	if f.HandedOver {
+	if f.MaybeReceived {
 		step = "get an answer from"
 	}
 	return fmt.Sprintf("%s %s: %s", step, f.Peer, f.Err)
@@ -68,12 +68,12 @@
 func (f *Failure) Unwrap() error { return f.Err }
 
 // Send forwards the request and returns the head of the response. The caller must pass the
-// response to Copy or close its body. The error is a *Failure.
+// response to CopyBody or close its body. The error is a *Failure.
 func Send(ctx context.Context, in *http.Request, hop *Hop) (*http.Response, error) {
-	handedOver := false
+	maybeReceived := false
 	trace := &httptrace.ClientTrace{
 		// Once there is a connection, bytes may reach the peer.
-		GotConn: func(httptrace.GotConnInfo) { handedOver = true },
+		GotConn: func(httptrace.GotConnInfo) { maybeReceived = true },
 	}
 	out, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), in.Method, "http://"+hop.Peer.String()+hop.Path, nil)
 	if err != nil {
@@ -89,7 +89,7 @@
 	setBody(out, in, hop)
 	response, err := hop.Transport.RoundTrip(out)
 	if err != nil {
-		return nil, &Failure{Peer: hop.Peer, HandedOver: handedOver, Err: err}
+		return nil, &Failure{Peer: hop.Peer, MaybeReceived: maybeReceived, Err: err}
 	}
 	return response, nil
 }
@@ -125,8 +125,8 @@
 	}
 }
 
-// CopyHead writes the status and headers of the response.
-func CopyHead(w http.ResponseWriter, response *http.Response) {
+// WriteHead writes the status and headers of the response.
+func WriteHead(w http.ResponseWriter, response *http.Response) {
 	copyHeader(w.Header(), response.Header)
 	w.WriteHeader(response.StatusCode)
 }
@@ -134,11 +134,11 @@
 // errWrite marks an error of the caller's connection.
 var errWrite = errors.New("write to the caller")
 
-// IsCallerGone reports whether Copy failed because the caller disconnected.
-func IsCallerGone(err error) bool { return errors.Is(err, errWrite) }
+// IsCallerDisconnect reports whether CopyBody failed because the caller disconnected.
+func IsCallerDisconnect(err error) bool { return errors.Is(err, errWrite) }
 
-// Copy streams the body of the response as it arrives, and closes it.
-func Copy(w http.ResponseWriter, response *http.Response) error {
+// CopyBody streams the body of the response as it arrives, and closes it.
+func CopyBody(w http.ResponseWriter, response *http.Response) error {
 	defer func() { _ = response.Body.Close() }()
 	buffer, _ := buffers.Get().(*[]byte)
 	defer buffers.Put(buffer)
--- a/daemon/internal/request/relay/relay_test.go
+++ b/daemon/internal/request/relay/relay_test.go
@@ -91,7 +91,7 @@
 				err := send()
 				var failure *Failure
 				require.ErrorAs(t, err, &failure)
-				assert.True(t, failure.HandedOver)
+				assert.True(t, failure.MaybeReceived)
 				assert.Equal(t, int64(2), b.requests.Load(), "the request that broke reached the peer once")
 			})
 		}
@@ -106,7 +106,7 @@
 	_, err = Send(t.Context(), httptest.NewRequest("POST", "/", strings.NewReader("x")), &Hop{Transport: upstream.NewTransport(nil), Peer: address, Path: "/"})
 	var failure *Failure
 	require.ErrorAs(t, err, &failure)
-	assert.False(t, failure.HandedOver)
+	assert.False(t, failure.MaybeReceived)
 	assert.ErrorContains(t, err, address.String(), "the error names the peer")
 }
 
@@ -141,8 +141,8 @@
 	response, err := Send(t.Context(), in, hop)
 	require.NoError(t, err)
 	recorder := httptest.NewRecorder()
-	CopyHead(recorder, response)
-	require.NoError(t, Copy(recorder, response))
+	WriteHead(recorder, response)
+	require.NoError(t, CopyBody(recorder, response))
 	assert.Equal(t, "kept", got.Get("X-Kept"))
 	assert.Empty(t, got.Get("X-Hop"))
 	assert.Empty(t, got.Get("Authorization"))
@@ -161,9 +161,9 @@
 	response, err := Send(t.Context(), httptest.NewRequest("GET", "/", nil), hop)
 	require.NoError(t, err)
 	recorder := httptest.NewRecorder()
-	err = Copy(recorder, response)
+	err = CopyBody(recorder, response)
 	require.ErrorIs(t, err, io.ErrUnexpectedEOF)
-	assert.False(t, IsCallerGone(err))
+	assert.False(t, IsCallerDisconnect(err))
 }
 
 func TestCallerDisconnectCancelsPeerRequest(t *testing.T) {
