--- a/daemon/internal/request/intake/budget.go
+++ b/daemon/internal/request/intake/budget.go
@@ -54,15 +54,15 @@
 	}
 }
 
-// Request counts a request.
-func (b *Budget) Request() {
+// CountRequest counts a request.
+func (b *Budget) CountRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.tokens+b.share, maxTokens)
 }
 
-// Retry takes a token and reports whether there was one.
-func (b *Budget) Retry() bool {
+// AllowRetry takes a token and reports whether there was one.
+func (b *Budget) AllowRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.tokens < 1 {
--- a/daemon/internal/request/intake/budget_test.go
+++ b/daemon/internal/request/intake/budget_test.go
@@ -13,7 +13,7 @@
 	service := &api.Resource{Name: "s", Service: &api.ServiceSpec{Limits: api.Limits{RetryShare: 0.1}}}
 	count := func() int {
 		retries := 0
-		for budgets.For(service).Retry() {
+		for budgets.For(service).AllowRetry() {
 			retries++
 		}
 		return retries
@@ -21,11 +21,11 @@
 	assert.Equal(t, int(initialRetries), count(), "a new service may retry a few requests")
 	assert.Zero(t, count())
 	for range 1000 {
-		budgets.For(service).Request()
+		budgets.For(service).CountRequest()
 	}
 	assert.InDelta(t, 100, count(), 1, "a tenth of the requests")
 	for range 1_000_000 {
-		budgets.For(service).Request()
+		budgets.For(service).CountRequest()
 	}
 	assert.LessOrEqual(t, count(), int(maxTokens), "accumulated retries are bounded")
 }
--- a/daemon/internal/request/intake/intake.go
+++ b/daemon/internal/request/intake/intake.go
@@ -212,11 +212,11 @@
 		return refusal
 	}
 	budget := p.handler.Budgets.For(p.service)
-	budget.Request()
+	budget.CountRequest()
 	var last *outcome.Refusal
 	for attempt := range maxTries {
 		if attempt > 0 {
-			if last.Reason != outcome.ReasonWrongVersion && !budget.Retry() {
+			if last.Reason != outcome.ReasonWrongVersion && !budget.AllowRetry() {
 				p.logDecision("", "no-retry", "the service's retry budget is used up", 0)
 				return last
 			}
