--- a/daemon/internal/request/dispatch/dispatch.go
+++ b/daemon/internal/request/dispatch/dispatch.go
@@ -54,8 +54,8 @@
 	Region func(hall string) string
 	// Demand returns the versions of a model on which requests may run.
 	Demand func(declared *mirror.Declared) mirror.Demand
-	// RequestPlace requests a place from an engine's loader. An error means that the loader did
-	// not answer. Nil means that there are no loaders.
+	// RequestPlace requests a place from an engine's loader. An error means that the loader
+	// did not answer. Nil means that there are no loaders.
 	RequestPlace func(ctx context.Context, engine *provider.Upstream, limit places.Limit) (places.Load, bool, error)
 	// OnLimit is called with what each response says about its upstream's rate limit. It may
 	// be nil.
@@ -64,16 +64,16 @@
 	// that no loader gave a place, and counts the request. If it does not, it returns how
 	// long to wait before asking again. It may be nil.
 	Allow func(upstream *provider.Upstream, path AdmissionPath) (time.Duration, bool)
-	// OnDisconnect is called for each send whose connection broke, before the request is retried.
-	// It may be nil.
+	// OnDisconnect is called for each send whose connection broke, before the request is
+	// retried. It may be nil.
 	OnDisconnect func(Disconnect)
-	// AdmitContent returns the quarantine verdict on the content of an arriving request, and CheckContent
-	// the one on the content of an admitted request. Whole is called for each content that
-	// got a complete response. All may be nil.
+	// AdmitContent returns the quarantine verdict on the content of an arriving request, and
+	// CheckContent the one on the content of an admitted request. OnServed is called for each
+	// content that got a complete response. All may be nil.
 	AdmitContent, CheckContent func(content.Name) quarantine.Verdict
 	OnServed                   func(content.Name)
-	// ShutdownDeadline is closed shortly before a stopping process closes its callers' connections. Nil
-	// means never.
+	// ShutdownDeadline is closed shortly before a stopping process closes its callers'
+	// connections. Nil means never.
 	ShutdownDeadline <-chan struct{}
 	// Report is called once for each request that ended.
 	Report func(*Trace)
@@ -120,7 +120,7 @@
 type Attempt struct {
 	Upstream string         `json:"upstream"`
 	Address  netip.AddrPort `json:"address"`
-	// Offset is when the request was sent, from its start.
+	// Offset is the time from the start of the request to this send.
 	Offset   time.Duration `json:"at"`
 	Duration time.Duration `json:"took"`
 	Result   string        `json:"fate"`
@@ -133,8 +133,8 @@
 	InFlight   int             `json:"inFlight"`
 	Candidates int             `json:"candidates"`
 	// Waiting, Beyond and Running are the load, over all routers, by which the upstream was
-	// chosen. Beyond is the number of requests that must finish first. LoadAge is the
-	// age of the load report.
+	// chosen. Beyond is the number of requests that must finish first. LoadAge is the age of
+	// the load report.
 	Waiting int           `json:"waiting"`
 	Beyond  int           `json:"beyond"`
 	Running int           `json:"running"`
--- a/daemon/internal/request/dispatch/interrupt.go
+++ b/daemon/internal/request/dispatch/interrupt.go
@@ -15,8 +15,8 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// Disconnect is a send whose connection broke before the response was complete. Its upstream may
-// have crashed, and the request may be the cause.
+// Disconnect is a send whose connection broke before the response was complete. Its upstream
+// may have crashed, and the request may be the cause.
 type Disconnect struct {
 	Request  string
 	Content  content.Name
@@ -25,8 +25,8 @@
 	After time.Duration
 }
 
-// InterruptReason is why a send has no complete response. It tells an upstream that closed its
-// connection from a send that this router canceled.
+// InterruptReason is why a send has no complete response. It distinguishes a connection that
+// the upstream closed from a send that this router canceled.
 type InterruptReason string
 
 // Interrupt reasons.
--- a/daemon/internal/request/dispatch/loadtracker.go
+++ b/daemon/internal/request/dispatch/loadtracker.go
@@ -18,8 +18,8 @@
 	fullTimeConstant = 2500 * time.Millisecond
 )
 
-// LoadTracker tracks the load of each service as this process sees it. The zero value is ready to
-// use.
+// LoadTracker tracks the load of each service as this process sees it. The zero value is
+// ready to use.
 type LoadTracker struct {
 	// Now is the clock; nil means clock.Now.
 	Now func() time.Time
@@ -52,8 +52,8 @@
 	return s
 }
 
-// RecordServed records a served request and how long it held its place: from the first byte of its
-// response to the last.
+// RecordServed records a served request and how long it held its place: from the first byte
+// of its response to the last.
 func (t *LoadTracker) RecordServed(service string, holdTime time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -75,8 +75,8 @@
 	return t.service(service).fullShare
 }
 
-// RecordFull records whether a service has no free place now, and returns the share of recent time
-// in which it had none.
+// RecordFull records whether a service has no free place now, and returns the share of recent
+// time in which it had none.
 func (t *LoadTracker) RecordFull(service string, full bool) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/daemon/internal/request/intake/intake.go
+++ b/daemon/internal/request/intake/intake.go
@@ -76,7 +76,6 @@
 	seconds  tally.Timer
 }
 
-// methods are the methods that callers may use.
 var methods = []string{
 	http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut,
 	http.MethodPatch, http.MethodDelete, http.MethodOptions,
