--- a/daemon/internal/connection/peering/neighbours.go
+++ b/daemon/internal/connection/peering/neighbours.go
@@ -11,14 +11,14 @@
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/backoff"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/call"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/readers"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
 // NewsWait is how long a neighbour holds its answer while there is no news. It bounds
 // how long one that froze stays unnoticed.
-const NewsWait = mirror.HopWait
+const NewsWait = replica.HopWait
 
 const (
 	// wholeWait is NewsWait for the whole copy, of one that may just be starting.
@@ -33,7 +33,7 @@
 )
 
 // errStarting says that a neighbour knows nothing yet.
-var errStarting = fmt.Errorf("it knows nothing yet: %w", mirror.ErrBehind)
+var errStarting = fmt.Errorf("it knows nothing yet: %w", replica.ErrStale)
 
 // Neighbours asks daemons of the own hall in place of the store, for one follower.
 // Client and Choose must be set.
@@ -63,14 +63,14 @@
 // asks for all of it where that is 0, and where the neighbour's copy was read anew
 // since all of it was taken last, or never was: it may have entries then that are
 // below the revision and were missed by this daemon as by the one it followed before.
-func (n *Neighbours) News(ctx context.Context, prefix string, after provider.Revision) (mirror.News, error) {
+func (n *Neighbours) News(ctx context.Context, prefix string, after provider.Revision) (replica.Update, error) {
 	neighbour, ok := n.Choose(n.usable)
 	switch {
 	case ok:
 	case n.Hold != nil && n.Hold():
-		return mirror.News{}, mirror.ErrHold
+		return replica.Update{}, replica.ErrWait
 	default:
-		return mirror.News{}, mirror.ErrNoneNear
+		return replica.Update{}, replica.ErrNoPeer
 	}
 	if neighbour != n.followed {
 		after = 0
@@ -85,17 +85,17 @@
 	return news, n.judge(ctx, neighbour, err)
 }
 
-func (n *Neighbours) ask(ctx context.Context, neighbour netip.AddrPort, prefix string, after provider.Revision) (mirror.News, error) {
+func (n *Neighbours) ask(ctx context.Context, neighbour netip.AddrPort, prefix string, after provider.Revision) (replica.Update, error) {
 	asked := question{prefix: prefix, after: after, wait: NewsWait, packed: true}
 	if after == 0 {
 		asked.wait = wholeWait
 	}
 	news, err := ask(ctx, n.Client, neighbour, asked)
-	if err == nil && news.At == 0 {
+	if err == nil && news.Revision == 0 {
 		return news, fmt.Errorf("neighbour %s: %w", neighbour, errStarting)
 	}
-	if err == nil && news.Behind() {
-		err = fmt.Errorf("neighbour %s, heard it %s ago: %w", neighbour, news.Heard.Round(time.Millisecond), mirror.ErrBehind)
+	if err == nil && news.Stale() {
+		err = fmt.Errorf("neighbour %s, heard it %s ago: %w", neighbour, news.SinceData.Round(time.Millisecond), replica.ErrStale)
 	}
 	return news, err
 }
@@ -104,7 +104,7 @@
 func (n *Neighbours) Engine(ctx context.Context, service string) (EngineNews, error) {
 	neighbour, ok := n.Choose(n.usable)
 	if !ok {
-		return EngineNews{}, mirror.ErrNoneNear
+		return EngineNews{}, replica.ErrNoPeer
 	}
 	news, err := askEngine(ctx, n.Client, neighbour, service)
 	return news, n.judge(ctx, neighbour, err)
@@ -116,7 +116,7 @@
 		return err
 	}
 	n.muted.Add(neighbour, muteTime(err), n.Now)
-	if errors.Is(err, mirror.ErrBehind) {
+	if errors.Is(err, replica.ErrStale) {
 		n.behind.Add(neighbour, muteTime(err), n.Now)
 	}
 	if n.OnMute != nil {
@@ -141,9 +141,9 @@
 	case !n.muted.Has(neighbour, n.Now):
 		return readers.Usable
 	case n.behind.Has(neighbour, n.Now):
-		return readers.Behind
+		return readers.Stale
 	default:
-		return readers.Gone
+		return readers.Unreachable
 	}
 }
 
--- /dev/null
+++ b/daemon/internal/process/replica/expiry_test.go
@@ -0,0 +1,84 @@
+package replica_test
+
+import (
+	"net/netip"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
+	"github.com/wheelcleat/wheelcleat/daemon/provider"
+)
+
+// TestExpiredUpstreamsStayInUseForAGrace checks that an upstream whose entry is removed
+// while the store is unreachable stays in use for a while. One that was leaving, or whose
+// entry is removed while the store answers, is dropped at once.
+func TestExpiredUpstreamsStayInUseForAGrace(t *testing.T) {
+	now := time.Unix(1000, 0)
+	unreachable, leaving := true, false
+	table := &replica.Table{}
+	compiler := &replica.Compiler{
+		Decode: func(entry provider.Entry) (provider.Record, error) {
+			return provider.Record{Upstream: &provider.Upstream{ID: entry.Key, Service: "s", Leaving: leaving}}, nil
+		},
+		Lapses: func() bool { return unreachable },
+		Now:    func() time.Time { return now },
+	}
+	table.OnChange = compiler.Take
+	revision := provider.Revision(0)
+	apply := func(key string, gone bool) {
+		revision++
+		table.Apply([]provider.Entry{{Key: key, Revision: revision, Gone: gone}})
+	}
+	inUse := func() int { return len(compiler.View().Upstreams["s"]) }
+
+	apply("a", false)
+	apply("a", true)
+	assert.Equal(t, 1, inUse(), "the entry may only have expired")
+	require.True(t, compiler.Lapsed())
+	apply("a", false)
+	assert.Equal(t, 1, inUse(), "registered again, listed once")
+	assert.False(t, compiler.Lapsed())
+
+	apply("a", true)
+	now = now.Add(time.Minute)
+	table.Recompile()
+	assert.Zero(t, inUse(), "the grace is over")
+	assert.False(t, compiler.Lapsed())
+
+	leaving = true
+	apply("b", false)
+	apply("b", true)
+	assert.Zero(t, inUse(), "the upstream was leaving")
+
+	unreachable, leaving = false, false
+	apply("c", false)
+	apply("c", true)
+	assert.Zero(t, inUse(), "the store answers")
+}
+
+// TestOneUpstreamPerAddress checks that of several entries for one address the one created
+// last is used, whichever changed last, and the others only once it is removed.
+func TestOneUpstreamPerAddress(t *testing.T) {
+	table := &replica.Table{}
+	compiler := &replica.Compiler{Decode: func(entry provider.Entry) (provider.Record, error) {
+		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, 1}), 80)
+		return provider.Record{Upstream: &provider.Upstream{ID: entry.Key, Service: "s", Address: address}}, nil
+	}}
+	table.OnChange = compiler.Take
+	inUse := func() []string {
+		var ids []string
+		for _, upstream := range compiler.View().Upstreams["s"] {
+			ids = append(ids, upstream.ID)
+		}
+		return ids
+	}
+	table.Apply([]provider.Entry{{Key: "dead", Revision: 5, Created: 5}, {Key: "alive", Revision: 9, Created: 9}})
+	assert.Equal(t, []string{"alive"}, inUse())
+	table.Apply([]provider.Entry{{Key: "dead", Revision: 12, Created: 5}})
+	assert.Equal(t, []string{"alive"}, inUse(), "a late write of the older entry")
+	table.Apply([]provider.Entry{{Key: "alive", Revision: 13, Gone: true}})
+	assert.Equal(t, []string{"dead"}, inUse())
+}
--- /dev/null
+++ b/daemon/internal/process/replica/table.go
@@ -0,0 +1,165 @@
+// Package replica holds a daemon's replica of the store and the views that are compiled
+// from it. Routers and loaders follow the store or a peer with a Follower, which applies
+// updates to a Table, from which a Compiler builds immutable Views.
+//
+// The store's revision is the only order: for each key the highest revision wins, whether
+// a watch, a list or a peer delivers it. So updates may arrive late, repeatedly and out of
+// order, and no superseded state returns.
+//
+// Removals are kept as tombstones for tombstoneRetention, because a peer's older replica
+// must not restore a removed entry.
+package replica
+
+import (
+	"strings"
+	"sync"
+	"time"
+
+	"github.com/wheelcleat/wheelcleat/daemon/internal/clock"
+	"github.com/wheelcleat/wheelcleat/daemon/provider"
+)
+
+// tombstoneRetention is how long tombstones are kept. Updates from peers are seconds old
+// at most.
+const tombstoneRetention = 2 * time.Minute
+
+// Table holds the newest received state of each key. The zero value is empty and ready
+// to use.
+type Table struct {
+	// OnChange is called with new entries, one call at a time and without the table
+	// locked. It is set before the first change.
+	OnChange func([]provider.Entry)
+
+	// notifyMu orders calls of OnChange. It is locked before mu.
+	notifyMu sync.Mutex
+	mu       sync.Mutex
+	// entries holds the newest received state of each key, tombstones included.
+	entries map[string]stored
+	// newest is the highest revision of any entry.
+	newest provider.Revision
+	// changed is closed at the next change; nil while no caller waits for one.
+	changed chan struct{}
+	// changes counts the changes.
+	changes uint64
+}
+
+// stored is an entry and when it was received.
+type stored struct {
+	provider.Entry
+	received time.Time
+}
+
+// Apply merges entries into the table and returns how many were new. Entries that are not
+// newer than the table's are ignored.
+func (t *Table) Apply(entries []provider.Entry) int {
+	t.notifyMu.Lock()
+	defer t.notifyMu.Unlock()
+	applied := t.merge(entries)
+	if len(applied) > 0 && t.OnChange != nil {
+		t.OnChange(applied)
+	}
+	return len(applied)
+}
+
+// Recompile calls OnChange without entries, for views that depend on the time.
+func (t *Table) Recompile() {
+	t.notifyMu.Lock()
+	defer t.notifyMu.Unlock()
+	if t.OnChange != nil {
+		t.OnChange(nil)
+	}
+}
+
+// Replace applies a complete list of a prefix. Entries that the list lacks are removed
+// unless they changed after it.
+func (t *Table) Replace(prefix string, listing provider.Listing) int {
+	present := make(map[string]bool, len(listing.Entries))
+	for _, entry := range listing.Entries {
+		present[entry.Key] = true
+	}
+	update := listing.Entries
+	t.mu.Lock()
+	for key, entry := range t.entries {
+		if strings.HasPrefix(key, prefix) && !present[key] && !entry.Gone && entry.Revision <= listing.At {
+			update = append(update, provider.Entry{Key: key, Revision: listing.At, Gone: true})
+		}
+	}
+	t.mu.Unlock()
+	return t.Apply(update)
+}
+
+// merge stores entries that are newer than the table's, drops old tombstones and returns
+// the new entries.
+func (t *Table) merge(entries []provider.Entry) []provider.Entry {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.entries == nil {
+		t.entries = map[string]stored{}
+	}
+	now := clock.Now()
+	var applied []provider.Entry
+	for _, entry := range entries {
+		known, ok := t.entries[entry.Key]
+		if ok && entry.Revision <= known.Revision {
+			continue
+		}
+		t.entries[entry.Key] = stored{entry, now}
+		t.newest = max(t.newest, entry.Revision)
+		applied = append(applied, entry)
+	}
+	for key, entry := range t.entries {
+		if entry.Gone && now.Sub(entry.received) > tombstoneRetention {
+			delete(t.entries, key)
+		}
+	}
+	if len(applied) > 0 {
+		t.changes++
+		if t.changed != nil {
+			close(t.changed)
+			t.changed = nil
+		}
+	}
+	return applied
+}
+
+// Changed returns a channel that is closed at the next change.
+func (t *Table) Changed() <-chan struct{} {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.changed == nil {
+		t.changed = make(chan struct{})
+	}
+	return t.changed
+}
+
+// Changes returns the number of changes.
+func (t *Table) Changes() uint64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.changes
+}
+
+// Since returns the entries above a revision, tombstones included; 0 returns all.
+func (t *Table) Since(after provider.Revision) provider.Listing { return t.SinceUnder("", after) }
+
+// SinceUnder returns the entries under a prefix above a revision, tombstones included.
+func (t *Table) SinceUnder(prefix string, after provider.Revision) provider.Listing {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	listing := provider.Listing{At: after}
+	for key, entry := range t.entries {
+		if entry.Revision <= after || !strings.HasPrefix(key, prefix) {
+			continue
+		}
+		listing.Entries = append(listing.Entries, entry.Entry)
+		listing.At = max(listing.At, entry.Revision)
+	}
+	return listing
+}
+
+// Newest returns the highest revision of any entry, or 0.
+func (t *Table) Newest() provider.Revision {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.newest
+}
--- a/daemon/internal/request/dispatch/dispatch.go
+++ b/daemon/internal/request/dispatch/dispatch.go
@@ -25,7 +25,7 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/places"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/helpers"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/balance"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/admission"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/content"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/exchange"
@@ -46,14 +46,14 @@
 	Callers *admission.Callers
 	// View returns the configuration and the upstreams in force, and Stale reports whether
 	// they may be out of date.
-	View  func() *mirror.View
+	View  func() *replica.View
 	Stale func() bool
 	// Buffers bounds the bytes that are buffered for slow callers and upstreams.
 	Buffers holding.Budget
 	// Region returns the region of a data hall, "" if unknown. It may be nil.
 	Region func(hall string) string
 	// Demand returns the versions of a model on which requests may run.
-	Demand func(declared *mirror.Declared) mirror.Demand
+	Demand func(declared *replica.Declaration) replica.VersionPolicy
 	// RequestPlace requests a place from an engine's loader. An error means that the loader
 	// did not answer. Nil means that there are no loaders.
 	RequestPlace func(ctx context.Context, engine *provider.Upstream, limit places.Limit) (places.Load, bool, error)
@@ -132,13 +132,13 @@
 	Version    int             `json:"version,omitempty"`
 	InFlight   int             `json:"inFlight"`
 	Candidates int             `json:"candidates"`
-	// Waiting, Beyond and Running are the load, over all routers, by which the upstream was
-	// chosen. Beyond is the number of requests that must finish first. LoadAge is the age of
+	// Waiting, Excess and Running are the load, over all routers, by which the upstream was
+	// chosen. Excess is the number of requests that must finish first. ReportAge is the age of
 	// the load report.
-	Waiting int           `json:"waiting"`
-	Beyond  int           `json:"beyond"`
-	Running int           `json:"running"`
-	LoadAge time.Duration `json:"age"`
+	Waiting   int           `json:"waiting"`
+	Excess    int           `json:"beyond"`
+	Running   int           `json:"running"`
+	ReportAge time.Duration `json:"age"`
 	// Path is the admission path to the upstream, and Limit the rate limit that the
 	// response named, "" if none.
 	Path  AdmissionPath `json:"door,omitempty"`
@@ -177,7 +177,7 @@
 	*Dispatcher
 	*http.Request
 	writer  http.ResponseWriter
-	view    *mirror.View
+	view    *replica.View
 	route   *provider.Route
 	service *provider.Service
 	account *provider.Account
@@ -291,16 +291,16 @@
 
 // upstreamQuery returns the conditions that an upstream must meet.
 func (q *request) upstreamQuery() balance.Query {
-	query := balance.Query{Tried: q.tried}
+	query := balance.Query{Exclude: q.tried}
 	if q.service.Engine == nil {
 		return query
 	}
 	query.Model = q.service.Engine.Model
-	query.Lasts = q.expectedHold()
-	query.Reserve = admission.Reserve(admission.Service{Full: q.LoadTracker.FullShare(q.service.Name)}, q.admissionRequest())
+	query.Duration = q.expectedHold()
+	query.ReservedPlaces = admission.Reserve(admission.Service{Full: q.LoadTracker.FullShare(q.service.Name)}, q.admissionRequest())
 	if declared, ok := q.View().Targets[query.Model]; ok {
 		demand := q.Demand(&declared)
-		query.Version, query.Preferred, query.Avoid = demand.Lowest, demand.Preferred, demand.Avoid
+		query.MinVersion, query.PreferredVersion, query.AvoidWeight = demand.MinVersion, demand.PreferredVersion, demand.AvoidWeight
 	}
 	return query
 }
@@ -308,7 +308,7 @@
 func (q *request) balanceOutcome(fate exchange.Fate) balance.Outcome {
 	switch {
 	case q.Context().Err() != nil:
-		return balance.Abandoned
+		return balance.Canceled
 	case fate == exchange.Unsent:
 		return balance.Unreachable
 	case fate == exchange.Refused:
@@ -365,7 +365,7 @@
 	attempt := Attempt{
 		Upstream: choice.Upstream.ID, Address: choice.Upstream.Address, Offset: started.Sub(q.trace.Started), Duration: clock.Since(started), Result: result.Fate.String(),
 		Version: choice.Version, InFlight: choice.InFlight, Candidates: choice.Candidates,
-		Waiting: choice.Waiting, Beyond: choice.Beyond, Running: choice.Running, LoadAge: choice.Age,
+		Waiting: choice.Waiting, Excess: choice.Excess, Running: choice.Running, ReportAge: choice.ReportAge,
 		Path: q.paths[choice.Upstream.ID], Limit: result.Said.String(),
 	}
 	if result.Err != nil {
--- a/daemon/internal/request/dispatch/interrupt_test.go
+++ b/daemon/internal/request/dispatch/interrupt_test.go
@@ -11,14 +11,14 @@
 	"github.com/stretchr/testify/assert"
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/balance"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 )
 
 // TestInterruptReasonFollowsError: logs must tell a connection that the upstream closed from
 // a send that this router canceled.
 func TestInterruptReasonFollowsError(t *testing.T) {
 	q := &request{Dispatcher: &Dispatcher{Pool: &balance.Pool{}}, Request: httptest.NewRequest("GET", "/", nil), trace: &Trace{}}
-	q.Pool.Tell("u1", balance.Told{Loading: true})
+	q.Pool.Report("u1", balance.LoadReport{Loading: true})
 	for reason, err := range map[InterruptReason]error{
 		InterruptUpstream: errors.New("connection reset by peer"),
 		InterruptTimeout:  fmt.Errorf("send to u1: %w", errSuperseded),
@@ -44,7 +44,7 @@
 		var reported *Trace
 		d := &Dispatcher{
 			Report: func(trace *Trace) { reported = trace },
-			View: func() *mirror.View {
+			View: func() *replica.View {
 				panic(failure)
 			},
 		}
--- a/daemon/internal/request/dispatch/limit_test.go
+++ b/daemon/internal/request/dispatch/limit_test.go
@@ -60,7 +60,7 @@
 	require.ErrorIs(t, err, errLimitsUsedUp)
 	assert.Equal(t, admission.EnginesFull, unplacedReason(err), "the caller gets the backoff for full engines")
 	for _, upstream := range f.view.Upstreams["s"] {
-		assert.True(t, f.pool.Holds(upstream.ID))
+		assert.True(t, f.pool.Throttled(upstream.ID))
 	}
 }
 
@@ -109,7 +109,7 @@
 	}{
 		"no loader answers, recent report": {func(q *request) {
 			for _, upstream := range q.view.Upstreams["s"] {
-				q.Pool.Tell(upstream.ID, balance.Told{Models: upstream.Models})
+				q.Pool.Report(upstream.ID, balance.LoadReport{Models: upstream.Models})
 			}
 		}, PathLoadReport},
 		"no loader answers, stale report": {func(q *request) { q.Pool = &balance.Pool{} }, PathLoadReport},
--- a/daemon/internal/request/dispatch/place.go
+++ b/daemon/internal/request/dispatch/place.go
@@ -50,18 +50,18 @@
 	for !search.Over() {
 		choice, ok := q.Pool.Choose(candidates, query)
 		if !ok && limited && !requeried {
-			requeried, query.Tried = true, q.tried
+			requeried, query.Exclude = true, q.tried
 			continue
 		}
 		if !ok {
 			break
 		}
-		choice, admitted, err := q.tryUpstream(ctx, choice, &search, query.Lasts)
+		choice, admitted, err := q.tryUpstream(ctx, choice, &search, query.Duration)
 		if admitted || err != nil {
 			return choice, err
 		}
-		limited = limited || q.Pool.Holds(choice.Upstream.ID)
-		query.Tried = append(query.Tried[:len(query.Tried):len(query.Tried)], choice.Upstream.ID)
+		limited = limited || q.Pool.Throttled(choice.Upstream.ID)
+		query.Exclude = append(query.Exclude[:len(query.Exclude):len(query.Exclude)], choice.Upstream.ID)
 	}
 	denied, unresponsive := search.Asked()
 	if denied == 0 && search.TooLimited() {
@@ -91,17 +91,17 @@
 		q.LoadTracker.RecordFull(q.service.Name, load.Running+load.Waiting >= choice.Upstream.Places)
 		q.recordPath(choice, PathLoader)
 		return choice.WithLoad(load.Running, load.Waiting), true, nil
-	case err != nil && choice.Told && choice.Age < maxReportAge:
+	case err != nil && choice.HasReport && choice.ReportAge < maxReportAge:
 		return q.admitUnqueried(choice, PathLoadReport)
 	case err != nil:
 		search.Silent()
 	case load.Wait > 0:
 		search.Limited()
-		q.Pool.Hold(choice.Upstream.ID, load.Wait)
+		q.Pool.Throttle(choice.Upstream.ID, load.Wait)
 	default:
 		search.Denied(load)
 	}
-	choice.Done(balance.Abandoned)
+	choice.Done(balance.Canceled)
 	return choice, false, nil
 }
 
@@ -117,13 +117,13 @@
 		if admitted || err != nil {
 			return choice, err
 		}
-		query.Tried = append(query.Tried[:len(query.Tried):len(query.Tried)], choice.Upstream.ID)
+		query.Exclude = append(query.Exclude[:len(query.Exclude):len(query.Exclude)], choice.Upstream.ID)
 	}
 }
 
 // unplacedError returns why no upstream can be chosen.
 func (q *request) unplacedError(candidates []*provider.Upstream) error {
-	if wait, held := q.Pool.Held(candidates); held {
+	if wait, held := q.Pool.ThrottledFor(candidates); held {
 		return fmt.Errorf("%w, next retry in %s", errLimitsUsedUp, wait.Round(time.Millisecond))
 	}
 	return errNoUpstream
@@ -141,12 +141,12 @@
 // chosen.
 func (q *request) admitUnqueried(choice balance.Choice, path AdmissionPath) (balance.Choice, bool, error) {
 	if q.overloaded(choice) {
-		choice.Done(balance.Abandoned)
-		return choice, false, fmt.Errorf("%w: the best, %s, has %d waiting and %d that must finish first", errOverloaded, choice.Upstream.ID, choice.Waiting, choice.Beyond)
+		choice.Done(balance.Canceled)
+		return choice, false, fmt.Errorf("%w: the best, %s, has %d waiting and %d that must finish first", errOverloaded, choice.Upstream.ID, choice.Waiting, choice.Excess)
 	}
 	if wait, ok := q.limitAllows(choice, path); !ok {
-		q.Pool.Hold(choice.Upstream.ID, wait)
-		choice.Done(balance.Abandoned)
+		q.Pool.Throttle(choice.Upstream.ID, wait)
+		choice.Done(balance.Canceled)
 		return choice, false, nil
 	}
 	q.recordPath(choice, path)
@@ -189,7 +189,7 @@
 	if err != nil {
 		result.Cause = err.Error()
 	} else {
-		q.Pool.TellLoad(choice.Upstream.ID, load.Running, load.Waiting, load.Loading)
+		q.Pool.ReportLoad(choice.Upstream.ID, load.Running, load.Waiting, load.Loading)
 	}
 	q.trace.PlaceRequests = append(q.trace.PlaceRequests, result)
 	return load, given, err
--- a/daemon/internal/request/dispatch/place_test.go
+++ b/daemon/internal/request/dispatch/place_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/places"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/balance"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/admission"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
@@ -23,7 +23,7 @@
 // fleet is a set of engines whose loaders answer as a test sets.
 type fleet struct {
 	pool    *balance.Pool
-	view    *mirror.View
+	view    *replica.View
 	queries []places.Limit
 	// given returns the result of the n-th request for a place.
 	given func(n int) (bool, error)
@@ -45,9 +45,9 @@
 		records[id] = provider.Record{Upstream: &provider.Upstream{
 			ID: id, Service: "s", Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 8000), Places: 16, Models: []provider.Loaded{{Model: "m", Version: 1}},
 		}}
-		f.pool.Tell(id, balance.Told{Models: []provider.Loaded{{Model: "m", Version: 1}}})
+		f.pool.Report(id, balance.LoadReport{Models: []provider.Loaded{{Model: "m", Version: 1}}})
 	}
-	compiler := &mirror.Compiler{Decode: func(entry provider.Entry) (provider.Record, error) { return records[entry.Key], nil }}
+	compiler := &replica.Compiler{Decode: func(entry provider.Entry) (provider.Record, error) { return records[entry.Key], nil }}
 	var entries []provider.Entry
 	for key := range records {
 		entries = append(entries, provider.Entry{Key: key, Revision: 1})
@@ -66,8 +66,8 @@
 func (f *fleet) request(route string, sent int) *request {
 	q := &request{
 		Dispatcher: &Dispatcher{
-			Pool: f.pool, LoadTracker: &LoadTracker{}, RequestPlace: f.answer, View: func() *mirror.View { return f.view },
-			Demand: func(*mirror.Declared) mirror.Demand { return mirror.Demand{} },
+			Pool: f.pool, LoadTracker: &LoadTracker{}, RequestPlace: f.answer, View: func() *replica.View { return f.view },
+			Demand: func(*replica.Declaration) replica.VersionPolicy { return replica.VersionPolicy{} },
 		},
 		Request: httptest.NewRequest("GET", "/", nil), view: f.view, service: f.view.Service("s"), sent: sent, trace: &Trace{},
 	}
@@ -87,7 +87,7 @@
 		choice, ok := f.pool.Choose([]*provider.Upstream{upstream}, balance.Query{Model: "m"})
 		require.True(t, ok)
 		total += choice.InFlight
-		choice.Done(balance.Abandoned)
+		choice.Done(balance.Canceled)
 	}
 	return total
 }
--- a/daemon/internal/request/dispatch/resume.go
+++ b/daemon/internal/request/dispatch/resume.go
@@ -77,7 +77,7 @@
 func (r *resumption) discard() {
 	if r != nil {
 		_ = r.response.Body.Close()
-		r.choice.Done(balance.Abandoned)
+		r.choice.Done(balance.Canceled)
 	}
 }
 
--- a/daemon/internal/request/dispatch/send.go
+++ b/daemon/internal/request/dispatch/send.go
@@ -48,7 +48,7 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	s := &pendingSend{choice: choice, started: clock.Now(), cancel: cancel, result: make(chan exchange.Result, 1)}
 	expected := 0
-	if q.upstreamQuery().Version > 0 {
+	if q.upstreamQuery().MinVersion > 0 {
 		expected = choice.Version // an engine with another version refuses
 	}
 	send := exchange.Send{
@@ -84,7 +84,7 @@
 	q.recordSend(s, result)
 	switch {
 	case errors.Is(result.Err, errSuperseded) || errors.Is(result.Err, errQuarantined) || errors.Is(result.Err, errStopping):
-		s.choice.Done(balance.Abandoned)
+		s.choice.Done(balance.Canceled)
 	case result.Fate != exchange.Answered:
 		s.choice.Done(q.balanceOutcome(result.Fate))
 	}
@@ -135,7 +135,7 @@
 				first, second = second, nil
 				continue
 			}
-			q.supersede(second, balance.Abandoned)
+			q.supersede(second, balance.Canceled)
 			q.settle(first, result)
 			return first.choice, result
 		case result := <-resultOf(second):
@@ -180,7 +180,7 @@
 // start requests any more.
 func (q *request) cancelOutdated(sends ...*pendingSend) {
 	for _, s := range sends {
-		if s != nil && s.choice.Version > 0 && s.choice.Version < q.upstreamQuery().Version {
+		if s != nil && s.choice.Version > 0 && s.choice.Version < q.upstreamQuery().MinVersion {
 			s.cancelUnsettled(errOutdated)
 		}
 	}
@@ -195,7 +195,7 @@
 
 func (q *request) slow(s *pendingSend) bool {
 	waited := clock.Since(s.started)
-	return waited > headTimeout || waited > unresponsiveTimeout && q.Pool.Silent(s.choice.Upstream.ID)
+	return waited > headTimeout || waited > unresponsiveTimeout && q.Pool.Unresponsive(s.choice.Upstream.ID)
 }
 
 // mayHedge reports whether a request with a pending send may go to another upstream too.
@@ -214,7 +214,7 @@
 		return nil
 	}
 	if !q.Budget.Allow(q.service.Name) {
-		choice.Done(balance.Abandoned)
+		choice.Done(balance.Canceled)
 		return nil
 	}
 	return q.startSend(ctx, choice, lastEvent)
--- a/daemon/internal/request/dispatch/stream.go
+++ b/daemon/internal/request/dispatch/stream.go
@@ -54,7 +54,7 @@
 // upstream broke it to load a version.
 func (q *request) streamOutcome(choice balance.Choice) balance.Outcome {
 	if q.Pool.Loading(choice.Upstream.ID) {
-		return balance.Abandoned
+		return balance.Canceled
 	}
 	return q.balanceOutcome(exchange.Unknown)
 }
--- a/daemon/internal/request/dispatch/stream_test.go
+++ b/daemon/internal/request/dispatch/stream_test.go
@@ -16,6 +16,6 @@
 	q := &request{Dispatcher: &Dispatcher{Pool: &balance.Pool{}}, Request: httptest.NewRequest("GET", "/", nil)}
 	choice := balance.Choice{Upstream: &provider.Upstream{ID: "u0"}}
 	assert.Equal(t, balance.Failed, q.streamOutcome(choice))
-	q.Pool.Tell("u0", balance.Told{Loading: true})
-	assert.Equal(t, balance.Abandoned, q.streamOutcome(choice))
+	q.Pool.Report("u0", balance.LoadReport{Loading: true})
+	assert.Equal(t, balance.Canceled, q.streamOutcome(choice))
 }
--- a/daemon/lab/limit.go
+++ b/daemon/lab/limit.go
@@ -159,7 +159,7 @@
 	}
 	for i := range setup.Routers {
 		r := &limitRouter{play: p, hall: hallOf(i, setup.Halls), muted: map[string]time.Duration{}}
-		r.pool.Hall, r.pool.Now, r.pool.Draw, r.table.Draw = r.hall, p.now, p.random.Float64, p.random.Float64
+		r.pool.Hall, r.pool.Now, r.pool.Rand, r.table.Draw = r.hall, p.now, p.random.Float64, p.random.Float64
 		p.routers = append(p.routers, r)
 	}
 	p.bring()
@@ -250,7 +250,7 @@
 
 func (r *limitRouter) told(upstream ratelimit.Upstream, note ratelimit.Note) {
 	if r.table.Told(upstream, note, r.play.now()).Changed {
-		r.pool.Hold(upstream.ID, 0)
+		r.pool.Throttle(upstream.ID, 0)
 	}
 }
 
@@ -271,10 +271,10 @@
 			r.send(u, choice)
 			return
 		}
-		choice.Done(balance.Abandoned)
-		query.Tried = append(query.Tried, choice.Upstream.ID)
+		choice.Done(balance.Canceled)
+		query.Exclude = append(query.Exclude, choice.Upstream.ID)
 		if wait > 0 {
-			r.pool.Hold(choice.Upstream.ID, wait)
+			r.pool.Throttle(choice.Upstream.ID, wait)
 		}
 	}
 }
@@ -334,7 +334,7 @@
 	p, key := r.play, ratelimit.Upstream{ID: u.record.ID}
 	change := r.table.Heard(key, said, start.Add(sent), p.now())
 	if change.Changed {
-		r.pool.Hold(key.ID, 0)
+		r.pool.Throttle(key.ID, 0)
 	}
 	if !change.Tell {
 		return
--- a/daemon/lab/router.go
+++ b/daemon/lab/router.go
@@ -23,7 +23,7 @@
 
 func newRouter(p *play, number int) *router {
 	r := &router{play: p}
-	r.pool.Hall, r.pool.Now, r.pool.Draw = hallOf(number, p.Halls), p.now, p.draw.Float64
+	r.pool.Hall, r.pool.Now, r.pool.Rand = hallOf(number, p.Halls), p.now, p.draw.Float64
 	r.pace.Now, r.callers.Now = p.now, p.now
 	for _, e := range p.engines {
 		r.list = append(r.list, e.record)
@@ -59,12 +59,12 @@
 		return // a lost one says nothing
 	}
 	load := e.load()
-	told := balance.Told{Running: load.Running, Waiting: load.Waiting, Loading: load.Loading, Models: e.record.Models}
+	told := balance.LoadReport{Running: load.Running, Waiting: load.Waiting, Loading: load.Loading, Models: e.record.Models}
 	if closes := e.closes(); !closes.IsZero() {
 		told.ClosesIn = max(closes.Sub(p.now()), time.Millisecond)
 	}
 	for _, r := range p.routers {
-		r.pool.Tell(e.record.ID, told)
+		r.pool.Report(e.record.ID, told)
 	}
 }
 
@@ -109,7 +109,7 @@
 		search.Ways = *r.play.policy.Ways
 	}
 	lasts := admission.Lasts(known, r.pace.HoldTime(service), c.hint, r.play.usualAnswer())
-	query := balance.Query{Model: model, Lasts: lasts}
+	query := balance.Query{Model: model, Duration: lasts}
 	for !search.Over() {
 		choice, ok := r.pool.Choose(r.list, query)
 		if !ok {
@@ -121,18 +121,18 @@
 		}
 		e := r.engine(choice)
 		load, given := e.ledger.Take(places.Question{Limit: limit, Engine: ratelimit.Upstream{ID: e.record.ID}, Known: e.known()})
-		r.pool.TellLoad(choice.Upstream.ID, load.Running, load.Waiting, load.Loading)
+		r.pool.ReportLoad(choice.Upstream.ID, load.Running, load.Waiting, load.Loading)
 		if given {
 			r.pace.RecordFull(service, load.Running+load.Waiting >= choice.Upstream.Places)
 			return e, choice, true
 		}
 		if load.Wait > 0 {
-			r.pool.Hold(choice.Upstream.ID, load.Wait)
+			r.pool.Throttle(choice.Upstream.ID, load.Wait)
 		} else {
 			search.Denied(load)
 		}
-		choice.Done(balance.Abandoned)
-		query.Tried = append(query.Tried, choice.Upstream.ID)
+		choice.Done(balance.Canceled)
+		query.Exclude = append(query.Exclude, choice.Upstream.ID)
 	}
 	r.pace.RecordFull(service, search.AllFull())
 	return nil, balance.Choice{}, false
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -27,8 +27,8 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/loadfeed"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/peering"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/places"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/readers"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/server"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/telemetry"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/rendezvous"
@@ -92,11 +92,11 @@
 	output    *telemetry.Bounded
 	log       *log.Entry
 
-	table    *mirror.Table
-	compiler *mirror.Compiler
+	table    *replica.Table
+	compiler *replica.Compiler
 	// versions follows the declared versions, hosts the upstreams' records, and
 	// routers those of the routers.
-	versions, hosts, routers *mirror.Follower
+	versions, hosts, routers *replica.Follower
 	held                     *swarm.Held
 	keeper                   *keep.Keeper
 	feed                     *loadfeed.Feed
@@ -105,7 +105,7 @@
 	client                   *http.Client
 
 	// needs is what the configuration says of the engine's service.
-	needs atomic.Pointer[mirror.EngineNeeds]
+	needs atomic.Pointer[replica.EngineConfig]
 	// neighbours are the routers of this hall.
 	neighbours *peering.Neighbours
 	// received counts chunks by where they came from.
@@ -137,7 +137,7 @@
 	}
 	p := &Process{
 		telemetry: t, output: output, log: t.Log,
-		table: &mirror.Table{}, held: &swarm.Held{}, feed: loadfeed.NewFeed(), ledger: &places.Ledger{}, limitLines: rate.NewLimiter(limitLines, limitLines), done: make(chan struct{}),
+		table: &replica.Table{}, held: &swarm.Held{}, feed: loadfeed.NewFeed(), ledger: &places.Ledger{}, limitLines: rate.NewLimiter(limitLines, limitLines), done: make(chan struct{}),
 		client: &http.Client{Transport: dial.NewHostTransport(options.Dial, hostIdle)},
 		began:  clock.Now(),
 	}
@@ -145,7 +145,7 @@
 	p.ledger.OnLimit = p.noteLimit
 	calls := &http.Client{Transport: dial.NewHostTransport(options.Dial, originIdle)}
 	p.provider = options.Provider(s.Store, p.client, calls)
-	p.compiler = &mirror.Compiler{Decode: p.provider.Decode, OnBelief: p.noteBelief}
+	p.compiler = &replica.Compiler{Decode: p.provider.Decode, OnEntryChange: p.noteBelief}
 	p.table.OnChange = p.compiler.Take
 	p.neighbours = p.newNeighbours()
 	p.neighbours.Hold = p.starting
@@ -162,27 +162,27 @@
 // a router of this hall while one answers: watches of the store by each loader are most calls
 // of a calm fleet. The versions are read from the store as well, first and now and then.
 func (p *Process) addFollowers() {
-	outage := &mirror.Outage{}
-	follower := func(prefix string) *mirror.Follower {
-		return &mirror.Follower{
-			Store: p.provider.Store, Prefix: prefix, Table: p.table, OnContact: p.telemetry.Contact,
-			Outage: outage,
+	outage := &replica.CircuitBreaker{}
+	follower := func(prefix string) *replica.Follower {
+		return &replica.Follower{
+			Store: p.provider.Store, Prefix: prefix, Table: p.table, OnConnectionChange: p.telemetry.Contact,
+			Breaker: outage,
 		}
 	}
 	p.versions = follower(p.provider.Prefixes.Versions)
-	p.versions.FirstStale = true
-	p.versions.Wait = func() time.Duration { return versionsWait }
-	p.versions.LookEvery = versionsLook
-	p.versions.Near = p.newNeighbours().News
+	p.versions.StaleFirstList = true
+	p.versions.WatchWait = func() time.Duration { return versionsWait }
+	p.versions.RecheckInterval = versionsLook
+	p.versions.QueryPeer = p.newNeighbours().News
 	hall := p.current.Load().Hall
 	p.hosts = follower(p.provider.Prefixes.Upstreams)
-	p.hosts.ListEvery = func() time.Duration { return hostsEvery/2 + rand.N(hostsEvery/2) }
-	p.hosts.Near, p.hosts.NearTries = p.neighbours.News, nearTries
+	p.hosts.PollInterval = func() time.Duration { return hostsEvery/2 + rand.N(hostsEvery/2) }
+	p.hosts.QueryPeer, p.hosts.PeerAttempts = p.neighbours.News, nearTries
 	p.routers = follower(p.provider.Prefixes.OfHall(hall, ""))
-	p.routers.ListEvery = p.routersPause
-	p.routers.Near = p.newNeighbours().News
-	p.routers.Before = []string{p.provider.Prefixes.OfHall(hall, readers.Shard(p.current.Load().Name)), p.routers.Prefix}
-	p.routers.Enough = p.knowsRouter
+	p.routers.PollInterval = p.routersPause
+	p.routers.QueryPeer = p.newNeighbours().News
+	p.routers.BootstrapPrefixes = []string{p.provider.Prefixes.OfHall(hall, readers.Shard(p.current.Load().Name)), p.routers.Prefix}
+	p.routers.BootstrapDone = p.knowsRouter
 }
 
 // knowsRouter reports whether a router of this hall is known, whether it answers or not.
@@ -209,8 +209,8 @@
 // starting reports whether the store is to be left to the routers.
 func (p *Process) starting() bool { return clock.Since(p.began) < storeAfter }
 
-func (p *Process) followers() []*mirror.Follower {
-	return []*mirror.Follower{p.versions, p.hosts, p.routers}
+func (p *Process) followers() []*replica.Follower {
+	return []*replica.Follower{p.versions, p.hosts, p.routers}
 }
 
 // Start opens the ports and begins to keep the engine.
@@ -243,7 +243,7 @@
 // plan says what an engine that holds some version should hold.
 func (p *Process) plan(held int) (keep.Plan, bool) {
 	known := p.needs.Load()
-	if known == nil || !p.versions.Known() {
+	if known == nil || !p.versions.Synced() {
 		return keep.Plan{}, false
 	}
 	model := known.Engine.Model
@@ -255,7 +255,7 @@
 	}
 	if declared, ok := p.compiler.View().Targets[model]; ok {
 		plan.Goal = p.goal(&declared, held)
-		for before := declared.Before; before != nil; before = before.Before {
+		for before := declared.Previous; before != nil; before = before.Previous {
 			plan.Earlier = append(plan.Earlier, p.goal(before, held))
 		}
 	}
@@ -263,13 +263,13 @@
 }
 
 // goal works out when this host's engine may take a declared version.
-func (p *Process) goal(declared *mirror.Declared, held int) keep.Goal {
+func (p *Process) goal(declared *replica.Declaration, held int) keep.Goal {
 	apply := p.current.Load().Bounds.VersionApply.Std()
 	due := time.Time{}
-	for before := declared.Before; before != nil && before.Version > held; before = before.Before {
-		due = before.Since(apply).Add(apply)
+	for before := declared.Previous; before != nil && before.Version > held; before = before.Previous {
+		due = before.DeclaredAt(apply).Add(apply)
 	}
-	window := turn.NewWindow(declared.Since(apply), apply, due)
+	window := turn.NewWindow(declared.DeclaredAt(apply), apply, due)
 	if c := p.held.Get(declared.Version); c != nil {
 		window = window.After(c.Completed())
 	}
@@ -286,7 +286,7 @@
 // originTime is how long the origin takes for one copy: by its own link where that is
 // declared. Taken for as fast as this host's, which carries 7.3 Mbit/s, an origin of 4.38 was
 // asked for each chunk long before it could send it.
-func (p *Process) originTime(known *mirror.EngineNeeds) time.Duration {
+func (p *Process) originTime(known *replica.EngineConfig) time.Duration {
 	bytes := known.Engine.Chunks * known.Engine.ChunkBytes
 	if known.OriginRate <= 0 {
 		return p.linkTime(bytes)
--- a/daemon/router/hall.go
+++ b/daemon/router/hall.go
@@ -44,17 +44,17 @@
 // holds reports whether the store is to be left to others for now.
 func (p *Process) holds() bool {
 	course, _ := p.course()
-	return course == readers.Hold
+	return course == readers.Wait
 }
 
 // course says whom this router follows, or whether it reads the store.
-func (p *Process) course() (readers.Course, string) {
+func (p *Process) course() (readers.Action, string) {
 	var hall []readers.Router
 	for _, member := range p.hallMembers() {
 		hall = append(hall, readers.Router{Name: member.Name, LinkMbps: member.LinkMbps, State: p.neighbours.State(member.Peers)})
 	}
 	own := p.member()
-	return readers.Decide(readers.Router{Name: own.Name, LinkMbps: own.LinkMbps}, hall, p.follower.Standing().Heard)
+	return readers.Decide(readers.Router{Name: own.Name, LinkMbps: own.LinkMbps}, hall, p.follower.Status().SinceData)
 }
 
 // hallMembers are the known routers of this hall.
@@ -97,7 +97,7 @@
 func (p *Process) silentAfter() time.Duration {
 	after := pulseEvery + p.settle() + silenceSlack
 	if p.inCompany() {
-		hops := max(p.follower.Standing().Hops, 1)
+		hops := max(p.follower.Status().Hops, 1)
 		after += time.Duration(hops) * peering.NewsWait
 	}
 	return after
@@ -106,7 +106,7 @@
 // silent reports whether the store has not answered for too long, so that what is
 // known may be out of date.
 func (p *Process) silent() bool {
-	return !p.follower.Known() || p.follower.Age() > p.silentAfter()
+	return !p.follower.Synced() || p.follower.Age() > p.silentAfter()
 }
 
 // needsPeer is asked a few times a second: whether another router is to be asked for news.
@@ -118,7 +118,7 @@
 // cutOff reports whether nothing at all came of the store for too long. An answer
 // that is long under way leaves a router silent, but not cut off.
 func (p *Process) cutOff() bool {
-	return !p.follower.Known() || p.follower.Standing().Heard > p.silentAfter()
+	return !p.follower.Synced() || p.follower.Status().SinceData > p.silentAfter()
 }
 
 // peer returns a router to ask while the store is silent, of this hall or another.
@@ -139,7 +139,7 @@
 			far = append(far, seed)
 		}
 	}
-	if p.follower.At() == 0 {
+	if p.follower.Revision() == 0 {
 		return peering.Choose(near, far, wholeFarOneOf)
 	}
 	return peering.Choose(near, far, farOneOf)
--- a/daemon/router/serving.go
+++ b/daemon/router/serving.go
@@ -8,7 +8,7 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/clock"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/dial"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/peering"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/server"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/admission"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/dispatch"
@@ -72,8 +72,8 @@
 }
 
 // demand says on which versions of a model requests may run.
-func (p *Process) demand(declared *mirror.Declared) mirror.Demand {
-	return declared.Demand(clock.Now(), p.current.Load().Bounds.VersionApply.Std())
+func (p *Process) demand(declared *replica.Declaration) replica.VersionPolicy {
+	return declared.VersionPolicy(clock.Now(), p.current.Load().Bounds.VersionApply.Std())
 }
 
 // readyPages answers the balancer: ready while a configuration is known and no
@@ -91,7 +91,7 @@
 
 func (p *Process) peerPages() http.Handler {
 	pages := bunrouter.New()
-	copies := &peering.Source{Table: p.table, Standing: p.follower.Standing}
+	copies := &peering.Source{Table: p.table, Standing: p.follower.Status}
 	pages.Compat().GET(peering.Path, copies.ServeHTTP)
 	pages.Compat().GET(peering.EnginePath, peering.EngineHandler(p.compiler.View))
 	p.suspectPages(pages)
