--- /dev/null
+++ b/daemon/internal/request/dispatch/quarantine_test.go
@@ -0,0 +1,64 @@
+package dispatch
+
+import (
+	"context"
+	"net/http/httptest"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/balance"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/request/content"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/request/exchange"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/request/quarantine"
+	"github.com/wheelcleat/wheelcleat/daemon/provider"
+)
+
+// requestWithVerdict returns a repeatable request whose content has the given verdict.
+func requestWithVerdict(verdict *quarantine.Verdict) *request {
+	return &request{
+		Dispatcher: &Dispatcher{
+			Pool: &balance.Pool{}, Budget: &Budget{Slack: 100, Window: time.Minute},
+			CheckContent: func(content.Name) quarantine.Verdict { return *verdict },
+		},
+		Request: httptest.NewRequest("GET", "/", nil), trace: &Trace{}, sent: 1,
+		route: &provider.Route{Mode: provider.ModeSafe, MaxAttempts: 3}, service: &provider.Service{Name: "s"},
+	}
+}
+
+// TestVerdictLimitsRetries: content that crashed two upstreams is retried only if it has not
+// run, and quarantined content never.
+func TestVerdictLimitsRetries(t *testing.T) {
+	fates := []exchange.Fate{exchange.Unknown, exchange.Unsent, exchange.Refused, exchange.Misdirected}
+	for verdict, want := range map[quarantine.Verdict][]bool{
+		quarantine.Free: {true, true, true, true},
+		quarantine.Once: {false, true, true, true},
+		quarantine.Held: {false, false, false, false},
+	} {
+		q := requestWithVerdict(&verdict)
+		for i, fate := range fates {
+			assert.Equal(t, want[i], q.mayRetry(fate), "%s after %s", verdict, fate)
+		}
+		assert.Equal(t, verdict == quarantine.Free, q.mayHedge(), "%s", verdict)
+	}
+}
+
+// TestQuarantineCancelsPendingSends: only sends without a response head are canceled.
+func TestQuarantineCancelsPendingSends(t *testing.T) {
+	verdict := quarantine.Once
+	q := requestWithVerdict(&verdict)
+	ctx, cancel := context.WithCancelCause(context.Background())
+	waiting := &pendingSend{cancel: cancel}
+	begunCtx, cancelBegun := context.WithCancelCause(context.Background())
+	begun := &pendingSend{cancel: cancelBegun}
+	begun.settled.Store(true) // its response head has arrived
+
+	q.cancelQuarantined(waiting, begun, nil)
+	assert.NoError(t, ctx.Err())
+	verdict = quarantine.Held
+	q.cancelQuarantined(waiting, begun, nil)
+	assert.ErrorIs(t, context.Cause(ctx), errQuarantined)
+	assert.NoError(t, begunCtx.Err())
+	assert.Equal(t, InterruptQuarantine, q.interruptReason(context.Cause(ctx)))
+}
--- a/daemon/router/recorder.go
+++ b/daemon/router/recorder.go
@@ -60,10 +60,10 @@
 }
 
 // request writes one line for a request that ended.
-func (r *recorder) request(story *dispatch.Story) {
+func (r *recorder) request(story *dispatch.Trace) {
 	r.count(story)
 	limiter := r.failed
-	if story.Outcome == dispatch.EndServed && len(story.Tries) < 2 {
+	if story.Outcome == dispatch.OutcomeServed && len(story.Attempts) < 2 {
 		limiter = r.served
 	}
 	if !limiter.Allow() {
@@ -74,30 +74,30 @@
 	r.tellLeftOut()
 	fields := log.Fields{
 		fieldDecision: "route", "request": story.ID, "route": story.Route, "service": story.Service, "account": story.Account,
-		"outcome": story.Outcome, "status": story.Status, "tries": story.Tries, "configuration": story.Configuration,
+		"outcome": story.Outcome, "status": story.Status, "tries": story.Attempts, "configuration": story.Configuration,
 		"took": clock.Since(story.Started).Round(time.Microsecond).String(),
 	}
 	if !story.FirstByte.IsZero() {
 		fields["firstByte"] = story.FirstByte.Sub(story.Started).Round(time.Microsecond).String()
 	}
-	if len(story.Tries) > 1 || story.Outcome != dispatch.EndServed {
+	if len(story.Attempts) > 1 || story.Outcome != dispatch.OutcomeServed {
 		fields["content"] = story.Content
 	}
-	if len(story.Asked) > 0 {
-		fields["asked"] = story.Asked
+	if len(story.PlaceRequests) > 0 {
+		fields["asked"] = story.PlaceRequests
 	}
 	if story.Cause != "" {
 		fields["reason"] = story.Cause
-		fields["budgetLeft"] = math.Round(story.BudgetLeft)
+		fields["budgetLeft"] = math.Round(story.RemainingRetries)
 	}
 	if story.Stale {
 		fields["stale"] = true
 	}
-	if story.Returned {
+	if story.Retried {
 		fields["returned"] = true
 	}
-	if story.Left > 0 {
-		fields["left"] = story.Left.Round(time.Millisecond).String()
+	if story.RemainingTime > 0 {
+		fields["left"] = story.RemainingTime.Round(time.Millisecond).String()
 	}
 	if story.RetryAfter > 0 {
 		fields["retryAfter"] = story.RetryAfter.Round(time.Millisecond).String()
@@ -107,7 +107,7 @@
 
 // broke writes one line for a send whose connection broke: whether the upstream itself
 // ended, and the content that ran there, by which requests are known again.
-func (r *recorder) broke(b dispatch.Break, ended bool) {
+func (r *recorder) broke(b dispatch.Disconnect, ended bool) {
 	r.scope.Tagged(map[string]string{"ended": strconv.FormatBool(ended)}).Counter("connections_broke").Inc(1)
 	if !r.failed.Allow() {
 		r.leftOut.Add(1)
@@ -158,11 +158,11 @@
 func (r *recorder) notTold() { r.scope.Counter("notes_not_told").Inc(1) }
 
 // limitSaid counts what answers say of limits, and writes a line for what cannot be read.
-func (r *recorder) limitSaid(heard dispatch.Heard) {
-	if heard.Said.Kind == ratelimit.Limited {
+func (r *recorder) limitSaid(heard dispatch.LimitReport) {
+	if heard.Limit.Kind == ratelimit.Limited {
 		r.scope.Counter("answers_naming_limits").Inc(1)
 	}
-	if heard.Said.Unread == "" {
+	if heard.Limit.Unread == "" {
 		return
 	}
 	r.scope.Counter("limits_unread").Inc(1)
@@ -171,7 +171,7 @@
 		return
 	}
 	r.log.WithFields(log.Fields{
-		"request": heard.Request, "upstream": heard.Upstream.ID, "address": heard.Upstream.Address, "limit": heard.Said.String(),
+		"request": heard.Request, "upstream": heard.Upstream.ID, "address": heard.Upstream.Address, "limit": heard.Limit.String(),
 	}).Warn("limit of an upstream not read, the last good one stays")
 }
 
@@ -204,7 +204,7 @@
 }
 
 // limitDenied counts requests that went elsewhere because an upstream's limit was used up.
-func (r *recorder) limitDenied(door dispatch.Door) {
+func (r *recorder) limitDenied(door dispatch.AdmissionPath) {
 	r.scope.Tagged(map[string]string{"by": string(door)}).Counter("limit_denied").Inc(1)
 }
 
@@ -217,14 +217,14 @@
 	r.log.WithField("count", r.leftOut.Swap(0)).Warn("request lines left out")
 }
 
-func (r *recorder) count(story *dispatch.Story) {
+func (r *recorder) count(story *dispatch.Trace) {
 	r.scope.Tagged(map[string]string{"outcome": string(story.Outcome)}).Counter("requests").Inc(1)
-	if len(story.Tries) > 1 {
-		r.scope.Counter("second_sends").Inc(int64(len(story.Tries) - 1))
+	if len(story.Attempts) > 1 {
+		r.scope.Counter("second_sends").Inc(int64(len(story.Attempts) - 1))
 	}
-	for _, try := range story.Tries {
-		if try.BrokenBy != "" {
-			r.scope.Tagged(map[string]string{"by": string(try.BrokenBy)}).Counter("sends_broken").Inc(1)
+	for _, try := range story.Attempts {
+		if try.Interrupt != "" {
+			r.scope.Tagged(map[string]string{"by": string(try.Interrupt)}).Counter("sends_broken").Inc(1)
 		}
 	}
 	if !story.FirstByte.IsZero() {
--- a/daemon/router/serving.go
+++ b/daemon/router/serving.go
@@ -55,12 +55,12 @@
 			Kept:    p.toUpstreams,
 			Fresh:   dial.NewHostTransport(connect, 0),
 		},
-		Pool: p.pool, Budget: p.budget, Pace: &dispatch.Pace{}, Callers: &admission.Callers{}, View: p.compiler.View, Stale: p.silent,
-		Holding: holding.Budget{Most: p.holdMost()},
+		Pool: p.pool, Budget: p.budget, LoadTracker: &dispatch.LoadTracker{}, Callers: &admission.Callers{}, View: p.compiler.View, Stale: p.silent,
+		Buffers: holding.Budget{Most: p.holdMost()},
 		Region:  func(hall string) string { return p.current.Load().RegionOf(hall) },
-		Demand:  p.demand, Report: p.recorder.request, AskPlace: p.askPlace, Broke: p.broke,
-		Heard: p.heard, Allow: p.allow,
-		Admit: p.admitContent, Judge: p.suspects.judge, Whole: p.answeredWhole, Over: p.over,
+		Demand:  p.demand, Report: p.recorder.request, RequestPlace: p.askPlace, OnDisconnect: p.broke,
+		OnLimit: p.heard, Allow: p.allow,
+		AdmitContent: p.admitContent, CheckContent: p.suspects.judge, OnServed: p.answeredWhole, ShutdownDeadline: p.over,
 	}
 }
 
