--- a/daemon/provider/configuration.go
+++ b/daemon/provider/configuration.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// Mode says what may be repeated of a route's requests.
+// Mode is the retry semantics of the requests of a route.
 type Mode int
 
-// The modes. The zero value is the one that permits least.
+// The modes. The zero value is the most restrictive one.
 const (
 	// ModeUnsafe requests run at most once.
 	ModeUnsafe Mode = iota
 	// ModeSafe requests may run more than once.
 	ModeSafe
-	// ModeStream answers are series of events; see Route.Resumable.
+	// ModeStream requests may run more than once, and their answers are event streams; see
+	// Route.Resumable.
 	ModeStream
 )
 
-// String returns the mode's name in logs.
+// String returns the name of the mode as it appears in logs.
 func (m Mode) String() string {
 	switch m {
 	case ModeSafe:
@@ -30,7 +31,7 @@
 	}
 }
 
-// Configuration is what operators declare, whole.
+// Configuration is the complete configuration that operators declare.
 type Configuration struct {
 	Version  uint64
 	Routes   []Route
@@ -39,61 +40,64 @@
 	Limits   Limits
 }
 
-// Route sends requests of a host name under a path prefix to a service.
+// Route maps a host name and a path prefix to services.
 type Route struct {
 	Name string
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
 	Mode   Mode
-	// Timeout is the longest that a request may be held, Objective the time in
-	// which an answer is worth most.
+	// Timeout bounds the time for which a request may be held. Objective is the latency target of
+	// the first byte of an answer.
 	Timeout, Objective time.Duration
 	// Priority ranks requests; 0 is the most urgent.
 	Priority int
-	// Shares is never empty; the weights add up to more than 0.
+	// Shares is never empty, and the sum of its weights is positive.
 	Shares []Share
-	// MaxAttempts is the most upstreams that one request may be sent to.
+	// MaxAttempts bounds the upstreams to which one request may be sent.
 	MaxAttempts int
-	// Public routes need no key.
+	// Public routes require no key.
 	Public bool
-	// Resumable streams may go on at another upstream after the last event.
+	// Resumable streams may be resumed at another upstream after the last event.
 	Resumable bool
-	// Homes are the regions in which requests may run; empty means all.
+	// Homes are the regions in which requests may run; empty means all regions.
 	Homes []string
 }
 
-// Share is a service's part of a route.
+// Share is the weight of a service in a route.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// Service is a set of upstreams that are alike.
+// Service is a set of interchangeable upstreams.
 type Service struct {
 	Name string
 	// Engine is set for services whose upstreams run a model.
 	Engine *EngineSpec
-	// Origin is set for the service that weights come from.
+	// Origin is the address of the origin of weights, set for the service that provides them.
 	Origin netip.AddrPort
-	// OriginRate is the bytes that its link carries in a second, 0 where not declared.
+	// OriginRate is the bandwidth of the origin's link in bytes per second, or 0 if not declared.
 	OriginRate float64
-	// ColdRate is the requests a second that an upstream carries while it is cold, 0 where
+	// ColdRate is the number of requests per second that a cold upstream sustains, or 0 if
 	// upstreams are never cold.
 	ColdRate float64
 }
 
-// EngineSpec describes the engines of a service.
+// EngineSpec describes the engines of a service. It is encoded to JSON under the names of its
+// fields.
 type EngineSpec struct {
-	// Model is what the engines serve.
+	// Model is the name of the model that the engines serve.
 	Model string
-	// Places is how many requests an engine runs at once.
+	// Places is the number of execution slots of an engine: how many requests it runs
+	// concurrently.
 	Places int
-	// PromptRate is the prompt tokens read a second; UsualPrompt and UsualAnswer
-	// are the mean tokens of a request, 0 where not declared.
+	// PromptRate is the number of prompt tokens that an engine processes per second. UsualPrompt
+	// and UsualAnswer are the mean numbers of tokens of prompts and answers, or 0 if not
+	// declared.
 	PromptRate               float64
 	UsualPrompt, UsualAnswer float64
-	// Chunks is the number of chunks of a version, ChunkBytes the size of each.
+	// Chunks is the number of chunks of a version, and ChunkBytes the size of a chunk.
 	Chunks, ChunkBytes int
 }
 
@@ -101,49 +105,51 @@
 type Account struct {
 	Name string
 	Keys []string
-	// Priority goes before the route's where it is set.
+	// Priority overrides the route's priority if set.
 	Priority *int
-	// Homes are the regions in which requests may run; empty means all. Those of the route
-	// bind too.
+	// Homes are the regions in which requests may run; empty means all regions. The route's
+	// regions apply as well.
 	Homes []string
 }
 
-// Limits bound what callers may send.
+// Limits bound the requests of callers.
 type Limits struct {
 	MaxBodyBytes int64
 }
 
-// Upstream is one upstream's own record.
+// Upstream is the record that an upstream keeps of itself in the store.
 type Upstream struct {
-	// ID names the upstream; an address may go to another one. One that starts again may
-	// do so under its ID: Started tells them apart, zero where it is not told.
+	// ID identifies the upstream; its address may be reused by another one. An upstream may
+	// restart under the same ID with another Started time, which is zero if not reported.
 	ID      string
 	Started time.Time
 	Service string
 	Address netip.AddrPort
 	Hall    string
-	// Places is how many requests it works on at once.
+	// Places is the number of execution slots, for requests that run concurrently.
 	Places int
-	// Leaving upstreams get no new requests.
+	// Leaving upstreams must get no new requests.
 	Leaving bool
-	// Models is what an engine holds; empty for a new engine and plain upstreams.
+	// Models are the versions that an engine has loaded; empty for a new engine and for plain
+	// upstreams.
 	Models []Loaded
-	// ColdFor is how long after the record was written the upstream is cold, and ColdUntil
-	// when that ends by the clock of the daemon that read it.
+	// ColdFor is how long the upstream remains cold after the record was written, and ColdUntil
+	// the same as a time on the clock of the daemon that read the record.
 	ColdFor   time.Duration
 	ColdUntil time.Time
 }
 
-// Cold returns how much longer the upstream is cold, 0 where it is not.
+// Cold returns how much longer the upstream remains cold, or 0 if it is warm.
 func (u *Upstream) Cold(now time.Time) time.Duration { return max(u.ColdUntil.Sub(now), 0) }
 
-// Loaded is a version that an engine holds whole.
+// Loaded is a version of a model that an engine has loaded completely. It is encoded to JSON
+// under the names of its fields.
 type Loaded struct {
 	Model   string
 	Version int
 }
 
-// Holds returns the version of the model that the upstream holds, or 0.
+// Holds returns the version of a model that the upstream has loaded, or 0.
 func (u *Upstream) Holds(model string) int {
 	for _, loaded := range u.Models {
 		if loaded.Model == model {
--- a/daemon/provider/engine.go
+++ b/daemon/provider/engine.go
@@ -7,66 +7,67 @@
 	"time"
 )
 
-// Engine is the calls of an engine that its loader makes.
+// Engine holds the calls that a loader makes to its engine.
 type Engine struct {
-	// Report asks what the engine holds and does.
+	// Report returns the state of the engine.
 	Report func(ctx context.Context, engine netip.AddrPort) (EngineReport, error)
-	// Start orders the engine to take what is staged.
+	// Start orders the engine to load the staged version.
 	Start func(ctx context.Context, engine netip.AddrPort, order Order) (OrderResult, error)
-	// Stage lays a chunk beside the engine and Staged reads it back; a chunk
-	// that is not there is ErrNotFound.
+	// Stage writes a chunk to the staging area beside the engine, and Staged reads it back.
+	// Staged wraps ErrNotFound if the chunk is missing.
 	Stage  func(ctx context.Context, engine netip.AddrPort, model string, index int, chunk []byte) error
 	Staged func(ctx context.Context, engine netip.AddrPort, model string, index int) ([]byte, error)
 }
 
-// EngineReport is an engine's own state.
+// EngineReport is the state that an engine reports.
 type EngineReport struct {
-	// Models is what it holds whole.
+	// Models are the versions that it has loaded.
 	Models []Loaded
-	// Loading says that an order is under way.
+	// Loading says that the engine is executing an order.
 	Loading bool
-	// Running and Waiting count its requests.
+	// Running and Waiting are the numbers of its requests that run and that are queued.
 	Running, Waiting int
-	// Sequence counts the orders that it took since its start, which was at Started, zero
-	// where it does not tell.
+	// Sequence counts the orders that it has accepted since Started, the start of its process.
+	// Started is zero if not reported.
 	Sequence uint64
 	Started  time.Time
 }
 
-// Order tells an engine to take a staged version once its requests are done.
+// Order tells an engine to load a staged version once its current requests are done.
 type Order struct {
 	Model   string
 	Version int
-	// Fence is refused where it is lower than one already seen.
+	// Fence is a fencing token: the engine rejects an order whose token is lower than one it has
+	// already seen.
 	Fence Revision
-	// Sequence is the engine's count of orders as the sender knows it.
+	// Sequence is the sender's view of the engine's order count.
 	Sequence uint64
 }
 
-// OrderResult is an engine's answer to an order.
+// OrderResult is the answer of an engine to an order.
 type OrderResult int
 
-// The results. The zero value is what an order without an answer leaves.
+// The results. The zero value means that the order got no answer.
 const (
 	OrderUnknown OrderResult = iota
-	// OrderBegun means that the engine takes the version now.
+	// OrderBegun means that the engine has started to load the version.
 	OrderBegun
-	// OrderHeld means that the engine holds it already.
+	// OrderHeld means that the version is loaded already.
 	OrderHeld
-	// OrderConflict means that it does not fit the engine's state.
+	// OrderConflict means that the order does not match the engine's state.
 	OrderConflict
-	// OrderFenced means that a higher fence was seen.
+	// OrderFenced means that the engine has seen a higher fencing token.
 	OrderFenced
-	// OrderRefused means that the engine does not know the order.
+	// OrderRefused means that the engine does not support the order.
 	OrderRefused
 )
 
-// String returns the result's name in logs.
+// String returns the name of the result as it appears in logs.
 func (r OrderResult) String() string {
 	return [...]string{"unknown", "begun", "held", "conflict", "fenced", "refused"}[r]
 }
 
-// Manifest lists a version's chunks by their SHA-256 digests.
+// Manifest lists the chunks of a version by their SHA-256 digests.
 type Manifest struct {
 	Model      string     `json:"model"`
 	Version    int        `json:"version"`
@@ -74,13 +75,13 @@
 	Digests    [][32]byte `json:"digests"`
 }
 
-// ErrSuperseded says that a version is too old to be fetched.
-var ErrSuperseded = errors.New("the version is too old to be fetched")
+// ErrSuperseded reports that a version has been superseded and can no longer be fetched.
+var ErrSuperseded = errors.New("the version has been superseded and can no longer be fetched")
 
-// Origin is the calls of the origin of weights.
+// Origin holds the calls to the origin of weights.
 type Origin struct {
-	// Manifest reads a version's manifest.
+	// Manifest reads the manifest of a version.
 	Manifest func(ctx context.Context, origin netip.AddrPort, model string, version int) (Manifest, error)
-	// Chunk reads one chunk; its bytes are not checked here.
+	// Chunk reads one chunk. Callers must verify its digest.
 	Chunk func(ctx context.Context, origin netip.AddrPort, model string, version, index int) ([]byte, error)
 }
--- a/daemon/provider/progress.go
+++ b/daemon/provider/progress.go
@@ -5,17 +5,17 @@
 	"io"
 )
 
-// progressKey is the key of a context's report function.
+// progressKey is the context key of the progress function.
 type progressKey struct{}
 
-// WithProgress returns a context whose calls report the bytes of an answer as they
-// come, so that a caller can tell an answer that is long under way from silence.
+// WithProgress returns a context whose calls report the bytes of an answer as they arrive, so
+// that a caller can tell a slow answer from an unresponsive server.
 func WithProgress(ctx context.Context, report func(bytes int)) context.Context {
 	return context.WithValue(ctx, progressKey{}, report)
 }
 
-// Progress returns the function to report bytes to; it is never nil. Adapters call
-// it for each part of an answer that they read.
+// Progress returns the function to which adapters report each part of an answer that they read.
+// It is never nil.
 func Progress(ctx context.Context) func(bytes int) {
 	if report, ok := ctx.Value(progressKey{}).(func(int)); ok {
 		return report
@@ -23,19 +23,19 @@
 	return func(int) {}
 }
 
-// ReadAll reads an answer of at most some bytes and reports its parts as they come.
-// What had come is returned beside an error.
-func ReadAll(ctx context.Context, answer io.Reader, most int64) ([]byte, error) {
-	return io.ReadAll(io.LimitReader(reportingReader{answer, Progress(ctx)}, most))
+// ReadAll reads at most limit bytes of an answer and reports progress. On an error it also
+// returns the bytes read so far.
+func ReadAll(ctx context.Context, body io.Reader, limit int64) ([]byte, error) {
+	return io.ReadAll(io.LimitReader(reportingReader{body, Progress(ctx)}, limit))
 }
 
-// reportingReader reports what is read through it.
+// reportingReader reports the bytes that are read through it.
 type reportingReader struct {
 	io.Reader
 	report func(bytes int)
 }
 
-// Read reads and reports.
+// Read implements io.Reader.
 func (r reportingReader) Read(buffer []byte) (int, error) {
 	n, err := r.Reader.Read(buffer)
 	if n > 0 {
--- a/daemon/provider/provider.go
+++ b/daemon/provider/provider.go
@@ -1,13 +1,13 @@
-// Package provider is what the daemons need from the surroundings they run in:
-// a store with revisions, leases and watches, the records that operators and
-// upstreams keep there, the names of headers, and the calls of engines and of
-// the origin of weights.
+// Package provider declares what the daemons need from the platform that they run on: a store
+// with revisions, leases and watches, the records that operators and upstreams keep there, the
+// names of headers, and the calls to engines and to the origin of weights.
 //
-// The types are concrete and what varies is a function field, so that one
-// adapter fills them in for real surroundings and tests fill them in by hand.
-// An interface per part was rejected: each would have one implementation.
-// Adapters translate and decide nothing; every decision is taken here, in the
-// daemon module.
+// The types are concrete and the parts that vary are function fields, so that one adapter fills
+// them in for a real platform and tests fill them in by hand. Interfaces were rejected, since
+// each would have a single implementation. Adapters translate and make no decisions.
+//
+// A place is an execution slot of an upstream: an upstream runs as many requests concurrently as
+// it has places.
 package provider
 
 import (
@@ -17,89 +17,88 @@
 	"time"
 )
 
-// Revision is the store's number of a change; a higher one is newer.
+// Revision numbers the changes of the store in ascending order.
 type Revision uint64
 
-// Errors that the functions of a Store wrap.
+// Errors that are wrapped by the errors of the functions of a Store.
 var (
-	// ErrCompacted says that the history asked for is gone: list again.
-	ErrCompacted = errors.New("the history after this revision is gone")
-	// ErrConflict says that a condition of a transaction does not hold.
-	ErrConflict = errors.New("a condition does not hold")
-	// ErrLeaseOver says that the lease has ended.
-	ErrLeaseOver = errors.New("the lease has ended")
-	// ErrNotFound says that a key, chunk or version is not there.
+	// ErrCompacted reports that the requested history has been compacted; the caller must list
+	// again.
+	ErrCompacted = errors.New("the history after this revision has been compacted")
+	// ErrConflict reports that a condition of a transaction does not hold.
+	ErrConflict = errors.New("a condition of the transaction does not hold")
+	// ErrLeaseOver reports that a lease has expired.
+	ErrLeaseOver = errors.New("the lease has expired")
+	// ErrNotFound reports that a key, chunk or version does not exist.
 	ErrNotFound = errors.New("not found")
 )
 
-// Entry is one item of the store, as written or as removed at Revision.
+// Entry is one key of the store as written, or as deleted, at Revision.
 type Entry struct {
 	Key      string   `json:"key"`
 	Value    []byte   `json:"value,omitempty"`
 	Revision Revision `json:"revision"`
-	// Created is the revision that made the entry, 0 where the store does not tell.
+	// Created is the revision at which the key was created, or 0 if the store does not report it.
 	Created Revision `json:"created,omitempty"`
-	// Gone marks a removal; Value is empty then.
+	// Gone marks a deletion; Value is empty then.
 	Gone bool `json:"gone,omitempty"`
 }
 
-// Listing is the answer of a list or a watch. At is the revision up to which
-// it is complete.
+// Listing is the result of a list or a watch. It is complete up to revision At.
 type Listing struct {
 	Entries []Entry  `json:"entries"`
 	At      Revision `json:"at"`
 }
 
-// LeaseID names a lease of the store.
+// LeaseID identifies a lease of the store.
 type LeaseID uint64
 
-// Put is one write of a transaction.
+// Put is one write of a transaction. Lease is optional.
 type Put struct {
 	Key   string
 	Value []byte
 	Lease LeaseID
 }
 
-// Store is the part of the store's protocol that the daemons use.
+// Store holds the calls to the store that the daemons use.
 type Store struct {
-	// List reads every entry under a prefix, over as many pages as it takes.
-	// At is the revision of the first page: pages are no snapshot.
+	// List reads all entries under a prefix, in as many pages as needed. At is the revision of
+	// the first page: the pages are not a snapshot.
 	List func(ctx context.Context, prefix string) (Listing, error)
-	// ListStale is List from an answer that may be seconds old, which costs the
-	// store far less.
+	// ListStale is like List, but may return data that is seconds old at far less cost to the
+	// store.
 	ListStale func(ctx context.Context, prefix string) (Listing, error)
-	// Watch waits up to wait for changes under a prefix after a revision. An
-	// empty listing means that there was none.
+	// Watch waits up to wait for changes under a prefix after a revision. An empty listing means
+	// that there were none.
 	Watch func(ctx context.Context, prefix string, after Revision, wait time.Duration) (Listing, error)
-	// GetStale reads one entry from an answer that may be seconds old.
+	// GetStale reads one entry, which may be seconds old.
 	GetStale func(ctx context.Context, key string) (Entry, error)
-	// Write writes entries without a condition.
+	// Write writes entries unconditionally.
 	Write func(ctx context.Context, puts []Put) (Revision, error)
-	// Grant makes a lease and Renew prolongs it.
+	// Grant creates a lease and Renew extends it.
 	Grant func(ctx context.Context, ttl time.Duration) (LeaseID, error)
 	Renew func(ctx context.Context, id LeaseID) error
 }
 
-// Prefixes are the parts of the store that the daemons follow.
+// Prefixes are the key prefixes in the store that the daemons follow.
 type Prefixes struct {
-	// All begins every key.
+	// All is the prefix of every key.
 	All string
-	// Versions holds the declared versions.
+	// Versions is the prefix of the declared versions.
 	Versions string
-	// Upstreams holds the upstreams' own records.
+	// Upstreams is the prefix of the records of upstreams.
 	Upstreams string
-	// Members holds the routers' own records, written under leases, and MembersOf returns
-	// the part of it for the routers of a data hall, or of a shard of them. MembersOf may be
-	// nil.
+	// Members is the prefix of the records of routers, which are written under leases. MembersOf
+	// returns the prefix of the routers of a data hall, or of one shard of them. It is nil if the
+	// store does not separate them.
 	Members   string
 	MembersOf func(hall, shard string) string
 	// Configuration is the key of the configuration.
 	Configuration string
 }
 
-// OfHall returns the prefix of the records of the routers of a data hall, and of one shard of
-// them where that is not empty. It is that of all routers where the store does not keep them
-// apart.
+// OfHall returns the prefix of the records of the routers of a data hall, or of one shard of them
+// unless shard is empty. If the store does not separate them, it is the prefix of all routers.
 func (p Prefixes) OfHall(hall, shard string) string {
 	if p.MembersOf == nil {
 		return p.Members
@@ -107,49 +106,49 @@
 	return p.MembersOf(hall, shard)
 }
 
-// Record is one decoded entry; at most one field is set. None is set for an
-// entry that the daemons have no use for.
+// Record is a decoded entry. At most one field is set, and none for an entry that the daemons do
+// not use.
 type Record struct {
 	Configuration *Configuration
 	Upstream      *Upstream
 	Target        *Target
 	Member        *Member
-	// Evacuated is the data hall whose upstreams get nothing while the entry stands.
+	// Evacuated is a data hall whose upstreams must get no requests while the entry exists.
 	Evacuated string
-	// Suspect is what routers keep of a content under which upstreams ended, as they
-	// encoded it.
+	// Suspect is a record of a content under which upstreams crashed, as encoded by the routers.
 	Suspect []byte
 }
 
-// Provider is everything an adapter fills in.
+// Provider is all that an adapter supplies.
 type Provider struct {
 	Store    Store
 	Prefixes Prefixes
 	Headers  Headers
 	Engine   Engine
 	Origin   Origin
-	// Decode reads an entry's value. An error names the key and what is wrong.
+	// Decode decodes the value of an entry. Its error names the key and the fault.
 	Decode func(Entry) (Record, error)
-	// EncodeMember makes the entry that announces a router.
+	// EncodeMember returns the write that announces a router.
 	EncodeMember func(Member) Put
-	// EncodeSuspect makes the entry of what routers keep of a content. It may be nil.
+	// EncodeSuspect returns the write of a record of a content under which upstreams crashed. It
+	// may be nil.
 	EncodeSuspect func(content string, note []byte) Put
 }
 
-// Member is a router as it announces itself to the others.
+// Member is the record under which a router announces itself.
 type Member struct {
 	Name string `json:"name"`
 	Hall string `json:"hall"`
-	// Shard is the part of the hall's routers that it is listed with, so that whoever starts
-	// need not list them all.
+	// Shard is the part of the routers of its hall that it is listed with, so that a starting
+	// router need not list them all.
 	Shard string `json:"shard,omitempty"`
-	// Peers is where other daemons reach it.
+	// Peers is the address at which it serves other daemons.
 	Peers netip.AddrPort `json:"peers"`
-	// LinkMbps is the rate of its link in megabits a second, 0 where it is not known.
+	// LinkMbps is the bandwidth of its link in megabits per second, or 0 if not known.
 	LinkMbps float64 `json:"linkMbps,omitempty"`
 }
 
-// Target is a declared version of a model. Versions start at 1 and rise.
+// Target is the declared version of a model. Versions start at 1 and increase.
 type Target struct {
 	Model   string
 	Version int
@@ -159,12 +158,14 @@
 type Headers struct {
 	RequestID, Deadline, LastEvent, Signature, Account string
 	ExpectedUpstream, ExpectedVersion, Priority        string
-	// NotRun stands in an upstream's answer that promises that the request has
-	// not run.
+	// NotRun is set in the answer of an upstream that guarantees that the request has not run and
+	// never will.
 	NotRun string
-	// Tokens is "prompt,most out", LengthHint the caller's guess of tokens out.
+	// Tokens carries the number of prompt tokens and the maximum number of output tokens,
+	// separated by a comma. LengthHint carries the caller's estimate of the output tokens.
 	Tokens, LengthHint string
-	// Limit stands in the answers of an upstream in need: the requests a second that it
-	// takes from all routers together, a decimal number, for as long as it says so.
+	// Limit is set in the answers of an overloaded upstream. Its value, a decimal number, is the
+	// rate in requests per second that the upstream accepts from all routers together, until an
+	// answer comes without it.
 	Limit string
 }
