--- a/daemon/router/announcer.go
+++ b/daemon/router/announcer.go
@@ -13,18 +13,19 @@
 )
 
 const (
-	// announceTTL is how long the record of a router that died stays.
+	// announceTTL is how long the record of a crashed router remains in the store.
 	announceTTL = 40 * time.Second
-	// renewEvery is the interval of renewals.
-	renewEvery = 12 * time.Second
-	// announceRetry is the pause after a failed call, drawn at random below it.
-	announceRetry = time.Second
-	// announceTimeout bounds a call.
+	// renewInterval is the time between renewals of the lease.
+	renewInterval = 12 * time.Second
+	// maxAnnounceRetryDelay bounds the pause after a failed call, which is drawn at random so
+	// that routers do not retry in step.
+	maxAnnounceRetryDelay = time.Second
+	// announceTimeout bounds the calls of one renewal.
 	announceTimeout = 2 * time.Second
 )
 
-// announcer keeps this router's record in the store, under a lease, so that
-// other daemons find it. Where the store is silent nothing depends on it.
+// announcer keeps the record of this router in the store, under a lease, so that other daemons
+// find it. While the store is unreachable the router serves without it.
 type announcer struct {
 	store     provider.Store
 	put       provider.Put
@@ -43,17 +44,17 @@
 
 func (a *announcer) run() error {
 	for a.tomb.Alive() {
-		pause := renewEvery
-		if err := a.step(); err != nil {
-			pause = rand.N(announceRetry)
+		pause := renewInterval
+		if err := a.renew(); err != nil {
+			pause = rand.N(maxAnnounceRetryDelay)
 		}
 		helpers.Pause(pause, a.tomb.Dying())
 	}
 	return nil
 }
 
-// step renews the lease, or makes one and writes the record under it.
-func (a *announcer) step() error {
+// renew renews the lease, or grants a new one and writes the record under it.
+func (a *announcer) renew() error {
 	ctx, cancel := context.WithTimeout(a.tomb.Context(nil), announceTimeout) //nolint:staticcheck // nil asks the tomb for its own context
 	defer cancel()
 	if a.lease != 0 {
--- /dev/null
+++ b/daemon/router/crash_test.go
@@ -0,0 +1,276 @@
+package router_test
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/evidence"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/request/quarantine"
+	"github.com/wheelcleat/wheelcleat/daemon/provider"
+)
+
+// crashingUpstream is an upstream whose process crashes when it begins to run a crashing request.
+// Its port refuses connections and all its connections break, until it is restarted at its
+// address.
+type crashingUpstream struct {
+	*upstream
+	mu       sync.Mutex
+	listener net.Listener
+	conns    map[net.Conn]bool
+	crashes  atomic.Int64
+}
+
+// crashingBody is the body of the request that crashes upstreams.
+const crashingBody = "deadly"
+
+func startCrashingUpstream(t *testing.T, id string) *crashingUpstream {
+	t.Helper()
+	m := &crashingUpstream{upstream: &upstream{id: id}}
+	answer := upstreamFunc(m.answerOrCrash)
+	m.answer.Store(&answer)
+	m.listen(t, "127.0.0.1:0")
+	m.address = m.listener.Addr().(*net.TCPAddr).AddrPort()
+	t.Cleanup(m.crash)
+	return m
+}
+
+// listen starts the process.
+func (m *crashingUpstream) listen(t *testing.T, address string) {
+	t.Helper()
+	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", address)
+	require.NoError(t, err)
+	m.mu.Lock()
+	m.listener, m.conns = listener, map[net.Conn]bool{}
+	m.mu.Unlock()
+	go func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			m.mu.Lock()
+			if m.listener == listener {
+				m.conns[conn] = true
+			}
+			m.mu.Unlock()
+			go m.serve(conn)
+		}
+	}()
+}
+
+func (m *crashingUpstream) crash() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.listener == nil {
+		return
+	}
+	_ = m.listener.Close()
+	for conn := range m.conns {
+		_ = conn.Close()
+	}
+	m.listener = nil
+}
+
+// answerOrCrash answers a request, or crashes; a stream crashes after its first event.
+func (m *crashingUpstream) answerOrCrash(req *http.Request, conn net.Conn) {
+	text, _ := io.ReadAll(req.Body)
+	if string(text) != crashingBody {
+		answerOK(req, conn)
+		return
+	}
+	if strings.HasPrefix(req.URL.Path, "/stream/") {
+		sendEvents(req, conn, 1)
+	}
+	m.crashes.Add(1)
+	m.crash()
+}
+
+// restart starts the process again if it has crashed.
+func (m *crashingUpstream) restart(t *testing.T) {
+	t.Helper()
+	m.mu.Lock()
+	down := m.listener == nil
+	m.mu.Unlock()
+	if down {
+		m.listen(t, m.address.String())
+	}
+}
+
+// crashesKnownTo returns the number of crashes that a router lists.
+func crashesKnownTo(cfg settingsRouter) int64 {
+	resp, err := http.Get("http://" + cfg.Listen.Peers.String() + "/suspects")
+	if err != nil {
+		return 0
+	}
+	defer func() { _ = resp.Body.Close() }()
+	data, _ := io.ReadAll(resp.Body)
+	return int64(strings.Count(string(data), `"upstream":`))
+}
+
+// TestCrashingRequestIsQuarantined retries a crashing request at routers in turn, and gives each
+// router time to receive notifications. At most three upstreams may crash; after that the caller
+// is refused for good, and other requests are served throughout.
+func TestCrashingRequestIsQuarantined(t *testing.T) {
+	tests := map[string]struct {
+		storeDown bool
+		target    string
+	}{
+		"with the store":     {false, "/safe/x"},
+		"without the store":  {true, "/safe/x"},
+		"a resumable stream": {false, "/stream/x"},
+		"a stream, no store": {true, "/stream/x"},
+		"an unsafe request":  {false, "/unsafe/x"},
+	}
+	for name, test := range tests {
+		t.Run(name, func(t *testing.T) {
+			f := startCrashFleet(t)
+			if test.storeDown {
+				for _, cfg := range f.routers {
+					f.environment.unreachable.Store(cfg.Name, true)
+				}
+			}
+			const attempts = 9
+			for attempt := range attempts {
+				f.sendCrashing(t, f.routers[attempt%len(f.routers)], test.target)
+			}
+			assert.LessOrEqual(t, f.crashes(), int64(3))
+		})
+	}
+}
+
+// crashFleet is three routers in two halls and six upstreams that crash under one request.
+type crashFleet struct {
+	environment *environment
+	upstreams   []*crashingUpstream
+	routers     []settingsRouter
+	attempts    int
+}
+
+func startCrashFleet(t *testing.T) *crashFleet {
+	t.Helper()
+	f := &crashFleet{environment: &environment{}}
+	f.environment.configure(baseConfiguration(1))
+	for _, id := range []string{"u1", "u2", "u3", "u4", "u5", "u6"} {
+		m := startCrashingUpstream(t, id)
+		f.environment.list(m.record())
+		f.upstreams = append(f.upstreams, m)
+	}
+	first := startRouterIn(t, f.environment, "hall", "r1")
+	f.routers = []settingsRouter{
+		first, startRouterIn(t, f.environment, "hall", "r2", first.Listen.Peers), startRouterIn(t, f.environment, "other", "r3", first.Listen.Peers),
+	}
+	for _, cfg := range f.routers {
+		await(t, "all routers list each other", func() bool { return ready(cfg) && strings.Count(replicaOf(cfg), `"key":"m/`) == len(f.routers) })
+	}
+	return f
+}
+
+func (f *crashFleet) crashes() int64 {
+	total := int64(0)
+	for _, m := range f.upstreams {
+		total += m.crashes.Load()
+	}
+	return total
+}
+
+// sendCrashing sends the crashing request to a router, waits until all routers have received the
+// crashes, and checks that another request is served.
+func (f *crashFleet) sendCrashing(t *testing.T, cfg settingsRouter, target string) {
+	t.Helper()
+	f.attempts++
+	crashed := f.crashes()
+	got := call(t, cfg, fmt.Sprint("deadly-", f.attempts), "POST", target, crashingBody)
+	assert.False(t, got.err == nil && got.status == http.StatusOK, "%+v", got)
+	if crashed >= 3 {
+		assert.Equal(t, http.StatusServiceUnavailable, got.status, "not run")
+		assert.Empty(t, got.header.Get("Retry-After"), "a retry would fail too")
+	}
+	for _, other := range f.routers {
+		assert.Eventually(t, func() bool { return crashesKnownTo(other) == f.crashes() }, time.Second, 2*time.Millisecond, "%s has received each crash", other.Name)
+	}
+	for _, m := range f.upstreams {
+		m.restart(t)
+	}
+	innocent := call(t, cfg, fmt.Sprint("innocent-", f.attempts), "POST", "/safe/x", "innocent")
+	assert.Equal(t, http.StatusOK, innocent.status)
+}
+
+// TestNewRoutersReceiveQuarantine starts a router that has only the record in the store, and one
+// that has only its peers.
+func TestNewRoutersReceiveQuarantine(t *testing.T) {
+	f := startCrashFleet(t)
+	for _, cfg := range f.routers {
+		f.sendCrashing(t, cfg, "/safe/x")
+	}
+	require.Equal(t, int64(3), f.crashes())
+	await(t, "the store has the record", func() bool { return f.storedSuspect() != nil })
+
+	another := &environment{}
+	another.configure(baseConfiguration(1))
+	another.put("q/x", f.storedSuspect())
+	alone := startRouterIn(t, another, "third", "r4")
+	f.environment.unreachable.Store("r5", true)
+	seeded := startRouterIn(t, f.environment, "third", "r5", f.routers[2].Listen.Peers)
+	for _, cfg := range []settingsRouter{alone, seeded} {
+		await(t, "ready, with all crashes received", func() bool { return ready(cfg) && crashesKnownTo(cfg) == 3 })
+		got := call(t, cfg, "deadly", "POST", "/safe/x", crashingBody)
+		assert.Equal(t, http.StatusServiceUnavailable, got.status)
+		assert.Empty(t, got.header.Get("Retry-After"))
+	}
+	assert.Equal(t, int64(3), f.crashes())
+}
+
+// storedSuspect returns the record of a quarantined content in the store, or nil.
+func (f *crashFleet) storedSuspect() []byte {
+	items, _ := f.environment.store.List("q/")
+	if len(items) == 0 {
+		return nil
+	}
+	return items[0].Value
+}
+
+// TestOperatorLiftsQuarantine lifts a quarantine at one router and expects it to be lifted at all
+// routers and in the store.
+func TestOperatorLiftsQuarantine(t *testing.T) {
+	f := startCrashFleet(t)
+	for _, cfg := range f.routers {
+		f.sendCrashing(t, cfg, "/safe/x")
+	}
+	resp, err := http.Get("http://" + f.routers[0].Listen.Peers.String() + "/suspects")
+	require.NoError(t, err)
+	var known evidence.Message[quarantine.Note]
+	require.NoError(t, json.NewDecoder(resp.Body).Decode(&known))
+	require.NoError(t, resp.Body.Close())
+	require.Len(t, known.Notes, 1)
+	lift := func(name string) int {
+		req, err := http.NewRequest(http.MethodDelete, "http://"+f.routers[1].Listen.Peers.String()+"/suspects/"+name, nil)
+		require.NoError(t, err)
+		answer, err := http.DefaultClient.Do(req)
+		require.NoError(t, err)
+		require.NoError(t, answer.Body.Close())
+		return answer.StatusCode
+	}
+	name := known.Notes[0].Content.String()
+	assert.Equal(t, http.StatusBadRequest, lift("odd"))
+	assert.Equal(t, http.StatusNoContent, lift(name))
+	assert.Equal(t, http.StatusNotFound, lift(name), "already lifted")
+	for _, cfg := range f.routers {
+		await(t, "lifted at each router", func() bool { return crashesKnownTo(cfg) == 0 })
+	}
+	await(t, "the record in the store is cleared", func() bool {
+		record, err := decodeRecord(provider.Entry{Value: f.storedSuspect()})
+		return err == nil && strings.Contains(string(record.Suspect), `"cleared":true`)
+	})
+}
--- a/daemon/router/fixture_test.go
+++ b/daemon/router/fixture_test.go
@@ -26,15 +26,15 @@
 	"github.com/wheelcleat/wheelcleat/standin/serve"
 )
 
-// errDown is what a store gives that turns callers away.
-var errDown = errors.New("the store turns this caller away")
-
-// surroundings are a store that the tests write to, which may be down for some
-// callers, by the name in their settings.
-type surroundings struct {
-	store kv.Store
-	down  sync.Map
-	// readers holds the names of those that were sent the configuration.
+// errStoreDown is returned by a store that is unreachable for a caller.
+var errStoreDown = errors.New("the store is unreachable for this caller")
+
+// environment is a store that the tests write to. It may be unreachable for some routers, by the
+// name in their settings.
+type environment struct {
+	store       kv.Store
+	unreachable sync.Map
+	// readers holds the names of the routers that received the configuration from the store.
 	readers sync.Map
 }
 
@@ -44,8 +44,8 @@
 	Tokens: "Tokens", LengthHint: "Length", Limit: "Limit",
 }
 
-// provider returns the surroundings as the named router sees them.
-func (s *surroundings) provider(name string) provider.Provider {
+// provider returns the environment as the named router sees it.
+func (s *environment) provider(name string) provider.Provider {
 	return provider.Provider{
 		Store:    s.client(name),
 		Prefixes: provider.Prefixes{All: "", Members: "m/", MembersOf: membersOf, Configuration: "c", Upstreams: "u/", Versions: "v/"},
@@ -81,10 +81,10 @@
 	return data
 }
 
-func (s *surroundings) client(name string) provider.Store {
+func (s *environment) client(name string) provider.Store {
 	check := func() error {
-		if _, down := s.down.Load(name); down {
-			return errDown
+		if _, unreachable := s.unreachable.Load(name); unreachable {
+			return errStoreDown
 		}
 		return nil
 	}
@@ -94,7 +94,7 @@
 		for _, item := range items {
 			listing.Entries = append(listing.Entries, provider.Entry{Key: item.Key, Value: item.Value, Revision: provider.Revision(item.Revision)})
 		}
-		s.noteReader(name, listing)
+		s.recordReader(name, listing)
 		return listing, check()
 	}
 	return provider.Store{
@@ -104,7 +104,7 @@
 				return provider.Listing{}, err
 			}
 			listing, err := s.watch(ctx, prefix, after, wait)
-			s.noteReader(name, listing)
+			s.recordReader(name, listing)
 			return listing, errors.Join(err, check())
 		},
 		Write: func(_ context.Context, puts []provider.Put) (provider.Revision, error) {
@@ -121,7 +121,7 @@
 	}
 }
 
-func (s *surroundings) noteReader(name string, listing provider.Listing) {
+func (s *environment) recordReader(name string, listing provider.Listing) {
 	for _, entry := range listing.Entries {
 		if entry.Key == "c" {
 			s.readers.Store(name, true)
@@ -129,7 +129,7 @@
 	}
 }
 
-func (s *surroundings) watch(ctx context.Context, prefix string, after provider.Revision, wait time.Duration) (provider.Listing, error) {
+func (s *environment) watch(ctx context.Context, prefix string, after provider.Revision, wait time.Duration) (provider.Listing, error) {
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
 	for {
@@ -156,26 +156,26 @@
 	}
 }
 
-func (s *surroundings) put(key string, value []byte) {
+func (s *environment) put(key string, value []byte) {
 	item, _ := s.store.Get(key)
 	s.store.Put(key, value, item.Revision, 0)
 }
 
-func (s *surroundings) remove(key string) {
+func (s *environment) remove(key string) {
 	item, _ := s.store.Get(key)
 	s.store.Delete(key, item.Revision)
 }
 
-func (s *surroundings) configure(configuration provider.Configuration) {
+func (s *environment) configure(configuration provider.Configuration) {
 	s.put("c", encodeRecord(provider.Record{Configuration: &configuration}))
 }
 
-func (s *surroundings) list(upstream provider.Upstream) {
+func (s *environment) list(upstream provider.Upstream) {
 	s.put("u/"+upstream.ID, encodeRecord(provider.Record{Upstream: &upstream}))
 }
 
-// basic is a configuration with a route of each mode.
-func basic(version uint64) provider.Configuration {
+// baseConfiguration has a route of each mode, one service and one account.
+func baseConfiguration(version uint64) provider.Configuration {
 	shares := []provider.Share{{Service: "s", Weight: 1}}
 	route := func(name string, mode provider.Mode, attempts int) provider.Route {
 		return provider.Route{
@@ -194,15 +194,15 @@
 	}
 }
 
-// upstreamFunc answers one request on a connection that it may treat as it likes.
-type upstreamFunc func(request *http.Request, connection net.Conn)
+// upstreamFunc answers one request, or misbehaves, on a raw connection.
+type upstreamFunc func(req *http.Request, conn net.Conn)
 
-// upstream is a program that requests are routed to. It counts what it ran.
+// upstream is a server that requests are routed to. It counts the requests that it ran.
 type upstream struct {
 	id      string
 	address netip.AddrPort
 	answer  atomic.Pointer[upstreamFunc]
-	// ran counts requests that began; seen keeps their headers and targets.
+	// ran counts the requests received; seen keeps them.
 	ran  atomic.Int64
 	mu   sync.Mutex
 	seen []*http.Request
@@ -217,35 +217,35 @@
 	u.answer.Store(&answer)
 	go func() {
 		for {
-			connection, err := listener.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go u.serve(connection)
+			go u.serve(conn)
 		}
 	}()
 	return u
 }
 
-func (u *upstream) serve(connection net.Conn) {
-	defer func() { _ = connection.Close() }()
-	reader := bufio.NewReader(connection)
+func (u *upstream) serve(conn net.Conn) {
+	defer func() { _ = conn.Close() }()
+	reader := bufio.NewReader(conn)
 	for {
-		request, err := http.ReadRequest(reader)
+		req, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
-		body, _ := io.ReadAll(request.Body)
-		request.Body = io.NopCloser(strings.NewReader(string(body)))
+		body, _ := io.ReadAll(req.Body)
+		req.Body = io.NopCloser(strings.NewReader(string(body)))
 		u.mu.Lock()
-		u.seen = append(u.seen, request)
+		u.seen = append(u.seen, req)
 		u.mu.Unlock()
 		u.ran.Add(1)
-		(*u.answer.Load())(request, connection)
+		(*u.answer.Load())(req, conn)
 	}
 }
 
-func (u *upstream) last() *http.Request {
+func (u *upstream) lastRequest() *http.Request {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if len(u.seen) == 0 {
@@ -258,80 +258,78 @@
 	return provider.Upstream{ID: u.id, Service: "s", Address: u.address, Hall: "hall", Places: 4}
 }
 
-// lists has an upstream list another one, once it has been asked, and answer when a router
-// knows of that.
-func (u *upstream) lists(s *surroundings, set settings.Router, other *upstream, answer upstreamFunc) {
-	before := upstreamFunc(func(request *http.Request, connection net.Conn) {
+// listBeforeAnswering makes the upstream, on receiving a request, list another upstream and
+// answer only once the router has applied that.
+func (u *upstream) listBeforeAnswering(s *environment, cfg settings.Router, other *upstream, answer upstreamFunc) {
+	wrapped := upstreamFunc(func(req *http.Request, conn net.Conn) {
 		s.list(other.record())
-		awaitListed(s, set, "u/"+other.id)
-		answer(request, connection)
+		awaitListed(s, cfg, "u/"+other.id)
+		answer(req, conn)
 	})
-	u.answer.Store(&before)
+	u.answer.Store(&wrapped)
 }
 
-// whole writes an answer with a length; extra is sent behind it.
-func whole(request *http.Request, connection net.Conn, status int, body, extra string) {
-	_, _ = fmt.Fprintf(connection, "HTTP/1.1 %d X\r\nRequest-Id: %s\r\nSignature: sig\r\nContent-Length: %d\r\n\r\n%s%s",
-		status, request.Header.Get("Request-Id"), len(body), body, extra)
+// writeAnswer writes an answer with a Content-Length, followed by surplus bytes.
+func writeAnswer(req *http.Request, conn net.Conn, status int, body, extra string) {
+	_, _ = fmt.Fprintf(conn, "HTTP/1.1 %d X\r\nRequest-Id: %s\r\nSignature: sig\r\nContent-Length: %d\r\n\r\n%s%s",
+		status, req.Header.Get("Request-Id"), len(body), body, extra)
 }
 
-// good answers with the request's id as the body.
-func good(request *http.Request, connection net.Conn) {
-	whole(request, connection, http.StatusOK, "answer to "+request.Header.Get("Request-Id"), "")
+// answerOK answers with the request's ID in the body.
+func answerOK(req *http.Request, conn net.Conn) {
+	writeAnswer(req, conn, http.StatusOK, "answer to "+req.Header.Get("Request-Id"), "")
 }
 
-// refusing promises that the request has not run.
-func refusing(request *http.Request, connection net.Conn) {
-	_, _ = fmt.Fprintf(connection, "HTTP/1.1 503 Busy\r\nRequest-Id: %s\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n", request.Header.Get("Request-Id"))
+// answerNotRun refuses the request and declares that it has not run.
+func answerNotRun(req *http.Request, conn net.Conn) {
+	_, _ = fmt.Fprintf(conn, "HTTP/1.1 503 Busy\r\nRequest-Id: %s\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n", req.Header.Get("Request-Id"))
 }
 
-// cutting closes the connection without an answer.
-func cutting(_ *http.Request, connection net.Conn) { _ = connection.Close() }
+// closeConnection closes the connection without an answer.
+func closeConnection(_ *http.Request, conn net.Conn) { _ = conn.Close() }
 
-// startRouter starts a router and waits until it is ready.
-func startRouter(t testing.TB, s *surroundings, name string, seeds ...netip.AddrPort) settings.Router {
+// startRouter starts a router in the data hall "hall". It does not wait for readiness.
+func startRouter(t testing.TB, s *environment, name string, seeds ...netip.AddrPort) settings.Router {
 	t.Helper()
 	return startRouterIn(t, s, "hall", name, seeds...)
 }
 
-// startRouterIn starts a router in a data hall.
-func startRouterIn(t testing.TB, s *surroundings, hall, name string, seeds ...netip.AddrPort) settings.Router {
+func startRouterIn(t testing.TB, s *environment, hall, name string, seeds ...netip.AddrPort) settings.Router {
 	t.Helper()
-	p, set := newRouter(t, s, settings.Router{Name: name, Hall: hall, Seeds: seeds})
+	p, cfg := newRouter(t, s, settings.Router{Name: name, Hall: hall, Seeds: seeds})
 	require.NoError(t, p.Start())
 	t.Cleanup(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
 		_ = p.Stop(ctx)
 	})
-	return set
+	return cfg
 }
 
-// newRouter prepares a router on free ports.
-func newRouter(t testing.TB, s *surroundings, set settings.Router) (*router.Process, settings.Router) {
+func newRouter(t testing.TB, s *environment, cfg settings.Router) (*router.Process, settings.Router) {
 	t.Helper()
 	ports := freePorts(t, 4)
-	set.Role, set.Store, set.Drain = settings.RoleRouter, netip.MustParseAddrPort("127.0.0.1:1"), api.Duration(5*time.Second)
-	set.Listen = settings.RouterListen{Callers: ports[0], Ready: ports[1], Peers: ports[2], Metrics: ports[3]}
-	p, err := router.New(set, router.Options{
-		Provider: func(netip.AddrPort, *http.Client, *http.Client) provider.Provider { return s.provider(set.Name) },
+	cfg.Role, cfg.Store, cfg.Drain = settings.RoleRouter, netip.MustParseAddrPort("127.0.0.1:1"), api.Duration(5*time.Second)
+	cfg.Listen = settings.RouterListen{Callers: ports[0], Ready: ports[1], Peers: ports[2], Metrics: ports[3]}
+	p, err := router.New(cfg, router.Options{
+		Provider: func(netip.AddrPort, *http.Client, *http.Client) provider.Provider { return s.provider(cfg.Name) },
 		LameDuck: time.Millisecond, LogOutput: io.Discard,
 	})
 	require.NoError(t, err)
-	return p, set
+	return p, cfg
 }
 
-// startServing starts a router with the basic configuration and one upstream, and
-// waits until it is ready.
-func startServing(t testing.TB, id string, answer upstreamFunc) (*surroundings, *upstream, settings.Router) {
+// startServing starts a router with the base configuration and one upstream, and waits until it
+// is ready.
+func startServing(t testing.TB, id string, answer upstreamFunc) (*environment, *upstream, settings.Router) {
 	t.Helper()
-	s := &surroundings{}
-	s.configure(basic(1))
+	s := &environment{}
+	s.configure(baseConfiguration(1))
 	u := startUpstream(t, id, answer)
 	s.list(u.record())
-	set := startRouter(t, s, "r1")
-	await(t, "ready", func() bool { return ready(set) })
-	return s, u, set
+	cfg := startRouter(t, s, "r1")
+	await(t, "ready", func() bool { return ready(cfg) })
+	return s, u, cfg
 }
 
 func freePorts(t testing.TB, count int) []netip.AddrPort {
@@ -345,64 +343,63 @@
 	return ports
 }
 
-// await waits until a condition holds.
 func await(t testing.TB, what string, condition func() bool) {
 	t.Helper()
 	require.Eventually(t, condition, 10*time.Second, 5*time.Millisecond, what)
 }
 
-func ready(set settings.Router) bool {
-	response, err := http.Get("http://" + set.Listen.Ready.String() + "/readyz")
+func ready(cfg settings.Router) bool {
+	resp, err := http.Get("http://" + cfg.Listen.Ready.String() + "/readyz")
 	if err != nil {
 		return false
 	}
-	_ = response.Body.Close()
-	return response.StatusCode == http.StatusOK
+	_ = resp.Body.Close()
+	return resp.StatusCode == http.StatusOK
 }
 
-// reply is what a caller got.
+// reply is the answer that a caller received.
 type reply struct {
 	status int
 	header http.Header
 	body   string
-	// err is set where the answer broke off.
+	// err is set if the answer was cut off.
 	err error
 }
 
 // call sends one request to a router.
-func call(t testing.TB, set settings.Router, id, method, target, body string, headers ...string) reply {
+func call(t testing.TB, cfg settings.Router, id, method, target, body string, headers ...string) reply {
 	t.Helper()
-	connection, err := net.Dial("tcp", set.Listen.Callers.String())
+	conn, err := net.Dial("tcp", cfg.Listen.Callers.String())
 	require.NoError(t, err)
-	defer func() { _ = connection.Close() }()
-	_ = connection.SetDeadline(time.Now().Add(15 * time.Second))
+	defer func() { _ = conn.Close() }()
+	_ = conn.SetDeadline(time.Now().Add(15 * time.Second))
 	extra := ""
 	for i := 0; i+1 < len(headers); i += 2 {
 		extra += headers[i] + ": " + headers[i+1] + "\r\n"
 	}
-	_, err = fmt.Fprintf(connection, "%s %s HTTP/1.1\r\nHost: h.example\r\nRequest-Id: %s\r\nAuthorization: Bearer key-1\r\nDeadline: 5000\r\n%sContent-Length: %d\r\n\r\n%s",
+	_, err = fmt.Fprintf(conn, "%s %s HTTP/1.1\r\nHost: h.example\r\nRequest-Id: %s\r\nAuthorization: Bearer key-1\r\nDeadline: 5000\r\n%sContent-Length: %d\r\n\r\n%s",
 		method, target, id, extra, len(body), body)
 	require.NoError(t, err)
-	response, err := http.ReadResponse(bufio.NewReader(connection), nil)
+	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		return reply{err: err}
 	}
-	data, err := io.ReadAll(response.Body)
-	return reply{status: response.StatusCode, header: response.Header, body: string(data), err: err}
+	data, err := io.ReadAll(resp.Body)
+	return reply{status: resp.StatusCode, header: resp.Header, body: string(data), err: err}
 }
 
 type settingsRouter = settings.Router
 
-// copyOf returns a router's copy of the store as peers see it.
-func copyOf(set settings.Router) string {
-	response, err := http.Get("http://" + set.Listen.Peers.String() + "/copy?after=0")
+// replicaOf returns a router's replica of the store as its peers receive it.
+func replicaOf(cfg settings.Router) string {
+	resp, err := http.Get("http://" + cfg.Listen.Peers.String() + "/copy?after=0")
 	if err != nil {
 		return ""
 	}
-	defer func() { _ = response.Body.Close() }()
-	data, _ := io.ReadAll(response.Body)
+	defer func() { _ = resp.Body.Close() }()
+	data, _ := io.ReadAll(resp.Body)
 	return string(data)
 }
 
-// pause lets other goroutines run for a moment.
-func pause() { <-time.After(2 * time.Millisecond) }
+// yieldBriefly lets other goroutines run.
+func yieldBriefly() { <-time.After(2 * time.Millisecond) }
--- a/daemon/router/limit_test.go
+++ b/daemon/router/limit_test.go
@@ -23,104 +23,97 @@
 	"github.com/wheelcleat/wheelcleat/daemon/settings"
 )
 
-// Engines in need say in their answers how many requests a second they take from all routers
-// together. No router read it: an engine that named 1 a second got 12 requests in 4 s, one
-// that named 2.3 got 26, as many as before they named it and as all others get. And a router
-// that keeps to it by itself is not enough, because each of the others does so too: in the
-// lines of that time two and three routers sent to them, 7 and 4, and 11, 7 and 1, with places
-// that the loader beside the engine had given to all of them (19 given, 6 not).
-
-// limitWindow is the time over which a limit counts. Upstreams allow limitSlack times what
-// they named in it, and limitExtra requests more.
+// limitWindow is the time over which requests count against a limit. Upstreams accept limitSlack
+// times the limit in it, plus limitExtra requests.
 const (
 	limitWindow            = 4 * time.Second
 	limitSlack, limitExtra = 1.5, 5.0
 )
 
-// needy is an upstream that names a limit in each answer.
-type needy struct {
+// limitedUpstream is an upstream that announces a limit in each answer.
+type limitedUpstream struct {
 	*upstream
 	mu       sync.Mutex
 	arrivals []time.Time
-	// limit is what it names, "" for none.
+	// limit is the announced limit, or "" for none.
 	limit string
 }
 
-func startNeedy(t *testing.T, id, limit string) *needy {
+func startLimitedUpstream(t *testing.T, id, limit string) *limitedUpstream {
 	t.Helper()
-	n := &needy{limit: limit}
-	n.upstream = startUpstream(t, id, func(request *http.Request, connection net.Conn) {
+	n := &limitedUpstream{limit: limit}
+	n.upstream = startUpstream(t, id, func(req *http.Request, conn net.Conn) {
 		n.mu.Lock()
 		n.arrivals = append(n.arrivals, time.Now())
 		named := n.limit
 		n.mu.Unlock()
 		if named == "" {
-			good(request, connection)
+			answerOK(req, conn)
 			return
 		}
-		answerNaming(request, connection, named)
+		answerWithLimit(req, conn, named)
 	})
 	return n
 }
 
-// name has the upstream name another limit, "" for none.
-func (n *needy) name(limit string) {
+// setLimit changes the announced limit; "" means none.
+func (n *limitedUpstream) setLimit(limit string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.limit = limit
 }
 
-func (n *needy) count() int {
+func (n *limitedUpstream) count() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.arrivals)
 }
 
-// answerNaming answers well and names a limit.
-func answerNaming(request *http.Request, connection net.Conn, limit string) {
-	body := "answer to " + request.Header.Get("Request-Id")
-	_, _ = fmt.Fprintf(connection, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nSignature: sig\r\nLimit: %s\r\nContent-Length: %d\r\n\r\n%s",
-		request.Header.Get("Request-Id"), limit, len(body), body)
+// answerWithLimit answers with status 200 and a limit.
+func answerWithLimit(req *http.Request, conn net.Conn, limit string) {
+	body := "answer to " + req.Header.Get("Request-Id")
+	_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nSignature: sig\r\nLimit: %s\r\nContent-Length: %d\r\n\r\n%s",
+		req.Header.Get("Request-Id"), limit, len(body), body)
 }
 
-// forget forgets what came so far.
-func (n *needy) forget() {
+// resetArrivals discards the arrivals so far.
+func (n *limitedUpstream) resetArrivals() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.arrivals = nil
 }
 
-// worst is the most requests that came in any window.
-func (n *needy) worst() int {
+// maxPerWindow returns the largest number of arrivals in any window.
+func (n *limitedUpstream) maxPerWindow() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	worst := 0
+	most := 0
 	for first, from := range n.arrivals {
-		until := first
-		for until < len(n.arrivals) && n.arrivals[until].Sub(from) < limitWindow {
-			until++
+		end := first
+		for end < len(n.arrivals) && n.arrivals[end].Sub(from) < limitWindow {
+			end++
 		}
-		worst = max(worst, until-first)
+		most = max(most, end-first)
 	}
-	return worst
+	return most
 }
 
-// limitFleet is three routers and two upstreams, of which one names a limit.
+// limitFleet is three routers and two upstreams, one of which announces a limit.
 type limitFleet struct {
-	surroundings *surroundings
-	routers      []settings.Router
-	needy        *needy
-	other        *upstream
+	environment *environment
+	routers     []settings.Router
+	limited     *limitedUpstream
+	other       *upstream
 }
 
-// fleetOf starts routers that know each other. Their upstreams are engines where there is a
-// port to look for loaders at.
-func fleetOf(t *testing.T, limit string, loaderPort uint16) *limitFleet {
+// startLimitFleet starts routers and waits until they list each other. With a loader port their
+// upstreams are engines.
+func startLimitFleet(t *testing.T, limit string, loaderPort uint16) *limitFleet {
 	t.Helper()
-	s := &surroundings{}
-	configuration := basic(1)
-	f := &limitFleet{surroundings: s, needy: startNeedy(t, "u1", limit), other: startUpstream(t, "u2", good)}
-	records := []provider.Upstream{f.needy.record(), f.other.record()}
+	s := &environment{}
+	configuration := baseConfiguration(1)
+	f := &limitFleet{environment: s, limited: startLimitedUpstream(t, "u1", limit), other: startUpstream(t, "u2", answerOK)}
+	records := []provider.Upstream{f.limited.record(), f.other.record()}
 	for _, record := range records {
 		record.Places = 16
 		if loaderPort != 0 {
@@ -132,15 +125,15 @@
 	s.configure(configuration)
 	names := []string{"r1", "r2", "r3"}
 	for _, name := range names {
-		p, set := newRouter(t, s, settings.Router{Name: name, Hall: "hall", LoaderPort: loaderPort})
+		p, cfg := newRouter(t, s, settings.Router{Name: name, Hall: "hall", LoaderPort: loaderPort})
 		require.NoError(t, p.Start())
 		t.Cleanup(func() { _ = p.Stop(t.Context()) })
-		f.routers = append(f.routers, set)
+		f.routers = append(f.routers, cfg)
 	}
-	for _, set := range f.routers {
-		await(t, "ready, and all routers known", func() bool {
-			known := copyOf(set)
-			return ready(set) && !slices.ContainsFunc(names, func(name string) bool {
+	for _, cfg := range f.routers {
+		await(t, "ready, and all routers listed", func() bool {
+			known := replicaOf(cfg)
+			return ready(cfg) && !slices.ContainsFunc(names, func(name string) bool {
 				return !strings.Contains(known, `"`+membersOf("hall", readers.Shard(name))+name+`"`)
 			})
 		})
@@ -148,14 +141,14 @@
 	return f
 }
 
-// press has each router send the same number of requests, with a pause before each, and
-// returns how many were served.
-func (f *limitFleet) press(t *testing.T, each int, pause time.Duration) (served int) {
+// sendFromEach has each router send the same number of requests, at an interval, and returns how
+// many were served.
+func (f *limitFleet) sendFromEach(t *testing.T, each int, interval time.Duration) (served int) {
 	t.Helper()
 	for i := range each {
-		for _, set := range f.routers {
-			<-time.After(pause)
-			if call(t, set, fmt.Sprint(set.Name, "-", i), "GET", "/safe/x", "").status == http.StatusOK {
+		for _, cfg := range f.routers {
+			<-time.After(interval)
+			if call(t, cfg, fmt.Sprint(cfg.Name, "-", i), "GET", "/safe/x", "").status == http.StatusOK {
 				served++
 			}
 		}
@@ -163,107 +156,107 @@
 	return served
 }
 
-// TestALimitBoundsAllRouters: however a router comes to its upstreams, all of them together
-// send to one that names a limit what that allows, and callers are served elsewhere.
-func TestALimitBoundsAllRouters(t *testing.T) {
-	// A place that was given counts as taken for as long as a report takes to show it.
+// TestLimitHoldsAcrossRouters guards against routers that each use the full limit of an upstream:
+// together they must stay within it on every admission path, while callers are served elsewhere.
+func TestLimitHoldsAcrossRouters(t *testing.T) {
+	// A granted place counts as in use until the next report shows otherwise.
 	const shown = 30 * time.Millisecond
-	ways := map[string]struct {
-		loader func(t *testing.T) uint16
-		pause  time.Duration
+	paths := map[string]struct {
+		loader   func(t *testing.T) uint16
+		interval time.Duration
 	}{
-		"upstreams without loaders": {loader: func(*testing.T) uint16 { return 0 }},
-		"places given by a loader":  {loader: startLoader, pause: shown},
-		"a loader that is silent":   {loader: func(t *testing.T) uint16 { return freePorts(t, 1)[0].Port() }},
+		"upstreams without loaders":     {loader: func(*testing.T) uint16 { return 0 }},
+		"places granted by a loader":    {loader: startLoader, interval: shown},
+		"a loader that is unresponsive": {loader: func(t *testing.T) uint16 { return freePorts(t, 1)[0].Port() }},
 	}
-	for name, way := range ways {
+	for name, path := range paths {
 		t.Run(name, func(t *testing.T) {
 			const limit, each = 2.0, 20
-			f := fleetOf(t, fmt.Sprint(limit), way.loader(t))
-			f.press(t, 4, way.pause) // all are told
-			f.needy.forget()
-			assert.Equal(t, each*len(f.routers), f.press(t, each, way.pause), "all callers are served: the other upstream has room")
-			assert.LessOrEqual(t, f.needy.worst(), int(limitSlack*limit*limitWindow.Seconds()+limitExtra))
+			f := startLimitFleet(t, fmt.Sprint(limit), path.loader(t))
+			f.sendFromEach(t, 4, path.interval) // each router receives the limit
+			f.limited.resetArrivals()
+			assert.Equal(t, each*len(f.routers), f.sendFromEach(t, each, path.interval), "all callers are served by the other upstream")
+			assert.LessOrEqual(t, f.limited.maxPerWindow(), int(limitSlack*limit*limitWindow.Seconds()+limitExtra))
 		})
 	}
 }
 
-// TestALimitBoundsSecondSends: where the other upstream fails each request, all are to be sent
-// a second time, to the one that names a limit.
-func TestALimitBoundsSecondSends(t *testing.T) {
+// TestLimitHoldsForRetries fails all requests at one upstream, so that all are retried at the one
+// with a limit.
+func TestLimitHoldsForRetries(t *testing.T) {
 	const limit, each = 1.0, 20
-	f := fleetOf(t, fmt.Sprint(limit), 0)
-	failing := upstreamFunc(func(request *http.Request, connection net.Conn) {
-		whole(request, connection, http.StatusInternalServerError, "failed", "")
+	f := startLimitFleet(t, fmt.Sprint(limit), 0)
+	failing := upstreamFunc(func(req *http.Request, conn net.Conn) {
+		writeAnswer(req, conn, http.StatusInternalServerError, "failed", "")
 	})
 	f.other.answer.Store(&failing)
-	f.press(t, 4, 0)
-	f.needy.forget()
-	f.press(t, each, 0)
-	assert.LessOrEqual(t, f.needy.worst(), int(limitSlack*limit*limitWindow.Seconds()+limitExtra))
+	f.sendFromEach(t, 4, 0)
+	f.limited.resetArrivals()
+	f.sendFromEach(t, each, 0)
+	assert.LessOrEqual(t, f.limited.maxPerWindow(), int(limitSlack*limit*limitWindow.Seconds()+limitExtra))
 }
 
-// limitsOf returns the limits that a router knows, as others see it.
-func limitsOf(t *testing.T, set settings.Router) []ratelimit.Named {
+// knownLimits returns the limits that a router holds, as its peers receive them.
+func knownLimits(t *testing.T, cfg settings.Router) []ratelimit.Named {
 	t.Helper()
-	all, err := evidence.All[ratelimit.Named](t.Context(), http.DefaultClient, set.Listen.Peers, evidence.LimitsPath)
+	all, err := evidence.All[ratelimit.Named](t.Context(), http.DefaultClient, cfg.Listen.Peers, evidence.LimitsPath)
 	require.NoError(t, err)
 	return all
 }
 
-// TestOneAnswerTellsAllRouters: the others know a limit before an answer has told them, one
-// that starts hears of it, and all know when it ends.
-func TestOneAnswerTellsAllRouters(t *testing.T) {
-	f := fleetOf(t, "1.5", 0)
-	knows := func(set settings.Router, ended bool) bool {
-		all := limitsOf(t, set)
+// TestLimitPropagatesToAllRouters expects routers to hold a limit, and later its end, that
+// another router received, including a router that starts later.
+func TestLimitPropagatesToAllRouters(t *testing.T) {
+	f := startLimitFleet(t, "1.5", 0)
+	holdsLimit := func(cfg settings.Router, ended bool) bool {
+		all := knownLimits(t, cfg)
 		return len(all) == 1 && all[0].Upstream.ID == "u1" && all[0].Ended == ended && (ended || all[0].PerSecond == 1.5)
 	}
-	for i := 0; f.needy.count() == 0; i++ {
+	for i := 0; f.limited.count() == 0; i++ {
 		call(t, f.routers[0], fmt.Sprint("first-", i), "GET", "/safe/x", "")
 	}
-	for _, set := range f.routers {
-		await(t, "the limit is known", func() bool { return knows(set, false) })
+	for _, cfg := range f.routers {
+		await(t, "the limit is received", func() bool { return holdsLimit(cfg, false) })
 	}
-	started := startRouter(t, f.surroundings, "r4")
-	await(t, "who starts knows it", func() bool { return knows(started, false) })
+	started := startRouter(t, f.environment, "r4")
+	await(t, "a router that starts receives the limit", func() bool { return holdsLimit(started, false) })
 
-	f.needy.name("")
+	f.limited.setLimit("")
 	calls := 0
-	for _, set := range append(f.routers, started) {
-		await(t, "its end is known", func() bool {
+	for _, cfg := range append(f.routers, started) {
+		await(t, "the end of the limit is received", func() bool {
 			calls++
 			call(t, f.routers[calls%len(f.routers)], fmt.Sprint("last-", calls), "GET", "/safe/x", "")
-			return knows(set, true)
+			return holdsLimit(cfg, true)
 		})
 	}
-	f.needy.forget()
+	f.limited.resetArrivals()
 	const each = 20
-	assert.Equal(t, each*len(f.routers), f.press(t, each, 0))
-	assert.Greater(t, f.needy.count(), each/2, "it has its usual share again")
+	assert.Equal(t, each*len(f.routers), f.sendFromEach(t, each, 0))
+	assert.Greater(t, f.limited.count(), each/2, "the upstream gets its usual share again")
 }
 
-// TestBadLimitsHarmNothing: what cannot be read, in whatever answer, leaves callers served and
-// the last good limit in force; a limit in a caller's own headers is nobody's.
-func TestBadLimitsHarmNothing(t *testing.T) {
-	f := fleetOf(t, "1", 0)
-	f.press(t, 4, 0)
+// TestInvalidLimitsAreIgnored expects that an unparsable limit leaves callers served and the last
+// valid limit in force, and that a limit in a caller's own headers has no effect.
+func TestInvalidLimitsAreIgnored(t *testing.T) {
+	f := startLimitFleet(t, "1", 0)
+	f.sendFromEach(t, 4, 0)
 	for _, bad := range []string{"x", "-1", "nan", "inf", "1e999", "5,x"} {
-		f.needy.name(bad)
-		for _, set := range f.routers {
-			answer := call(t, set, "bad"+set.Name, "GET", "/safe/x", "", "Limit", "0.1")
+		f.limited.setLimit(bad)
+		for _, cfg := range f.routers {
+			answer := call(t, cfg, "bad"+cfg.Name, "GET", "/safe/x", "", "Limit", "0.1")
 			assert.Equal(t, http.StatusOK, answer.status, bad)
 		}
 	}
-	all := limitsOf(t, f.routers[0])
+	all := knownLimits(t, f.routers[0])
 	require.Len(t, all, 1)
 	assert.False(t, all[0].Ended)
 	assert.GreaterOrEqual(t, all[0].PerSecond, 1.0)
 	assert.Equal(t, "u1", all[0].Upstream.ID)
 }
 
-// startLoader answers questions for places at all engines of this host, which are idle, and
-// returns its port.
+// startLoader serves place queries for all engines of this host, which are idle, and returns its
+// port.
 func startLoader(t *testing.T) uint16 {
 	t.Helper()
 	ledger := &places.Ledger{}
@@ -280,7 +273,7 @@
 	return serveAt(t, freePorts(t, 1)[0], pages)
 }
 
-// serveAt serves pages until the end of the test, and returns their port.
+// serveAt serves a handler until the end of the test, and returns its port.
 func serveAt(t *testing.T, address netip.AddrPort, pages http.Handler) uint16 {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", address.String())
--- a/daemon/router/limits.go
+++ b/daemon/router/limits.go
@@ -18,130 +18,130 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// This file keeps the limits that upstreams name: what own answers, loaders and other routers
-// tell of them, and what this router may send where no loader counts.
-
-// limits are the limits that this router knows.
+// limits holds the rate limits that upstreams announce, as far as this router has received them.
 type limits struct {
 	mu    sync.Mutex
 	table ratelimit.Table
-	// warming bounds what this router sends to cold upstreams that no loader counts for.
-	warming ratelimit.Warming
+	// coldLimiter bounds what this router sends to cold upstreams whose loader does not count
+	// requests.
+	coldLimiter ratelimit.Warming
 }
 
-// do works on the table.
-func (l *limits) do(work func(table *ratelimit.Table, now time.Time)) {
+// withTable calls fn with the table locked.
+func (l *limits) withTable(fn func(table *ratelimit.Table, now time.Time)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	work(&l.table, clock.Now())
+	fn(&l.table, clock.Now())
 }
 
-// startOf names the start of an upstream that this router knows.
-func startOf(u *provider.Upstream) ratelimit.Upstream {
+// instanceOf identifies one instance of an upstream: its ID, address and start time.
+func instanceOf(u *provider.Upstream) ratelimit.Upstream {
 	return ratelimit.Upstream{ID: u.ID, Address: u.Address, Started: u.Started}
 }
 
-// heard takes what an answer says of its upstream's limit, and tells the others what is new.
-func (p *Process) heard(heard dispatch.Heard) {
-	p.recorder.limitSaid(heard)
-	if heard.Said.Kind == ratelimit.Silent {
+// limitReported applies the limit that an answer carries, and notifies the other routers of a
+// change.
+func (p *Process) limitReported(report dispatch.Heard) {
+	p.recorder.limitReported(report)
+	if report.Said.Kind == ratelimit.Silent {
 		return
 	}
-	upstream := startOf(heard.Upstream)
+	upstream := instanceOf(report.Upstream)
 	var change ratelimit.Change
-	p.limits.do(func(table *ratelimit.Table, now time.Time) {
-		change = table.Heard(upstream, heard.Said, heard.Sent, now)
+	p.limits.withTable(func(table *ratelimit.Table, now time.Time) {
+		change = table.Heard(upstream, report.Said, report.Sent, now)
 	})
-	p.limitChanged(limitNews{upstream: upstream, change: change, from: sourceOwn, request: heard.Request})
-	if change.Tell && !p.limitTeller.Tell(ratelimit.Named{Upstream: upstream, Note: change.After}) {
-		p.recorder.notTold()
+	p.limitChanged(limitUpdate{upstream: upstream, change: change, from: sourceOwn, request: report.Request})
+	if change.Tell && !p.limitNotifier.Tell(ratelimit.Named{Upstream: upstream, Note: change.After}) {
+		p.recorder.notificationDropped()
 	}
 }
 
-// told takes what another process knows of a limit.
-func (p *Process) told(named ratelimit.Named, from source, peer netip.AddrPort) {
+// applyLimit applies a limit received from another process.
+func (p *Process) applyLimit(named ratelimit.Named, from source, peer netip.AddrPort) {
 	var change ratelimit.Change
-	p.limits.do(func(table *ratelimit.Table, now time.Time) {
+	p.limits.withTable(func(table *ratelimit.Table, now time.Time) {
 		change = table.Told(named.Upstream, named.Note, now)
 	})
-	p.limitChanged(limitNews{upstream: named.Upstream, change: change, from: from, peer: peer})
+	p.limitChanged(limitUpdate{upstream: named.Upstream, change: change, from: from, peer: peer})
 }
 
-// limitChanged acts on what changed: an upstream is looked at again before its time, because
-// it may take more now.
-func (p *Process) limitChanged(news limitNews) {
-	if !news.change.Changed {
+// limitChanged logs a changed limit and makes the upstream eligible again at once, since it may
+// accept more now.
+func (p *Process) limitChanged(update limitUpdate) {
+	if !update.change.Changed {
 		return
 	}
-	p.recorder.limitChanged(news)
-	p.pool.Hold(news.upstream.ID, 0)
+	p.recorder.limitChanged(update)
+	p.pool.Hold(update.upstream.ID, 0)
 }
 
-// allow asks for this router's share of the limit of an upstream at which no loader counts.
-func (p *Process) allow(upstream *provider.Upstream, door dispatch.Door) (wait time.Duration, ok bool) {
+// allowSend takes one request from this router's share of the limit of an upstream whose loader
+// does not count requests. If the share is used up, it returns how long to wait.
+func (p *Process) allowSend(upstream *provider.Upstream, path dispatch.Door) (wait time.Duration, ok bool) {
 	share := ratelimit.PastLoader
-	if door == dispatch.DoorOwn {
+	if path == dispatch.DoorOwn {
 		share = ratelimit.Without
 	}
 	share = share.Among(p.routerCount())
-	p.limits.do(func(table *ratelimit.Table, now time.Time) {
-		if cold := p.coldness(upstream, now); cold != nil {
-			p.limits.warming.Told(startOf(upstream), *cold, now)
+	p.limits.withTable(func(table *ratelimit.Table, now time.Time) {
+		if cold := p.coldLimit(upstream, now); cold != nil {
+			p.limits.coldLimiter.Told(instanceOf(upstream), *cold, now)
 		}
-		if wait, ok = p.limits.warming.Allow(startOf(upstream), share, now); ok {
-			wait, ok = table.Allow(startOf(upstream), share, now)
+		if wait, ok = p.limits.coldLimiter.Allow(instanceOf(upstream), share, now); ok {
+			wait, ok = table.Allow(instanceOf(upstream), share, now)
 		}
 	})
 	if !ok {
-		p.recorder.limitDenied(door)
+		p.recorder.limitDenied(path)
 	}
 	return wait, ok
 }
 
-// coldness returns that an upstream is cold, nil where it is not, or where its service does
-// not say what it carries then.
-func (p *Process) coldness(upstream *provider.Upstream, now time.Time) *ratelimit.Cold {
-	left := upstream.Cold(now)
-	if left == 0 {
+// coldLimit returns the limit of a cold upstream. It is nil if the upstream is not cold or its
+// service declares no rate for cold upstreams.
+func (p *Process) coldLimit(upstream *provider.Upstream, now time.Time) *ratelimit.Cold {
+	remaining := upstream.Cold(now)
+	if remaining == 0 {
 		return nil
 	}
 	service := p.compiler.View().Service(upstream.Service)
 	if service == nil || service.ColdRate <= 0 {
 		return nil
 	}
-	return &ratelimit.Cold{PerSecond: service.ColdRate, Left: left}
+	return &ratelimit.Cold{PerSecond: service.ColdRate, Left: remaining}
 }
 
-// routerCount is how many routers there are, this one and those that only its settings name
-// among them.
+// routerCount returns the number of routers, including this one and those known only from the
+// settings.
 func (p *Process) routerCount() int {
 	return max(len(p.compiler.View().Members), len(p.current.Load().Seeds)+1)
 }
 
-// errNotCounted says that a loader gave a place without counting it, because it is of a version
-// that knows no limits.
-var errNotCounted = errors.New("the loader does not know of the engine's limit")
+// errLimitNotEnforced reports that a loader granted a place without counting it against the
+// limit, because its version predates limits.
+var errLimitNotEnforced = errors.New("the loader does not support the engine's limit")
 
-// askPlace asks the loader beside an engine for a place there, tells it what this router knows
-// of the engine's limit, and learns what it knows.
-func (p *Process) askPlace(ctx context.Context, engine *provider.Upstream, limit places.Limit) (places.Load, bool, error) {
-	upstream := startOf(engine)
-	question := places.Question{Limit: limit, Engine: ratelimit.Upstream{ID: upstream.ID, Started: upstream.Started}}
-	p.limits.do(func(table *ratelimit.Table, now time.Time) {
+// requestPlace asks the loader beside an engine for a place there. The query carries the limit
+// that this router holds for the engine, and the answer the limit that the loader holds.
+func (p *Process) requestPlace(ctx context.Context, engine *provider.Upstream, limit places.Limit) (places.Load, bool, error) {
+	upstream := instanceOf(engine)
+	query := places.Question{Limit: limit, Engine: ratelimit.Upstream{ID: upstream.ID, Started: upstream.Started}}
+	p.limits.withTable(func(table *ratelimit.Table, now time.Time) {
 		if note, known := table.Known(upstream, now); known {
-			question.Known = &note
+			query.Known = &note
 		}
-		question.Cold = p.coldness(engine, now)
+		query.Cold = p.coldLimit(engine, now)
 	})
 	loader := netip.AddrPortFrom(engine.Address.Addr(), p.current.Load().LoaderPort)
-	answer, err := p.asker.Ask(ctx, loader, question)
+	answer, err := p.placeClient.Ask(ctx, loader, query)
 	switch {
 	case err != nil:
 		return answer.Load, false, err
 	case answer.Limit != nil:
-		p.told(ratelimit.Named{Upstream: upstream, Note: *answer.Limit}, sourceLoader, loader)
-	case question.Known != nil && !question.Known.Ended:
-		return answer.Load, false, errNotCounted
+		p.applyLimit(ratelimit.Named{Upstream: upstream, Note: *answer.Limit}, sourceLoader, loader)
+	case query.Known != nil && !query.Known.Ended:
+		return answer.Load, false, errLimitNotEnforced
 	}
 	if answer.Wait > 0 {
 		p.recorder.limitDenied(dispatch.DoorLoader)
@@ -149,39 +149,40 @@
 	return answer.Load, answer.Given, nil
 }
 
-// newLimitTeller prepares the telling of other routers.
-func (p *Process) newLimitTeller(client *http.Client) *evidence.Teller[ratelimit.Named] {
+// newLimitNotifier prepares the notification of other routers about limits.
+func (p *Process) newLimitNotifier(client *http.Client) *evidence.Teller[ratelimit.Named] {
 	return &evidence.Teller[ratelimit.Named]{
-		Client: client, Path: evidence.LimitsPath, Peers: p.otherRouters, Peer: p.peer, OnFailed: p.recorder.routerNotTold,
-		Take: func(all []ratelimit.Named, peer netip.AddrPort) { p.takeLimits(all, sourceAnswer, peer) },
+		Client: client, Path: evidence.LimitsPath, Peers: p.otherRouters, Peer: p.choosePeer, OnFailed: p.recorder.notificationFailed,
+		Take: func(all []ratelimit.Named, peer netip.AddrPort) { p.applyLimits(all, sourceAnswer, peer) },
 	}
 }
 
-func (p *Process) takeLimits(all []ratelimit.Named, from source, peer netip.AddrPort) {
+func (p *Process) applyLimits(all []ratelimit.Named, from source, peer netip.AddrPort) {
 	for _, named := range all {
-		p.told(named, from, peer)
+		p.applyLimit(named, from, peer)
 	}
 }
 
-// limitPages hands out the limits that are known, and takes what others tell.
-func (p *Process) limitPages(pages *bunrouter.Router) {
+// addLimitRoutes adds the routes on which this router serves its limits and receives those of
+// other routers.
+func (p *Process) addLimitRoutes(routes *bunrouter.Router) {
 	known := &evidence.Known[ratelimit.Named]{
-		All: p.allLimits, Of: p.limitsOf,
-		Take: func(all []ratelimit.Named) { p.takeLimits(all, sourceRouter, netip.AddrPort{}) },
+		All: p.allLimits, Of: p.knownLimits,
+		Take: func(all []ratelimit.Named) { p.applyLimits(all, sourceRouter, netip.AddrPort{}) },
 	}
-	pages.Compat().GET(evidence.LimitsPath, known.ServeAll)
-	pages.Compat().POST(evidence.LimitsPath, known.ServeTold)
+	routes.Compat().GET(evidence.LimitsPath, known.ServeAll)
+	routes.Compat().POST(evidence.LimitsPath, known.ServeTold)
 }
 
 func (p *Process) allLimits() (all []ratelimit.Named) {
-	p.limits.do(func(table *ratelimit.Table, now time.Time) { all = table.All(now) })
+	p.limits.withTable(func(table *ratelimit.Table, now time.Time) { all = table.All(now) })
 	return all
 }
 
-// limitsOf returns what is known of the upstreams of some notes.
-func (p *Process) limitsOf(notes []ratelimit.Named) []ratelimit.Named {
+// knownLimits returns the limits that this router holds for the upstreams of some notes.
+func (p *Process) knownLimits(notes []ratelimit.Named) []ratelimit.Named {
 	var known []ratelimit.Named
-	p.limits.do(func(table *ratelimit.Table, now time.Time) {
+	p.limits.withTable(func(table *ratelimit.Table, now time.Time) {
 		for _, named := range notes {
 			if note, ok := table.Known(named.Upstream, now); ok {
 				known = append(known, ratelimit.Named{Upstream: named.Upstream, Note: note})
@@ -191,12 +192,13 @@
 	return known
 }
 
-// limitNews is a change of what is known of a limit, and whence it came.
-type limitNews struct {
+// limitUpdate is a change of a limit and its origin.
+type limitUpdate struct {
 	upstream ratelimit.Upstream
 	change   ratelimit.Change
 	from     source
-	// peer is who told, and request the own one whose answer named it, where that is known.
+	// peer is the process that sent the update, and request the ID of the request whose answer
+	// carried the limit. Both are optional.
 	peer    netip.AddrPort
 	request string
 }
--- a/daemon/router/serving.go
+++ b/daemon/router/listeners.go
@@ -16,8 +16,7 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/holding"
 )
 
-// This file puts together what callers, the balancer, other daemons and operators reach.
-
+// listen opens the listeners for callers, the load balancer, other daemons and operators.
 func (p *Process) listen() error {
 	listens := []struct {
 		server  **server.Server
@@ -26,9 +25,9 @@
 		{&p.callers, server.Options{
 			Name: "callers", Address: p.current.Load().Listen.Callers, Handler: p.dispatcher(), MaxHeaderBytes: maxHeaderBytes,
 		}},
-		{&p.ready, server.Options{Name: "readiness", Address: p.current.Load().Listen.Ready, Handler: p.readyPages()}},
-		{&p.peers, server.Options{Name: "peers", Address: p.current.Load().Listen.Peers, Handler: p.peerPages()}},
-		{&p.metrics, server.Options{Name: "metrics", Address: p.current.Load().Listen.Metrics, Handler: p.metricsPages()}},
+		{&p.ready, server.Options{Name: "readiness", Address: p.current.Load().Listen.Ready, Handler: p.readinessHandler()}},
+		{&p.peers, server.Options{Name: "peers", Address: p.current.Load().Listen.Peers, Handler: p.peerHandler()}},
+		{&p.metrics, server.Options{Name: "metrics", Address: p.current.Load().Listen.Metrics, Handler: p.metricsHandler()}},
 	}
 	for _, l := range listens {
 		s, err := server.Listen(l.options)
@@ -40,10 +39,12 @@
 	return nil
 }
 
+// dispatcher connects request handling to the replica, the pool of upstreams, the rate limits and
+// the quarantine.
 func (p *Process) dispatcher() *dispatch.Dispatcher {
 	bounds := p.current.Load().Bounds
-	connect := dial.Within(upstreamConnect, p.options.Dial)
-	p.toUpstreams = dial.NewHostTransport(connect, upstreamIdle)
+	connect := dial.Within(upstreamConnectTimeout, p.options.Dial)
+	p.upstreamTransport = dial.NewHostTransport(connect, upstreamIdleTimeout)
 	p.budget = &dispatch.Budget{
 		Ratio: bounds.RetryRatio, Slack: bounds.RetrySlack, Window: bounds.RetryWindow.Std(),
 		Processes: func() int { return max(len(p.compiler.View().Members), len(p.current.Load().Seeds)) },
@@ -52,34 +53,34 @@
 		Headers: p.provider.Headers,
 		Client: &exchange.Client{
 			Headers: p.provider.Headers,
-			Kept:    p.toUpstreams,
+			Kept:    p.upstreamTransport,
 			Fresh:   dial.NewHostTransport(connect, 0),
 		},
-		Pool: p.pool, Budget: p.budget, Pace: &dispatch.Pace{}, Callers: &admission.Callers{}, View: p.compiler.View, Stale: p.silent,
-		Holding: holding.Budget{Most: p.holdMost()},
+		Pool: p.pool, Budget: p.budget, Pace: &dispatch.Pace{}, Callers: &admission.Callers{}, View: p.compiler.View, Stale: p.isStale,
+		Holding: holding.Budget{Most: p.maxHeldBytes()},
 		Region:  func(hall string) string { return p.current.Load().RegionOf(hall) },
-		Demand:  p.demand, Report: p.recorder.request, AskPlace: p.askPlace, Broke: p.broke,
-		Heard: p.heard, Allow: p.allow,
-		Admit: p.admitContent, Judge: p.suspects.judge, Whole: p.answeredWhole, Over: p.over,
+		Demand:  p.demand, Report: p.recorder.request, AskPlace: p.requestPlace, Broke: p.connectionBroke,
+		Heard: p.limitReported, Allow: p.allowSend,
+		Admit: p.admitContent, Judge: p.suspects.verdict, Whole: p.contentCompleted, Over: p.drainExpired,
 	}
 }
 
-// holdMost is how many bytes may be held for slow callers: a part of the process's memory, and
-// no bound where that is not known.
-func (p *Process) holdMost() int64 {
-	const parts, megabyte = 4, 1 << 20
-	return int64(p.current.Load().Bounds.MemoryMB) * megabyte / parts
+// maxHeldBytes returns how many bytes of answers may be buffered for slow callers: a quarter of
+// the memory limit, or 0 for no bound where that is not set.
+func (p *Process) maxHeldBytes() int64 {
+	const divisor, megabyte = 4, 1 << 20
+	return int64(p.current.Load().Bounds.MemoryMB) * megabyte / divisor
 }
 
-// demand says on which versions of a model requests may run.
+// demand returns the versions of a model on which requests may run.
 func (p *Process) demand(declared *mirror.Declared) mirror.Demand {
 	return declared.Demand(clock.Now(), p.current.Load().Bounds.VersionApply.Std())
 }
 
-// readyPages answers the balancer: ready while a configuration is known and no
-// stop has begun. The store's silence is no reason to leave, because then all
-// routers would.
-func (p *Process) readyPages() http.Handler {
+// readinessHandler reports ready while a configuration is loaded and the router is not draining.
+// An unreachable store does not make a router unready, since it would make all of them unready at
+// once.
+func (p *Process) readinessHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if p.draining.Load() || p.compiler.View().Configuration == nil {
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -89,17 +90,19 @@
 	})
 }
 
-func (p *Process) peerPages() http.Handler {
-	pages := bunrouter.New()
-	copies := &peering.Source{Table: p.table, Standing: p.follower.Standing}
-	pages.Compat().GET(peering.Path, copies.ServeHTTP)
-	pages.Compat().GET(peering.EnginePath, peering.EngineHandler(p.compiler.View))
-	p.suspectPages(pages)
-	p.limitPages(pages)
-	return pages
+// peerHandler serves other daemons: the replica, the needs of engines, suspect contents and rate
+// limits.
+func (p *Process) peerHandler() http.Handler {
+	routes := bunrouter.New()
+	replica := &peering.Source{Table: p.table, Standing: p.follower.Standing}
+	routes.Compat().GET(peering.Path, replica.ServeHTTP)
+	routes.Compat().GET(peering.EnginePath, peering.EngineHandler(p.compiler.View))
+	p.addSuspectRoutes(routes)
+	p.addLimitRoutes(routes)
+	return routes
 }
 
-func (p *Process) metricsPages() http.Handler {
+func (p *Process) metricsHandler() http.Handler {
 	mux := http.NewServeMux()
 	p.telemetry.Pages(mux)
 	return mux
--- a/daemon/router/recorder.go
+++ b/daemon/router/recorder.go
@@ -22,15 +22,15 @@
 )
 
 const (
-	// servedLines and failedLines bound the lines a second about requests.
-	// Failures have a bound of their own, so that success never hides them.
-	servedLines = 100
-	failedLines = 200
-	// limitLines is the same about the limits that upstreams name.
-	limitLines = 20
+	// maxServedLines and maxFailedLines bound the log lines a second about requests. Failures
+	// have a bound of their own, so that successes never suppress them.
+	maxServedLines = 100
+	maxFailedLines = 200
+	// maxLimitLines bounds the log lines a second about rate limits.
+	maxLimitLines = 20
 )
 
-// fieldDecision names the kind of decision that a line tells.
+// fieldDecision is the log field that names the kind of decision.
 const fieldDecision = "decision"
 
 // recorder writes the router's log lines and metrics.
@@ -39,88 +39,89 @@
 	log            *log.Entry
 	scope          tally.Scope
 	served, failed *rate.Limiter
-	// limits bounds the lines on limits, which may change with each answer.
+	// limits bounds the lines about rate limits, which may change with each answer.
 	limits  *rate.Limiter
 	latency tally.Histogram
-	// leftOut counts the lines that the bounds kept back since telling said so.
-	leftOut atomic.Int64
-	telling *rate.Limiter
+	// suppressed counts the lines dropped by these bounds since the last notice, and
+	// suppressedNotices bounds the notices.
+	suppressed        atomic.Int64
+	suppressedNotices *rate.Limiter
 }
 
 func newRecorder(t *telemetry.Telemetry) *recorder {
 	const buckets, first, factor = 16, 5 * time.Millisecond, 1.7
 	return &recorder{
 		telemetry: t, log: t.Log, scope: t.Scope,
-		served:  rate.NewLimiter(servedLines, servedLines),
-		failed:  rate.NewLimiter(failedLines, failedLines),
-		telling: rate.NewLimiter(1, 1),
-		limits:  rate.NewLimiter(limitLines, limitLines),
-		latency: t.Scope.Histogram("request_first_byte_seconds", tally.MustMakeExponentialDurationBuckets(first, factor, buckets)),
+		served:            rate.NewLimiter(maxServedLines, maxServedLines),
+		failed:            rate.NewLimiter(maxFailedLines, maxFailedLines),
+		suppressedNotices: rate.NewLimiter(1, 1),
+		limits:            rate.NewLimiter(maxLimitLines, maxLimitLines),
+		latency:           t.Scope.Histogram("request_first_byte_seconds", tally.MustMakeExponentialDurationBuckets(first, factor, buckets)),
 	}
 }
 
-// request writes one line for a request that ended.
-func (r *recorder) request(story *dispatch.Story) {
-	r.count(story)
+// request logs the end of a request.
+func (r *recorder) request(trace *dispatch.Story) {
+	r.count(trace)
 	limiter := r.failed
-	if story.Outcome == dispatch.EndServed && len(story.Tries) < 2 {
+	if trace.Outcome == dispatch.EndServed && len(trace.Tries) < 2 {
 		limiter = r.served
 	}
 	if !limiter.Allow() {
 		r.scope.Counter("request_lines_left_out").Inc(1)
-		r.leftOut.Add(1)
+		r.suppressed.Add(1)
 		return
 	}
-	r.tellLeftOut()
+	r.logSuppressed()
 	fields := log.Fields{
-		fieldDecision: "route", "request": story.ID, "route": story.Route, "service": story.Service, "account": story.Account,
-		"outcome": story.Outcome, "status": story.Status, "tries": story.Tries, "configuration": story.Configuration,
-		"took": clock.Since(story.Started).Round(time.Microsecond).String(),
+		fieldDecision: "route", "request": trace.ID, "route": trace.Route, "service": trace.Service, "account": trace.Account,
+		"outcome": trace.Outcome, "status": trace.Status, "tries": trace.Tries, "configuration": trace.Configuration,
+		"took": clock.Since(trace.Started).Round(time.Microsecond).String(),
 	}
-	if !story.FirstByte.IsZero() {
-		fields["firstByte"] = story.FirstByte.Sub(story.Started).Round(time.Microsecond).String()
+	if !trace.FirstByte.IsZero() {
+		fields["firstByte"] = trace.FirstByte.Sub(trace.Started).Round(time.Microsecond).String()
 	}
-	if len(story.Tries) > 1 || story.Outcome != dispatch.EndServed {
-		fields["content"] = story.Content
+	if len(trace.Tries) > 1 || trace.Outcome != dispatch.EndServed {
+		fields["content"] = trace.Content
 	}
-	if len(story.Asked) > 0 {
-		fields["asked"] = story.Asked
+	if len(trace.Asked) > 0 {
+		fields["asked"] = trace.Asked
 	}
-	if story.Cause != "" {
-		fields["reason"] = story.Cause
-		fields["budgetLeft"] = math.Round(story.BudgetLeft)
+	if trace.Cause != "" {
+		fields["reason"] = trace.Cause
+		fields["budgetLeft"] = math.Round(trace.BudgetLeft)
 	}
-	if story.Stale {
+	if trace.Stale {
 		fields["stale"] = true
 	}
-	if story.Returned {
+	if trace.Returned {
 		fields["returned"] = true
 	}
-	if story.Left > 0 {
-		fields["left"] = story.Left.Round(time.Millisecond).String()
+	if trace.Left > 0 {
+		fields["left"] = trace.Left.Round(time.Millisecond).String()
 	}
-	if story.RetryAfter > 0 {
-		fields["retryAfter"] = story.RetryAfter.Round(time.Millisecond).String()
+	if trace.RetryAfter > 0 {
+		fields["retryAfter"] = trace.RetryAfter.Round(time.Millisecond).String()
 	}
 	r.log.WithFields(fields).Info("request ended")
 }
 
-// broke writes one line for a send whose connection broke: whether the upstream itself
-// ended, and the content that ran there, by which requests are known again.
-func (r *recorder) broke(b dispatch.Break, ended bool) {
-	r.scope.Tagged(map[string]string{"ended": strconv.FormatBool(ended)}).Counter("connections_broke").Inc(1)
+// connectionBroke logs a broken connection to an upstream: whether the upstream crashed, and the
+// content that ran there, which identifies retries of the same request.
+func (r *recorder) connectionBroke(b dispatch.Break, crashed bool) {
+	r.scope.Tagged(map[string]string{"ended": strconv.FormatBool(crashed)}).Counter("connections_broke").Inc(1)
 	if !r.failed.Allow() {
-		r.leftOut.Add(1)
+		r.suppressed.Add(1)
 		return
 	}
 	r.log.WithFields(log.Fields{
 		fieldDecision: "witness", "request": b.Request, "content": b.Content, "upstream": b.Upstream.ID,
-		"address": b.Upstream.Address, "ended": ended, "after": b.After.Round(time.Millisecond).String(),
+		"address": b.Upstream.Address, "ended": crashed, "after": b.After.Round(time.Millisecond).String(),
 	}).Info("connection to upstream broke")
 }
 
-// verdict writes one line when it changes what may be done with a content.
-func (r *recorder) verdict(c change, from source, peer netip.AddrPort) {
+// verdict logs a changed verdict on a content.
+func (r *recorder) verdict(c verdictChange, from source, peer netip.AddrPort) {
 	r.scope.Tagged(map[string]string{"verdict": c.after.String()}).Counter("content_verdicts").Inc(1)
 	fields := log.Fields{
 		fieldDecision: "quarantine", "content": c.known.Content, "verdict": c.after.String(), "before": c.before.String(),
@@ -137,65 +138,65 @@
 	entry.Info("verdict on a content changed")
 }
 
-// verdictNotKept writes one line where a verdict could not be put into the store: routers
-// that start later hear of it from others only.
-func (r *recorder) verdictNotKept(name content.Name, err error) {
-	r.log.WithFields(log.Fields{"content": name, "reason": err.Error()}).Warn("verdict on a content not kept in the store")
+// verdictNotPersisted logs that a verdict could not be written to the store. Routers that start
+// later receive it only from other routers.
+func (r *recorder) verdictNotPersisted(name content.Name, err error) {
+	r.log.WithFields(log.Fields{"content": name, "reason": err.Error()}).Warn("cannot write verdict on a content to the store")
 }
 
-// routerNotTold writes one line where another router did not hear of an end or a limit. It
-// does with its own next one.
-func (r *recorder) routerNotTold(peer netip.AddrPort, err error) {
+// notificationFailed logs that another router did not receive a note on a crash or a limit. That
+// router receives it with the answer to its own next notification.
+func (r *recorder) notificationFailed(peer netip.AddrPort, err error) {
 	r.scope.Counter("routers_not_told").Inc(1)
 	if !r.failed.Allow() {
-		r.leftOut.Add(1)
+		r.suppressed.Add(1)
 		return
 	}
-	r.log.WithFields(log.Fields{"dependency": "router", "peer": peer, "reason": err.Error()}).Warn("router not told of what upstreams did")
+	r.log.WithFields(log.Fields{"dependency": "router", "peer": peer, "reason": err.Error()}).Warn("cannot notify router of crashes and limits of upstreams")
 }
 
-// notTold counts a note that was one too many to be told.
-func (r *recorder) notTold() { r.scope.Counter("notes_not_told").Inc(1) }
+// notificationDropped counts a note that was dropped because the queue of the notifier was full.
+func (r *recorder) notificationDropped() { r.scope.Counter("notes_not_told").Inc(1) }
 
-// limitSaid counts what answers say of limits, and writes a line for what cannot be read.
-func (r *recorder) limitSaid(heard dispatch.Heard) {
-	if heard.Said.Kind == ratelimit.Limited {
+// limitReported counts answers that carry a limit, and logs limits that cannot be parsed.
+func (r *recorder) limitReported(report dispatch.Heard) {
+	if report.Said.Kind == ratelimit.Limited {
 		r.scope.Counter("answers_naming_limits").Inc(1)
 	}
-	if heard.Said.Unread == "" {
+	if report.Said.Unread == "" {
 		return
 	}
 	r.scope.Counter("limits_unread").Inc(1)
 	if !r.limits.Allow() {
-		r.leftOut.Add(1)
+		r.suppressed.Add(1)
 		return
 	}
 	r.log.WithFields(log.Fields{
-		"request": heard.Request, "upstream": heard.Upstream.ID, "address": heard.Upstream.Address, "limit": heard.Said.String(),
-	}).Warn("limit of an upstream not read, the last good one stays")
+		"request": report.Request, "upstream": report.Upstream.ID, "address": report.Upstream.Address, "limit": report.Said.String(),
+	}).Warn("cannot parse limit of an upstream; keeping the last valid one")
 }
 
-// limitChanged writes one line when this router knows another limit of an upstream.
-func (r *recorder) limitChanged(news limitNews) {
-	r.scope.Tagged(map[string]string{"from": string(news.from)}).Counter("limits_changed").Inc(1)
+// limitChanged logs a changed limit of an upstream.
+func (r *recorder) limitChanged(update limitUpdate) {
+	r.scope.Tagged(map[string]string{"from": string(update.from)}).Counter("limits_changed").Inc(1)
 	if !r.limits.Allow() {
-		r.leftOut.Add(1)
+		r.suppressed.Add(1)
 		return
 	}
 	fields := log.Fields{
-		fieldDecision: "limit", "upstream": news.upstream.ID, "address": news.upstream.Address,
-		"limit": limitText(news.change.After), "before": limitText(news.change.Before), "from": news.from,
+		fieldDecision: "limit", "upstream": update.upstream.ID, "address": update.upstream.Address,
+		"limit": limitText(update.change.After), "before": limitText(update.change.Before), "from": update.from,
 	}
-	if news.peer.IsValid() {
-		fields["peer"] = news.peer
+	if update.peer.IsValid() {
+		fields["peer"] = update.peer
 	}
-	if news.request != "" {
-		fields["request"] = news.request
+	if update.request != "" {
+		fields["request"] = update.request
 	}
 	r.log.WithFields(fields).Info("limit of an upstream changed")
 }
 
-// limitText is a limit in requests a second of all routers, or "none".
+// limitText formats a limit, in requests a second of all routers, or "none".
 func limitText(note ratelimit.Note) string {
 	if note.Ended {
 		return "none"
@@ -203,52 +204,52 @@
 	return strconv.FormatFloat(note.PerSecond, 'g', -1, 64)
 }
 
-// limitDenied counts requests that went elsewhere because an upstream's limit was used up.
-func (r *recorder) limitDenied(door dispatch.Door) {
-	r.scope.Tagged(map[string]string{"by": string(door)}).Counter("limit_denied").Inc(1)
+// limitDenied counts requests turned away because an upstream's limit was used up.
+func (r *recorder) limitDenied(path dispatch.Door) {
+	r.scope.Tagged(map[string]string{"by": string(path)}).Counter("limit_denied").Inc(1)
 }
 
-// tellLeftOut writes, once a second at most, how many lines were left out, so
-// that whoever looks for one knows why it may not be there.
-func (r *recorder) tellLeftOut() {
-	if r.leftOut.Load() == 0 || !r.telling.Allow() {
+// logSuppressed logs, at most once a second, how many lines were dropped, so that a missing line
+// is explained.
+func (r *recorder) logSuppressed() {
+	if r.suppressed.Load() == 0 || !r.suppressedNotices.Allow() {
 		return
 	}
-	r.log.WithField("count", r.leftOut.Swap(0)).Warn("request lines left out")
+	r.log.WithField("count", r.suppressed.Swap(0)).Warn("request lines left out")
 }
 
-func (r *recorder) count(story *dispatch.Story) {
-	r.scope.Tagged(map[string]string{"outcome": string(story.Outcome)}).Counter("requests").Inc(1)
-	if len(story.Tries) > 1 {
-		r.scope.Counter("second_sends").Inc(int64(len(story.Tries) - 1))
+func (r *recorder) count(trace *dispatch.Story) {
+	r.scope.Tagged(map[string]string{"outcome": string(trace.Outcome)}).Counter("requests").Inc(1)
+	if len(trace.Tries) > 1 {
+		r.scope.Counter("second_sends").Inc(int64(len(trace.Tries) - 1))
 	}
-	for _, try := range story.Tries {
+	for _, try := range trace.Tries {
 		if try.BrokenBy != "" {
 			r.scope.Tagged(map[string]string{"by": string(try.BrokenBy)}).Counter("sends_broken").Inc(1)
 		}
 	}
-	if !story.FirstByte.IsZero() {
-		r.latency.RecordDuration(story.FirstByte.Sub(story.Started))
+	if !trace.FirstByte.IsZero() {
+		r.latency.RecordDuration(trace.FirstByte.Sub(trace.Started))
 	}
 }
 
-// belief writes one line for a change of what this router believes.
-func (r *recorder) belief(belief mirror.Belief) {
+// entryApplied logs a change of the replica, or an entry that was rejected.
+func (r *recorder) entryApplied(change mirror.Belief) {
 	fields := log.Fields{
-		fieldDecision: "believe", "key": belief.Entry.Key, "revision": belief.Entry.Revision, "bytes": len(belief.Entry.Value),
+		fieldDecision: "believe", "key": change.Entry.Key, "revision": change.Entry.Revision, "bytes": len(change.Entry.Value),
 	}
-	record := belief.Record
+	record := change.Record
 	switch {
-	case belief.Err != nil:
-		fields["reason"] = belief.Err.Error()
-		if belief.Dropped {
+	case change.Err != nil:
+		fields["reason"] = change.Err.Error()
+		if change.Dropped {
 			r.scope.Counter("entries_dropped").Inc(1)
-			r.log.WithFields(fields).Error("entry not taken, what it named is not used any more")
+			r.log.WithFields(fields).Error("invalid store entry; removed what it declared before")
 			return
 		}
-		r.log.WithFields(fields).Error("entry not taken, the last good one stays")
+		r.log.WithFields(fields).Error("invalid store entry; keeping the last valid one")
 		return
-	case belief.Entry.Gone:
+	case change.Entry.Gone:
 		fields["gone"] = true
 	case record.Configuration != nil:
 		fields["version"] = record.Configuration.Version
@@ -273,24 +274,24 @@
 	r.log.WithFields(fields).Info("belief changed")
 }
 
-// contact writes one line when the store is lost or answers again.
-func (r *recorder) contact(prefix string, lost error) {
+// storeContact logs that the store was lost or is reachable again.
+func (r *recorder) storeContact(prefix string, lost error) {
 	r.telemetry.Contact(prefix, lost)
 	if lost != nil {
 		r.scope.Counter("store_lost").Inc(1)
 	}
 }
 
-// storeBytes counts what the store sent, also of answers that were given up.
+// storeBytes counts bytes received from the store, including those of aborted answers.
 func (r *recorder) storeBytes(bytes int) { r.scope.Counter("store_bytes").Inc(int64(bytes)) }
 
-// pulled writes one line when a peer had news, or could not be asked.
-func (r *recorder) pulled(peer netip.AddrPort, fresh int, err error) {
+// peerPulled logs the updates received from a peer, or a failed query.
+func (r *recorder) peerPulled(peer netip.AddrPort, fresh int, err error) {
 	r.scope.Counter("peer_pulls").Inc(1)
 	fields := log.Fields{"dependency": "peer", "peer": peer, "entries": fresh}
 	if err != nil {
 		fields["reason"] = err.Error()
-		r.log.WithFields(fields).Warn("peer not asked")
+		r.log.WithFields(fields).Warn("cannot query peer")
 		return
 	}
 	if fresh > 0 {
@@ -298,8 +299,7 @@
 	}
 }
 
-// suspended writes one line when the host was suspended: what this router believed is older
-// by that.
+// suspended logs a suspension of the host, during which the replica received no updates.
 func (r *recorder) suspended(took time.Duration) {
 	r.scope.Counter("suspensions").Inc(1)
 	r.log.WithField("for", took.Round(time.Millisecond).String()).Warn("the host was suspended")
@@ -319,9 +319,9 @@
 	r.log.Info("stopped")
 }
 
-func (r *recorder) reloaded(refused string, taken bool) {
-	if !taken {
-		r.log.WithField("reason", refused).Error("changed settings not taken, the last good ones stay")
+func (r *recorder) reloaded(reason string, accepted bool) {
+	if !accepted {
+		r.log.WithField("reason", reason).Error("changed settings rejected; keeping those in force")
 		return
 	}
 	r.log.Info("settings reloaded")
--- a/daemon/router/recorder_test.go
+++ b/daemon/router/recorder_test.go
@@ -12,20 +12,20 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/dispatch"
 )
 
-// TestFailuresAreNotHiddenBySuccess: lines about served requests are bounded,
-// those about failures have a bound of their own, and what is left out is said.
-func TestFailuresAreNotHiddenBySuccess(t *testing.T) {
+// TestFailureLinesAreNotSuppressedBySuccesses guards against losing failures in a flood of served
+// requests, and expects a notice of the suppressed lines.
+func TestFailureLinesAreNotSuppressedBySuccesses(t *testing.T) {
 	var lines bytes.Buffer
-	made, err := telemetry.New(telemetry.Options{Level: "info", Output: &lines})
+	tele, err := telemetry.New(telemetry.Options{Level: "info", Output: &lines})
 	require.NoError(t, err)
-	defer made.Close()
-	r := newRecorder(made)
-	for range 3 * servedLines {
+	defer tele.Close()
+	r := newRecorder(tele)
+	for range 3 * maxServedLines {
 		r.request(&dispatch.Story{ID: "served", Started: time.Now(), Outcome: dispatch.EndServed})
 	}
 	r.request(&dispatch.Story{ID: "failed", Started: time.Now(), Outcome: dispatch.EndUnknown})
 	text := lines.String()
-	assert.Less(t, bytes.Count(lines.Bytes(), []byte(`"served"`)), 4*servedLines)
+	assert.Less(t, bytes.Count(lines.Bytes(), []byte(`"served"`)), 4*maxServedLines)
 	assert.Contains(t, text, `"request":"failed"`)
 	assert.Contains(t, text, `"message":"request lines left out"`)
 	assert.Equal(t, 1, bytes.Count(lines.Bytes(), []byte("left out")), "once a second at most")
--- /dev/null
+++ b/daemon/router/replication.go
@@ -0,0 +1,147 @@
+package router
+
+import (
+	"net/netip"
+	"slices"
+	"time"
+
+	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/peering"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/readers"
+	"github.com/wheelcleat/wheelcleat/daemon/provider"
+)
+
+const (
+	// storePollInterval is how often a router that reads the store checks that it is reachable.
+	// It is shorter than the time after which its followers take it for stale.
+	storePollInterval = time.Second
+	// settlePerRouter is the pause after a change of the store for each router of the fleet,
+	// within minSettleDelay and maxSettleDelay. In a large fleet some upstream changes all the
+	// time, and without the pause every reader would call the store for each change.
+	settlePerRouter = 20 * time.Millisecond
+	minSettleDelay  = 150 * time.Millisecond
+	maxSettleDelay  = 500 * time.Millisecond
+	// storeResponseSlack is how late an answer of the store may be before peers are queried, and
+	// before an unknown key or route is no longer a final refusal.
+	storeResponseSlack = 400 * time.Millisecond
+	// remotePeerOneIn is the share of peer queries that go to other halls, as one in so many.
+	// fullCopyRemoteOneIn is the same while the replica is empty, when each answer is a full
+	// copy.
+	remotePeerOneIn     = 4
+	fullCopyRemoteOneIn = 16
+)
+
+// neighbourToFollow returns the router of this hall to follow instead of the store, and false if
+// there is none.
+func (p *Process) neighbourToFollow(func(netip.AddrPort) bool) (netip.AddrPort, bool) {
+	mode, name := p.readMode()
+	member := p.compiler.View().Members[name]
+	if mode != readers.Follow || member == nil {
+		return netip.AddrPort{}, false
+	}
+	return member.Peers, true
+}
+
+// defersStoreRead reports whether this router leaves the store to other readers for now.
+func (p *Process) defersStoreRead() bool {
+	mode, _ := p.readMode()
+	return mode == readers.Hold
+}
+
+// readMode decides whether this router reads the store, waits, or follows the router that it
+// returns.
+func (p *Process) readMode() (readers.Course, string) {
+	var hall []readers.Router
+	for _, member := range p.hallMembers() {
+		hall = append(hall, readers.Router{Name: member.Name, LinkMbps: member.LinkMbps, State: p.neighbours.State(member.Peers)})
+	}
+	own := p.ownMember()
+	return readers.Decide(readers.Router{Name: own.Name, LinkMbps: own.LinkMbps}, hall, p.follower.Standing().Heard)
+}
+
+// hallMembers returns the known routers of this hall.
+func (p *Process) hallMembers() []*provider.Member {
+	var hall []*provider.Member
+	for _, member := range p.compiler.View().Members {
+		if member.Hall == p.current.Load().Hall {
+			hall = append(hall, member)
+		}
+	}
+	return hall
+}
+
+// hallDiscovered reports whether this router has a router to follow, or its own record is listed,
+// so that every router that announced itself earlier is listed too. A listing taken before that
+// misses most routers of a hall that is starting, and each of them would read the whole store.
+func (p *Process) hallDiscovered() bool {
+	_, listed := p.compiler.View().Members[p.current.Load().Name]
+	return listed || p.followsPeer()
+}
+
+// followsPeer reports whether this router follows another one of its hall.
+func (p *Process) followsPeer() bool {
+	mode, _ := p.readMode()
+	return mode == readers.Follow
+}
+
+// hasHallPeers reports whether this hall has more than one router, so that some follow others.
+func (p *Process) hasHallPeers() bool { return len(p.hallMembers()) > 1 }
+
+// settleDelay returns the pause after a change of the store.
+func (p *Process) settleDelay() time.Duration {
+	routers := len(p.compiler.View().Members)
+	return min(max(time.Duration(routers)*settlePerRouter, minSettleDelay), maxSettleDelay)
+}
+
+// staleAfter returns the age from which the replica counts as stale: a poll interval, a settle
+// delay and the slack of an answer, plus the wait of each hop for a router that may follow
+// others.
+func (p *Process) staleAfter() time.Duration {
+	after := storePollInterval + p.settleDelay() + storeResponseSlack
+	if p.hasHallPeers() {
+		hops := max(p.follower.Standing().Hops, 1)
+		after += time.Duration(hops) * peering.NewsWait
+	}
+	return after
+}
+
+// isStale reports whether the replica is empty or too old to refuse a request for good.
+func (p *Process) isStale() bool {
+	return !p.follower.Known() || p.follower.Age() > p.staleAfter()
+}
+
+// needsPeerPull reports whether a peer is to be queried for updates. The puller calls it a few
+// times a second.
+func (p *Process) needsPeerPull() bool {
+	p.checkSuspension()
+	return p.storeUnreachable()
+}
+
+// storeUnreachable reports whether no bytes have arrived from the store for too long. While a
+// long answer is in transit the replica may be stale, but the store is reachable.
+func (p *Process) storeUnreachable() bool {
+	return !p.follower.Known() || p.follower.Standing().Heard > p.staleAfter()
+}
+
+// choosePeer returns a router, of this hall or another, to query while the store is unreachable.
+func (p *Process) choosePeer() (netip.AddrPort, bool) {
+	own, hall := p.current.Load().Listen.Peers, p.current.Load().Hall
+	var local, remote []netip.AddrPort
+	for _, member := range p.compiler.View().Members {
+		switch {
+		case member.Peers == own:
+		case member.Hall == hall:
+			local = append(local, member.Peers)
+		default:
+			remote = append(remote, member.Peers)
+		}
+	}
+	for _, seed := range p.current.Load().Seeds {
+		if seed != own && !slices.Contains(local, seed) && !slices.Contains(remote, seed) {
+			remote = append(remote, seed)
+		}
+	}
+	if p.follower.At() == 0 {
+		return peering.Choose(local, remote, fullCopyRemoteOneIn)
+	}
+	return peering.Choose(local, remote, remotePeerOneIn)
+}
--- /dev/null
+++ b/daemon/router/replication_test.go
@@ -0,0 +1,59 @@
+package router_test
+
+import (
+	"fmt"
+	"net/http"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+
+	"github.com/wheelcleat/wheelcleat/daemon/settings"
+)
+
+// TestHallReadsEachChangeOnce guards against every router of a hall reading each change of the
+// store by itself, which saturates the hall's link and delays all other updates.
+func TestHallReadsEachChangeOnce(t *testing.T) {
+	const routers = 8
+	s := &environment{}
+	s.configure(baseConfiguration(1))
+	u := startUpstream(t, "u1", answerOK)
+	s.list(u.record())
+	var cfgs []settings.Router
+	for i := range routers {
+		cfgs = append(cfgs, startRouter(t, s, fmt.Sprintf("router-%d", i)))
+	}
+	await(t, "all routers list each other", func() bool {
+		for _, cfg := range cfgs {
+			if strings.Count(replicaOf(cfg), `"key":"m/`) < routers {
+				return false
+			}
+		}
+		return true
+	})
+	for version := uint64(2); version < 4; version++ {
+		s.readers.Clear()
+		configuration := baseConfiguration(version)
+		added := configuration.Routes[2]
+		added.Name = fmt.Sprintf("added-%d", version)
+		added.Prefix = "/" + added.Name + "/"
+		configuration.Routes = append(configuration.Routes, added)
+		s.configure(configuration)
+		await(t, "all routers serve the added route", func() bool {
+			for i, cfg := range cfgs {
+				id := fmt.Sprintf("id-%d-%d", version, i)
+				if call(t, cfg, id, "GET", added.Prefix+"x", "").status != http.StatusOK {
+					return false
+				}
+			}
+			return true
+		})
+	}
+	readers := 0
+	s.readers.Range(func(any, any) bool {
+		readers++
+		return true
+	})
+	// One router reads it. A second one may, if its neighbour answers late.
+	assert.LessOrEqual(t, readers, 2)
+}
--- a/daemon/router/residency_test.go
+++ b/daemon/router/residency_test.go
@@ -14,10 +14,10 @@
 	"github.com/wheelcleat/wheelcleat/daemon/settings"
 )
 
-// twoRegions is a store with an upstream in each of two halls, in two regions, and a router
-// in the first.
+// twoRegions is a store with one upstream in each of two halls, which are in different regions,
+// and a router in the first.
 type twoRegions struct {
-	*surroundings
+	*environment
 	north, south *upstream
 	router       settings.Router
 }
@@ -25,7 +25,7 @@
 func startTwoRegions(t *testing.T, configuration provider.Configuration) *twoRegions {
 	t.Helper()
 	r := &twoRegions{
-		surroundings: &surroundings{}, north: startUpstream(t, "north", good), south: startUpstream(t, "south", good),
+		environment: &environment{}, north: startUpstream(t, "north", answerOK), south: startUpstream(t, "south", answerOK),
 	}
 	r.configure(configuration)
 	for _, u := range []*upstream{r.north, r.south} {
@@ -33,18 +33,18 @@
 		record.Hall = u.id
 		r.list(record)
 	}
-	p, set := newRouter(t, r.surroundings, settings.Router{Name: "r1", Hall: "north", Regions: []settings.HallRegion{
+	p, cfg := newRouter(t, r.environment, settings.Router{Name: "r1", Hall: "north", Regions: []settings.HallRegion{
 		{Hall: "north", Region: "region of north"}, {Hall: "south", Region: "region of south"},
 	}})
 	require.NoError(t, p.Start())
 	t.Cleanup(func() { _ = p.Stop(t.Context()) })
-	r.router = set
-	await(t, "ready", func() bool { return ready(set) })
+	r.router = cfg
+	await(t, "ready", func() bool { return ready(cfg) })
 	return r
 }
 
-// ask sends some requests and returns how many had each status.
-func (r *twoRegions) ask(t *testing.T, what string) map[int]int {
+// send sends some requests and returns the number of answers with each status.
+func (r *twoRegions) send(t *testing.T, what string) map[int]int {
 	t.Helper()
 	statuses := map[int]int{}
 	for i := range 12 {
@@ -53,10 +53,10 @@
 	return statuses
 }
 
-// TestRequestsStayInTheirRegions: those of a route and of an account both bind, whatever other
-// regions could serve, and where no upstream is left the request is refused at once.
-func TestRequestsStayInTheirRegions(t *testing.T) {
-	for name, bind := range map[string]func(*provider.Configuration){
+// TestRequestsStayInAllowedRegions expects the regions of a route and of an account to apply
+// together, also for retries. With no upstream left, requests are refused at once.
+func TestRequestsStayInAllowedRegions(t *testing.T) {
+	for name, restrict := range map[string]func(*provider.Configuration){
 		"a route's": func(c *provider.Configuration) {
 			for i := range c.Routes {
 				c.Routes[i].Homes = []string{"region of south"}
@@ -71,41 +71,41 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			configuration := basic(1)
-			bind(&configuration)
+			configuration := baseConfiguration(1)
+			restrict(&configuration)
 			r := startTwoRegions(t, configuration)
-			assert.Equal(t, map[int]int{http.StatusOK: 12}, r.ask(t, "home"))
+			assert.Equal(t, map[int]int{http.StatusOK: 12}, r.send(t, "home"))
 			assert.Zero(t, r.north.ran.Load())
 			assert.Equal(t, int64(12), r.south.ran.Load())
 
-			failing := upstreamFunc(func(request *http.Request, connection net.Conn) {
-				whole(request, connection, http.StatusInternalServerError, "failed", "")
+			failing := upstreamFunc(func(req *http.Request, conn net.Conn) {
+				writeAnswer(req, conn, http.StatusInternalServerError, "failed", "")
 			})
 			r.south.answer.Store(&failing)
-			assert.Equal(t, map[int]int{http.StatusInternalServerError: 12}, r.ask(t, "failing"))
-			assert.Zero(t, r.north.ran.Load(), "second sends are bound too")
+			assert.Equal(t, map[int]int{http.StatusInternalServerError: 12}, r.send(t, "failing"))
+			assert.Zero(t, r.north.ran.Load(), "retries stay in the regions too")
 
 			r.remove("u/south")
-			await(t, "the upstream is gone", func() bool {
+			await(t, "the upstream is removed", func() bool {
 				return call(t, r.router, "gone", "GET", "/safe/x", "").status == http.StatusServiceUnavailable
 			})
 			started := time.Now()
 			got := call(t, r.router, "none", "GET", "/safe/x", "")
 			assert.Equal(t, http.StatusServiceUnavailable, got.status)
 			assert.NotEmpty(t, got.header.Get("Retry-After"))
-			assert.Less(t, time.Since(started), 4*time.Second, "before the deadline of 5 s")
+			assert.Less(t, time.Since(started), 4*time.Second, "refused before the deadline of 5 s")
 			assert.Zero(t, r.north.ran.Load())
 		})
 	}
 }
 
-// TestUnknownRegionServesNothing: a list that names no region there is, is no leave to run
-// anywhere.
-func TestUnknownRegionServesNothing(t *testing.T) {
-	configuration := basic(1)
+// TestUnknownRegionAllowsNoUpstream guards against treating a list without any known region like
+// an empty list, which allows all regions.
+func TestUnknownRegionAllowsNoUpstream(t *testing.T) {
+	configuration := baseConfiguration(1)
 	configuration.Accounts[0].Homes = []string{"moon"}
 	r := startTwoRegions(t, configuration)
-	assert.Equal(t, map[int]int{http.StatusServiceUnavailable: 12}, r.ask(t, "nowhere"))
+	assert.Equal(t, map[int]int{http.StatusServiceUnavailable: 12}, r.send(t, "nowhere"))
 	assert.Zero(t, r.north.ran.Load()+r.south.ran.Load())
 }
 
@@ -113,44 +113,45 @@
 	r.put("e/"+hall, encodeRecord(provider.Record{Evacuated: hall}))
 }
 
-// reached reports whether an upstream gets requests now.
+// reached reports whether an upstream receives requests.
 func (r *twoRegions) reached(t *testing.T, u *upstream) bool {
 	t.Helper()
 	before := u.ran.Load()
-	r.ask(t, "reach")
+	r.send(t, "reach")
 	return u.ran.Load() > before
 }
 
-// TestEvacuatedHallGetsNothing until it is taken back; where all are evacuated requests are
-// refused at once, and a hall that there is not changes nothing.
-func TestEvacuatedHallGetsNothing(t *testing.T) {
-	r := startTwoRegions(t, basic(1))
+// TestEvacuatedHallGetsNoRequests expects no requests to an evacuated hall until the evacuation
+// is withdrawn. With all halls evacuated requests are refused at once, and an unknown hall has no
+// effect.
+func TestEvacuatedHallGetsNoRequests(t *testing.T) {
+	r := startTwoRegions(t, baseConfiguration(1))
 	r.evacuate("nowhere")
 	r.evacuate("north")
-	await(t, "the hall is left", func() bool { return !r.reached(t, r.north) })
-	assert.Equal(t, map[int]int{http.StatusOK: 12}, r.ask(t, "south"))
+	await(t, "the hall gets no requests", func() bool { return !r.reached(t, r.north) })
+	assert.Equal(t, map[int]int{http.StatusOK: 12}, r.send(t, "south"))
 	assert.False(t, r.reached(t, r.north))
 
 	r.evacuate("south")
-	await(t, "no hall is left", func() bool {
-		return r.ask(t, "none")[http.StatusServiceUnavailable] == 12
+	await(t, "no hall gets requests", func() bool {
+		return r.send(t, "none")[http.StatusServiceUnavailable] == 12
 	})
 	ran := r.north.ran.Load() + r.south.ran.Load()
 	assert.NotEmpty(t, call(t, r.router, "refused", "GET", "/safe/x", "").header.Get("Retry-After"))
 	assert.Equal(t, ran, r.north.ran.Load()+r.south.ran.Load())
 
 	r.remove("e/north")
-	await(t, "the hall is taken back", func() bool { return r.reached(t, r.north) })
+	await(t, "the hall gets requests again", func() bool { return r.reached(t, r.north) })
 	assert.False(t, r.reached(t, r.south))
 }
 
-// TestEvacuationIsHeardWithoutTheStore: a router that the store turns away hears of it from
-// another one.
-func TestEvacuationIsHeardWithoutTheStore(t *testing.T) {
-	r := startTwoRegions(t, basic(1))
-	other := startRouterIn(t, r.surroundings, "south", "other", r.router.Listen.Peers)
+// TestEvacuationPropagatesWithoutStore expects a router that cannot reach the store to receive an
+// evacuation from a peer.
+func TestEvacuationPropagatesWithoutStore(t *testing.T) {
+	r := startTwoRegions(t, baseConfiguration(1))
+	other := startRouterIn(t, r.environment, "south", "other", r.router.Listen.Peers)
 	await(t, "ready", func() bool { return ready(other) })
-	r.down.Store("r1", true)
+	r.unreachable.Store("r1", true)
 	r.evacuate("north")
-	await(t, "the hall is left", func() bool { return !r.reached(t, r.north) })
+	await(t, "the hall gets no requests", func() bool { return !r.reached(t, r.north) })
 }
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -1,10 +1,10 @@
-// Package router assembles the process that takes callers' requests and sends
-// them straight to upstreams, where a store lists the upstreams and holds the
-// configuration.
+// Package router assembles the process that accepts callers' requests and sends them straight to
+// upstreams. A store lists the upstreams and holds the configuration; the router follows a
+// replica of it, and reads the replicas of its peers while the store is unreachable.
 //
-// It differs from an entry in that there is no agent on the way: the upstreams
-// say themselves, truthfully, what they have not run. It keeps nothing that
-// cannot be read again from the store or from other routers.
+// Unlike an entry, a router has no agent between itself and an upstream: upstreams report which
+// requests they did not run. Invariant: a router holds no state that cannot be read again from
+// the store or from other routers, so it may be restarted at any time.
 package router
 
 import (
@@ -38,50 +38,48 @@
 )
 
 const (
-	// lameDuck is how long a stopping router still serves while it is not
-	// ready, so that the balancer takes it off first.
-	lameDuck = 2500 * time.Millisecond
-	// upstreamIdle is how long a connection to an upstream rests at most. It is
-	// below every time that upstreams announce, in whole seconds.
-	upstreamIdle = 900 * time.Millisecond
-	// upstreamConnect bounds a connection to an upstream. One is made in 2 to 15 ms;
-	// an opening packet that is lost comes again only after a second, when another
-	// upstream has long answered.
-	upstreamConnect = 200 * time.Millisecond
-	// probeConnect bounds the look at an upstream whose connection broke, for which a
-	// request waits: a refusal comes in one round trip, 1 to 6 ms.
-	probeConnect = 50 * time.Millisecond
-	// storeIdle is the same for connections to the store and to peers.
-	storeIdle = 30 * time.Second
-	// lapseAfter is how long after the store is back entries may still be gone
-	// that lapsed meanwhile, and lapseAgain the pause after which upstreams that
-	// were kept for that are looked at again.
-	lapseAfter = 2 * time.Second
-	lapseAgain = 500 * time.Millisecond
-	// lastAnswers is how long before the end of a stop requests are answered that their
-	// upstreams have not begun: one that hangs for longer would have its caller cut.
-	lastAnswers = 400 * time.Millisecond
-	// maxHeaderBytes bounds a caller's headers.
+	// lameDuckPeriod is how long a stopping router keeps serving after it reports not ready, so
+	// that the load balancer stops sending to it first.
+	lameDuckPeriod = 2500 * time.Millisecond
+	// upstreamIdleTimeout closes idle connections to upstreams before the upstreams do: it is
+	// below every keep-alive timeout that they announce, in whole seconds.
+	upstreamIdleTimeout = 900 * time.Millisecond
+	// upstreamConnectTimeout bounds connecting to an upstream. A lost SYN is resent only after a
+	// second, by which time another upstream has answered.
+	upstreamConnectTimeout = 200 * time.Millisecond
+	// probeConnectTimeout bounds the probe of an upstream whose connection broke. The broken
+	// request waits for the result; a refused connection shows within one round trip.
+	probeConnectTimeout = 50 * time.Millisecond
+	// storeIdleTimeout closes idle connections to the store and to peers.
+	storeIdleTimeout = 30 * time.Second
+	// expiryGracePeriod is how long after the store is reachable again a removed entry may still
+	// have expired during the outage. expiredRecheckDelay is the pause before the upstreams that
+	// were kept for that reason are checked again.
+	expiryGracePeriod   = 2 * time.Second
+	expiredRecheckDelay = 500 * time.Millisecond
+	// drainResponseMargin is how long before the drain deadline the router itself answers the
+	// requests that no upstream has begun to answer. At the deadline their connections are cut.
+	drainResponseMargin = 400 * time.Millisecond
+	// maxHeaderBytes bounds the headers of a caller's request.
 	maxHeaderBytes = 64 << 10
 )
 
-// Options vary a router. Provider must be set; the rest has working defaults.
+// Options configure a router. Provider must be set; the other fields have defaults.
 type Options struct {
-	// Provider makes the surroundings from the store's address and the clients
-	// for calls to the store and to hosts.
+	// Provider builds the adapter from the store's address and the clients for calls to the store
+	// and to hosts.
 	Provider func(store netip.AddrPort, storeClient, hostClient *http.Client) provider.Provider
-	// LogOutput takes the log lines; nil means standard error.
+	// LogOutput receives the log lines; nil means standard error.
 	LogOutput io.Writer
-	// LameDuck varies the time in which a stopping router still serves; 0 takes
-	// the default.
+	// LameDuck overrides how long a stopping router keeps serving; 0 means the default.
 	LameDuck time.Duration
-	// Dial makes the connections to other hosts; nil means over the network.
+	// Dial opens connections to other hosts; nil means the network.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
 // Process is one router.
 type Process struct {
-	// current are the settings in force.
+	// current holds the settings in force.
 	current   atomic.Pointer[settings.Router]
 	options   Options
 	provider  provider.Provider
@@ -93,35 +91,36 @@
 	compiler *mirror.Compiler
 	follower *mirror.Follower
 	// neighbours are the other routers of this hall.
-	neighbours *peering.Neighbours
-	puller     *peering.Puller
-	announcer  *announcer
-	loads      *loadfeed.Reader
-	asker      *places.Client
-	pool       *balance.Pool
-	budget     *dispatch.Budget
-	// probe tells upstreams that ended, suspects what was under way there, and teller
-	// tells the other routers.
-	probe    *livenessprobe.Probe
-	suspects *suspects
-	teller   *evidence.Teller[quarantine.Note]
-	// limits are those that upstreams named, and limitTeller tells the other routers.
-	limits      *limits
-	limitTeller *evidence.Teller[ratelimit.Named]
-	// enginesAt holds the ids of the engines on each host. It is replaced when
-	// the list changes, and read for each line of a loader.
-	enginesAt atomic.Pointer[map[netip.Addr][]string]
+	neighbours  *peering.Neighbours
+	puller      *peering.Puller
+	announcer   *announcer
+	loadReader  *loadfeed.Reader
+	placeClient *places.Client
+	pool        *balance.Pool
+	budget      *dispatch.Budget
+	// probe detects crashed upstreams, suspects holds the contents that ran there, and
+	// crashNotifier sends them to the other routers.
+	probe         *livenessprobe.Probe
+	suspects      *suspects
+	crashNotifier *evidence.Teller[quarantine.Note]
+	// limits holds the rate limits that upstreams announce, and limitNotifier sends them to the
+	// other routers.
+	limits        *limits
+	limitNotifier *evidence.Teller[ratelimit.Named]
+	// engineIDsByHost maps the address of a host to the IDs of its engines. It is replaced when
+	// the list of upstreams changes, and read for each load report.
+	engineIDsByHost atomic.Pointer[map[netip.Addr][]string]
 
-	// toUpstreams keeps connections to upstreams, and suspended is for how long the host was
-	// suspended by the last look, in nanoseconds.
-	toUpstreams *http.Transport
-	suspended   atomic.Int64
+	// upstreamTransport keeps connections to upstreams alive. suspended is the total time, in
+	// nanoseconds, for which the host had been suspended at the last check.
+	upstreamTransport *http.Transport
+	suspended         atomic.Int64
 
 	callers, ready, peers, metrics *server.Server
 	draining                       atomic.Bool
-	// over is closed shortly before a stop cuts callers.
-	over chan struct{}
-	done chan struct{}
+	// drainExpired is closed shortly before a stop cuts the connections of callers.
+	drainExpired chan struct{}
+	done         chan struct{}
 }
 
 // New prepares a router; Start runs it.
@@ -142,76 +141,78 @@
 	p := &Process{
 		options: options, telemetry: t, output: output, recorder: newRecorder(t),
 		table: &mirror.Table{}, pool: &balance.Pool{Hall: s.Hall}, done: make(chan struct{}),
-		probe: &livenessprobe.Probe{Dial: dial.Within(probeConnect, options.Dial)}, suspects: &suspects{}, limits: &limits{},
-		over: make(chan struct{}),
+		probe: &livenessprobe.Probe{Dial: dial.Within(probeConnectTimeout, options.Dial)}, suspects: &suspects{}, limits: &limits{},
+		drainExpired: make(chan struct{}),
 	}
 	p.current.Store(&s)
-	client := &http.Client{Transport: dial.NewHostTransport(options.Dial, storeIdle)}
+	client := &http.Client{Transport: dial.NewHostTransport(options.Dial, storeIdleTimeout)}
 	p.provider = options.Provider(s.Store, client, client)
-	p.compiler = &mirror.Compiler{Decode: p.provider.Decode, OnBelief: p.recorder.belief, Lapses: p.lapses, OnSuspect: p.takeSuspect}
-	p.table.OnChange = p.takeChanges
-	p.loads = &loadfeed.Reader{Client: client, OnLine: p.takeLoad}
-	p.asker = &places.Client{Client: client}
-	p.teller, p.limitTeller = p.newTeller(client), p.newLimitTeller(client)
-	p.addFollowers(client)
+	p.compiler = &mirror.Compiler{Decode: p.provider.Decode, OnBelief: p.recorder.entryApplied, Lapses: p.expiryUnreliable, OnSuspect: p.applyStoredSuspect}
+	p.table.OnChange = p.applyChanges
+	p.loadReader = &loadfeed.Reader{Client: client, OnLine: p.applyLoad}
+	p.placeClient = &places.Client{Client: client}
+	p.crashNotifier, p.limitNotifier = p.newCrashNotifier(client), p.newLimitNotifier(client)
+	p.initReplication(client)
 	return p, nil
 }
 
-func (p *Process) addFollowers(client *http.Client) {
-	p.neighbours = &peering.Neighbours{Client: client, Choose: p.neighbour, Hold: p.holds, OnMute: p.telemetry.NeighbourMuted}
-	own := p.member()
-	ofShard, ofHall := p.provider.Prefixes.OfHall(own.Hall, own.Shard), p.provider.Prefixes.OfHall(own.Hall, "")
+// initReplication prepares the store follower, the fallback to peers and the announcement of this
+// router.
+func (p *Process) initReplication(client *http.Client) {
+	p.neighbours = &peering.Neighbours{Client: client, Choose: p.neighbourToFollow, Hold: p.defersStoreRead, OnMute: p.telemetry.NeighbourMuted}
+	own := p.ownMember()
+	shardPrefix, hallPrefix := p.provider.Prefixes.OfHall(own.Hall, own.Shard), p.provider.Prefixes.OfHall(own.Hall, "")
 	p.follower = &mirror.Follower{
-		Store: p.provider.Store, Prefix: p.provider.Prefixes.All, Table: p.table, OnContact: p.recorder.contact,
-		OnBytes: p.recorder.storeBytes, Settle: p.settle, PulseEvery: pulseEvery, PulseUnder: p.provider.Prefixes.Versions,
-		Near: p.neighbours.News, Before: []string{ofShard, ofHall}, Found: p.foundHall, Enough: p.follows,
+		Store: p.provider.Store, Prefix: p.provider.Prefixes.All, Table: p.table, OnContact: p.recorder.storeContact,
+		OnBytes: p.recorder.storeBytes, Settle: p.settleDelay, PulseEvery: storePollInterval, PulseUnder: p.provider.Prefixes.Versions,
+		Near: p.neighbours.News, Before: []string{shardPrefix, hallPrefix}, Found: p.hallDiscovered, Enough: p.followsPeer,
 	}
 	p.puller = &peering.Puller{
-		Client: client, Follower: p.follower, Peer: p.peer, Needed: p.needsPeer, OnPull: p.recorder.pulled, First: ofHall,
+		Client: client, Follower: p.follower, Peer: p.choosePeer, Needed: p.needsPeerPull, OnPull: p.recorder.peerPulled, First: hallPrefix,
 	}
-	p.announcer = &announcer{store: p.provider.Store, onContact: p.recorder.contact, put: p.provider.EncodeMember(own)}
+	p.announcer = &announcer{store: p.provider.Store, onContact: p.recorder.storeContact, put: p.provider.EncodeMember(own)}
 }
 
-// member is this router as it announces itself.
-func (p *Process) member() provider.Member {
+// ownMember returns the record under which this router announces itself.
+func (p *Process) ownMember() provider.Member {
 	s := p.current.Load()
 	return provider.Member{
 		Name: s.Name, Hall: s.Hall, Shard: readers.Shard(s.Name), Peers: s.Listen.Peers, LinkMbps: s.Bounds.LinkMbps,
 	}
 }
 
-// Start opens the ports and begins to follow the store.
+// Start opens the listeners and starts to follow the store.
 func (p *Process) Start() error {
 	if err := p.listen(); err != nil {
-		p.kill()
+		p.closeServers()
 		return fmt.Errorf("router %s: %w", p.current.Load().Name, err)
 	}
 	p.follower.Start()
 	p.puller.Start()
 	p.announcer.start()
-	p.teller.Start()
-	p.limitTeller.Start()
+	p.crashNotifier.Start()
+	p.limitNotifier.Start()
 	p.recorder.started(p.current.Load())
 	return nil
 }
 
-// Stop takes this router off the balancer, finishes what is in flight and ends.
-// An error says that requests had to be cut.
+// Stop reports not ready, drains the requests in flight and ends the process. An error means that
+// requests were cut.
 func (p *Process) Stop(ctx context.Context) error {
 	p.draining.Store(true)
 	p.telemetry.SetNotReady("stopping")
 	p.recorder.stopping()
 	p.callers.Closing()
-	defer p.endBefore(ctx)()
-	helpers.Pause(helpers.OrDefault(p.options.LameDuck, lameDuck), ctx.Done())
+	defer p.startDrainTimer(ctx)()
+	helpers.Pause(helpers.OrDefault(p.options.LameDuck, lameDuckPeriod), ctx.Done())
 	err := p.callers.Shutdown(ctx)
 	p.announcer.stop()
-	p.teller.Stop()
-	p.limitTeller.Stop()
-	p.loads.Stop()
+	p.crashNotifier.Stop()
+	p.limitNotifier.Stop()
+	p.loadReader.Stop()
 	p.puller.Stop()
 	p.follower.Stop()
-	p.kill()
+	p.closeServers()
 	p.recorder.stopped(err)
 	p.telemetry.Close()
 	p.output.Close()
@@ -219,21 +220,23 @@
 	return err
 }
 
-// endBefore has requests that no upstream has begun to answer end while their callers can
-// still be told. What it returns is called once the callers are gone.
-func (p *Process) endBefore(ctx context.Context) func() {
+// startDrainTimer closes drainExpired shortly before the deadline of ctx, so that requests that
+// no upstream has begun to answer get a response instead of a closed connection. The returned
+// function stops the timer.
+func (p *Process) startDrainTimer(ctx context.Context) func() {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return func() {}
 	}
-	timer := time.AfterFunc(time.Until(deadline)-lastAnswers, func() { close(p.over) })
+	timer := time.AfterFunc(time.Until(deadline)-drainResponseMargin, func() { close(p.drainExpired) })
 	return func() { timer.Stop() }
 }
 
-// Done is closed when the router has ended.
+// Done is closed when the router has stopped.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-func (p *Process) kill() {
+// closeServers closes all listeners and connections at once.
+func (p *Process) closeServers() {
 	for _, s := range []*server.Server{p.callers, p.ready, p.peers, p.metrics} {
 		if s != nil {
 			s.Kill()
@@ -241,17 +244,18 @@
 	}
 }
 
-// Reload takes changed settings. Seeds, bounds and the log level of new requests
-// apply at once; a changed address needs a new start and is reported.
+// Reload applies changed settings. Seeds, bounds and the log level of new requests take effect at
+// once. A changed name or address needs a restart: it is logged, and the settings in force are
+// kept.
 func (p *Process) Reload(file settings.File) {
 	if file.Router == nil {
-		p.recorder.reloaded("the file is for another role", false)
+		p.recorder.reloaded("the settings are for another role", false)
 		return
 	}
 	next := *file.Router
 	current := p.current.Load()
 	if next.Listen != current.Listen || next.Store != current.Store || next.Name != current.Name {
-		p.recorder.reloaded("a name or an address has changed, which needs a new start", false)
+		p.recorder.reloaded("a changed name or address needs a restart", false)
 		return
 	}
 	p.current.Store(&next)
--- a/daemon/router/stop_test.go
+++ b/daemon/router/stop_test.go
@@ -16,16 +16,11 @@
 	"github.com/wheelcleat/wheelcleat/daemon/settings"
 )
 
-// A router still ran 13 s after SIGTERM, once, while engines came and went: its bound is 8 s.
-// A stop ends the feeds of engines' loads and waits for them, and news of the store that came
-// meanwhile had it follow engines again, which nothing ended. The log had "stopping" and no
-// "stopped".
-
-// TestAStopEndsWhileEnginesChange: a router ends although its list of engines changes all
-// the time.
-func TestAStopEndsWhileEnginesChange(t *testing.T) {
-	s := &surroundings{}
-	configuration := basic(1)
+// TestStopCompletesWhileEnginesChange guards against a stop that hangs: an update of the store
+// during the stop must not start load feeds that nothing stops.
+func TestStopCompletesWhileEnginesChange(t *testing.T) {
+	s := &environment{}
+	configuration := baseConfiguration(1)
 	configuration.Services = []provider.Service{{Name: "s", Engine: &provider.EngineSpec{Model: "m", Places: 4}}}
 	s.configure(configuration)
 	engine := func(i int) provider.Upstream {
@@ -36,9 +31,9 @@
 	for i := range engines {
 		s.list(engine(i))
 	}
-	p, set := newRouter(t, s, settings.Router{Name: "r1", Hall: "hall", LoaderPort: 1})
+	p, cfg := newRouter(t, s, settings.Router{Name: "r1", Hall: "hall", LoaderPort: 1})
 	require.NoError(t, p.Start())
-	await(t, "ready", func() bool { return ready(set) })
+	await(t, "ready", func() bool { return ready(cfg) })
 
 	ended := make(chan struct{})
 	changing := make(chan struct{})
@@ -72,31 +67,26 @@
 	<-changing
 }
 
-// A router was told to stop while a request hung at its upstream for longer than the stop may
-// take. It cut the caller 9.9 s after the request was sent and ended with an error:
-//
-//	"level":"error","message":"stopped, requests were cut"
-
-// TestAStopAnswersWhatHangs: the caller is told that the request may have run before the
-// connection ends, and the stop is a good one. What has begun to be answered is answered.
-func TestAStopAnswersWhatHangs(t *testing.T) {
+// TestStopAnswersHangingRequests guards against cutting a caller whose upstream hangs: the caller
+// gets a response that says the request may have run, and the stop succeeds.
+func TestStopAnswersHangingRequests(t *testing.T) {
 	reached := make(chan struct{})
-	hang := func(request *http.Request, _ net.Conn) {
+	hang := func(req *http.Request, _ net.Conn) {
 		close(reached)
-		<-request.Context().Done()
+		<-req.Context().Done()
 	}
 	for name, target := range map[string]string{"may run once": "/unsafe/x", "may run again": "/safe/x", "a stream": "/stream/x"} {
 		t.Run(name, func(t *testing.T) {
 			reached = make(chan struct{})
-			s := &surroundings{}
-			s.configure(basic(1))
+			s := &environment{}
+			s.configure(baseConfiguration(1))
 			u := startUpstream(t, "u1", hang)
 			s.list(u.record())
-			p, set := newRouter(t, s, settings.Router{Name: "r1", Hall: "hall"})
+			p, cfg := newRouter(t, s, settings.Router{Name: "r1", Hall: "hall"})
 			require.NoError(t, p.Start())
-			await(t, "ready", func() bool { return ready(set) })
+			await(t, "ready", func() bool { return ready(cfg) })
 			got := make(chan reply, 1)
-			go func() { got <- call(t, set, "id-1", "POST", target, "body") }()
+			go func() { got <- call(t, cfg, "id-1", "POST", target, "body") }()
 			<-reached
 
 			ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
--- a/daemon/router/suspects.go
+++ b/daemon/router/suspects.go
@@ -21,85 +21,87 @@
 )
 
 const (
-	// suspectTTL is how long a content that is held back stays in the store, for routers that
-	// start meanwhile: the longest that stores allow.
+	// suspectTTL is how long the store keeps the record of a quarantined content for routers that
+	// start meanwhile. It is the longest lease that stores allow.
 	suspectTTL = 10 * time.Minute
-	// suspectTimeout bounds the two calls that put it there.
-	suspectTimeout = 3 * time.Second
-	// keepTries is how often that is tried while the store is away, and keepAgain the pause
-	// between.
-	keepTries = 10
-	keepAgain = 3 * time.Second
+	// suspectWriteTimeout bounds the two calls that write such a record.
+	suspectWriteTimeout = 3 * time.Second
+	// maxSuspectWrites is how often the write is attempted while the store is unreachable, and
+	// suspectWriteRetryDelay the pause between attempts.
+	maxSuspectWrites       = 10
+	suspectWriteRetryDelay = 3 * time.Second
 )
 
-// source says from where a router knows something of a content, or of a limit.
+// source is where an update of a content or of a limit came from.
 type source string
 
 // The sources.
 const (
-	sourceOwn    source = "own"    // a connection of this router broke, an answer to it named it
-	sourceRouter source = "router" // another router told
-	sourceAnswer source = "answer" // another router knew more of what it was told
+	sourceOwn    source = "own"    // a broken connection or an answer of this router's own
+	sourceRouter source = "router" // a notification from another router
+	sourceAnswer source = "answer" // another router's answer to a notification
 	sourceStore  source = "store"
-	sourceLifted source = "lifted" // an operator lifted it
-	sourceLoader source = "loader" // the loader beside the engine told with its answer
+	sourceLifted source = "lifted" // an operator lifted the quarantine
+	sourceLoader source = "loader" // the answer of the loader beside the engine
 )
 
-// suspects are the contents under which upstreams ended, as far as this router knows.
+// suspects holds the contents under which upstreams crashed, as far as this router has received
+// them.
 type suspects struct {
 	mu    sync.Mutex
 	table quarantine.Table
 }
 
-// judge says what may be done with a content.
-func (s *suspects) judge(name content.Name) quarantine.Verdict {
+// verdict returns whether a request for a content may be sent.
+func (s *suspects) verdict(name content.Name) quarantine.Verdict {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Judge(name, clock.Now())
 }
 
-// admit says what may be done with a content as a request comes; mayTry is asked only where
-// one was held back.
-func (s *suspects) admit(name content.Name, mayTry func(content.Name) bool) quarantine.Verdict {
-	if s.judge(name) == quarantine.Free {
+// admit returns the verdict for a new request. It calls mayRetry only if the content is not Free.
+func (s *suspects) admit(name content.Name, mayRetry func(content.Name) bool) quarantine.Verdict {
+	if s.verdict(name) == quarantine.Free {
 		return quarantine.Free
 	}
-	own := mayTry(name)
+	own := mayRetry(name)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Admit(name, own, clock.Now())
 }
 
-// change is what a note changed.
-type change struct {
-	// before and after are the verdicts, and known what is known of the content by now.
+// verdictChange is the effect of a note on the verdict.
+type verdictChange struct {
+	// before and after are the verdicts, and known is the resulting note.
 	before, after quarantine.Verdict
 	known         quarantine.Note
-	// wasDeep says that the content had been held back before.
-	wasDeep bool
+	// wasQuarantined says that the content had been quarantined before the note.
+	wasQuarantined bool
 }
 
-// take takes a note, and reports false where it changes no verdict.
-func (s *suspects) take(note quarantine.Note) (change, bool) {
+// apply adds a note to the table, and reports false if the verdict stays the same.
+func (s *suspects) apply(note quarantine.Note) (verdictChange, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Now()
-	c := change{before: s.table.Judge(note.Content, now), wasDeep: s.table.Note(note.Content).Deep()}
-	news := s.table.Take(note, now)
+	c := verdictChange{before: s.table.Judge(note.Content, now), wasQuarantined: s.table.Note(note.Content).Deep()}
+	updated := s.table.Take(note, now)
 	c.after, c.known = s.table.Judge(note.Content, now), s.table.Note(note.Content)
-	return c, news && c.before != c.after
+	return c, updated && c.before != c.after
 }
 
-// whole notes that a content was answered whole, and reports whether ends stand against it.
-func (s *suspects) whole(name content.Name) bool {
+// complete records a complete answer to a content, and reports whether crashes are recorded
+// against it.
+func (s *suspects) complete(name content.Name) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.table.Whole(name, clock.Now())
 	return len(s.table.Note(name).Ends) > 0
 }
 
-// end names the end of the upstream of a broken send, and reports whether it counts.
-func (s *suspects) end(b dispatch.Break) (quarantine.End, bool) {
+// crash identifies the crash of the upstream of a broken send, and reports whether it counts
+// against the content.
+func (s *suspects) crash(b dispatch.Break) (quarantine.End, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Now()
@@ -119,9 +121,9 @@
 	return s.table.Notes()
 }
 
-// of returns what is known of the contents of some notes, but of those that are cleared:
-// whoever tells so would take it for news.
-func (s *suspects) of(notes []quarantine.Note) []quarantine.Note {
+// knownFor returns this router's notes on the contents of some received notes. It omits contents
+// that the sender has just cleared: the sender would apply the answer as an update.
+func (s *suspects) knownFor(notes []quarantine.Note) []quarantine.Note {
 	var known []quarantine.Note
 	for _, note := range notes {
 		if own := s.note(note.Content); !note.Cleared && len(own.Ends) > 0 {
@@ -131,29 +133,29 @@
 	return known
 }
 
-// broke finds out whether the upstream ended under a send whose connection broke. The
-// request waits for that, one round trip, before it is sent again.
-func (p *Process) broke(b dispatch.Break) {
-	ended := p.probe.Ended(context.Background(), b.Upstream.Address)
-	p.recorder.broke(b, ended)
-	if !ended {
+// connectionBroke probes whether the upstream crashed under a send whose connection broke, and
+// publishes the crash. The request waits for the probe, one round trip, before it is retried.
+func (p *Process) connectionBroke(b dispatch.Break) {
+	crashed := p.probe.Ended(context.Background(), b.Upstream.Address)
+	p.recorder.connectionBroke(b, crashed)
+	if !crashed {
 		return
 	}
-	end, counts := p.suspects.end(b)
+	crash, counts := p.suspects.crash(b)
 	if !counts {
 		return
 	}
-	p.tell(quarantine.Note{Content: b.Content, Ends: []quarantine.End{end}}, sourceOwn)
+	p.publish(quarantine.Note{Content: b.Content, Ends: []quarantine.End{crash}}, sourceOwn)
 }
 
-// admitContent says what may be done with a content as a request comes.
+// admitContent returns the verdict for a new request.
 func (p *Process) admitContent(name content.Name) quarantine.Verdict {
-	return p.suspects.admit(name, p.tries)
+	return p.suspects.admit(name, p.ownsRetry)
 }
 
-// tries reports whether it falls to this router to send a content again that was held back
-// long enough: to one of all, so that one upstream is risked.
-func (p *Process) tries(name content.Name) bool {
+// ownsRetry reports whether this router is the one that resends a content once its quarantine
+// time is over. Only one router of all does, so that only one upstream is put at risk.
+func (p *Process) ownsRetry(name content.Name) bool {
 	own := p.current.Load().Name
 	names := []string{own}
 	for member := range p.compiler.View().Members {
@@ -164,52 +166,54 @@
 	return rendezvous.First("try "+name.String(), names) == own
 }
 
-// answeredWhole clears a content.
-func (p *Process) answeredWhole(name content.Name) {
-	if p.suspects.whole(name) {
-		p.tell(quarantine.Note{Content: name, Cleared: true}, sourceOwn)
+// contentCompleted clears a content after a complete answer.
+func (p *Process) contentCompleted(name content.Name) {
+	if p.suspects.complete(name) {
+		p.publish(quarantine.Note{Content: name, Cleared: true}, sourceOwn)
 	}
 }
 
-// tell takes a note of this router's own and tells the others.
-func (p *Process) tell(note quarantine.Note, from source) {
-	p.learn(note, from, netip.AddrPort{})
-	if !p.teller.Tell(note) {
-		p.recorder.notTold()
+// publish applies a note of this router's own and notifies the other routers.
+func (p *Process) publish(note quarantine.Note, from source) {
+	p.applyNote(note, from, netip.AddrPort{})
+	if !p.crashNotifier.Tell(note) {
+		p.recorder.notificationDropped()
 	}
 }
 
-// learn takes a note. A verdict that this router helped to reach goes to the store, for
-// routers that start later.
-func (p *Process) learn(note quarantine.Note, from source, peer netip.AddrPort) {
-	c, changed := p.suspects.take(note)
+// applyNote applies a note and logs a changed verdict. The record of a quarantined content is
+// written to the store, for routers that start later, unless the note came from there or from a
+// router that writes it itself.
+func (p *Process) applyNote(note quarantine.Note, from source, peer netip.AddrPort) {
+	c, changed := p.suspects.apply(note)
 	if !changed {
 		return
 	}
 	p.recorder.verdict(c, from, peer)
-	held := c.after == quarantine.Held || c.wasDeep // the store has it since it was held back
-	if held && from != sourceRouter && from != sourceStore {
-		go p.keepVerdict(note.Content)
+	quarantined := c.after == quarantine.Held || c.wasQuarantined // the store has a record once a content was quarantined
+	if quarantined && from != sourceRouter && from != sourceStore {
+		go p.persistVerdict(note.Content)
 	}
 }
 
-// keepVerdict writes what is known of a content to the store, again while that is away.
-func (p *Process) keepVerdict(name content.Name) {
+// persistVerdict writes the note on a content to the store, and retries while the store is
+// unreachable.
+func (p *Process) persistVerdict(name content.Name) {
 	if p.provider.EncodeSuspect == nil {
 		return
 	}
-	for range keepTries {
+	for range maxSuspectWrites {
 		err := p.writeVerdict(name)
 		if err == nil || p.draining.Load() {
 			return
 		}
-		p.recorder.verdictNotKept(name, err)
-		helpers.Pause(keepAgain, p.done)
+		p.recorder.verdictNotPersisted(name, err)
+		helpers.Pause(suspectWriteRetryDelay, p.done)
 	}
 }
 
 func (p *Process) writeVerdict(name content.Name) error {
-	ctx, cancel := context.WithTimeout(context.Background(), suspectTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), suspectWriteTimeout)
 	defer cancel()
 	known := p.suspects.note(name)
 	known.Cleared = len(known.Ends) == 0
@@ -227,29 +231,29 @@
 	return err
 }
 
-// takeSuspect takes what the store holds of a content.
-func (p *Process) takeSuspect(value []byte) error {
+// applyStoredSuspect applies a note read from the store.
+func (p *Process) applyStoredSuspect(value []byte) error {
 	var note quarantine.Note
 	if err := json.Unmarshal(value, &note); err != nil {
 		return err
 	}
-	p.learn(note, sourceStore, netip.AddrPort{})
+	p.applyNote(note, sourceStore, netip.AddrPort{})
 	return nil
 }
 
-// newTeller prepares the telling of other routers.
-func (p *Process) newTeller(client *http.Client) *evidence.Teller[quarantine.Note] {
+// newCrashNotifier prepares the notification of other routers about crashes.
+func (p *Process) newCrashNotifier(client *http.Client) *evidence.Teller[quarantine.Note] {
 	return &evidence.Teller[quarantine.Note]{
-		Client: client, Path: evidence.SuspectsPath, Peers: p.otherRouters, Peer: p.peer, OnFailed: p.recorder.routerNotTold,
+		Client: client, Path: evidence.SuspectsPath, Peers: p.otherRouters, Peer: p.choosePeer, OnFailed: p.recorder.notificationFailed,
 		Take: func(notes []quarantine.Note, peer netip.AddrPort) {
 			for _, note := range notes {
-				p.learn(note, sourceAnswer, peer)
+				p.applyNote(note, sourceAnswer, peer)
 			}
 		},
 	}
 }
 
-// otherRouters are all known routers but this one.
+// otherRouters returns the addresses of all known routers except this one.
 func (p *Process) otherRouters() []netip.AddrPort {
 	own := p.current.Load().Listen.Peers
 	var others []netip.AddrPort
@@ -261,23 +265,23 @@
 	return others
 }
 
-// suspectPages hands out what is known, takes what others tell, and lets operators lift
-// what stands against a content.
-func (p *Process) suspectPages(pages *bunrouter.Router) {
+// addSuspectRoutes adds the routes on which this router serves its notes, receives those of other
+// routers, and lets operators lift a quarantine.
+func (p *Process) addSuspectRoutes(routes *bunrouter.Router) {
 	known := &evidence.Known[quarantine.Note]{
-		All: p.suspects.all, Of: p.suspects.of,
+		All: p.suspects.all, Of: p.suspects.knownFor,
 		Take: func(notes []quarantine.Note) {
 			for _, note := range notes {
-				p.learn(note, sourceRouter, netip.AddrPort{})
+				p.applyNote(note, sourceRouter, netip.AddrPort{})
 			}
 		},
 	}
-	pages.Compat().GET(evidence.SuspectsPath, known.ServeAll)
-	pages.Compat().POST(evidence.SuspectsPath, known.ServeTold)
-	pages.DELETE(evidence.SuspectsPath+"/:content", bunrouter.HandlerFunc(p.lift))
+	routes.Compat().GET(evidence.SuspectsPath, known.ServeAll)
+	routes.Compat().POST(evidence.SuspectsPath, known.ServeTold)
+	routes.DELETE(evidence.SuspectsPath+"/:content", bunrouter.HandlerFunc(p.lift))
 }
 
-// lift clears a content at an operator's wish, here and everywhere.
+// lift clears a content on an operator's request, on all routers.
 func (p *Process) lift(w http.ResponseWriter, r bunrouter.Request) error {
 	var name content.Name
 	if err := name.UnmarshalText([]byte(r.Param("content"))); err != nil {
@@ -288,7 +292,7 @@
 		http.Error(w, "no upstream is known to have ended under this content", http.StatusNotFound)
 		return nil
 	}
-	p.tell(quarantine.Note{Content: name, Cleared: true}, sourceLifted)
+	p.publish(quarantine.Note{Content: name, Cleared: true}, sourceLifted)
 	w.WriteHeader(http.StatusNoContent)
 	return nil
 }
--- a/daemon/router/suspension.go
+++ b/daemon/router/suspension.go
@@ -6,19 +6,20 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/clock"
 )
 
-// suspensionLeast is the shortest suspension of the host that is acted on: connections rest
-// longer than that anyway.
-const suspensionLeast = 200 * time.Millisecond
+// minSuspension is the shortest suspension of the host that is acted on. Shorter ones are within
+// the time for which connections are idle anyway.
+const minSuspension = 200 * time.Millisecond
 
-// noteSuspension looks whether the host was suspended since the last look. Ages and leases
-// count that time by their clock. The timers of connections at rest do not, so that
-// upstreams may have closed them long ago: a request that goes over one is lost.
-func (p *Process) noteSuspension() {
+// checkSuspension detects whether the host was suspended since the last check, and then closes
+// idle connections to upstreams. Ages and leases include the suspension in their clock, but the
+// idle timers of connections do not, so upstreams may have closed these connections long ago. A
+// request sent over one would be lost.
+func (p *Process) checkSuspension() {
 	suspended := clock.Suspended()
 	before := time.Duration(p.suspended.Swap(int64(suspended)))
-	if suspended-before < suspensionLeast {
+	if suspended-before < minSuspension {
 		return
 	}
 	p.recorder.suspended(suspended - before)
-	p.toUpstreams.CloseIdleConnections()
+	p.upstreamTransport.CloseIdleConnections()
 }
--- a/daemon/router/upstreams.go
+++ b/daemon/router/upstreams.go
@@ -9,14 +9,12 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// This file takes changes of the list of upstreams and of the engines' loads.
-
-// takeChanges compiles changes of the store's copy and follows the load of the
-// engines that it lists.
-func (p *Process) takeChanges(changed []provider.Entry) {
+// applyChanges compiles changes of the replica, and follows the load feeds of the engines that it
+// lists.
+func (p *Process) applyChanges(changed []provider.Entry) {
 	p.compiler.Take(changed)
 	if p.compiler.Lapsed() {
-		time.AfterFunc(lapseAgain, p.lookAtLapsed)
+		time.AfterFunc(expiredRecheckDelay, p.recheckExpired)
 	}
 	if p.compiler.View().Configuration != nil && !p.draining.Load() {
 		p.telemetry.SetReady()
@@ -26,12 +24,12 @@
 		return
 	}
 	engines := p.engines()
-	p.enginesAt.Store(byHost(engines))
-	p.loads.Follow(followed(engines, p.current.Load().Hall, p.current.Load().Name, port))
+	p.engineIDsByHost.Store(groupByHost(engines))
+	p.loadReader.Follow(chooseLoadFeeds(engines, p.current.Load().Hall, p.current.Load().Name, port))
 }
 
-// byHost returns the ids of engines by the address of their host.
-func byHost(engines []*provider.Upstream) *map[netip.Addr][]string {
+// groupByHost returns the IDs of engines by the address of their host.
+func groupByHost(engines []*provider.Upstream) *map[netip.Addr][]string {
 	ids := map[netip.Addr][]string{}
 	for _, engine := range engines {
 		host := engine.Address.Addr()
@@ -40,21 +38,22 @@
 	return &ids
 }
 
-// lookAtLapsed drops the upstreams that were kept and are not back.
-func (p *Process) lookAtLapsed() {
+// recheckExpired drops the upstreams that were kept although their entries had expired, and that
+// have not registered again.
+func (p *Process) recheckExpired() {
 	if !p.draining.Load() {
 		p.table.Recompile()
 	}
 }
 
-// lapses reports whether entries of upstreams may go only because the store was
-// away: it is for this router, or was a moment ago.
-func (p *Process) lapses() bool {
+// expiryUnreliable reports whether entries of upstreams may be removed only because their leases
+// expired in an outage of the store: while this router cannot reach it, or shortly afterwards.
+func (p *Process) expiryUnreliable() bool {
 	ago, ever := p.follower.Regained()
-	return p.silent() || ever && ago < lapseAfter
+	return p.isStale() || ever && ago < expiryGracePeriod
 }
 
-// engines are the upstreams of services that run models.
+// engines returns the upstreams of services that run models.
 func (p *Process) engines() []*provider.Upstream {
 	view := p.compiler.View()
 	var engines []*provider.Upstream
@@ -66,13 +65,13 @@
 	return engines
 }
 
-// takeLoad hands on what a loader tells of the engine beside it.
-func (p *Process) takeLoad(host netip.AddrPort, line loadfeed.Line) {
-	told := balance.Told{
+// applyLoad passes a load report of a loader on to the engines of its host.
+func (p *Process) applyLoad(host netip.AddrPort, line loadfeed.Line) {
+	load := balance.Told{
 		Running: line.Running, Waiting: line.Waiting, Loading: line.Loading,
 		ClosesIn: time.Duration(line.ClosesIn) * time.Millisecond, Models: line.Models,
 	}
-	for _, id := range (*p.enginesAt.Load())[host.Addr()] {
-		p.pool.Tell(id, told)
+	for _, id := range (*p.engineIDsByHost.Load())[host.Addr()] {
+		p.pool.Tell(id, load)
 	}
 }
