--- a/daemon/internal/connection/peering/peering.go
+++ b/daemon/internal/connection/peering/peering.go
@@ -76,7 +76,7 @@
 // standing returns that of the daemon that answered.
 func (m *message) standing() mirror.Standing {
 	return mirror.Standing{
-		At: m.At, Answered: m.Answered, Heard: m.Heard, Lost: m.Lost, Generation: m.Generation, Hops: m.Hops,
+		At: m.Revision, Answered: m.Answered, Heard: m.Heard, Lost: m.Lost, Generation: m.Generation, Hops: m.Hops,
 	}
 }
 
@@ -137,7 +137,7 @@
 	for {
 		changed := s.Table.Changed()
 		answer := s.answer(asked)
-		known := answer.At > 0
+		known := answer.Revision > 0
 		news := len(answer.Entries) > 0 || answer.standing().Behind()
 		if asked.wait == 0 || known && news {
 			return answer, true
@@ -162,7 +162,7 @@
 	standing := s.Standing()
 	listed := s.listings.of(s.Table, asked.prefix, asked.after)
 	answer := message{
-		Listing:  provider.Listing{Entries: listed.entries, At: standing.At},
+		Listing:  provider.Listing{Entries: listed.entries, Revision: standing.At},
 		Answered: standing.Answered, Heard: standing.Heard, Lost: standing.Lost, Generation: standing.Generation,
 		Hops: standing.Hops,
 	}
--- a/daemon/internal/connection/peering/peering_test.go
+++ b/daemon/internal/connection/peering/peering_test.go
@@ -88,7 +88,7 @@
 		table.Apply(entries(5))
 		synctest.Wait()
 		assert.True(t, answered)
-		want := message{Listing: provider.Listing{Entries: entries(5), At: 6}, Answered: 30 * time.Millisecond, Heard: 20 * time.Millisecond}
+		want := message{Listing: provider.Listing{Entries: entries(5), Revision: 6}, Answered: 30 * time.Millisecond, Heard: 20 * time.Millisecond}
 		assert.Equal(t, want, answer)
 
 		started := time.Now()
@@ -180,7 +180,7 @@
 	d.table.Apply(entries(1, 2))
 	d.stand(mirror.Standing{At: 2})
 	answer := <-answers
-	assert.Equal(t, provider.Revision(2), answer.At)
+	assert.Equal(t, provider.Revision(2), answer.Revision)
 	assert.Len(t, answer.Entries, 2)
 }
 
--- a/daemon/internal/process/mirror/follower.go
+++ b/daemon/internal/process/mirror/follower.go
@@ -306,7 +306,7 @@
 	f.hear(0, 0)
 	f.hops.Store(0)
 	f.Table.Apply(changes.Entries)
-	f.advance(changes.At)
+	f.advance(changes.Revision)
 	f.overtaken = 2*replaced(changes.Entries) > f.listed
 	if len(changes.Entries) > 0 {
 		f.settle(0)
@@ -371,7 +371,7 @@
 	if f.relist || f.At() == 0 {
 		f.generation.Add(1)
 	}
-	f.advance(listing.At)
+	f.advance(listing.Revision)
 	f.relist = false
 	f.listed = 0
 	for _, entry := range listing.Entries {
--- a/daemon/internal/process/mirror/follower_test.go
+++ b/daemon/internal/process/mirror/follower_test.go
@@ -39,12 +39,12 @@
 		List: func(context.Context, string) (provider.Listing, error) {
 			at := s.newest()
 			s.send(1)
-			return provider.Listing{Entries: []provider.Entry{entry(at)}, At: at}, nil
+			return provider.Listing{Entries: []provider.Entry{entry(at)}, Revision: at}, nil
 		},
 		Watch: func(_ context.Context, _ string, after provider.Revision, _ time.Duration) (provider.Listing, error) {
 			at := max(s.newest(), after+1)
 			helpers.Pause(time.Until(s.began.Add(time.Duration(at-1)*s.every)), nil)
-			listing := provider.Listing{At: at}
+			listing := provider.Listing{Revision: at}
 			for revision := after + 1; revision <= at; revision++ {
 				listing.Entries = append(listing.Entries, entry(revision))
 			}
@@ -113,12 +113,12 @@
 			List: func(context.Context, string) (provider.Listing, error) {
 				lists++
 				large := provider.Entry{Key: "large", Value: make([]byte, 1000), Revision: 1}
-				return provider.Listing{Entries: []provider.Entry{large, small(at)}, At: at}, nil
+				return provider.Listing{Entries: []provider.Entry{large, small(at)}, Revision: at}, nil
 			},
 			Watch: func(context.Context, string, provider.Revision, time.Duration) (provider.Listing, error) {
 				helpers.Pause(time.Second, nil)
 				at += 3
-				return provider.Listing{Entries: []provider.Entry{small(at - 2), small(at - 1), small(at)}, At: at}, nil
+				return provider.Listing{Entries: []provider.Entry{small(at - 2), small(at - 1), small(at)}, Revision: at}, nil
 			},
 		}
 		table := &mirror.Table{}
--- a/daemon/internal/process/mirror/link_test.go
+++ b/daemon/internal/process/mirror/link_test.go
@@ -59,7 +59,7 @@
 func (s *linkedStore) list(ctx context.Context, _ string) (provider.Listing, error) {
 	at := s.newest()
 	err := s.link.send(ctx, 1)
-	return provider.Listing{Entries: []provider.Entry{s.state(at)}, At: at}, err
+	return provider.Listing{Entries: []provider.Entry{s.state(at)}, Revision: at}, err
 }
 
 func (s *linkedStore) watch(ctx context.Context, _ string, after provider.Revision, wait time.Duration) (provider.Listing, error) {
@@ -69,8 +69,8 @@
 			return provider.Listing{}, ctx.Err()
 		}
 	}
-	listing := provider.Listing{At: s.newest()}
-	for revision := after + 1; revision <= listing.At; revision++ {
+	listing := provider.Listing{Revision: s.newest()}
+	for revision := after + 1; revision <= listing.Revision; revision++ {
 		listing.Entries = append(listing.Entries, s.state(revision))
 	}
 	return listing, s.link.send(ctx, len(listing.Entries))
--- a/daemon/internal/process/mirror/mirror_test.go
+++ b/daemon/internal/process/mirror/mirror_test.go
@@ -57,7 +57,7 @@
 			},
 			"list": func(t *rapid.T) {
 				at := provider.Revision(rapid.IntRange(0, int(revision)).Draw(t, "at"))
-				listing := provider.Listing{At: at}
+				listing := provider.Listing{Revision: at}
 				newest := map[string]provider.Entry{}
 				for _, entry := range history {
 					if entry.Revision <= at {
@@ -121,14 +121,14 @@
 	table := &mirror.Table{}
 	follower := &mirror.Follower{Table: table, Prefix: "", Store: s.store(func() provider.Listing {
 		if s.lists.Load() == 1 {
-			return provider.Listing{At: 5, Entries: []provider.Entry{{Key: "a", Revision: 4}, {Key: "b", Revision: 5}}}
+			return provider.Listing{Revision: 5, Entries: []provider.Entry{{Key: "a", Revision: 4}, {Key: "b", Revision: 5}}}
 		}
-		return provider.Listing{At: 9, Entries: []provider.Entry{{Key: "b", Revision: 5}}}
+		return provider.Listing{Revision: 9, Entries: []provider.Entry{{Key: "b", Revision: 5}}}
 	})}
 	follower.Start()
 	defer follower.Stop()
 	s.watches <- func() (provider.Listing, error) { return provider.Listing{}, provider.ErrCompacted }
-	s.watches <- func() (provider.Listing, error) { return provider.Listing{At: 9}, nil }
+	s.watches <- func() (provider.Listing, error) { return provider.Listing{Revision: 9}, nil }
 	assert.Equal(t, int64(2), s.lists.Load())
 	gone := map[string]bool{}
 	for _, entry := range table.Since(0).Entries {
@@ -142,7 +142,7 @@
 	s := &tableStore{watches: make(chan func() (provider.Listing, error))}
 	contacts := make(chan error, 8)
 	follower := &mirror.Follower{
-		Table: &mirror.Table{}, Store: s.store(func() provider.Listing { return provider.Listing{At: 1} }),
+		Table: &mirror.Table{}, Store: s.store(func() provider.Listing { return provider.Listing{Revision: 1} }),
 		OnContact: func(_ string, lost error) { contacts <- lost },
 	}
 	follower.Start()
@@ -151,7 +151,7 @@
 	s.watches <- func() (provider.Listing, error) { return provider.Listing{}, down }
 	require.ErrorIs(t, <-contacts, down)
 	s.watches <- func() (provider.Listing, error) { return provider.Listing{}, down }
-	s.watches <- func() (provider.Listing, error) { return provider.Listing{At: 1}, nil }
+	s.watches <- func() (provider.Listing, error) { return provider.Listing{Revision: 1}, nil }
 	require.NoError(t, <-contacts, "one line for a loss, one for the return")
 }
 
@@ -162,14 +162,14 @@
 	contacts := make(chan error, 8)
 	table := &mirror.Table{}
 	follower := &mirror.Follower{
-		Table: table, Wait: func() time.Duration { return time.Millisecond }, Store: s.store(func() provider.Listing { return provider.Listing{At: 1} }),
+		Table: table, Wait: func() time.Duration { return time.Millisecond }, Store: s.store(func() provider.Listing { return provider.Listing{Revision: 1} }),
 		OnContact: func(_ string, lost error) { contacts <- lost },
 	}
 	follower.Start()
 	defer follower.Stop()
 	require.ErrorIs(t, <-contacts, context.DeadlineExceeded)
 	s.watches <- func() (provider.Listing, error) {
-		return provider.Listing{At: 2, Entries: []provider.Entry{{Key: "a", Revision: 2}}}, nil
+		return provider.Listing{Revision: 2, Entries: []provider.Entry{{Key: "a", Revision: 2}}}, nil
 	}
 	require.NoError(t, <-contacts)
 	assert.Len(t, table.Since(0).Entries, 1)
@@ -180,7 +180,7 @@
 func TestTheReturnIsKnownBeforeTheNews(t *testing.T) {
 	s := &tableStore{watches: make(chan func() (provider.Listing, error))}
 	table := &mirror.Table{}
-	follower := &mirror.Follower{Table: table, Store: s.store(func() provider.Listing { return provider.Listing{At: 1} })}
+	follower := &mirror.Follower{Table: table, Store: s.store(func() provider.Listing { return provider.Listing{Revision: 1} })}
 	known := make(chan bool, 8)
 	table.OnChange = func([]provider.Entry) {
 		_, ever := follower.Regained()
@@ -190,7 +190,7 @@
 	defer follower.Stop()
 	news := func(revision provider.Revision) func() (provider.Listing, error) {
 		return func() (provider.Listing, error) {
-			return provider.Listing{At: revision, Entries: []provider.Entry{{Key: "a", Revision: revision}}}, nil
+			return provider.Listing{Revision: revision, Entries: []provider.Entry{{Key: "a", Revision: revision}}}, nil
 		}
 	}
 	s.watches <- news(2)
--- a/daemon/internal/process/mirror/near.go
+++ b/daemon/internal/process/mirror/near.go
@@ -126,7 +126,7 @@
 func (f *Follower) Adopt(news News) int {
 	fresh := 0
 	if news.After == 0 && news.At > 0 {
-		fresh = f.Table.Replace(f.Prefix, provider.Listing{Entries: news.Entries, At: news.At})
+		fresh = f.Table.Replace(f.Prefix, provider.Listing{Entries: news.Entries, Revision: news.At})
 	} else {
 		fresh = f.Table.Apply(news.Entries)
 	}
--- a/daemon/internal/process/mirror/near_test.go
+++ b/daemon/internal/process/mirror/near_test.go
@@ -67,14 +67,14 @@
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			n.lists++
-			return provider.Listing{At: 1}, nil
+			return provider.Listing{Revision: 1}, nil
 		},
 		Watch: func(_ context.Context, _ string, after provider.Revision, wait time.Duration) (provider.Listing, error) {
 			n.mu.Lock()
 			n.watches++
 			n.mu.Unlock()
 			helpers.Pause(wait, nil)
-			return provider.Listing{At: after}, nil
+			return provider.Listing{Revision: after}, nil
 		},
 	}
 }
@@ -251,7 +251,7 @@
 		old.Store(3)
 		store.ListStale = func(context.Context, string) (provider.Listing, error) {
 			at := provider.Revision(old.Load())
-			return provider.Listing{At: at, Entries: []provider.Entry{{Key: "v", Revision: at}}}, nil
+			return provider.Listing{Revision: at, Entries: []provider.Entry{{Key: "v", Revision: at}}}, nil
 		}
 		table := &mirror.Table{}
 		follower := &mirror.Follower{Store: store, Table: table, Near: n.ask, FirstStale: true, LookEvery: 4 * time.Second}
@@ -305,7 +305,7 @@
 				store := n.store()
 				store.ListStale = func(_ context.Context, prefix string) (provider.Listing, error) {
 					listed[prefix]++
-					return provider.Listing{At: 1}, nil
+					return provider.Listing{Revision: 1}, nil
 				}
 				follower := &mirror.Follower{
 					Store: store, Table: &mirror.Table{}, Near: n.ask, Before: []string{"shard/", "hall/"},
--- a/daemon/internal/process/mirror/outage_test.go
+++ b/daemon/internal/process/mirror/outage_test.go
@@ -28,7 +28,7 @@
 					return provider.Listing{}, errors.New("gone")
 				}
 				answered.Add(1)
-				return provider.Listing{At: 1}, nil
+				return provider.Listing{Revision: 1}, nil
 			}
 			var all []*mirror.Follower
 			for range followers {
--- a/daemon/internal/process/mirror/pulse_test.go
+++ b/daemon/internal/process/mirror/pulse_test.go
@@ -47,7 +47,7 @@
 	if c.down {
 		return provider.Listing{}, errAway
 	}
-	return provider.Listing{At: c.at, Entries: []provider.Entry{{Key: "c", Revision: c.at}}}, nil
+	return provider.Listing{Revision: c.at, Entries: []provider.Entry{{Key: "c", Revision: c.at}}}, nil
 }
 
 func (c *calm) price() int {
@@ -63,7 +63,7 @@
 	if dead || c.at <= after || c.at == c.untold {
 		return provider.Listing{}, false
 	}
-	return provider.Listing{At: c.at, Entries: []provider.Entry{{Key: "c", Revision: c.at}}}, true
+	return provider.Listing{Revision: c.at, Entries: []provider.Entry{{Key: "c", Revision: c.at}}}, true
 }
 
 func (c *calm) watch(ctx context.Context, _ string, after provider.Revision, wait time.Duration) (provider.Listing, error) {
@@ -88,7 +88,7 @@
 			return provider.Listing{}, ctx.Err()
 		}
 	}
-	return provider.Listing{At: after}, nil
+	return provider.Listing{Revision: after}, nil
 }
 
 // send has an answer arrive in parts.
@@ -114,7 +114,7 @@
 				c.mu.Lock()
 				defer c.mu.Unlock()
 				if c.old != 0 {
-					listing.At = c.old
+					listing.Revision = c.old
 				}
 				return listing, err
 			},
@@ -218,7 +218,7 @@
 		at.Store(1)
 		watches, lists := atomic.Int64{}, atomic.Int64{}
 		listing := func() provider.Listing {
-			return provider.Listing{At: provider.Revision(at.Load()), Entries: []provider.Entry{{Key: "v/m", Value: []byte("x"), Revision: provider.Revision(at.Load())}}}
+			return provider.Listing{Revision: provider.Revision(at.Load()), Entries: []provider.Entry{{Key: "v/m", Value: []byte("x"), Revision: provider.Revision(at.Load())}}}
 		}
 		table := &mirror.Table{}
 		var newest provider.Revision
@@ -239,7 +239,7 @@
 						return listing(), nil
 					}
 					helpers.Pause(wait, ctx.Done())
-					return provider.Listing{At: after}, ctx.Err()
+					return provider.Listing{Revision: after}, ctx.Err()
 				},
 			},
 			Prefix: "v/", Table: table, LookEvery: 4 * time.Second, Wait: func() time.Duration { return 15 * time.Second },
--- a/daemon/internal/process/mirror/suspension_test.go
+++ b/daemon/internal/process/mirror/suspension_test.go
@@ -37,7 +37,7 @@
 		Table: &mirror.Table{}, Now: h.now(),
 		Store: provider.Store{
 			List: func(context.Context, string) (provider.Listing, error) {
-				return provider.Listing{At: 1}, nil
+				return provider.Listing{Revision: 1}, nil
 			},
 			Watch: func(ctx context.Context, _ string, _ provider.Revision, _ time.Duration) (provider.Listing, error) {
 				close(answered)
--- a/daemon/internal/process/mirror/table.go
+++ b/daemon/internal/process/mirror/table.go
@@ -79,8 +79,8 @@
 	news := listing.Entries
 	t.mu.Lock()
 	for key, entry := range t.entries {
-		if strings.HasPrefix(key, prefix) && !present[key] && !entry.Gone && entry.Revision <= listing.At {
-			news = append(news, provider.Entry{Key: key, Revision: listing.At, Gone: true})
+		if strings.HasPrefix(key, prefix) && !present[key] && !entry.Gone && entry.Revision <= listing.Revision {
+			news = append(news, provider.Entry{Key: key, Revision: listing.Revision, Gone: true})
 		}
 	}
 	t.mu.Unlock()
@@ -143,13 +143,13 @@
 func (t *Table) SinceUnder(prefix string, after provider.Revision) provider.Listing {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	listing := provider.Listing{At: after}
+	listing := provider.Listing{Revision: after}
 	for key, entry := range t.entries {
 		if entry.Revision <= after || !strings.HasPrefix(key, prefix) {
 			continue
 		}
 		listing.Entries = append(listing.Entries, entry.Entry)
-		listing.At = max(listing.At, entry.Revision)
+		listing.Revision = max(listing.Revision, entry.Revision)
 	}
 	return listing
 }
--- a/daemon/provider/provider.go
+++ b/daemon/provider/provider.go
@@ -44,10 +44,10 @@
 	Gone bool `json:"gone,omitempty"`
 }
 
-// Listing is the result of a list or a watch. It is complete up to revision At.
+// Listing is the result of a list or a watch. It is complete up to Revision.
 type Listing struct {
-	Entries []Entry  `json:"entries"`
-	At      Revision `json:"at"`
+	Entries  []Entry  `json:"entries"`
+	Revision Revision `json:"at"`
 }
 
 // LeaseID identifies a lease of the store.
@@ -62,7 +62,7 @@
 
 // Store holds the calls to the store that the daemons use.
 type Store struct {
-	// List reads all entries under a prefix, in as many pages as needed. At is the revision of
+	// List reads all entries under a prefix, in as many pages as needed. Revision is that of
 	// the first page: the pages are not a snapshot.
 	List func(ctx context.Context, prefix string) (Listing, error)
 	// ListStale is like List, but may return data that is seconds old at far less cost to the
--- a/daemon/router/fixture_test.go
+++ b/daemon/router/fixture_test.go
@@ -90,7 +90,7 @@
 	}
 	list := func(_ context.Context, prefix string) (provider.Listing, error) {
 		items, at := s.store.List(prefix)
-		listing := provider.Listing{At: provider.Revision(at)}
+		listing := provider.Listing{Revision: provider.Revision(at)}
 		for _, item := range items {
 			listing.Entries = append(listing.Entries, provider.Entry{Key: item.Key, Value: item.Value, Revision: provider.Revision(item.Revision)})
 		}
@@ -138,7 +138,7 @@
 			return provider.Listing{}, provider.ErrCompacted
 		}
 		if len(events) > 0 {
-			listing := provider.Listing{At: provider.Revision(at)}
+			listing := provider.Listing{Revision: provider.Revision(at)}
 			for _, event := range events {
 				listing.Entries = append(listing.Entries, provider.Entry{
 					Key: event.Key, Value: event.Value, Revision: provider.Revision(event.Revision), Gone: event.Deleted,
@@ -149,7 +149,7 @@
 		select {
 		case <-changed:
 		case <-timeout.C:
-			return provider.Listing{At: provider.Revision(at)}, nil
+			return provider.Listing{Revision: provider.Revision(at)}, nil
 		case <-ctx.Done():
 			return provider.Listing{}, ctx.Err()
 		}
