--- a/daemon/internal/connection/peering/packed_test.go
+++ b/daemon/internal/connection/peering/packed_test.go
@@ -67,7 +67,7 @@
 			for range rapid.IntRange(1, 200).Draw(t, "times") {
 				value = append(value, pattern...)
 			}
-			sent := []provider.Entry{{Key: "a", Value: value, Revision: provider.Revision(revision + 1)}, {Key: "b", Gone: true}}
+			sent := []provider.Entry{{Key: "a", Value: value, Revision: provider.Revision(revision + 1)}, {Key: "b", Deleted: true}}
 			data, err := json.Marshal(p.pack(sent))
 			require.NoError(t, err)
 			var packed []packedEntry
--- a/daemon/internal/process/mirror/lapse_test.go
+++ b/daemon/internal/process/mirror/lapse_test.go
@@ -30,7 +30,7 @@
 	revision := provider.Revision(0)
 	tell := func(key string, gone bool) {
 		revision++
-		table.Apply([]provider.Entry{{Key: key, Revision: revision, Gone: gone}})
+		table.Apply([]provider.Entry{{Key: key, Revision: revision, Deleted: gone}})
 	}
 	used := func() int { return len(compiler.View().Upstreams["s"]) }
 
@@ -79,6 +79,6 @@
 	assert.Equal(t, []string{"alive"}, used())
 	table.Apply([]provider.Entry{{Key: "dead", Revision: 12, Created: 5}})
 	assert.Equal(t, []string{"alive"}, used(), "a late write of the dead one")
-	table.Apply([]provider.Entry{{Key: "alive", Revision: 13, Gone: true}})
+	table.Apply([]provider.Entry{{Key: "alive", Revision: 13, Deleted: true}})
 	assert.Equal(t, []string{"dead"}, used())
 }
--- a/daemon/internal/process/mirror/mirror_test.go
+++ b/daemon/internal/process/mirror/mirror_test.go
@@ -31,9 +31,9 @@
 			revision++
 			entry := provider.Entry{
 				Key: rapid.SampledFrom([]string{"a/1", "a/2", "b/1"}).Draw(t, "key"), Revision: revision,
-				Gone: rapid.Bool().Draw(t, "gone"),
+				Deleted: rapid.Bool().Draw(t, "gone"),
 			}
-			if !entry.Gone {
+			if !entry.Deleted {
 				entry.Value = []byte(fmt.Sprint(revision))
 			}
 			history = append(history, entry)
@@ -65,7 +65,7 @@
 					}
 				}
 				for _, entry := range newest {
-					if !entry.Gone {
+					if !entry.Deleted {
 						listing.Entries = append(listing.Entries, entry)
 					}
 				}
@@ -74,8 +74,8 @@
 					hear(entry)
 				}
 				for key, known := range oracle {
-					if entry, ok := newest[key]; (!ok || entry.Gone) && !known.Gone && known.Revision <= at {
-						oracle[key] = provider.Entry{Key: key, Revision: at, Gone: true}
+					if entry, ok := newest[key]; (!ok || entry.Deleted) && !known.Deleted && known.Revision <= at {
+						oracle[key] = provider.Entry{Key: key, Revision: at, Deleted: true}
 					}
 				}
 			},
@@ -85,7 +85,7 @@
 					got[entry.Key] = entry
 				}
 				for key, want := range oracle {
-					require.Equal(t, want.Gone, got[key].Gone, key)
+					require.Equal(t, want.Deleted, got[key].Deleted, key)
 					require.Equal(t, want.Value, got[key].Value, key)
 				}
 			},
@@ -132,7 +132,7 @@
 	assert.Equal(t, int64(2), s.lists.Load())
 	gone := map[string]bool{}
 	for _, entry := range table.Since(0).Entries {
-		gone[entry.Key] = entry.Gone
+		gone[entry.Key] = entry.Deleted
 	}
 	assert.Equal(t, map[string]bool{"a": true, "b": false}, gone, "what was removed in the gap is gone")
 	assert.True(t, follower.Known())
--- a/daemon/internal/process/mirror/near_test.go
+++ b/daemon/internal/process/mirror/near_test.go
@@ -163,7 +163,7 @@
 		assert.Contains(t, n.revisions()[2:], provider.Revision(0))
 		gone := map[string]bool{}
 		for _, entry := range table.Since(0).Entries {
-			gone[entry.Key] = entry.Gone
+			gone[entry.Key] = entry.Deleted
 		}
 		assert.Equal(t, map[string]bool{"a": false, "b": true}, gone)
 	})
--- a/daemon/internal/process/mirror/table.go
+++ b/daemon/internal/process/mirror/table.go
@@ -79,8 +79,8 @@
 	news := listing.Entries
 	t.mu.Lock()
 	for key, entry := range t.entries {
-		if strings.HasPrefix(key, prefix) && !present[key] && !entry.Gone && entry.Revision <= listing.Revision {
-			news = append(news, provider.Entry{Key: key, Revision: listing.Revision, Gone: true})
+		if strings.HasPrefix(key, prefix) && !present[key] && !entry.Deleted && entry.Revision <= listing.Revision {
+			news = append(news, provider.Entry{Key: key, Revision: listing.Revision, Deleted: true})
 		}
 	}
 	t.mu.Unlock()
@@ -105,7 +105,7 @@
 		fresh = append(fresh, entry)
 	}
 	for key, entry := range t.entries {
-		if entry.Gone && now.Sub(entry.since) > removalsKept {
+		if entry.Deleted && now.Sub(entry.since) > removalsKept {
 			delete(t.entries, key)
 		}
 	}
--- a/daemon/internal/process/mirror/view.go
+++ b/daemon/internal/process/mirror/view.go
@@ -240,7 +240,7 @@
 }
 
 func (c *Compiler) takeEntry(next *View, entry provider.Entry) {
-	if entry.Gone {
+	if entry.Deleted {
 		c.keepLapsed(entry.Key)
 		delete(c.upstreams, entry.Key)
 		delete(c.members, entry.Key)
--- a/daemon/provider/provider.go
+++ b/daemon/provider/provider.go
@@ -40,8 +40,8 @@
 	Revision Revision `json:"revision"`
 	// Created is the revision at which the key was created, or 0 if the store does not report it.
 	Created Revision `json:"created,omitempty"`
-	// Gone marks a deletion; Value is empty then.
-	Gone bool `json:"gone,omitempty"`
+	// Deleted marks a deletion; Value is empty then.
+	Deleted bool `json:"gone,omitempty"`
 }
 
 // Listing is the result of a list or a watch. It is complete up to Revision.
--- a/daemon/router/fixture_test.go
+++ b/daemon/router/fixture_test.go
@@ -141,7 +141,7 @@
 			listing := provider.Listing{Revision: provider.Revision(at)}
 			for _, event := range events {
 				listing.Entries = append(listing.Entries, provider.Entry{
-					Key: event.Key, Value: event.Value, Revision: provider.Revision(event.Revision), Gone: event.Deleted,
+					Key: event.Key, Value: event.Value, Revision: provider.Revision(event.Revision), Deleted: event.Deleted,
 				})
 			}
 			return listing, nil
--- a/daemon/router/recorder.go
+++ b/daemon/router/recorder.go
@@ -249,7 +249,7 @@
 		}
 		r.log.WithFields(fields).Error("invalid store entry; keeping the last valid one")
 		return
-	case change.Entry.Gone:
+	case change.Entry.Deleted:
 		fields["gone"] = true
 	case record.Configuration != nil:
 		fields["version"] = record.Configuration.Version
