--- a/daemon/internal/process/mirror/lapse_test.go
+++ b/daemon/internal/process/mirror/lapse_test.go
@@ -75,9 +75,9 @@
 		}
 		return ids
 	}
-	table.Apply([]provider.Entry{{Key: "dead", Revision: 5, Created: 5}, {Key: "alive", Revision: 9, Created: 9}})
+	table.Apply([]provider.Entry{{Key: "dead", Revision: 5, CreateRevision: 5}, {Key: "alive", Revision: 9, CreateRevision: 9}})
 	assert.Equal(t, []string{"alive"}, used())
-	table.Apply([]provider.Entry{{Key: "dead", Revision: 12, Created: 5}})
+	table.Apply([]provider.Entry{{Key: "dead", Revision: 12, CreateRevision: 5}})
 	assert.Equal(t, []string{"alive"}, used(), "a late write of the dead one")
 	table.Apply([]provider.Entry{{Key: "alive", Revision: 13, Deleted: true}})
 	assert.Equal(t, []string{"dead"}, used())
--- a/daemon/internal/process/mirror/view.go
+++ b/daemon/internal/process/mirror/view.go
@@ -264,7 +264,7 @@
 		if record.Upstream.ColdFor > 0 {
 			record.Upstream.ColdUntil = c.now().Add(record.Upstream.ColdFor)
 		}
-		c.upstreams[entry.Key] = listed{record.Upstream, helpers.OrDefault(entry.Created, entry.Revision)}
+		c.upstreams[entry.Key] = listed{record.Upstream, helpers.OrDefault(entry.CreateRevision, entry.Revision)}
 	case record.Target != nil:
 		c.targets[entry.Key] = c.declare(entry, *record.Target)
 	case record.Member != nil:
--- a/daemon/provider/provider.go
+++ b/daemon/provider/provider.go
@@ -38,8 +38,8 @@
 	Key      string   `json:"key"`
 	Value    []byte   `json:"value,omitempty"`
 	Revision Revision `json:"revision"`
-	// Created is the revision at which the key was created, or 0 if the store does not report it.
-	Created Revision `json:"created,omitempty"`
+	// CreateRevision is the revision at which the key was created, or 0 if the store does not report it.
+	CreateRevision Revision `json:"created,omitempty"`
 	// Deleted marks a deletion; Value is empty then.
 	Deleted bool `json:"gone,omitempty"`
 }
