--- a/daemon/internal/connection/loadfeed/loadfeed.go
+++ b/daemon/internal/connection/loadfeed/loadfeed.go
@@ -45,8 +45,8 @@
 	Loading bool `json:"loading,omitempty"`
 	// ClosesIn is in how many milliseconds the engine is to be ordered to take a version,
 	// in whole steps of ClosesStep, 0 where that is not soon.
-	ClosesIn int64             `json:"closesIn,omitempty"`
-	Models   []provider.Loaded `json:"models,omitempty"`
+	ClosesIn int64                  `json:"closesIn,omitempty"`
+	Models   []provider.LoadedModel `json:"models,omitempty"`
 }
 
 // ClosesIn returns what a line says of an engine that is to be ordered at some time, zero
--- a/daemon/internal/connection/loadfeed/loadfeed_test.go
+++ b/daemon/internal/connection/loadfeed/loadfeed_test.go
@@ -28,7 +28,7 @@
 		heard <- line
 	}}
 	reader.Follow([]netip.AddrPort{host})
-	want := Line{Running: 3, Waiting: 1, Models: []provider.Loaded{{Model: "m", Version: 2}}}
+	want := Line{Running: 3, Waiting: 1, Models: []provider.LoadedModel{{Model: "m", Version: 2}}}
 	feed.Publish(want)
 	assert.Equal(t, want, <-heard)
 	feed.Publish(Line{Running: 4})
--- a/daemon/internal/process/balance/balance.go
+++ b/daemon/internal/process/balance/balance.go
@@ -113,7 +113,7 @@
 	// ClosesIn is in how long it is to take one, 0 where that is not soon.
 	ClosesIn time.Duration
 	// Models is what it holds.
-	Models []provider.Loaded
+	Models []provider.LoadedModel
 }
 
 // Query says what a request needs.
--- a/daemon/internal/process/balance/balance_test.go
+++ b/daemon/internal/process/balance/balance_test.go
@@ -18,7 +18,7 @@
 	for i := range count {
 		result = append(result, &provider.Upstream{
 			ID: fmt.Sprintf("u%d", i), Address: netip.MustParseAddrPort(fmt.Sprintf("127.0.0.1:%d", i+1)), Places: 16,
-			Models: []provider.Loaded{{Model: "m", Version: 1}},
+			Models: []provider.LoadedModel{{Model: "m", Version: 1}},
 		})
 	}
 	return result
@@ -204,14 +204,14 @@
 func TestToldVersionGoesBeforeTheRecord(t *testing.T) {
 	pool := &balance.Pool{}
 	candidates := upstreams(2)
-	pool.Tell("u1", balance.Told{Models: []provider.Loaded{{Model: "m", Version: 2}}})
+	pool.Tell("u1", balance.Told{Models: []provider.LoadedModel{{Model: "m", Version: 2}}})
 	choice, ok := pool.Choose(candidates, balance.Query{Model: "m", Version: 2})
 	require.True(t, ok)
 	assert.Equal(t, "u1", choice.Upstream.ID)
 	choice.Done(balance.Served)
 	counts := map[string]int{}
 	for range 20 {
-		pool.Tell("u1", balance.Told{Models: []provider.Loaded{{Model: "m", Version: 2}}})
+		pool.Tell("u1", balance.Told{Models: []provider.LoadedModel{{Model: "m", Version: 2}}})
 		preferred, ok := pool.Choose(candidates, balance.Query{Model: "m", Preferred: 2, Avoid: 1})
 		require.True(t, ok)
 		counts[preferred.Upstream.ID]++
@@ -343,7 +343,7 @@
 	assert.Equal(t, 1, choice.Version)
 	assert.Equal(t, 3, choice.Running)
 
-	pool.Tell(list[0].ID, balance.Told{Models: []provider.Loaded{{Model: "m", Version: 2}}})
+	pool.Tell(list[0].ID, balance.Told{Models: []provider.LoadedModel{{Model: "m", Version: 2}}})
 	now = now.Add(500 * time.Millisecond)
 	pool.TellLoad(list[0].ID, 3, 0, false)
 	now = now.Add(500 * time.Millisecond)
--- a/daemon/internal/request/dispatch/place_test.go
+++ b/daemon/internal/request/dispatch/place_test.go
@@ -44,9 +44,9 @@
 	for i := range engines {
 		id := fmt.Sprint("u", i)
 		records[id] = provider.Record{Upstream: &provider.Upstream{
-			ID: id, Service: "s", Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 8000), Places: 16, Models: []provider.Loaded{{Model: "m", Version: 1}},
+			ID: id, Service: "s", Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 8000), Places: 16, Models: []provider.LoadedModel{{Model: "m", Version: 1}},
 		}}
-		f.pool.Tell(id, balance.Told{Models: []provider.Loaded{{Model: "m", Version: 1}}})
+		f.pool.Tell(id, balance.Told{Models: []provider.LoadedModel{{Model: "m", Version: 1}}})
 	}
 	compiler := &mirror.Compiler{Decode: func(entry provider.Entry) (provider.Record, error) { return records[entry.Key], nil }}
 	var entries []provider.Entry
--- a/daemon/internal/version/keep/keep_test.go
+++ b/daemon/internal/version/keep/keep_test.go
@@ -87,7 +87,7 @@
 			defer e.mu.Unlock()
 			report := provider.EngineReport{Sequence: e.sequence, Waiting: e.waiting, Running: e.running}
 			if e.held > 0 {
-				report.Models = []provider.Loaded{{Model: "m", Version: e.held}}
+				report.Models = []provider.LoadedModel{{Model: "m", Version: e.held}}
 			}
 			return report, nil
 		},
--- a/daemon/lab/engine.go
+++ b/daemon/lab/engine.go
@@ -67,7 +67,7 @@
 	e := &engine{play: p, number: number}
 	e.record = &provider.Upstream{
 		ID: fmt.Sprintf("e%d", number), Hall: hallOf(number, p.Halls), Places: p.Engine.Places,
-		Models: []provider.Loaded{{Model: model, Version: 1}},
+		Models: []provider.LoadedModel{{Model: model, Version: 1}},
 	}
 	e.ledger.Now = p.now
 	return e
--- a/daemon/loader/notes_test.go
+++ b/daemon/loader/notes_test.go
@@ -27,7 +27,7 @@
 	p.noteReport(provider.EngineReport{}, nil)
 	_, given := p.ledger.Take(anywhere)
 	assert.False(t, given)
-	p.noteReport(provider.EngineReport{Models: []provider.Loaded{{Model: "m", Version: 1}}}, nil)
+	p.noteReport(provider.EngineReport{Models: []provider.LoadedModel{{Model: "m", Version: 1}}}, nil)
 	_, given = p.ledger.Take(anywhere)
 	assert.True(t, given)
 }
--- a/daemon/provider/configuration.go
+++ b/daemon/provider/configuration.go
@@ -132,7 +132,7 @@
 	Leaving bool
 	// Models are the versions that an engine has loaded; empty for a new engine and for plain
 	// upstreams.
-	Models []Loaded
+	Models []LoadedModel
 	// ColdFor is how long the upstream remains cold after the record was written, and ColdUntil
 	// the same as a time on the clock of the daemon that read the record.
 	ColdFor   time.Duration
@@ -142,9 +142,9 @@
 // Cold returns how much longer the upstream remains cold, or 0 if it is warm.
 func (u *Upstream) Cold(now time.Time) time.Duration { return max(u.ColdUntil.Sub(now), 0) }
 
-// Loaded is a version of a model that an engine has loaded completely. It is encoded to JSON
+// LoadedModel is a version of a model that an engine has loaded completely. It is encoded to JSON
 // under the names of its fields.
-type Loaded struct {
+type LoadedModel struct {
 	Model   string
 	Version int
 }
--- a/daemon/provider/engine.go
+++ b/daemon/provider/engine.go
@@ -22,7 +22,7 @@
 // EngineReport is the state that an engine reports.
 type EngineReport struct {
 	// Models are the versions that it has loaded.
-	Models []Loaded
+	Models []LoadedModel
 	// Loading says that the engine is executing an order.
 	Loading bool
 	// Running and Waiting are the numbers of its requests that run and that are queued.
--- a/daemon/router/limit_test.go
+++ b/daemon/router/limit_test.go
@@ -118,7 +118,7 @@
 		record.Places = 16
 		if loaderPort != 0 {
 			configuration.Services[0].Engine = &provider.EngineSpec{Model: "m", Places: record.Places}
-			record.Models = []provider.Loaded{{Model: "m", Version: 1}}
+			record.Models = []provider.LoadedModel{{Model: "m", Version: 1}}
 		}
 		s.list(record)
 	}
@@ -263,7 +263,7 @@
 	ledger.Observe(places.Load{}, true)
 	pages := http.NewServeMux()
 	feed := loadfeed.NewFeed()
-	feed.Publish(loadfeed.Line{Models: []provider.Loaded{{Model: "m", Version: 1}}})
+	feed.Publish(loadfeed.Line{Models: []provider.LoadedModel{{Model: "m", Version: 1}}})
 	pages.Handle(loadfeed.Path, feed)
 	answer := places.Handler(ledger, func(places.Answer) {})
 	pages.HandleFunc(places.Path, func(w http.ResponseWriter, r *http.Request) {
