--- a/daemon/internal/request/dispatch/candidates.go
+++ b/daemon/internal/request/dispatch/candidates.go
@@ -32,9 +32,9 @@
 }
 
 func (q *request) residency() residency.Rule {
-	rule := residency.Rule{Route: q.route.Homes}
+	rule := residency.Rule{Route: q.route.AllowedRegions}
 	if q.account != nil {
-		rule.Account = q.account.Homes
+		rule.Account = q.account.AllowedRegions
 	}
 	return rule
 }
--- a/daemon/provider/configuration.go
+++ b/daemon/provider/configuration.go
@@ -60,8 +60,8 @@
 	Public bool
 	// Resumable streams may be resumed at another upstream after the last event.
 	Resumable bool
-	// Homes are the regions in which requests may run; empty means all regions.
-	Homes []string
+	// AllowedRegions are the regions in which requests may run; empty means all regions.
+	AllowedRegions []string
 }
 
 // Share is the weight of a service in a route.
@@ -107,9 +107,9 @@
 	Keys []string
 	// Priority overrides the route's priority if set.
 	Priority *int
-	// Homes are the regions in which requests may run; empty means all regions. The route's
-	// regions apply as well.
-	Homes []string
+	// AllowedRegions are the regions in which requests may run; empty means all regions. The route's
+	// of the route apply as well.
+	AllowedRegions []string
 }
 
 // Limits bound the requests of callers.
--- a/daemon/router/residency_test.go
+++ b/daemon/router/residency_test.go
@@ -59,15 +59,15 @@
 	for name, restrict := range map[string]func(*provider.Configuration){
 		"a route's": func(c *provider.Configuration) {
 			for i := range c.Routes {
-				c.Routes[i].Homes = []string{"region of south"}
+				c.Routes[i].AllowedRegions = []string{"region of south"}
 			}
 		},
-		"an account's": func(c *provider.Configuration) { c.Accounts[0].Homes = []string{"region of south"} },
+		"an account's": func(c *provider.Configuration) { c.Accounts[0].AllowedRegions = []string{"region of south"} },
 		"both": func(c *provider.Configuration) {
 			for i := range c.Routes {
-				c.Routes[i].Homes = []string{"region of south", "region of north"}
+				c.Routes[i].AllowedRegions = []string{"region of south", "region of north"}
 			}
-			c.Accounts[0].Homes = []string{"region of south", "region of west"}
+			c.Accounts[0].AllowedRegions = []string{"region of south", "region of west"}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -103,7 +103,7 @@
 // an empty list, which allows all regions.
 func TestUnknownRegionAllowsNoUpstream(t *testing.T) {
 	configuration := baseConfiguration(1)
-	configuration.Accounts[0].Homes = []string{"moon"}
+	configuration.Accounts[0].AllowedRegions = []string{"moon"}
 	r := startTwoRegions(t, configuration)
 	assert.Equal(t, map[int]int{http.StatusServiceUnavailable: 12}, r.send(t, "nowhere"))
 	assert.Zero(t, r.north.ran.Load()+r.south.ran.Load())
