--- a/daemon/provider/provider.go
+++ b/daemon/provider/provider.go
@@ -27,8 +27,8 @@
 	ErrCompacted = errors.New("the history after this revision has been compacted")
 	// ErrConflict reports that a condition of a transaction does not hold.
 	ErrConflict = errors.New("a condition of the transaction does not hold")
-	// ErrLeaseOver reports that a lease has expired.
-	ErrLeaseOver = errors.New("the lease has expired")
+	// ErrLeaseExpired reports that a lease has expired.
+	ErrLeaseExpired = errors.New("the lease has expired")
 	// ErrNotFound reports that a key, chunk or version does not exist.
 	ErrNotFound = errors.New("not found")
 )
--- a/daemon/router/announcer.go
+++ b/daemon/router/announcer.go
@@ -59,7 +59,7 @@
 	defer cancel()
 	if a.lease != 0 {
 		err := a.store.Renew(ctx, a.lease)
-		if errors.Is(err, provider.ErrLeaseOver) {
+		if errors.Is(err, provider.ErrLeaseExpired) {
 			a.lease = 0
 		}
 		return err
