--- a/daemon/internal/version/keep/keep_test.go
+++ b/daemon/internal/version/keep/keep_test.go
@@ -130,7 +130,7 @@
 		e.loseAnswers--
 		return provider.OrderUnknown, errLost
 	}
-	return provider.OrderBegun, nil
+	return provider.OrderStarted, nil
 }
 
 func (e *engine) version() int {
--- a/daemon/provider/engine.go
+++ b/daemon/provider/engine.go
@@ -50,10 +50,10 @@
 // The results. The zero value means that the order got no answer.
 const (
 	OrderUnknown OrderResult = iota
-	// OrderBegun means that the engine has started to load the version.
-	OrderBegun
-	// OrderHeld means that the version is loaded already.
-	OrderHeld
+	// OrderStarted means that the engine has started to load the version.
+	OrderStarted
+	// OrderAlreadyLoaded means that the version is loaded already.
+	OrderAlreadyLoaded
 	// OrderConflict means that the order does not match the engine's state.
 	OrderConflict
 	// OrderFenced means that the engine has seen a higher fencing token.
