--- a/daemon/internal/version/keep/keep.go
+++ b/daemon/internal/version/keep/keep.go
@@ -309,7 +309,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	result, err := k.Engine.Start(ctx, k.Address, provider.Order{
-		Model: goal.Model, Version: goal.Version, Fence: goal.Fence, Sequence: report.Sequence,
+		Model: goal.Model, Version: goal.Version, FencingToken: goal.Fence, Sequence: report.Sequence,
 	})
 	k.ordered = k.now()
 	k.clearing = time.Time{}
--- a/daemon/internal/version/keep/keep_test.go
+++ b/daemon/internal/version/keep/keep_test.go
@@ -115,7 +115,7 @@
 	if order.Sequence != e.sequence {
 		return provider.OrderConflict, errors.New("sequence")
 	}
-	if order.Fence < e.fence {
+	if order.FencingToken < e.fence {
 		e.fenced++
 		return provider.OrderFenced, errors.New("fence")
 	}
--- a/daemon/provider/engine.go
+++ b/daemon/provider/engine.go
@@ -37,9 +37,9 @@
 type Order struct {
 	Model   string
 	Version int
-	// Fence is a fencing token: the engine rejects an order whose token is lower than one it has
-	// already seen.
-	Fence Revision
+	// FencingToken is a fencing token: the engine rejects an order whose token is lower than one it has
+	// that it has already seen.
+	FencingToken Revision
 	// Sequence is the sender's view of the engine's order count.
 	Sequence uint64
 }
