--- a/daemon/internal/process/balance/score.go
+++ b/daemon/internal/process/balance/score.go
@@ -29,10 +29,10 @@
 // its record says where the host told nothing of late.
 func (s *state) holds(candidate *provider.Upstream, model string, now time.Time) int {
 	if now.Sub(s.modelsAt) > toldFor {
-		return candidate.Holds(model)
+		return candidate.LoadedVersion(model)
 	}
 	told := provider.Upstream{Models: s.told.Models}
-	return told.Holds(model)
+	return told.LoadedVersion(model)
 }
 
 // chance bounds what is added at random to a score, in requests: upstreams at
--- a/daemon/provider/configuration.go
+++ b/daemon/provider/configuration.go
@@ -149,8 +149,8 @@
 	Version int
 }
 
-// Holds returns the version of a model that the upstream has loaded, or 0.
-func (u *Upstream) Holds(model string) int {
+// LoadedVersion returns the version of a model that the upstream has loaded, or 0.
+func (u *Upstream) LoadedVersion(model string) int {
 	for _, loaded := range u.Models {
 		if loaded.Model == model {
 			return loaded.Version
