--- a/daemon/provider/configuration.go
+++ b/daemon/provider/configuration.go
@@ -139,8 +139,8 @@
 	ColdUntil time.Time
 }
 
-// Cold returns how much longer the upstream remains cold, or 0 if it is warm.
-func (u *Upstream) Cold(now time.Time) time.Duration { return max(u.ColdUntil.Sub(now), 0) }
+// ColdRemaining returns how much longer the upstream remains cold, or 0 if it is warm.
+func (u *Upstream) ColdRemaining(now time.Time) time.Duration { return max(u.ColdUntil.Sub(now), 0) }
 
 // LoadedModel is a version of a model that an engine has loaded completely. It is encoded to JSON
 // under the names of its fields.
--- a/daemon/router/limits.go
+++ b/daemon/router/limits.go
@@ -101,7 +101,7 @@
 // coldLimit returns the limit of a cold upstream. It is nil if the upstream is not cold or its
 // service declares no rate for cold upstreams.
 func (p *Process) coldLimit(upstream *provider.Upstream, now time.Time) *ratelimit.Cold {
-	remaining := upstream.Cold(now)
+	remaining := upstream.ColdRemaining(now)
 	if remaining == 0 {
 		return nil
 	}
