--- a/daemon/internal/process/mirror/view.go
+++ b/daemon/internal/process/mirror/view.go
@@ -258,8 +258,8 @@
 	case record.Configuration != nil:
 		next.ConfigurationRevision = entry.Revision
 		next.takeConfiguration(record.Configuration)
-	case record.Evacuated != "":
-		c.evacuated[entry.Key] = record.Evacuated
+	case record.EvacuatedHall != "":
+		c.evacuated[entry.Key] = record.EvacuatedHall
 	case record.Upstream != nil:
 		if record.Upstream.ColdFor > 0 {
 			record.Upstream.ColdUntil = c.now().Add(record.Upstream.ColdFor)
--- a/daemon/provider/provider.go
+++ b/daemon/provider/provider.go
@@ -113,8 +113,8 @@
 	Upstream      *Upstream
 	Target        *Target
 	Member        *Member
-	// Evacuated is a data hall whose upstreams must get no requests while the entry exists.
-	Evacuated string
+	// EvacuatedHall is a data hall whose upstreams must get no requests while the entry exists.
+	EvacuatedHall string
 	// Suspect is a record of a content under which upstreams crashed, as encoded by the routers.
 	Suspect []byte
 }
--- a/daemon/router/recorder.go
+++ b/daemon/router/recorder.go
@@ -266,8 +266,8 @@
 		}
 	case record.Target != nil:
 		fields["model"], fields["version"] = record.Target.Model, record.Target.Version
-	case record.Evacuated != "":
-		fields["evacuated"] = record.Evacuated
+	case record.EvacuatedHall != "":
+		fields["evacuated"] = record.EvacuatedHall
 	case record.Member != nil:
 		fields["peers"] = record.Member.Peers
 	}
--- a/daemon/router/residency_test.go
+++ b/daemon/router/residency_test.go
@@ -110,7 +110,7 @@
 }
 
 func (r *twoRegions) evacuate(hall string) {
-	r.put("e/"+hall, encodeRecord(provider.Record{Evacuated: hall}))
+	r.put("e/"+hall, encodeRecord(provider.Record{EvacuatedHall: hall}))
 }
 
 // reached reports whether an upstream receives requests.
