--- a/daemon/internal/version/keep/keep_test.go
+++ b/daemon/internal/version/keep/keep_test.go
@@ -91,13 +91,13 @@
 			}
 			return report, nil
 		},
-		Stage: func(_ context.Context, _ netip.AddrPort, _ string, index int, chunk []byte) error {
+		WriteStaged: func(_ context.Context, _ netip.AddrPort, _ string, index int, chunk []byte) error {
 			e.mu.Lock()
 			defer e.mu.Unlock()
 			e.staged[index] = chunk
 			return nil
 		},
-		Staged: func(_ context.Context, _ netip.AddrPort, _ string, index int) ([]byte, error) {
+		ReadStaged: func(_ context.Context, _ netip.AddrPort, _ string, index int) ([]byte, error) {
 			e.mu.Lock()
 			defer e.mu.Unlock()
 			if chunk, ok := e.staged[index]; ok {
--- a/daemon/internal/version/keep/stage.go
+++ b/daemon/internal/version/keep/stage.go
@@ -40,7 +40,7 @@
 func (k *Keeper) staged(ctx context.Context, model string, index int) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return k.Engine.Staged(ctx, k.Address, model, index)
+	return k.Engine.ReadStaged(ctx, k.Address, model, index)
 }
 
 // prepare lays a version beside the engine ahead of its turn. It is read back
@@ -82,7 +82,7 @@
 func (k *Keeper) putChunk(ctx context.Context, model string, index int, chunk []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return k.Engine.Stage(ctx, k.Address, model, index, chunk)
+	return k.Engine.WriteStaged(ctx, k.Address, model, index, chunk)
 }
 
 // check reads back what lies beside the engine, just before an order.
--- a/daemon/provider/engine.go
+++ b/daemon/provider/engine.go
@@ -13,10 +13,9 @@
 	Report func(ctx context.Context, engine netip.AddrPort) (EngineReport, error)
 	// Start orders the engine to load the staged version.
 	Start func(ctx context.Context, engine netip.AddrPort, order Order) (OrderResult, error)
-	// Stage writes a chunk to the staging area beside the engine, and Staged reads it back.
-	// Staged wraps ErrNotFound if the chunk is missing.
-	Stage  func(ctx context.Context, engine netip.AddrPort, model string, index int, chunk []byte) error
-	Staged func(ctx context.Context, engine netip.AddrPort, model string, index int) ([]byte, error)
+	// WriteStaged writes a chunk to the staging area beside the engine, and Staged reads it back.
+	WriteStaged func(ctx context.Context, engine netip.AddrPort, model string, index int, chunk []byte) error
+	ReadStaged  func(ctx context.Context, engine netip.AddrPort, model string, index int) ([]byte, error)
 }
 
 // EngineReport is the state that an engine reports.
