--- a/daemon/provider/provider.go
+++ b/daemon/provider/provider.go
@@ -82,8 +82,8 @@
 
 // Prefixes are the key prefixes in the store that the daemons follow.
 type Prefixes struct {
-	// All is the prefix of every key.
-	All string
+	// Root is the prefix of every key.
+	Root string
 	// Versions is the prefix of the declared versions.
 	Versions string
 	// Upstreams is the prefix of the records of upstreams.
--- a/daemon/router/fixture_test.go
+++ b/daemon/router/fixture_test.go
@@ -48,7 +48,7 @@
 func (s *environment) provider(name string) provider.Provider {
 	return provider.Provider{
 		Store:    s.client(name),
-		Prefixes: provider.Prefixes{All: "", Members: "m/", MembersOf: membersOf, Configuration: "c", Upstreams: "u/", Versions: "v/"},
+		Prefixes: provider.Prefixes{Root: "", Members: "m/", MembersOf: membersOf, Configuration: "c", Upstreams: "u/", Versions: "v/"},
 		Headers:  testHeaders,
 		Decode:   decodeRecord,
 		EncodeMember: func(member provider.Member) provider.Put {
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -163,7 +163,7 @@
 	own := p.ownMember()
 	shardPrefix, hallPrefix := p.provider.Prefixes.OfHall(own.Hall, own.Shard), p.provider.Prefixes.OfHall(own.Hall, "")
 	p.follower = &mirror.Follower{
-		Store: p.provider.Store, Prefix: p.provider.Prefixes.All, Table: p.table, OnContact: p.recorder.storeContact,
+		Store: p.provider.Store, Prefix: p.provider.Prefixes.Root, Table: p.table, OnContact: p.recorder.storeContact,
 		OnBytes: p.recorder.storeBytes, Settle: p.settleDelay, PulseEvery: storePollInterval, PulseUnder: p.provider.Prefixes.Versions,
 		Near: p.neighbours.News, Before: []string{shardPrefix, hallPrefix}, Found: p.hallDiscovered, Enough: p.followsPeer,
 	}
