--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -178,10 +178,10 @@
 	p.hosts = follower(p.provider.Prefixes.Upstreams)
 	p.hosts.ListEvery = func() time.Duration { return hostsEvery/2 + rand.N(hostsEvery/2) }
 	p.hosts.Near, p.hosts.NearTries = p.neighbours.News, nearTries
-	p.routers = follower(p.provider.Prefixes.OfHall(hall, ""))
+	p.routers = follower(p.provider.Prefixes.MembersOfHall(hall, ""))
 	p.routers.ListEvery = p.routersPause
 	p.routers.Near = p.newNeighbours().News
-	p.routers.Before = []string{p.provider.Prefixes.OfHall(hall, readers.Shard(p.current.Load().Name)), p.routers.Prefix}
+	p.routers.Before = []string{p.provider.Prefixes.MembersOfHall(hall, readers.Shard(p.current.Load().Name)), p.routers.Prefix}
 	p.routers.Enough = p.knowsRouter
 }
 
--- a/daemon/provider/provider.go
+++ b/daemon/provider/provider.go
@@ -97,9 +97,9 @@
 	Configuration string
 }
 
-// OfHall returns the prefix of the records of the routers of a data hall, or of one shard of them
+// MembersOfHall returns the prefix of the records of the routers of a data hall, or of one shard of them
 // unless shard is empty. If the store does not separate them, it is the prefix of all routers.
-func (p Prefixes) OfHall(hall, shard string) string {
+func (p Prefixes) MembersOfHall(hall, shard string) string {
 	if p.MembersOf == nil {
 		return p.Members
 	}
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -161,7 +161,7 @@
 func (p *Process) initReplication(client *http.Client) {
 	p.neighbours = &peering.Neighbours{Client: client, Choose: p.neighbourToFollow, Hold: p.defersStoreRead, OnMute: p.telemetry.NeighbourMuted}
 	own := p.ownMember()
-	shardPrefix, hallPrefix := p.provider.Prefixes.OfHall(own.Hall, own.Shard), p.provider.Prefixes.OfHall(own.Hall, "")
+	shardPrefix, hallPrefix := p.provider.Prefixes.MembersOfHall(own.Hall, own.Shard), p.provider.Prefixes.MembersOfHall(own.Hall, "")
 	p.follower = &mirror.Follower{
 		Store: p.provider.Store, Prefix: p.provider.Prefixes.Root, Table: p.table, OnContact: p.recorder.storeContact,
 		OnBytes: p.recorder.storeBytes, Settle: p.settleDelay, PulseEvery: storePollInterval, PulseUnder: p.provider.Prefixes.Versions,
