--- a/daemon/internal/request/dispatch/dispatch.go
+++ b/daemon/internal/request/dispatch/dispatch.go
@@ -397,7 +397,7 @@
 }
 
 func (q *request) usualAnswer() float64 {
-	return helpers.OrDefault(q.service.Engine.UsualAnswer, usualLength)
+	return helpers.OrDefault(q.service.Engine.MeanAnswerTokens, usualLength)
 }
 
 // classOf divides the classes among the ranks, and those of a rank by size.
--- a/daemon/internal/request/dispatch/place.go
+++ b/daemon/internal/request/dispatch/place.go
@@ -221,7 +221,7 @@
 	if rate <= 0 {
 		return 0
 	}
-	prompt := helpers.OrDefault(q.service.Engine.UsualPrompt, usualPrompt)
+	prompt := helpers.OrDefault(q.service.Engine.MeanPromptTokens, usualPrompt)
 	return time.Duration(prompt / rate * float64(time.Second))
 }
 
--- a/daemon/internal/request/dispatch/place_test.go
+++ b/daemon/internal/request/dispatch/place_test.go
@@ -38,7 +38,7 @@
 			{Name: "hasty", Objective: 300 * time.Millisecond, Shares: []provider.Share{{Service: "s", Weight: 1}}},
 			{Name: "patient", Objective: 900 * time.Millisecond, Shares: []provider.Share{{Service: "s", Weight: 1}}},
 		},
-		Services: []provider.Service{{Name: "s", Engine: &provider.EngineSpec{Model: "m", PromptRate: 20000, UsualPrompt: 1000}}},
+		Services: []provider.Service{{Name: "s", Engine: &provider.EngineSpec{Model: "m", PromptRate: 20000, MeanPromptTokens: 1000}}},
 	}
 	records := map[string]provider.Record{"c": {Configuration: configuration}}
 	for i := range engines {
--- a/daemon/internal/request/dispatch/return_test.go
+++ b/daemon/internal/request/dispatch/return_test.go
@@ -41,7 +41,7 @@
 		q := &request{
 			Dispatcher: &Dispatcher{Headers: provider.Headers{Deadline: "Left", LengthHint: "Hint"}},
 			Request:    httptest.NewRequest("GET", "/", nil),
-			service:    &provider.Service{Engine: &provider.EngineSpec{UsualAnswer: 80}},
+			service:    &provider.Service{Engine: &provider.EngineSpec{MeanAnswerTokens: 80}},
 		}
 		q.Header.Set("Left", text)
 		q.Header.Set("Hint", text)
--- a/daemon/provider/configuration.go
+++ b/daemon/provider/configuration.go
@@ -85,18 +85,18 @@
 }
 
 // EngineSpec describes the engines of a service. It is encoded to JSON under the names of its
-// fields.
+// fields unless a tag says otherwise.
 type EngineSpec struct {
 	// Model is the name of the model that the engines serve.
 	Model string
 	// Places is the number of execution slots of an engine: how many requests it runs
 	// concurrently.
 	Places int
-	// PromptRate is the number of prompt tokens that an engine processes per second. UsualPrompt
-	// and UsualAnswer are the mean numbers of tokens of prompts and answers, or 0 if not
-	// declared.
-	PromptRate               float64
-	UsualPrompt, UsualAnswer float64
+	// PromptRate is the number of prompt tokens that an engine processes per second.
+	// MeanPromptTokens and MeanAnswerTokens are per request, or 0 if not declared.
+	PromptRate       float64
+	MeanPromptTokens float64 `json:"UsualPrompt"`
+	MeanAnswerTokens float64 `json:"UsualAnswer"`
 	// Chunks is the number of chunks of a version, and ChunkBytes the size of a chunk.
 	Chunks, ChunkBytes int
 }
