--- a/daemon/internal/request/dispatch/broken_test.go
+++ b/daemon/internal/request/dispatch/broken_test.go
@@ -11,14 +11,14 @@
 	"github.com/stretchr/testify/assert"
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/balance"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 )
 
 // TestWhoEndedASend: a line tells an upstream that ended its connection from a send that
 // this router gave up, and whether the upstream was known to take a version.
 func TestWhoEndedASend(t *testing.T) {
 	q := &request{Dispatcher: &Dispatcher{Pool: &balance.Pool{}}, Request: httptest.NewRequest("GET", "/", nil), story: &Story{}}
-	q.Pool.Tell("u1", balance.Told{Loading: true})
+	q.Pool.Report("u1", balance.LoadReport{Loading: true})
 	for breaker, err := range map[Breaker]error{
 		BrokenByUpstream: errors.New("connection reset by peer"),
 		BrokenBySilence:  fmt.Errorf("send to u1: %w", errOvertaken),
@@ -44,7 +44,7 @@
 		var told *Story
 		d := &Dispatcher{
 			Report: func(story *Story) { told = story },
-			View: func() *mirror.View {
+			View: func() *replica.View {
 				panic(failure)
 			},
 		}
--- a/daemon/internal/request/dispatch/dispatch.go
+++ b/daemon/internal/request/dispatch/dispatch.go
@@ -22,7 +22,7 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/places"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/helpers"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/balance"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/admission"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/content"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/exchange"
@@ -42,14 +42,14 @@
 	// Callers tells which requests come back after a refusal.
 	Callers *admission.Callers
 	// View returns what is in force, Stale whether it may be out of date.
-	View  func() *mirror.View
+	View  func() *replica.View
 	Stale func() bool
 	// Holding bounds the bytes that are held for callers and upstreams that are slow.
 	Holding holding.Budget
 	// Region returns the region of a data hall, "" where it is not known. It may be nil.
 	Region func(hall string) string
 	// Demand says on which versions of a model requests may run.
-	Demand func(declared *mirror.Declared) mirror.Demand
+	Demand func(declared *replica.Declaration) replica.VersionPolicy
 	// AskPlace asks the loader beside an engine for a place there. An error says
 	// that it did not answer. Nil means that there are no loaders.
 	AskPlace func(ctx context.Context, engine *provider.Upstream, limit places.Limit) (places.Load, bool, error)
@@ -169,7 +169,7 @@
 	*Dispatcher
 	*http.Request
 	writer  http.ResponseWriter
-	view    *mirror.View
+	view    *replica.View
 	route   *provider.Route
 	service *provider.Service
 	account *provider.Account
@@ -283,16 +283,16 @@
 
 // query says what the upstream must hold.
 func (q *request) query() balance.Query {
-	query := balance.Query{Tried: q.tried}
+	query := balance.Query{Exclude: q.tried}
 	if q.service.Engine == nil {
 		return query
 	}
 	query.Model = q.service.Engine.Model
-	query.Lasts = q.lasts()
-	query.Reserve = admission.Reserve(admission.Service{Full: q.Pace.Share(q.service.Name)}, q.standing())
+	query.Duration = q.lasts()
+	query.ReservedPlaces = admission.Reserve(admission.Service{Full: q.Pace.Share(q.service.Name)}, q.standing())
 	if declared, ok := q.View().Targets[query.Model]; ok {
 		demand := q.Demand(&declared)
-		query.Version, query.Preferred, query.Avoid = demand.Lowest, demand.Preferred, demand.Avoid
+		query.MinVersion, query.PreferredVersion, query.AvoidWeight = demand.MinVersion, demand.PreferredVersion, demand.AvoidWeight
 	}
 	return query
 }
@@ -300,7 +300,7 @@
 func (q *request) outcomeOf(fate exchange.Fate) balance.Outcome {
 	switch {
 	case q.Context().Err() != nil:
-		return balance.Abandoned
+		return balance.Canceled
 	case fate == exchange.Unsent:
 		return balance.Unreachable
 	case fate == exchange.Refused:
@@ -357,7 +357,7 @@
 	try := Try{
 		Upstream: choice.Upstream.ID, Address: choice.Upstream.Address, At: started.Sub(q.story.Started), Took: clock.Since(started), Fate: result.Fate.String(),
 		Version: choice.Version, InFlight: choice.InFlight, Candidates: choice.Candidates,
-		Waiting: choice.Waiting, Beyond: choice.Beyond, Running: choice.Running, Age: choice.Age,
+		Waiting: choice.Waiting, Beyond: choice.Excess, Running: choice.Running, Age: choice.ReportAge,
 		Door: q.doors[choice.Upstream.ID], Limit: result.Said.String(),
 	}
 	if result.Err != nil {
--- a/daemon/internal/request/dispatch/limit_test.go
+++ b/daemon/internal/request/dispatch/limit_test.go
@@ -60,7 +60,7 @@
 	require.ErrorIs(t, err, errLimited)
 	assert.Equal(t, admission.EnginesFull, whyUnplaced(err), "its caller comes back when others do")
 	for _, upstream := range f.view.Upstreams["s"] {
-		assert.True(t, f.pool.Holds(upstream.ID))
+		assert.True(t, f.pool.Throttled(upstream.ID))
 	}
 }
 
@@ -110,7 +110,7 @@
 	}{
 		"no loader answers, fresh news": {func(q *request) {
 			for _, upstream := range q.view.Upstreams["s"] {
-				q.Pool.Tell(upstream.ID, balance.Told{Models: upstream.Models})
+				q.Pool.Report(upstream.ID, balance.LoadReport{Models: upstream.Models})
 			}
 		}, DoorNews},
 		"no loader answers, old news": {func(q *request) { q.Pool = &balance.Pool{} }, DoorNews},
--- a/daemon/internal/request/dispatch/place.go
+++ b/daemon/internal/request/dispatch/place.go
@@ -49,18 +49,18 @@
 	for !search.Over() {
 		choice, ok := q.Pool.Choose(candidates, query)
 		if !ok && limited && !again {
-			again, query.Tried = true, q.tried
+			again, query.Exclude = true, q.tried
 			continue
 		}
 		if !ok {
 			break
 		}
-		choice, through, err := q.tryFor(ctx, choice, &search, query.Lasts)
+		choice, through, err := q.tryFor(ctx, choice, &search, query.Duration)
 		if through || err != nil {
 			return choice, err
 		}
-		limited = limited || q.Pool.Holds(choice.Upstream.ID)
-		query.Tried = append(query.Tried[:len(query.Tried):len(query.Tried)], choice.Upstream.ID)
+		limited = limited || q.Pool.Throttled(choice.Upstream.ID)
+		query.Exclude = append(query.Exclude[:len(query.Exclude):len(query.Exclude)], choice.Upstream.ID)
 	}
 	denied, silent := search.Asked()
 	if denied == 0 && search.TooLimited() {
@@ -90,17 +90,17 @@
 		q.Pace.Full(q.service.Name, load.Running+load.Waiting >= choice.Upstream.Places)
 		q.through(choice, DoorLoader)
 		return choice.WithLoad(load.Running, load.Waiting), true, nil
-	case err != nil && choice.Told && choice.Age < freshNews:
+	case err != nil && choice.HasReport && choice.ReportAge < freshNews:
 		return q.unasked(choice, DoorNews)
 	case err != nil:
 		search.Silent()
 	case load.Wait > 0:
 		search.Limited()
-		q.Pool.Hold(choice.Upstream.ID, load.Wait)
+		q.Pool.Throttle(choice.Upstream.ID, load.Wait)
 	default:
 		search.Denied(load)
 	}
-	choice.Done(balance.Abandoned)
+	choice.Done(balance.Canceled)
 	return choice, false, nil
 }
 
@@ -117,13 +117,13 @@
 		if through || err != nil {
 			return choice, err
 		}
-		query.Tried = append(query.Tried[:len(query.Tried):len(query.Tried)], choice.Upstream.ID)
+		query.Exclude = append(query.Exclude[:len(query.Exclude):len(query.Exclude)], choice.Upstream.ID)
 	}
 }
 
 // noneFit says why no upstream can be chosen.
 func (q *request) noneFit(candidates []*provider.Upstream) error {
-	if wait, held := q.Pool.Held(candidates); held {
+	if wait, held := q.Pool.ThrottledFor(candidates); held {
 		return fmt.Errorf("%w, soonest to be asked again in %s", errLimited, wait.Round(time.Millisecond))
 	}
 	return errNoneFit
@@ -140,12 +140,12 @@
 // and delay others. Where the upstream's limit leaves no room, another one is to be chosen.
 func (q *request) unasked(choice balance.Choice, door Door) (balance.Choice, bool, error) {
 	if q.overloaded(choice) {
-		choice.Done(balance.Abandoned)
-		return choice, false, fmt.Errorf("%w: at the best, %s, %d wait and %d must end first", errOverloaded, choice.Upstream.ID, choice.Waiting, choice.Beyond)
+		choice.Done(balance.Canceled)
+		return choice, false, fmt.Errorf("%w: at the best, %s, %d wait and %d must end first", errOverloaded, choice.Upstream.ID, choice.Waiting, choice.Excess)
 	}
 	if wait, ok := q.allowed(choice, door); !ok {
-		q.Pool.Hold(choice.Upstream.ID, wait)
-		choice.Done(balance.Abandoned)
+		q.Pool.Throttle(choice.Upstream.ID, wait)
+		choice.Done(balance.Canceled)
 		return choice, false, nil
 	}
 	q.through(choice, door)
@@ -188,7 +188,7 @@
 	if err != nil {
 		asked.Cause = err.Error()
 	} else {
-		q.Pool.TellLoad(choice.Upstream.ID, load.Running, load.Waiting, load.Loading)
+		q.Pool.ReportLoad(choice.Upstream.ID, load.Running, load.Waiting, load.Loading)
 	}
 	q.story.Asked = append(q.story.Asked, asked)
 	return load, given, err
--- a/daemon/internal/request/dispatch/send.go
+++ b/daemon/internal/request/dispatch/send.go
@@ -48,7 +48,7 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	s := &sending{choice: choice, started: clock.Now(), cancel: cancel, result: make(chan exchange.Result, 1)}
 	expected := 0
-	if q.query().Version > 0 {
+	if q.query().MinVersion > 0 {
 		expected = choice.Version // an engine that is not what it seems refuses
 	}
 	send := exchange.Send{
@@ -84,7 +84,7 @@
 	q.note(s, result)
 	switch {
 	case errors.Is(result.Err, errOvertaken) || errors.Is(result.Err, errHeld) || errors.Is(result.Err, errStopping):
-		s.choice.Done(balance.Abandoned)
+		s.choice.Done(balance.Canceled)
 	case result.Fate != exchange.Answered:
 		s.choice.Done(q.outcomeOf(result.Fate))
 	}
@@ -135,7 +135,7 @@
 				first, second = second, nil
 				continue
 			}
-			q.overtaken(second, balance.Abandoned)
+			q.overtaken(second, balance.Canceled)
 			q.settle(first, result)
 			return first.choice, result
 		case result := <-resultOf(second):
@@ -180,7 +180,7 @@
 // that their upstream held.
 func (q *request) endOutdated(sends ...*sending) {
 	for _, s := range sends {
-		if s != nil && s.choice.Version > 0 && s.choice.Version < q.query().Version {
+		if s != nil && s.choice.Version > 0 && s.choice.Version < q.query().MinVersion {
 			s.end(errOutdated)
 		}
 	}
@@ -195,7 +195,7 @@
 
 func (q *request) slow(s *sending) bool {
 	waited := clock.Since(s.started)
-	return waited > headPatience || waited > silentPatience && q.Pool.Silent(s.choice.Upstream.ID)
+	return waited > headPatience || waited > silentPatience && q.Pool.Unresponsive(s.choice.Upstream.ID)
 }
 
 // mayHaveSecond reports whether the request, which is under way, may go to another
@@ -215,7 +215,7 @@
 		return nil
 	}
 	if !q.Budget.Take(q.service.Name) {
-		choice.Done(balance.Abandoned)
+		choice.Done(balance.Canceled)
 		return nil
 	}
 	return q.begin(ctx, choice, lastEvent)
--- a/daemon/router/announcer.go
+++ b/daemon/router/announcer.go
@@ -27,9 +27,9 @@
 // announcer keeps the record of this router in the store, under a lease, so that other daemons
 // find it. While the store is unreachable the router serves without it.
 type announcer struct {
-	store     provider.Store
-	put       provider.Put
-	onContact func(prefix string, lost error)
+	store              provider.Store
+	put                provider.Put
+	onConnectionChange func(prefix string, lost error)
 
 	lease provider.LeaseID
 	tomb  tomb.Tomb
--- a/daemon/router/limits.go
+++ b/daemon/router/limits.go
@@ -73,7 +73,7 @@
 		return
 	}
 	p.recorder.limitChanged(update)
-	p.pool.Hold(update.upstream.ID, 0)
+	p.pool.Throttle(update.upstream.ID, 0)
 }
 
 // allowSend takes one request from this router's share of the limit of an upstream whose loader
--- a/daemon/router/listeners.go
+++ b/daemon/router/listeners.go
@@ -8,7 +8,7 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/clock"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/dial"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/peering"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/server"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/admission"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/dispatch"
@@ -73,8 +73,8 @@
 }
 
 // demand returns the versions of a model on which requests may run.
-func (p *Process) demand(declared *mirror.Declared) mirror.Demand {
-	return declared.Demand(clock.Now(), p.current.Load().Bounds.VersionApply.Std())
+func (p *Process) demand(declared *replica.Declaration) replica.VersionPolicy {
+	return declared.VersionPolicy(clock.Now(), p.current.Load().Bounds.VersionApply.Std())
 }
 
 // readinessHandler reports ready while a configuration is loaded and the router is not draining.
@@ -94,8 +94,8 @@
 // limits.
 func (p *Process) peerHandler() http.Handler {
 	routes := bunrouter.New()
-	replica := &peering.Source{Table: p.table, Standing: p.follower.Standing}
-	routes.Compat().GET(peering.Path, replica.ServeHTTP)
+	source := &peering.Source{Table: p.table, Standing: p.follower.Status}
+	routes.Compat().GET(peering.Path, source.ServeHTTP)
 	routes.Compat().GET(peering.EnginePath, peering.EngineHandler(p.compiler.View))
 	p.addSuspectRoutes(routes)
 	p.addLimitRoutes(routes)
--- a/daemon/router/recorder.go
+++ b/daemon/router/recorder.go
@@ -12,7 +12,7 @@
 	"golang.org/x/time/rate"
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/clock"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/telemetry"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/content"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/dispatch"
@@ -234,7 +234,7 @@
 }
 
 // entryApplied logs a change of the replica, or an entry that was rejected.
-func (r *recorder) entryApplied(change mirror.Belief) {
+func (r *recorder) entryApplied(change replica.EntryChange) {
 	fields := log.Fields{
 		fieldDecision: "believe", "key": change.Entry.Key, "revision": change.Entry.Revision, "bytes": len(change.Entry.Value),
 	}
@@ -274,8 +274,8 @@
 	r.log.WithFields(fields).Info("belief changed")
 }
 
-// storeContact logs that the store was lost or is reachable again.
-func (r *recorder) storeContact(prefix string, lost error) {
+// storeConnectionChanged logs that the store was lost or is reachable again.
+func (r *recorder) storeConnectionChanged(prefix string, lost error) {
 	r.telemetry.Contact(prefix, lost)
 	if lost != nil {
 		r.scope.Counter("store_lost").Inc(1)
--- a/daemon/router/replication.go
+++ b/daemon/router/replication.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// storePollInterval is how often a router that reads the store checks that it is reachable.
+	// storeProbeInterval is how often a router that reads the store checks that it is reachable.
 	// It is shorter than the time after which its followers take it for stale.
-	storePollInterval = time.Second
-	// settlePerRouter is the pause after a change of the store for each router of the fleet,
-	// within minSettleDelay and maxSettleDelay. In a large fleet some upstream changes all the
-	// time, and without the pause every reader would call the store for each change.
-	settlePerRouter = 20 * time.Millisecond
-	minSettleDelay  = 150 * time.Millisecond
-	maxSettleDelay  = 500 * time.Millisecond
+	storeProbeInterval = time.Second
+	// debouncePerRouter is the pause after a change of the store for each router of the fleet,
+	// within minDebounce and maxDebounce. In a large fleet some upstream changes all the time,
+	// and without the pause every reader would call the store for each change.
+	debouncePerRouter = 20 * time.Millisecond
+	minDebounce       = 150 * time.Millisecond
+	maxDebounce       = 500 * time.Millisecond
 	// storeResponseSlack is how late an answer of the store may be before peers are queried, and
 	// before an unknown key or route is no longer a final refusal.
 	storeResponseSlack = 400 * time.Millisecond
@@ -33,9 +33,9 @@
 // neighbourToFollow returns the router of this hall to follow instead of the store, and false if
 // there is none.
 func (p *Process) neighbourToFollow(func(netip.AddrPort) bool) (netip.AddrPort, bool) {
-	mode, name := p.readMode()
+	action, name := p.readAction()
 	member := p.compiler.View().Members[name]
-	if mode != readers.Follow || member == nil {
+	if action != readers.Follow || member == nil {
 		return netip.AddrPort{}, false
 	}
 	return member.Peers, true
@@ -43,19 +43,19 @@
 
 // defersStoreRead reports whether this router leaves the store to other readers for now.
 func (p *Process) defersStoreRead() bool {
-	mode, _ := p.readMode()
-	return mode == readers.Hold
+	action, _ := p.readAction()
+	return action == readers.Wait
 }
 
-// readMode decides whether this router reads the store, waits, or follows the router that it
+// readAction decides whether this router reads the store, waits, or follows the router that it
 // returns.
-func (p *Process) readMode() (readers.Course, string) {
+func (p *Process) readAction() (readers.Action, string) {
 	var hall []readers.Router
 	for _, member := range p.hallMembers() {
 		hall = append(hall, readers.Router{Name: member.Name, LinkMbps: member.LinkMbps, State: p.neighbours.State(member.Peers)})
 	}
 	own := p.ownMember()
-	return readers.Decide(readers.Router{Name: own.Name, LinkMbps: own.LinkMbps}, hall, p.follower.Standing().Heard)
+	return readers.Decide(readers.Router{Name: own.Name, LinkMbps: own.LinkMbps}, hall, p.follower.Status().SinceData)
 }
 
 // hallMembers returns the known routers of this hall.
@@ -79,26 +79,26 @@
 
 // followsPeer reports whether this router follows another one of its hall.
 func (p *Process) followsPeer() bool {
-	mode, _ := p.readMode()
-	return mode == readers.Follow
+	action, _ := p.readAction()
+	return action == readers.Follow
 }
 
 // hasHallPeers reports whether this hall has more than one router, so that some follow others.
 func (p *Process) hasHallPeers() bool { return len(p.hallMembers()) > 1 }
 
-// settleDelay returns the pause after a change of the store.
-func (p *Process) settleDelay() time.Duration {
+// debounce returns the pause after a change of the store.
+func (p *Process) debounce() time.Duration {
 	routers := len(p.compiler.View().Members)
-	return min(max(time.Duration(routers)*settlePerRouter, minSettleDelay), maxSettleDelay)
+	return min(max(time.Duration(routers)*debouncePerRouter, minDebounce), maxDebounce)
 }
 
-// staleAfter returns the age from which the replica counts as stale: a poll interval, a settle
-// delay and the slack of an answer, plus the wait of each hop for a router that may follow
+// staleAfter returns the age from which the replica counts as stale: a probe interval, a debounce
+// pause and the slack of an answer, plus the wait of each hop for a router that may follow
 // others.
 func (p *Process) staleAfter() time.Duration {
-	after := storePollInterval + p.settleDelay() + storeResponseSlack
+	after := storeProbeInterval + p.debounce() + storeResponseSlack
 	if p.hasHallPeers() {
-		hops := max(p.follower.Standing().Hops, 1)
+		hops := max(p.follower.Status().Hops, 1)
 		after += time.Duration(hops) * peering.NewsWait
 	}
 	return after
@@ -106,7 +106,7 @@
 
 // isStale reports whether the replica is empty or too old to refuse a request for good.
 func (p *Process) isStale() bool {
-	return !p.follower.Known() || p.follower.Age() > p.staleAfter()
+	return !p.follower.Synced() || p.follower.Age() > p.staleAfter()
 }
 
 // needsPeerPull reports whether a peer is to be queried for updates. The puller calls it a few
@@ -119,7 +119,7 @@
 // storeUnreachable reports whether no bytes have arrived from the store for too long. While a
 // long answer is in transit the replica may be stale, but the store is reachable.
 func (p *Process) storeUnreachable() bool {
-	return !p.follower.Known() || p.follower.Standing().Heard > p.staleAfter()
+	return !p.follower.Synced() || p.follower.Status().SinceData > p.staleAfter()
 }
 
 // choosePeer returns a router, of this hall or another, to query while the store is unreachable.
@@ -140,7 +140,7 @@
 			remote = append(remote, seed)
 		}
 	}
-	if p.follower.At() == 0 {
+	if p.follower.Revision() == 0 {
 		return peering.Choose(local, remote, fullCopyRemoteOneIn)
 	}
 	return peering.Choose(local, remote, remotePeerOneIn)
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -26,8 +26,8 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/places"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/helpers"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/balance"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/readers"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/server"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/telemetry"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/dispatch"
@@ -87,9 +87,9 @@
 	output    *telemetry.Bounded
 	recorder  *recorder
 
-	table    *mirror.Table
-	compiler *mirror.Compiler
-	follower *mirror.Follower
+	table    *replica.Table
+	compiler *replica.Compiler
+	follower *replica.Follower
 	// neighbours are the other routers of this hall.
 	neighbours  *peering.Neighbours
 	puller      *peering.Puller
@@ -140,14 +140,14 @@
 	}
 	p := &Process{
 		options: options, telemetry: t, output: output, recorder: newRecorder(t),
-		table: &mirror.Table{}, pool: &balance.Pool{Hall: s.Hall}, done: make(chan struct{}),
+		table: &replica.Table{}, pool: &balance.Pool{Hall: s.Hall}, done: make(chan struct{}),
 		probe: &livenessprobe.Probe{Dial: dial.Within(probeConnectTimeout, options.Dial)}, suspects: &suspects{}, limits: &limits{},
 		drainExpired: make(chan struct{}),
 	}
 	p.current.Store(&s)
 	client := &http.Client{Transport: dial.NewHostTransport(options.Dial, storeIdleTimeout)}
 	p.provider = options.Provider(s.Store, client, client)
-	p.compiler = &mirror.Compiler{Decode: p.provider.Decode, OnBelief: p.recorder.entryApplied, Lapses: p.expiryUnreliable, OnSuspect: p.applyStoredSuspect}
+	p.compiler = &replica.Compiler{Decode: p.provider.Decode, OnEntryChange: p.recorder.entryApplied, Lapses: p.expiryUnreliable, OnSuspect: p.applyStoredSuspect}
 	p.table.OnChange = p.applyChanges
 	p.loadReader = &loadfeed.Reader{Client: client, OnLine: p.applyLoad}
 	p.placeClient = &places.Client{Client: client}
@@ -162,15 +162,15 @@
 	p.neighbours = &peering.Neighbours{Client: client, Choose: p.neighbourToFollow, Hold: p.defersStoreRead, OnMute: p.telemetry.NeighbourMuted}
 	own := p.ownMember()
 	shardPrefix, hallPrefix := p.provider.Prefixes.MembersOfHall(own.Hall, own.Shard), p.provider.Prefixes.MembersOfHall(own.Hall, "")
-	p.follower = &mirror.Follower{
-		Store: p.provider.Store, Prefix: p.provider.Prefixes.Root, Table: p.table, OnContact: p.recorder.storeContact,
-		OnBytes: p.recorder.storeBytes, Settle: p.settleDelay, PulseEvery: storePollInterval, PulseUnder: p.provider.Prefixes.Versions,
-		Near: p.neighbours.News, Before: []string{shardPrefix, hallPrefix}, Found: p.hallDiscovered, Enough: p.followsPeer,
+	p.follower = &replica.Follower{
+		Store: p.provider.Store, Prefix: p.provider.Prefixes.Root, Table: p.table, OnConnectionChange: p.recorder.storeConnectionChanged,
+		OnBytes: p.recorder.storeBytes, Debounce: p.debounce, ProbeInterval: storeProbeInterval, ProbePrefix: p.provider.Prefixes.Versions,
+		QueryPeer: p.neighbours.News, BootstrapPrefixes: []string{shardPrefix, hallPrefix}, BootstrapRecent: p.hallDiscovered, BootstrapDone: p.followsPeer,
 	}
 	p.puller = &peering.Puller{
 		Client: client, Follower: p.follower, Peer: p.choosePeer, Needed: p.needsPeerPull, OnPull: p.recorder.peerPulled, First: hallPrefix,
 	}
-	p.announcer = &announcer{store: p.provider.Store, onContact: p.recorder.storeContact, put: p.provider.EncodeMember(own)}
+	p.announcer = &announcer{store: p.provider.Store, onConnectionChange: p.recorder.storeConnectionChanged, put: p.provider.EncodeMember(own)}
 }
 
 // ownMember returns the record under which this router announces itself.
--- a/daemon/router/upstreams.go
+++ b/daemon/router/upstreams.go
@@ -49,7 +49,7 @@
 // expiryUnreliable reports whether entries of upstreams may be removed only because their leases
 // expired in an outage of the store: while this router cannot reach it, or shortly afterwards.
 func (p *Process) expiryUnreliable() bool {
-	ago, ever := p.follower.Regained()
+	ago, ever := p.follower.SinceReconnect()
 	return p.isStale() || ever && ago < expiryGracePeriod
 }
 
@@ -67,11 +67,11 @@
 
 // applyLoad passes a load report of a loader on to the engines of its host.
 func (p *Process) applyLoad(host netip.AddrPort, line loadfeed.Line) {
-	load := balance.Told{
+	load := balance.LoadReport{
 		Running: line.Running, Waiting: line.Waiting, Loading: line.Loading,
 		ClosesIn: time.Duration(line.ClosesIn) * time.Millisecond, Models: line.Models,
 	}
 	for _, id := range (*p.engineIDsByHost.Load())[host.Addr()] {
-		p.pool.Tell(id, load)
+		p.pool.Report(id, load)
 	}
 }
