--- a/daemon/internal/process/balance/balance.go
+++ b/daemon/internal/process/balance/balance.go
@@ -114,7 +114,7 @@
 	// ClosesIn is the time until it closes to load a version, 0 if none is scheduled.
 	ClosesIn time.Duration
 	// Models holds the versions that it serves.
-	Models []provider.Loaded
+	Models []provider.LoadedModel
 }
 
 // Query holds the requirements of a request.
--- a/daemon/internal/process/replica/expiry_test.go
+++ b/daemon/internal/process/replica/expiry_test.go
@@ -30,7 +30,7 @@
 	revision := provider.Revision(0)
 	apply := func(key string, gone bool) {
 		revision++
-		table.Apply([]provider.Entry{{Key: key, Revision: revision, Gone: gone}})
+		table.Apply([]provider.Entry{{Key: key, Revision: revision, Deleted: gone}})
 	}
 	inUse := func() int { return len(compiler.View().Upstreams["s"]) }
 
@@ -75,10 +75,10 @@
 		}
 		return ids
 	}
-	table.Apply([]provider.Entry{{Key: "dead", Revision: 5, Created: 5}, {Key: "alive", Revision: 9, Created: 9}})
+	table.Apply([]provider.Entry{{Key: "dead", Revision: 5, CreateRevision: 5}, {Key: "alive", Revision: 9, CreateRevision: 9}})
 	assert.Equal(t, []string{"alive"}, inUse())
-	table.Apply([]provider.Entry{{Key: "dead", Revision: 12, Created: 5}})
+	table.Apply([]provider.Entry{{Key: "dead", Revision: 12, CreateRevision: 5}})
 	assert.Equal(t, []string{"alive"}, inUse(), "a late write of the older entry")
-	table.Apply([]provider.Entry{{Key: "alive", Revision: 13, Gone: true}})
+	table.Apply([]provider.Entry{{Key: "alive", Revision: 13, Deleted: true}})
 	assert.Equal(t, []string{"dead"}, inUse())
 }
--- a/daemon/internal/process/replica/follower.go
+++ b/daemon/internal/process/replica/follower.go
@@ -307,7 +307,7 @@
 	f.recordAnswer(0, 0)
 	f.hops.Store(0)
 	f.Table.Apply(changes.Entries)
-	f.advance(changes.At)
+	f.advance(changes.Revision)
 	f.preferList = 2*supersededBytes(changes.Entries) > f.listBytes
 	if len(changes.Entries) > 0 {
 		f.debounce(0)
@@ -374,7 +374,7 @@
 	if f.relist || f.Revision() == 0 {
 		f.generation.Add(1)
 	}
-	f.advance(listing.At)
+	f.advance(listing.Revision)
 	f.relist = false
 	f.listBytes = 0
 	for _, entry := range listing.Entries {
--- a/daemon/internal/process/replica/probe_test.go
+++ b/daemon/internal/process/replica/probe_test.go
@@ -47,7 +47,7 @@
 	if s.down {
 		return provider.Listing{}, errRejected
 	}
-	return provider.Listing{At: s.at, Entries: []provider.Entry{{Key: "c", Revision: s.at}}}, nil
+	return provider.Listing{Revision: s.at, Entries: []provider.Entry{{Key: "c", Revision: s.at}}}, nil
 }
 
 func (s *quietStore) totalCost() int {
@@ -63,7 +63,7 @@
 	if deaf || s.at <= after || s.at == s.withheld {
 		return provider.Listing{}, false
 	}
-	return provider.Listing{At: s.at, Entries: []provider.Entry{{Key: "c", Revision: s.at}}}, true
+	return provider.Listing{Revision: s.at, Entries: []provider.Entry{{Key: "c", Revision: s.at}}}, true
 }
 
 func (s *quietStore) watch(ctx context.Context, _ string, after provider.Revision, wait time.Duration) (provider.Listing, error) {
@@ -88,7 +88,7 @@
 			return provider.Listing{}, ctx.Err()
 		}
 	}
-	return provider.Listing{At: after}, nil
+	return provider.Listing{Revision: after}, nil
 }
 
 // send delivers an answer in parts.
@@ -114,7 +114,7 @@
 				s.mu.Lock()
 				defer s.mu.Unlock()
 				if s.stale != 0 {
-					listing.At = s.stale
+					listing.Revision = s.stale
 				}
 				return listing, err
 			},
@@ -219,7 +219,7 @@
 		at.Store(1)
 		watches, lists := atomic.Int64{}, atomic.Int64{}
 		listing := func() provider.Listing {
-			return provider.Listing{At: provider.Revision(at.Load()), Entries: []provider.Entry{{Key: "v/m", Value: []byte("x"), Revision: provider.Revision(at.Load())}}}
+			return provider.Listing{Revision: provider.Revision(at.Load()), Entries: []provider.Entry{{Key: "v/m", Value: []byte("x"), Revision: provider.Revision(at.Load())}}}
 		}
 		table := &replica.Table{}
 		var newest provider.Revision
@@ -240,7 +240,7 @@
 						return listing(), nil
 					}
 					helpers.Pause(wait, ctx.Done())
-					return provider.Listing{At: after}, ctx.Err()
+					return provider.Listing{Revision: after}, ctx.Err()
 				},
 			},
 			Prefix: "v/", Table: table, RecheckInterval: 4 * time.Second, WatchWait: func() time.Duration { return 15 * time.Second },
--- a/daemon/internal/process/replica/view.go
+++ b/daemon/internal/process/replica/view.go
@@ -237,7 +237,7 @@
 
 // applyEntry takes one changed entry.
 func (c *Compiler) applyEntry(next *View, entry provider.Entry) {
-	if entry.Gone {
+	if entry.Deleted {
 		c.keepExpired(entry.Key)
 		delete(c.upstreams, entry.Key)
 		delete(c.members, entry.Key)
@@ -255,13 +255,13 @@
 	case record.Configuration != nil:
 		next.ConfigurationRevision = entry.Revision
 		next.setConfiguration(record.Configuration)
-	case record.Evacuated != "":
-		c.evacuated[entry.Key] = record.Evacuated
+	case record.EvacuatedHall != "":
+		c.evacuated[entry.Key] = record.EvacuatedHall
 	case record.Upstream != nil:
 		if record.Upstream.ColdFor > 0 {
 			record.Upstream.ColdUntil = c.now().Add(record.Upstream.ColdFor)
 		}
-		c.upstreams[entry.Key] = listed{record.Upstream, helpers.OrDefault(entry.Created, entry.Revision)}
+		c.upstreams[entry.Key] = listed{record.Upstream, helpers.OrDefault(entry.CreateRevision, entry.Revision)}
 	case record.Target != nil:
 		c.targets[entry.Key] = c.declare(entry, *record.Target)
 	case record.Member != nil:
--- a/daemon/internal/request/dispatch/dispatch.go
+++ b/daemon/internal/request/dispatch/dispatch.go
@@ -405,7 +405,7 @@
 }
 
 func (q *request) usualAnswer() float64 {
-	return helpers.OrDefault(q.service.Engine.UsualAnswer, defaultAnswer)
+	return helpers.OrDefault(q.service.Engine.MeanAnswerTokens, defaultAnswer)
 }
 
 // priorityClass divides the classes among the ranks, and those of a rank by size.
