--- a/daemon/internal/connection/backoff/backoff.go
+++ b/daemon/internal/connection/backoff/backoff.go
@@ -1,5 +1,4 @@
-// Package backoff remembers which daemons not to call for a while, because they did not
-// answer of late.
+// Package backoff records the daemons that are not called for a while after a failed call.
 package backoff
 
 import (
@@ -10,24 +9,24 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/helpers"
 )
 
-// List holds the daemons that are not called. The zero value is empty and ready to use.
+// List holds the daemons that are in backoff. The zero value is empty and ready to use.
 type List struct {
 	mu sync.Mutex
-	// until holds when each may be called again.
+	// until holds when the backoff of each daemon ends.
 	until map[netip.AddrPort]time.Time
 }
 
-// Add keeps a daemon from being called for some time. Clock may be nil, which means clock.Now.
-func (l *List) Add(daemon netip.AddrPort, rest time.Duration, clock func() time.Time) {
+// Add puts a daemon in backoff for a duration. A nil clock stands for clock.Now.
+func (l *List) Add(daemon netip.AddrPort, duration time.Duration, clock func() time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.until == nil {
 		l.until = map[netip.AddrPort]time.Time{}
 	}
-	l.until[daemon] = helpers.Now(clock).Add(rest)
+	l.until[daemon] = helpers.Now(clock).Add(duration)
 }
 
-// Has reports whether a daemon is not to be called now.
+// Has reports whether a daemon is in backoff, and drops its entry once the backoff is over.
 func (l *List) Has(daemon netip.AddrPort, clock func() time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
