--- a/daemon/internal/connection/call/call.go
+++ b/daemon/internal/connection/call/call.go
@@ -1,6 +1,8 @@
-// Package call makes the short calls between our processes that are no twirp calls:
-// plain HTTP, because they are asked for each request or carry bytes as they are, over
-// links of a few megabits a second that weights need too.
+// Package call makes short HTTP calls between daemons, with JSON or raw bodies.
+//
+// It serves the calls that are made for each request or that carry raw bytes. Twirp was
+// rejected for these, because its headers and bodies are larger and the links between
+// hosts are narrow and shared with weight transfers.
 package call
 
 import (
@@ -14,56 +16,56 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// refusalBytes is what is read of an answer that refuses: a line of text.
-const refusalBytes = 1 << 10
+// maxErrorBody bounds how much of the body of an error response is read.
+const maxErrorBody = 1 << 10
 
-// StatusError is an answer with a status other than 200.
+// StatusError reports a response with a status other than 200.
 type StatusError struct{ Status int }
 
-// Error tells the status.
+// Error returns the status code as text.
 func (e *StatusError) Error() string { return fmt.Sprintf("status %d", e.Status) }
 
-// Get reads an answer of at most some bytes, and reports what comes through
-// provider.Progress. Errors do not name the peer: callers know what they asked it for.
-func Get(ctx context.Context, client *http.Client, url string, most int64) ([]byte, error) {
-	return send(ctx, client, http.MethodGet, url, http.NoBody, most)
+// Get returns the body of a response of at most maxBytes, and reports received bytes
+// through provider.Progress. Errors do not name the peer; the caller adds it.
+func Get(ctx context.Context, client *http.Client, url string, maxBytes int64) ([]byte, error) {
+	return send(ctx, client, http.MethodGet, url, http.NoBody, maxBytes)
 }
 
-// PostJSON sends a JSON body and reads a JSON answer into target.
-func PostJSON(ctx context.Context, client *http.Client, url string, body []byte, most int64, target any) error {
-	data, err := send(ctx, client, http.MethodPost, url, bytes.NewReader(body), most)
+// PostJSON sends a JSON body and decodes a JSON response into target.
+func PostJSON(ctx context.Context, client *http.Client, url string, body []byte, maxBytes int64, target any) error {
+	data, err := send(ctx, client, http.MethodPost, url, bytes.NewReader(body), maxBytes)
 	if err != nil {
 		return err
 	}
 	return decode(data, target)
 }
 
-func send(ctx context.Context, client *http.Client, method, url string, body io.Reader, most int64) ([]byte, error) {
-	request, err := http.NewRequestWithContext(ctx, method, url, body)
+func send(ctx context.Context, client *http.Client, method, url string, body io.Reader, maxBytes int64) ([]byte, error) {
+	req, err := http.NewRequestWithContext(ctx, method, url, body)
 	if err != nil {
 		return nil, err
 	}
-	request.Header["User-Agent"] = nil // some 30 bytes that nobody reads
-	response, err := client.Do(request)
+	req.Header["User-Agent"] = nil // omit the default header; no peer reads it
+	resp, err := client.Do(req)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = response.Body.Close() }()
-	if response.StatusCode != http.StatusOK {
-		// A connection whose answer was not read to its end is closed.
-		_, _ = io.CopyN(io.Discard, response.Body, refusalBytes)
-		return nil, &StatusError{response.StatusCode}
+	defer func() { _ = resp.Body.Close() }()
+	if resp.StatusCode != http.StatusOK {
+		// Read the body to its end, so that the connection can be reused.
+		_, _ = io.CopyN(io.Discard, resp.Body, maxErrorBody)
+		return nil, &StatusError{resp.StatusCode}
 	}
-	data, err := provider.ReadAll(ctx, response.Body, most)
+	data, err := provider.ReadAll(ctx, resp.Body, maxBytes)
 	if err != nil {
-		return nil, fmt.Errorf("read the answer, %d bytes came: %w", len(data), err)
+		return nil, fmt.Errorf("read response body, got %d bytes: %w", len(data), err)
 	}
 	return data, nil
 }
 
-// JSON reads a JSON answer into target.
-func JSON(ctx context.Context, client *http.Client, url string, most int64, target any) error {
-	data, err := Get(ctx, client, url, most)
+// JSON gets a JSON response of at most maxBytes and decodes it into target.
+func JSON(ctx context.Context, client *http.Client, url string, maxBytes int64, target any) error {
+	data, err := Get(ctx, client, url, maxBytes)
 	if err != nil {
 		return err
 	}
@@ -72,7 +74,7 @@
 
 func decode(data []byte, target any) error {
 	if err := json.Unmarshal(data, target); err != nil {
-		return fmt.Errorf("decode the answer: %w", err)
+		return fmt.Errorf("decode response: %w", err)
 	}
 	return nil
 }
