--- a/daemon/internal/connection/control/control.go
+++ b/daemon/internal/connection/control/control.go
@@ -1,6 +1,7 @@
-// Package control answers the system's own processes at an entry: agents that
-// follow their orders and report, and entries that ask for changed members or
-// for the whole configuration.
+// Package control implements the Control service of an entry.
+//
+// Agents call it to long-poll for orders and to send heartbeats; other entries
+// call it to pull changed member records or a snapshot of the configuration.
 package control
 
 import (
@@ -16,75 +17,76 @@
 // maxWait bounds one long poll.
 const maxWait = 30 * time.Second
 
-// Server implements wire.Control on an entry's tables.
+// Server implements wire.Control over the tables of an entry.
 type Server struct {
 	Table   *tables.Table
 	Members *members.Table
-	// Stopping is closed when the entry drains, which ends long polls; nil
-	// means never.
+	// Stopping is closed when the entry drains, which ends long polls. Nil
+	// stands for a channel that is never closed.
 	Stopping <-chan struct{}
 }
 
-// Follow waits until the agent's order differs from the one that it holds.
-func (s *Server) Follow(ctx context.Context, request *wire.FollowRequest) (*wire.FollowResponse, error) {
-	wait := min(time.Duration(request.GetWaitMs())*time.Millisecond, maxWait)
+// Follow is a long poll: it responds when the agent's order differs from the
+// one that the agent holds, or when the wait is over.
+func (s *Server) Follow(ctx context.Context, req *wire.FollowRequest) (*wire.FollowResponse, error) {
+	wait := min(time.Duration(req.GetWaitMs())*time.Millisecond, maxWait)
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
 		tableChanged, membersChanged := s.Table.Changed(), s.Members.Changed()
-		response := s.answer(request)
-		if response.GetChanged() {
-			return response, nil
+		resp := s.followResponse(req)
+		if resp.GetChanged() {
+			return resp, nil
 		}
 		select {
 		case <-tableChanged:
 		case <-membersChanged:
 		case <-s.Stopping:
-			return response, nil
+			return resp, nil
 		case <-timer.C:
-			return response, nil
+			return resp, nil
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
 	}
 }
 
-// answer compares the present order with the one held.
-func (s *Server) answer(request *wire.FollowRequest) *wire.FollowResponse {
+// followResponse compares the agent's current order with the one that it holds.
+func (s *Server) followResponse(req *wire.FollowRequest) *wire.FollowResponse {
 	view := s.Table.View()
-	response := &wire.FollowResponse{Revision: view.Revision}
-	if view.Revision == 0 || view.Revision < request.GetHeldRevision() {
-		return response // this entry is behind the agent
+	resp := &wire.FollowResponse{Revision: view.Revision}
+	if view.Revision == 0 || view.Revision < req.GetHeldRevision() {
+		return resp // the table of this entry is older than the agent's order
 	}
-	order := orders.For(view, s.Members.View(), request.GetHall(), request.GetHost())
-	other := orders.AssignmentDigest(order) != request.GetHeldAssignment() ||
-		request.GetHeldOrder() != 0 && orders.Digest(order) != request.GetHeldOrder()
-	if other {
-		response.Changed = true
-		response.Order = order
+	order := orders.For(view, s.Members.View(), req.GetHall(), req.GetHost())
+	changed := orders.AssignmentDigest(order) != req.GetHeldAssignment() ||
+		req.GetHeldOrder() != 0 && orders.Digest(order) != req.GetHeldOrder()
+	if changed {
+		resp.Changed = true
+		resp.Order = order
 	}
-	return response
+	return resp
 }
 
-// Report takes an agent's heartbeat.
-func (s *Server) Report(_ context.Context, request *wire.ReportRequest) (*wire.ReportResponse, error) {
-	reply := s.Members.Report(request.GetName(), request.GetIncarnation(), request.GetSequence(), request.GetMember())
+// Report records an agent's heartbeat.
+func (s *Server) Report(_ context.Context, req *wire.ReportRequest) (*wire.ReportResponse, error) {
+	reply := s.Members.Report(req.GetName(), req.GetIncarnation(), req.GetSequence(), req.GetMember())
 	return &wire.ReportResponse{SuspectSequence: reply.SuspectSequence, WantMember: reply.WantMember}, nil
 }
 
 // Sync returns the members that changed since the caller's cursor.
-func (s *Server) Sync(_ context.Context, request *wire.SyncRequest) (*wire.SyncResponse, error) {
-	from := members.Position{Instance: request.GetInstance(), Cursor: request.GetCursor(), Buckets: request.GetBuckets()}
+func (s *Server) Sync(_ context.Context, req *wire.SyncRequest) (*wire.SyncResponse, error) {
+	from := members.Position{Instance: req.GetInstance(), Cursor: req.GetCursor(), Buckets: req.GetBuckets()}
 	position, changed := s.Members.Since(from)
 	return &wire.SyncResponse{Instance: position.Instance, Cursor: position.Cursor, Members: changed}, nil
 }
 
-// Snapshot returns the whole configuration.
+// Snapshot returns the complete configuration.
 func (s *Server) Snapshot(context.Context, *wire.SnapshotRequest) (*wire.SnapshotResponse, error) {
 	items, revision := s.Table.Snapshot()
-	response := &wire.SnapshotResponse{Revision: revision}
+	resp := &wire.SnapshotResponse{Revision: revision}
 	for _, item := range items {
-		response.Items = append(response.Items, &wire.Item{Key: item.Key, Value: item.Value, Revision: item.Revision})
+		resp.Items = append(resp.Items, &wire.Item{Key: item.Key, Value: item.Value, Revision: item.Revision})
 	}
-	return response, nil
+	return resp, nil
 }
