--- a/daemon/internal/connection/dial/dial.go
+++ b/daemon/internal/connection/dial/dial.go
@@ -1,6 +1,6 @@
-// Package dial makes the connections between processes: it bounds the time to
-// connect, counts the bytes of control messages, and is the seam at which tests
-// cut the network.
+// Package dial provides the dialers and HTTP transports for connections between
+// processes. They bound the time to connect and count the bytes of control
+// messages. Tests inject network faults by replacing a Func.
 package dial
 
 import (
@@ -14,10 +14,10 @@
 // Timeout bounds the time to connect.
 const Timeout = time.Second
 
-// Func makes a connection, as net.Dialer.DialContext does.
+// Func opens a connection, as net.Dialer.DialContext does.
 type Func func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Direct is the Func of production.
+// Direct opens a connection over the network.
 func Direct(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := &net.Dialer{Timeout: Timeout, KeepAlive: 15 * time.Second}
 	return dialer.DialContext(ctx, network, address)
@@ -31,14 +31,14 @@
 	return f
 }
 
-// Meter counts the bytes of connections, both directions, headers included.
+// Meter counts the bytes of connections in both directions, headers included.
 // The zero value is ready to use.
 type Meter struct{ bytes atomic.Int64 }
 
 // Bytes returns the count so far.
 func (m *Meter) Bytes() int64 { return m.bytes.Load() }
 
-// Count returns a Func whose connections are counted.
+// Count returns a Func that opens connections by f and adds their bytes to the meter.
 func (m *Meter) Count(f Func) Func {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := f(ctx, network, address)
@@ -49,33 +49,32 @@
 	}
 }
 
-// meteredConn is a counted connection.
+// meteredConn is a connection that adds its bytes to a meter.
 type meteredConn struct {
 	net.Conn
 	meter *Meter
 }
 
-// Read counts what was read.
+// Read reads from the connection and counts the bytes.
 func (c *meteredConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.meter.bytes.Add(int64(n))
 	return n, err
 }
 
-// Write counts what was written.
+// Write writes to the connection and counts the bytes.
 func (c *meteredConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.meter.bytes.Add(int64(n))
 	return n, err
 }
 
-// Limits of idle connections.
 const (
 	idlePerHost = 8
 	idleTimeout = 30 * time.Second
-	// Buffers of one connection, each way. An entry keeps connections to
-	// hundreds of others: with the chunks' buffers there 400 entries would cost
-	// each of them 25 MB.
+	// The sizes of the read and the write buffer of a connection, in bytes. An
+	// entry keeps control connections to hundreds of entries, so their buffers
+	// are small.
 	controlBuffer = 4 << 10
 	chunkBuffer   = 32 << 10
 )
@@ -83,7 +82,7 @@
 // NewControlTransport returns a transport for control messages.
 func NewControlTransport(f Func) *http.Transport { return newTransport(f, controlBuffer) }
 
-// NewChunkTransport returns a transport for weights.
+// NewChunkTransport returns a transport for chunks of weights.
 func NewChunkTransport(f Func) *http.Transport { return newTransport(f, chunkBuffer) }
 
 func newTransport(f Func, buffer int) *http.Transport {
--- a/daemon/internal/connection/dial/hosts.go
+++ b/daemon/internal/connection/dial/hosts.go
@@ -11,28 +11,30 @@
 )
 
 const (
-	// hostTimeout bounds a connection to another host: an opening packet that
-	// is lost comes again only after a second.
+	// hostTimeout bounds the time to connect to another host. It is below the
+	// second after which the kernel sends a lost SYN again.
 	hostTimeout = 600 * time.Millisecond
-	// deadAfter is how long sent bytes may stay unacknowledged.
-	deadAfter = 1500 * time.Millisecond
-	// probeEvery is the interval of keep-alive probes, the shortest there is.
-	probeEvery = time.Second
-	probeCount = 2
+	// userTimeout is how long sent bytes may stay unacknowledged.
+	userTimeout = 1500 * time.Millisecond
+	// probeInterval is the interval of keep-alive probes; the kernel accepts
+	// whole seconds only.
+	probeInterval = time.Second
+	probeCount    = 2
 )
 
-// Watchful makes connections that notice a host that fell silent: one that was
-// cut off or lost its power says nothing, and a connection to it would hang.
+// Watchful opens a connection that fails within seconds when its host becomes
+// unreachable. Without keep-alive probes and a user timeout, a connection to a
+// host that was cut off or lost power hangs.
 func Watchful(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := &net.Dialer{
 		Timeout:         hostTimeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeEvery, Interval: probeEvery, Count: probeCount},
-		Control:         limitSilence,
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeInterval, Interval: probeInterval, Count: probeCount},
+		Control:         setUserTimeout,
 	}
 	return dialer.DialContext(ctx, network, address)
 }
 
-// Within returns a Func that gives a connection up after some time.
+// Within returns a Func that opens connections by f and bounds the time to connect.
 func Within(timeout time.Duration, f Func) Func {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -41,25 +43,27 @@
 	}
 }
 
-func limitSilence(_, _ string, raw syscall.RawConn) error {
-	var failed error
-	err := raw.Control(func(descriptor uintptr) {
-		failed = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(deadAfter.Milliseconds()))
+// setUserTimeout sets TCP_USER_TIMEOUT on a socket before it connects.
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
+	var optErr error
+	err := raw.Control(func(fd uintptr) {
+		optErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return optErr
 }
 
-// Options of a transport to hosts.
+// Limits of a transport to hosts; the buffer size is in bytes.
 const (
 	hostIdlePerHost = 64
 	hostBuffer      = 4 << 10
 )
 
-// NewHostTransport returns a transport for calls to hosts that may fall silent.
-// Idle connections are closed after idle; 0 closes each after its call.
+// NewHostTransport returns a transport for calls to hosts that may become
+// unreachable. Idle connections are closed after idle; 0 closes each connection
+// after its call.
 func NewHostTransport(f Func, idle time.Duration) *http.Transport {
 	return &http.Transport{
 		DialContext: f, DisableKeepAlives: idle == 0, IdleConnTimeout: idle, MaxIdleConnsPerHost: hostIdlePerHost,
