--- a/daemon/internal/connection/upstream/transport.go
+++ b/daemon/internal/connection/upstream/transport.go
@@ -1,12 +1,12 @@
-// Package upstream makes the connections on which requests are handed on.
+// Package upstream provides the transport on which requests are forwarded.
 //
-// net/http's Transport sends some requests a second time by itself when a
-// reused connection breaks: those with a safe method or an idempotency key,
-// and those whose body it can make anew. The request may have run by then. A
-// body that is neither nil nor http.NoBody, without GetBody, shuts that off for
-// every method, so OneShot gives each request such a body. What stays is the
-// case in which not one byte was written to the connection: that request has
-// never left, and sending it on a fresh connection is no repetition.
+// net/http.Transport retries some requests by itself when a reused connection
+// breaks: those with a safe method or an idempotency key, and those whose body
+// it can rewind through GetBody. The upstream may have executed the request by
+// then. A body that is neither nil nor http.NoBody, without GetBody, disables
+// these retries for every method, so OneShot gives each request such a body.
+// The transport still retries when it has written no byte to the connection;
+// that is safe, because the request was not sent.
 package upstream
 
 import (
@@ -17,15 +17,15 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/dial"
 )
 
-// Limits of the connections to one host.
+// Limits of the connections to a host.
 const (
 	idleTimeout     = 90 * time.Second
 	idlePerHost     = 128
-	continueTimeout = time.Hour // the agent always answers; see ExpectContinue
+	continueTimeout = time.Hour // the agent always responds; see ExpectContinue
 )
 
-// NewTransport returns a transport for requests. HTTP/1.1 only: a stalled
-// stream must not hold up the others that share its connection.
+// NewTransport returns a transport for requests. It speaks HTTP/1.1 only, so
+// that a stalled stream cannot block other streams on the same connection.
 func NewTransport(connect dial.Func) *http.Transport {
 	return &http.Transport{
 		DialContext:           dial.OrDirect(connect),
@@ -39,14 +39,13 @@
 	}
 }
 
-// oneShot hides a body's type, so that the transport cannot tell that it could
-// send the request again.
+// oneShot hides the type of a body, so that the transport cannot rewind it.
 type oneShot struct{ io.Reader }
 
-// Close does nothing: the body belongs to the server that read the request.
+// Close does nothing: the server that read the request closes the body.
 func (oneShot) Close() error { return nil }
 
-// OneShot makes a request one that the transport never sends twice.
+// OneShot keeps the transport from retrying a request.
 func OneShot(request *http.Request, body io.Reader) {
 	if body == nil {
 		body = http.NoBody
