--- a/daemon/internal/connection/follow/follow.go
+++ b/daemon/internal/connection/follow/follow.go
@@ -1,13 +1,13 @@
-// Package follow keeps an agent's order in step with the entries of its hall.
+// Package follow keeps an agent's order up to date with the entries of its hall.
 //
-// An agent follows two entries at a time, chosen by rendezvous hashing so that
-// the hall's agents spread evenly. The first one tells of every change. The
-// second is there for when the first hangs or lags: from it only changes of the
-// assignment itself are taken, because two entries may see the list of peers
-// differently for a moment and the agent would swing between them.
+// An agent long-polls two entries at a time, chosen by rendezvous hashing so
+// that the agents of a hall spread evenly. The first poller accepts every
+// change. The second covers a first entry that hangs or lags, and accepts only
+// changes of the assignment: two entries may briefly hold different lists of
+// peers, and the agent would alternate between them.
 //
-// An order is taken only from a revision at or above the one held, so that an
-// entry that lags cannot bring back an older one.
+// An order is accepted only at or above the revision held, so that a stale
+// entry cannot restore an older order.
 package follow
 
 import (
@@ -27,15 +27,16 @@
 )
 
 const (
-	// lanes is the number of entries followed at a time.
-	lanes = 2
-	// pollWait is the wait of one long poll.
+	// pollers is the number of entries followed at a time.
+	pollers = 2
+	// pollWait is how long an entry may hold a long poll.
 	pollWait   = pollWaitMs * time.Millisecond
 	pollWaitMs = 5000
-	// pollGrace is what a poll may take beyond its wait.
+	// pollGrace is how long a poll may take beyond pollWait.
 	pollGrace = time.Second
-	retryMin  = 50 * time.Millisecond
-	retryMax  = time.Second
+	// retryMin and retryMax bound the backoff after a failed poll.
+	retryMin = 50 * time.Millisecond
+	retryMax = time.Second
 )
 
 // Follower follows the orders of one host. Set the fields before Start.
@@ -44,32 +45,32 @@
 	// Entries returns the entries of the hall.
 	Entries func() []platform.Host
 	Client  *http.Client
-	// OnOrder takes each newer order; nil for none.
+	// OnOrder is called with each accepted order. It may be nil.
 	OnOrder func(order *wire.Order, revision uint64)
 
 	tomb tomb.Tomb
 
-	// mu guards the rest, and is held while OnOrder runs, so that orders are
-	// taken one by one.
+	// mu guards the fields below. It is held while OnOrder runs, so that orders
+	// are delivered one at a time.
 	mu       sync.Mutex
 	held     *wire.Order
 	revision uint64
 }
 
-// Start begins to follow.
+// Start starts the pollers.
 func (f *Follower) Start() {
-	for lane := range lanes {
-		f.tomb.Go(func() error { f.follow(lane); return nil })
+	for poller := range pollers {
+		f.tomb.Go(func() error { f.follow(poller); return nil })
 	}
 }
 
-// Stop ends the following and waits for it.
+// Stop stops the pollers and waits for them.
 func (f *Follower) Stop() {
 	f.tomb.Kill(nil)
 	_ = f.tomb.Wait()
 }
 
-// Done is closed when the follower has ended.
+// Done returns a channel that is closed when the follower has stopped.
 func (f *Follower) Done() <-chan struct{} { return f.tomb.Dead() }
 
 // Revision returns the configuration revision of the order held, 0 for none.
@@ -79,7 +80,7 @@
 	return f.revision
 }
 
-// Ranked returns a hall's entries in the order in which a host turns to them.
+// Ranked returns the entries of a hall sorted by a host's preference.
 func Ranked(host string, entries []platform.Host) []platform.Host {
 	byName := make(map[string]platform.Host, len(entries))
 	names := make([]string, len(entries))
@@ -94,9 +95,9 @@
 	return ranked
 }
 
-// follow runs one lane: it polls an entry and moves on to the next by rank
-// when that fails.
-func (f *Follower) follow(lane int) {
+// follow runs one poller. It polls an entry and fails over to the next entry
+// by rank when a poll fails.
+func (f *Follower) follow(poller int) {
 	ctx := f.tomb.Context(nil) //nolint:staticcheck // tomb takes nil for "no parent"
 	failures := 0
 	for f.tomb.Alive() {
@@ -105,51 +106,51 @@
 			helpers.Pause(retryMin, f.tomb.Dying())
 			continue
 		}
-		entry := ranked[(lane+failures)%len(ranked)]
-		if err := f.poll(ctx, lane, entry); err != nil {
+		entry := ranked[(poller+failures)%len(ranked)]
+		if err := f.poll(ctx, poller, entry); err != nil {
 			failures++
 			wait := min(retryMin<<min(failures, 5), retryMax)
 			helpers.Pause(wait/2+rand.N(wait), f.tomb.Dying())
 			continue
 		}
 		if failures > 0 && failures%len(ranked) == 0 {
-			failures = 0 // back at the first choice
+			failures = 0 // the poller is at its first choice again
 		}
 	}
 }
 
-// poll asks one entry for a change.
-func (f *Follower) poll(ctx context.Context, lane int, entry platform.Host) error {
+// poll sends one long poll to an entry and applies its response.
+func (f *Follower) poll(ctx context.Context, poller int, entry platform.Host) error {
 	ctx, cancel := context.WithTimeout(ctx, pollWait+pollGrace)
 	defer cancel()
-	request := &wire.FollowRequest{Host: f.Host, Hall: f.Hall, WaitMs: pollWaitMs}
+	req := &wire.FollowRequest{Host: f.Host, Hall: f.Hall, WaitMs: pollWaitMs}
 	f.mu.Lock()
-	request.HeldRevision = f.revision
-	request.HeldAssignment = orders.AssignmentDigest(f.held)
-	if lane == 0 {
-		request.HeldOrder = orders.Digest(f.held)
+	req.HeldRevision = f.revision
+	req.HeldAssignment = orders.AssignmentDigest(f.held)
+	if poller == 0 {
+		req.HeldOrder = orders.Digest(f.held)
 	}
 	f.mu.Unlock()
 	control := wire.NewControlProtobufClient("http://"+entry.Address.String(), f.Client)
-	response, err := control.Follow(ctx, request)
+	resp, err := control.Follow(ctx, req)
 	if err != nil {
 		return err
 	}
-	f.take(response, lane)
+	f.apply(resp, poller)
 	return nil
 }
 
-// take keeps an answer if it is not older than what is held.
-func (f *Follower) take(response *wire.FollowResponse, lane int) {
+// apply accepts a response unless it is older than the order held.
+func (f *Follower) apply(resp *wire.FollowResponse, poller int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if response.GetRevision() < f.revision {
+	if resp.GetRevision() < f.revision {
 		return
 	}
-	order := response.GetOrder()
-	newer := response.GetRevision() > f.revision || lane == 0 || f.revision == 0
-	f.revision = max(f.revision, response.GetRevision())
-	if !response.GetChanged() || !newer || order != nil && order.GetToken() < f.held.GetToken() {
+	order := resp.GetOrder()
+	accept := resp.GetRevision() > f.revision || poller == 0 || f.revision == 0
+	f.revision = max(f.revision, resp.GetRevision())
+	if !resp.GetChanged() || !accept || order != nil && order.GetToken() < f.held.GetToken() {
 		return
 	}
 	f.held = order
