--- a/daemon/internal/connection/gossip/gossip.go
+++ b/daemon/internal/connection/gossip/gossip.go
@@ -1,9 +1,9 @@
-// Package gossip pulls what changed from other entries: member records all the
-// time, and the whole configuration while this entry has none of its own.
+// Package gossip pulls changed member records from other entries, and a
+// snapshot of the configuration while this entry holds none.
 //
-// Each round asks a few entries of the own hall and one of another hall. A
-// change so reaches a hall of n entries in about log(n) rounds; a quiet round
-// costs one small call per peer asked.
+// Each round pulls from a few entries of the own hall and one of another hall,
+// so that a change reaches all n entries of a hall in about log(n) rounds. A
+// round without changes costs one small call for each peer.
 package gossip
 
 import (
@@ -24,7 +24,7 @@
 // Defaults of a Puller.
 const (
 	DefaultEvery = 500 * time.Millisecond
-	// PeersPerRound is the number of entries of the own hall asked per round.
+	// PeersPerRound is the number of entries of the own hall pulled from in a round.
 	PeersPerRound = 2
 )
 
@@ -39,19 +39,20 @@
 	// Entries returns the entries of the host list.
 	Entries func() []platform.Host
 	Client  *http.Client
-	// Every varies DefaultEvery; 0 takes it.
+	// Every is the mean interval between rounds; 0 means DefaultEvery.
 	Every time.Duration
-	// OnSuspects is told which agents the sweep marked; nil means nobody is.
+	// OnSuspects is called with the agents that a sweep marked as suspect. It
+	// may be nil.
 	OnSuspects func(names []string)
-	// OnSnapshot is told when configuration came from a peer; nil likewise.
+	// OnSnapshot is called when a peer's configuration was loaded. It may be nil.
 	OnSnapshot func(peer string, revision uint64)
 
 	tomb tomb.Tomb
-	// peers belongs to the one goroutine that run starts.
+	// peers is used only by the goroutine of run.
 	peers map[string]*peer
 }
 
-// peer is the state of pulling from one entry.
+// peer holds the client and the cursor for one entry.
 type peer struct {
 	control  wire.Control
 	address  string
@@ -59,28 +60,28 @@
 	cursor   uint64
 }
 
-// Start begins to pull.
+// Start starts the rounds.
 func (p *Puller) Start() { p.tomb.Go(p.run) }
 
-// Stop ends the pulling and waits for it.
+// Stop stops the rounds and waits for the one in progress.
 func (p *Puller) Stop() {
 	p.tomb.Kill(nil)
 	_ = p.tomb.Wait()
 }
 
-// Done is closed when the puller has ended.
+// Done returns a channel that is closed when the puller has stopped.
 func (p *Puller) Done() <-chan struct{} { return p.tomb.Dead() }
 
 func (p *Puller) run() error {
 	ctx := p.tomb.Context(nil) //nolint:staticcheck // tomb takes nil for "no parent"
 	p.peers = map[string]*peer{}
-	every := helpers.OrDefault(p.Every, DefaultEvery)
+	interval := helpers.OrDefault(p.Every, DefaultEvery)
 	for {
 		p.round(ctx)
 		if marked := p.Members.Sweep(); len(marked) > 0 && p.OnSuspects != nil {
 			p.OnSuspects(marked)
 		}
-		if !helpers.Pause(every/2+rand.N(every), p.tomb.Dying()) {
+		if !helpers.Pause(interval/2+rand.N(interval), p.tomb.Dying()) {
 			return nil
 		}
 	}
@@ -113,44 +114,44 @@
 
 func (p *Puller) peerFor(host platform.Host) *peer {
 	address := host.Address.String()
-	known := p.peers[host.Name]
-	if known == nil || known.address != address {
-		known = &peer{control: wire.NewControlProtobufClient("http://"+address, p.Client), address: address}
-		p.peers[host.Name] = known
+	current := p.peers[host.Name]
+	if current == nil || current.address != address {
+		current = &peer{control: wire.NewControlProtobufClient("http://"+address, p.Client), address: address}
+		p.peers[host.Name] = current
 	}
-	return known
+	return current
 }
 
 func (p *Puller) pull(ctx context.Context, host platform.Host) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	from := p.peerFor(host)
-	request := &wire.SyncRequest{Instance: from.instance, Cursor: from.cursor, Hall: p.Hall}
+	req := &wire.SyncRequest{Instance: from.instance, Cursor: from.cursor, Hall: p.Hall}
 	if from.instance == "" {
-		request.Buckets = p.Members.Buckets()
+		req.Buckets = p.Members.Buckets()
 	}
-	response, err := from.control.Sync(ctx, request)
+	resp, err := from.control.Sync(ctx, req)
 	if err != nil {
-		return // a peer that does not answer is asked again in a later round
+		return // a later round retries
 	}
-	p.Members.Merge(response.GetMembers())
-	from.instance, from.cursor = response.GetInstance(), response.GetCursor()
+	p.Members.Merge(resp.GetMembers())
+	from.instance, from.cursor = resp.GetInstance(), resp.GetCursor()
 	if p.Table.View().Revision == 0 {
 		p.pullSnapshot(ctx, host, from)
 	}
 }
 
-// pullSnapshot takes a peer's configuration while this entry has none.
+// pullSnapshot loads a peer's configuration into the table.
 func (p *Puller) pullSnapshot(ctx context.Context, host platform.Host, from *peer) {
-	response, err := from.control.Snapshot(ctx, &wire.SnapshotRequest{})
-	if err != nil || response.GetRevision() == 0 {
+	resp, err := from.control.Snapshot(ctx, &wire.SnapshotRequest{})
+	if err != nil || resp.GetRevision() == 0 {
 		return
 	}
-	items := make([]platform.Item, len(response.GetItems()))
-	for i, item := range response.GetItems() {
+	items := make([]platform.Item, len(resp.GetItems()))
+	for i, item := range resp.GetItems() {
 		items[i] = platform.Item{Key: item.GetKey(), Value: item.GetValue(), Revision: item.GetRevision()}
 	}
-	if p.Table.Replace(items, response.GetRevision()) && p.OnSnapshot != nil {
-		p.OnSnapshot(host.Name, response.GetRevision())
+	if p.Table.Replace(items, resp.GetRevision()) && p.OnSnapshot != nil {
+		p.OnSnapshot(host.Name, resp.GetRevision())
 	}
 }
