--- a/daemon/internal/connection/lines/lines.go
+++ b/daemon/internal/connection/lines/lines.go
@@ -1,9 +1,8 @@
-// Package lines streams a state from one daemon to another: a line at each
-// change, in the body of one HTTP answer that does not end.
+// Package lines streams a state from one daemon to another: one line for each
+// change, in the body of an HTTP response that does not end.
 //
-// Asking again and again was rejected: on a host's link of a few megabits a
-// second, the headers of twenty questions a second to each of twenty hosts took
-// a sixth of the link while weights were on their way.
+// Polling was rejected, because the headers of frequent requests to many hosts
+// use a large share of a narrow link.
 package lines
 
 import (
@@ -18,23 +17,23 @@
 )
 
 const (
-	// lineEvery is the longest time between two lines, so that a stream that
-	// was cut in silence is noticed.
-	lineEvery = 400 * time.Millisecond
-	// silence is how long a stream may say nothing before it ends.
-	silence = 1500 * time.Millisecond
+	// keepAlive is the longest time between two lines, by which the reader
+	// detects a connection that was cut without a reset.
+	keepAlive = 400 * time.Millisecond
+	// readTimeout is how long a reader waits for the next line.
+	readTimeout = 1500 * time.Millisecond
 )
 
-// ErrNotServed says that the other daemon does not have what was asked for.
-var ErrNotServed = errors.New("the other daemon does not serve this")
+// ErrNotServed reports that the other daemon does not serve the requested stream.
+var ErrNotServed = errors.New("stream not served by peer")
 
-// Serve streams states until the caller leaves. State returns the present line,
-// nil for none, and a channel that closes at the next change. Changes within the
-// time that pause returns are told together.
+// Serve streams states until the client disconnects. State returns the current
+// line, nil for none, and a channel that is closed at the next change. Changes
+// within the time that pause returns are sent as one line.
 func Serve(w http.ResponseWriter, r *http.Request, pause func() time.Duration, state func() ([]byte, <-chan struct{})) {
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	controller := http.NewResponseController(w)
-	timer := time.NewTimer(lineEvery)
+	timer := time.NewTimer(keepAlive)
 	defer timer.Stop()
 	for {
 		line, changed := state()
@@ -44,7 +43,7 @@
 				return
 			}
 		}
-		timer.Reset(lineEvery)
+		timer.Reset(keepAlive)
 		select {
 		case <-changed:
 			helpers.Pause(pause(), r.Context().Done())
@@ -55,28 +54,28 @@
 	}
 }
 
-// Read calls onLine with each line of a stream until it ends, falls silent, or
-// onLine returns an error.
+// Read calls onLine with each line of a stream until the stream ends, no line
+// arrives within readTimeout, or onLine returns an error.
 func Read(ctx context.Context, client *http.Client, url string, onLine func([]byte) error) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silent := time.AfterFunc(silence, cancel)
-	defer silent.Stop()
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, http.NoBody)
+	idle := time.AfterFunc(readTimeout, cancel)
+	defer idle.Stop()
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, http.NoBody)
 	if err != nil {
 		return fmt.Errorf("follow %s: %w", url, err)
 	}
-	response, err := client.Do(request)
+	resp, err := client.Do(req)
 	if err != nil {
 		return fmt.Errorf("follow %s: %w", url, err)
 	}
-	defer func() { _ = response.Body.Close() }()
-	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("follow %s: status %d: %w", url, response.StatusCode, ErrNotServed)
+	defer func() { _ = resp.Body.Close() }()
+	if resp.StatusCode != http.StatusOK {
+		return fmt.Errorf("follow %s: status %d: %w", url, resp.StatusCode, ErrNotServed)
 	}
-	scanner := bufio.NewScanner(response.Body)
+	scanner := bufio.NewScanner(resp.Body)
 	for scanner.Scan() {
-		silent.Reset(silence)
+		idle.Reset(readTimeout)
 		if err := onLine(scanner.Bytes()); err != nil {
 			return fmt.Errorf("follow %s: %w", url, err)
 		}
