--- a/daemon/internal/connection/report/report.go
+++ b/daemon/internal/connection/report/report.go
@@ -1,7 +1,8 @@
-// Package report sends an agent's heartbeats to a few entries of its hall.
+// Package report sends the heartbeats of an agent to a few entries of its hall.
 //
-// A report is the whole member record when the record changed, else only its
-// stamp. Changes that come close together travel in one report.
+// A report carries the complete member record if the entry does not have its
+// newest version, and otherwise only name, incarnation and sequence. Changes
+// in quick succession are batched into one report.
 package report
 
 import (
@@ -22,11 +23,11 @@
 const (
 	// DefaultEvery is the interval between heartbeats.
 	DefaultEvery = time.Second
-	// entriesTold is the number of entries that hear from an agent. Two may
-	// fail at once and the agent still lives for the hall.
-	entriesTold = 3
-	// gatherFor is the time in which changes gather into one report.
-	gatherFor = 20 * time.Millisecond
+	// fanOut is the number of entries that an agent reports to, so that two of
+	// them may fail at once.
+	fanOut = 3
+	// batchDelay is how long a report is delayed to batch further changes.
+	batchDelay = 20 * time.Millisecond
 	// callTimeout bounds one report.
 	callTimeout = time.Second
 )
@@ -39,40 +40,41 @@
 	Client  *http.Client
 	// Incarnation grows with every start of the agent.
 	Incarnation uint64
-	// Member returns the record as of now, without stamp.
+	// Member returns the current record without incarnation and sequence.
 	Member func() *wire.Member
-	// Every varies DefaultEvery; 0 takes it.
+	// Every is the interval between heartbeats; 0 means DefaultEvery.
 	Every time.Duration
 
 	tomb tomb.Tomb
-	// setUp makes changes, so that Changed may be called before Start.
+	// setUp creates changes, so that Changed may be called before Start.
 	setUp   sync.Once
 	changes chan struct{}
 
-	// mu guards the rest.
+	// mu guards the fields below.
 	mu       sync.Mutex
 	sequence uint64
 	last     *wire.Member
-	// told holds the sequence that each entry has the whole record of.
-	told map[string]uint64
+	// acked holds the sequence of the newest complete record that each entry
+	// acknowledged, by the name of the entry.
+	acked map[string]uint64
 }
 
-// Start begins to report.
+// Start starts the heartbeats.
 func (r *Reporter) Start() {
-	r.told = map[string]uint64{}
+	r.acked = map[string]uint64{}
 	r.tomb.Go(r.run)
 }
 
-// Stop ends the reports and waits for it.
+// Stop stops the heartbeats and waits for the one in progress.
 func (r *Reporter) Stop() {
 	r.tomb.Kill(nil)
 	_ = r.tomb.Wait()
 }
 
-// Done is closed when the reporter has ended.
+// Done returns a channel that is closed when the reporter has stopped.
 func (r *Reporter) Done() <-chan struct{} { return r.tomb.Dead() }
 
-// Changed asks for a report soon, because the record changed.
+// Changed requests a report soon, because the record changed.
 func (r *Reporter) Changed() {
 	select {
 	case r.signal() <- struct{}{}:
@@ -88,14 +90,14 @@
 
 func (r *Reporter) run() error {
 	ctx := r.tomb.Context(nil) //nolint:staticcheck // tomb takes nil for "no parent"
-	every := helpers.OrDefault(r.Every, DefaultEvery)
+	interval := helpers.OrDefault(r.Every, DefaultEvery)
 	for {
 		r.Send(ctx)
-		timer := time.NewTimer(every)
+		timer := time.NewTimer(interval)
 		select {
 		case <-timer.C:
 		case <-r.signal():
-			r.gather()
+			r.batch()
 		case <-r.tomb.Dying():
 			timer.Stop()
 			return nil
@@ -104,22 +106,24 @@
 	}
 }
 
-func (r *Reporter) gather() {
-	helpers.Pause(gatherFor, r.tomb.Dying())
+// batch waits for further changes, which then share the next report.
+func (r *Reporter) batch() {
+	helpers.Pause(batchDelay, r.tomb.Dying())
 }
 
-// Send reports once, to all entries that hear from this agent side by side.
+// Send sends one report to each of the fanOut first entries in parallel, and
+// waits for them.
 func (r *Reporter) Send(ctx context.Context) {
 	member := r.stamp()
 	ranked := follow.Ranked(r.Host, r.Entries())
 	var group sync.WaitGroup
-	for _, entry := range ranked[:min(entriesTold, len(ranked))] {
+	for _, entry := range ranked[:min(fanOut, len(ranked))] {
 		group.Go(func() { r.send(ctx, entry, member) })
 	}
 	group.Wait()
 }
 
-// stamp returns the present record, with a higher sequence if it changed.
+// stamp returns the current record, with a higher sequence if it changed.
 func (r *Reporter) stamp() *wire.Member {
 	member := r.Member()
 	r.mu.Lock()
@@ -134,39 +138,40 @@
 	return member
 }
 
-// send reports to one entry. An entry that is out of reach is asked again with
-// the next report.
+// send reports to one entry. The next report is the retry for an unreachable
+// entry.
 func (r *Reporter) send(ctx context.Context, entry platform.Host, member *wire.Member) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	request := &wire.ReportRequest{Name: member.GetName(), Incarnation: member.GetIncarnation(), Sequence: member.GetSequence()}
+	req := &wire.ReportRequest{Name: member.GetName(), Incarnation: member.GetIncarnation(), Sequence: member.GetSequence()}
 	r.mu.Lock()
-	if r.told[entry.Name] != member.GetSequence() {
-		request.Member = member
+	if r.acked[entry.Name] != member.GetSequence() {
+		req.Member = member
 	}
 	r.mu.Unlock()
 	control := wire.NewControlProtobufClient("http://"+entry.Address.String(), r.Client)
-	response, err := control.Report(ctx, request)
+	resp, err := control.Report(ctx, req)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil {
-		delete(r.told, entry.Name)
+		delete(r.acked, entry.Name)
 		return
 	}
-	r.told[entry.Name] = member.GetSequence()
-	if response.GetWantMember() {
-		delete(r.told, entry.Name)
+	r.acked[entry.Name] = member.GetSequence()
+	if resp.GetWantMember() {
+		delete(r.acked, entry.Name)
 		r.Changed()
 	}
-	if suspected := response.GetSuspectSequence(); suspected >= r.sequence && suspected != 0 {
-		// This agent lives: a higher sequence lifts the mark everywhere.
+	if suspected := resp.GetSuspectSequence(); suspected >= r.sequence && suspected != 0 {
+		// The next report has a higher sequence, which clears the suspicion at
+		// every entry.
 		r.sequence = suspected
 		r.last = nil
 		r.Changed()
 	}
 }
 
-// same reports whether two records say the same, whatever their stamps.
+// same reports whether two records are equal but for incarnation and sequence.
 func same(a, b *wire.Member) bool {
 	left := proto.CloneOf(a)
 	left.Incarnation, left.Sequence = b.GetIncarnation(), b.GetSequence()
--- a/daemon/internal/connection/report/report_test.go
+++ b/daemon/internal/connection/report/report_test.go
@@ -8,9 +8,9 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/platform"
 )
 
-// TestChangedBesideStart: a change that comes while the reporter starts is not
-// lost and is no data race; the host list brings such changes.
-func TestChangedBesideStart(*testing.T) {
+// TestChangedDuringStart guards against a data race between Start and Changed,
+// and against a change that is lost in it. Updates of the host list cause it.
+func TestChangedDuringStart(*testing.T) {
 	reported := make(chan struct{}, 8)
 	reporter := &Reporter{
 		Entries: func() []platform.Host { reported <- struct{}{}; return nil },
