--- a/daemon/internal/connection/livenessprobe/livenessprobe.go
+++ b/daemon/internal/connection/livenessprobe/livenessprobe.go
@@ -1,12 +1,13 @@
-// Package livenessprobe tells an upstream that ended from a connection that did.
+// Package livenessprobe distinguishes a crash of an upstream from a broken connection.
 //
-// A connection breaks in the same way where its upstream ended, where it was reset on the
-// way, and where a sound upstream gave up one answer. What follows tells: nobody listens
-// at the address of a process that ended, until it is started again some seconds later.
-// Silence tells nothing, because a host that was cut off is as silent as one without power.
+// A connection breaks in the same way when the upstream crashed, when the network reset the
+// connection, and when a healthy upstream aborted one response. The probe dials the
+// upstream's address: a refused connection means that no process listens, until the upstream
+// restarts some seconds later. A timeout is inconclusive, because a host that was cut off
+// cannot be told from a host without power.
 //
-// The entry in the store was rejected as the sign: it goes some heartbeats later, and of
-// an upstream that starts again under its id it does not go at all.
+// The upstream's record in the store was rejected as the signal. It expires some heartbeats
+// later, and stays if the upstream restarts under the same id.
 package livenessprobe
 
 import (
@@ -21,68 +22,68 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/helpers"
 )
 
-// endedStays is how long a finding that an upstream ended stands for others that ask: all
-// its connections break within a few milliseconds, and it is back after some hundred.
-const endedStays = 100 * time.Millisecond
+// crashTTL is how long a detected crash is cached. It covers all connections of the
+// upstream, which break within milliseconds, and is shorter than a restart.
+const crashTTL = 100 * time.Millisecond
 
-// Probe checks upstreams whose connections broke. Dial must be set.
+// Probe checks the addresses of upstreams whose connections broke. Dial must be set.
 type Probe struct {
 	Dial dial.Func
 	// Now is the clock; nil means clock.Now.
 	Now func() time.Time
 
 	mu sync.Mutex
-	// looks holds the look under way or the last one at each address.
-	looks map[netip.AddrPort]*look
+	// checks holds the check in progress or the last check of each address.
+	checks map[netip.AddrPort]*check
 }
 
-// look is one look at an address.
-type look struct {
-	// done is closed when ended and until are set.
-	done  chan struct{}
-	ended bool
-	// until is how long the finding stands.
+// check is one dial of an address.
+type check struct {
+	// done is closed when crashed and until are set.
+	done    chan struct{}
+	crashed bool
+	// until is when the result expires.
 	until time.Time
 }
 
-// Ended reports whether nobody listens at an upstream's address, for a connection to it
-// that broke just now. Those that ask together share one look.
+// Ended reports whether no process listens at the address of an upstream whose connection
+// broke just now. Concurrent calls for an address share one check.
 func (p *Probe) Ended(ctx context.Context, upstream netip.AddrPort) bool {
-	l, own := p.join(upstream)
+	c, own := p.join(upstream)
 	if own {
-		l.ended = p.refused(ctx, upstream)
-		l.until = helpers.Now(p.Now).Add(endedStays)
-		close(l.done)
+		c.crashed = p.refused(ctx, upstream)
+		c.until = helpers.Now(p.Now).Add(crashTTL)
+		close(c.done)
 	}
-	<-l.done
-	return l.ended
+	<-c.done
+	return c.crashed
 }
 
-// join returns the look to wait for, and whether it is the caller's to carry out.
-func (p *Probe) join(upstream netip.AddrPort) (*look, bool) {
+// join returns the check to wait for, and whether the caller has to run it.
+func (p *Probe) join(upstream netip.AddrPort) (*check, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.forget()
-	if known, ok := p.looks[upstream]; ok {
-		return known, false
+	p.prune()
+	if existing, ok := p.checks[upstream]; ok {
+		return existing, false
 	}
-	if p.looks == nil {
-		p.looks = map[netip.AddrPort]*look{}
+	if p.checks == nil {
+		p.checks = map[netip.AddrPort]*check{}
 	}
-	own := &look{done: make(chan struct{})}
-	p.looks[upstream] = own
+	own := &check{done: make(chan struct{})}
+	p.checks[upstream] = own
 	return own, true
 }
 
-// forget drops findings that do not stand any more; the caller holds mu. That an upstream
-// listens stands for nobody: it may have ended since.
-func (p *Probe) forget() {
+// prune drops expired results. A result that the upstream listens is dropped at once, since
+// the upstream may crash at any time. The caller holds mu.
+func (p *Probe) prune() {
 	now := helpers.Now(p.Now)
-	for address, l := range p.looks {
+	for addr, c := range p.checks {
 		select {
-		case <-l.done:
-			if !l.ended || !now.Before(l.until) {
-				delete(p.looks, address)
+		case <-c.done:
+			if !c.crashed || !now.Before(c.until) {
+				delete(p.checks, addr)
 			}
 		default:
 		}
@@ -91,9 +92,9 @@
 
 // refused reports whether a connection to the address is refused.
 func (p *Probe) refused(ctx context.Context, upstream netip.AddrPort) bool {
-	connection, err := p.Dial(ctx, "tcp", upstream.String())
+	conn, err := p.Dial(ctx, "tcp", upstream.String())
 	if err == nil {
-		_ = connection.Close()
+		_ = conn.Close()
 		return false
 	}
 	return errors.Is(err, syscall.ECONNREFUSED)
--- a/daemon/internal/connection/livenessprobe/livenessprobe_test.go
+++ b/daemon/internal/connection/livenessprobe/livenessprobe_test.go
@@ -16,51 +16,52 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/livenessprobe"
 )
 
-// TestOnlyWhoEndedHasEnded: a process that listens, one that ended, one that says nothing.
-func TestOnlyWhoEndedHasEnded(t *testing.T) {
+// TestOnlyRefusedConnectionIsACrash covers an upstream that listens, one that stopped
+// listening, and one that does not respond.
+func TestOnlyRefusedConnectionIsACrash(t *testing.T) {
 	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	address := listener.Addr().(*net.TCPAddr).AddrPort()
-	w := &livenessprobe.Probe{Dial: dial.Direct}
-	assert.False(t, w.Ended(context.Background(), address))
+	addr := listener.Addr().(*net.TCPAddr).AddrPort()
+	probe := &livenessprobe.Probe{Dial: dial.Direct}
+	assert.False(t, probe.Ended(context.Background(), addr))
 	require.NoError(t, listener.Close())
-	assert.True(t, w.Ended(context.Background(), address), "that it listened before stands for nothing")
+	assert.True(t, probe.Ended(context.Background(), addr), "a result that the upstream listens is not cached")
 
-	silent := &livenessprobe.Probe{Dial: func(ctx context.Context, _, _ string) (net.Conn, error) {
+	unresponsive := &livenessprobe.Probe{Dial: func(ctx context.Context, _, _ string) (net.Conn, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	assert.False(t, silent.Ended(ctx, address))
+	assert.False(t, unresponsive.Ended(ctx, addr))
 }
 
-// TestThoseThatAskTogetherShareALook: sixteen connections that break at once cost one
-// connection, and a later break is looked at anew.
-func TestThoseThatAskTogetherShareALook(t *testing.T) {
+// TestConcurrentCallsShareOneCheck guards against a dial for each of many connections that
+// break at once, and against a cached crash that outlives its TTL.
+func TestConcurrentCallsShareOneCheck(t *testing.T) {
 	now := time.Unix(1000, 0)
-	var dialed atomic.Int32
-	begin := make(chan struct{})
-	w := &livenessprobe.Probe{
+	var dials atomic.Int32
+	proceed := make(chan struct{})
+	probe := &livenessprobe.Probe{
 		Now: func() time.Time { return now },
 		Dial: func(context.Context, string, string) (net.Conn, error) {
-			dialed.Add(1)
-			<-begin
+			dials.Add(1)
+			<-proceed
 			return nil, syscall.ECONNREFUSED
 		},
 	}
-	address := netip.MustParseAddrPort("10.0.0.1:80")
-	const together = 16
-	found := make(chan bool, together)
-	for range together {
-		go func() { found <- w.Ended(context.Background(), address) }()
+	addr := netip.MustParseAddrPort("10.0.0.1:80")
+	const callers = 16
+	results := make(chan bool, callers)
+	for range callers {
+		go func() { results <- probe.Ended(context.Background(), addr) }()
 	}
-	close(begin)
-	for range together {
-		assert.True(t, <-found)
+	close(proceed)
+	for range callers {
+		assert.True(t, <-results)
 	}
-	assert.EqualValues(t, 1, dialed.Load())
+	assert.EqualValues(t, 1, dials.Load())
 	now = now.Add(time.Second)
-	assert.True(t, w.Ended(context.Background(), address))
-	assert.EqualValues(t, 2, dialed.Load())
+	assert.True(t, probe.Ended(context.Background(), addr))
+	assert.EqualValues(t, 2, dials.Load())
 }
