--- a/daemon/internal/clock/clock.go
+++ b/daemon/internal/clock/clock.go
@@ -1,15 +1,14 @@
-// Package clock is the clock by which the daemons take the ages of what they believe, and
-// the times of leases, turns and deadlines.
+// Package clock provides a monotonic clock that includes the time of host suspensions. The
+// daemons use it for ages of data, leases, schedules and deadlines.
 //
-// A host may be suspended for seconds. The steady clock, from which time.Now takes
-// differences, does not count that time: a router would take what it believed before for
-// fresh, and a version whose time is over for one that may serve on. The time of day counts
-// it, but jumps. So the time here is the steady clock's, and on top of that what the kernel's
-// boot clock says that the host was suspended for.
+// The monotonic clock, from which time.Now takes differences, stops while the host is
+// suspended. With it a router would use stale data as fresh after a suspension, and an
+// engine would serve a version whose lease has expired. Wall-clock time includes suspensions
+// but jumps. So this clock adds to the monotonic time the suspended time, which it derives
+// from the kernel's boot clock.
 //
-// The boot clock alone was rejected: it is a system call each time, some fifty for a
-// request. It is read each checkEvery of steady time, which bounds how long after a
-// suspension it stays unnoticed.
+// The boot clock alone was rejected: it costs a system call for each reading. It is read at
+// most once in checkInterval, which bounds how long a suspension goes undetected.
 package clock
 
 import (
@@ -20,86 +19,88 @@
 )
 
 const (
-	// checkEvery is how often the boot clock is read while somebody asks for the time.
-	checkEvery = 20 * time.Millisecond
-	// noise is by how much the two clocks may differ by the order in which they are read.
+	// checkInterval is the shortest time between two readings of the boot clock.
+	checkInterval = 20 * time.Millisecond
+	// noise is the largest difference of the two clocks that is not taken for a suspension,
+	// since they are not read at the same instant.
 	noise = 10 * time.Millisecond
 )
 
-// Clock tells the time. The zero value is the system's.
+// Clock is a monotonic clock that includes suspensions. The zero value reads the clocks of
+// the system.
 type Clock struct {
-	// Steady is the time since some moment, without suspensions, and Boot the same with
-	// them. Nil means the system's.
+	// Steady returns the monotonic time, which excludes suspensions, and Boot the time that
+	// includes them. Nil means the system's clock.
 	Steady, Boot func() time.Duration
 
-	// checked is when Boot was last read, by Steady; 0 means never. ahead is by how much
-	// Boot was ahead of Steady at first, where known says so, and suspended the time added
-	// to that since.
-	checked, ahead, suspended atomic.Int64
-	known                     atomic.Bool
+	// checked is the monotonic time of the last reading of Boot; 0 means never. offset is the
+	// initial difference of Boot and Steady, valid once calibrated is set. suspended is by how
+	// much the difference has grown since.
+	checked, offset, suspended atomic.Int64
+	calibrated                 atomic.Bool
 }
 
-// begin is when the process began, by the time of day then. Times of this clock have no
-// steady part of their own, and are to be compared with each other only.
+// startTime is the wall-clock time at the start of the process, on which the times of this
+// clock are based. They carry no monotonic reading, and can be compared only with each other.
 var (
-	begin  = time.Now()
-	system Clock
+	startTime = time.Now()
+	system    Clock
 )
 
-// Now returns the time.
+// Now returns the current time of the system's clock.
 func Now() time.Time { return system.Now() }
 
-// Since returns the time that has passed since a time of this clock.
+// Since returns the time elapsed since a time of this clock.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until returns the time until a time of this clock.
+// Until returns the duration until a time of this clock.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// Suspended returns for how long the host was suspended since the process began.
+// Suspended returns how long the host was suspended since the start of the process.
 func Suspended() time.Duration { return system.Suspended() }
 
-// Now returns the time.
+// Now returns the current time.
 func (c *Clock) Now() time.Time {
-	steady := c.steady()
-	c.check(steady)
-	return begin.Round(0).Add(steady + time.Duration(c.suspended.Load()))
+	monotonic := c.monotonic()
+	c.check(monotonic)
+	return startTime.Round(0).Add(monotonic + time.Duration(c.suspended.Load()))
 }
 
-// Suspended returns for how long the host was suspended since the clock was first asked.
+// Suspended returns how long the host was suspended since the first reading of the clock.
 func (c *Clock) Suspended() time.Duration {
-	c.check(c.steady())
+	c.check(c.monotonic())
 	return time.Duration(c.suspended.Load())
 }
 
-func (c *Clock) steady() time.Duration {
+func (c *Clock) monotonic() time.Duration {
 	if c.Steady != nil {
 		return c.Steady()
 	}
-	return time.Since(begin)
+	return time.Since(startTime)
 }
 
-// check reads the boot clock if it is time to.
-func (c *Clock) check(steady time.Duration) {
+// check reads the boot clock unless it was read within checkInterval.
+func (c *Clock) check(monotonic time.Duration) {
 	last := c.checked.Load()
-	if last != 0 && steady-time.Duration(last) < checkEvery || !c.checked.CompareAndSwap(last, max(int64(steady), 1)) {
+	if last != 0 && monotonic-time.Duration(last) < checkInterval || !c.checked.CompareAndSwap(last, max(int64(monotonic), 1)) {
 		return
 	}
-	ahead, ok := c.read()
+	offset, ok := c.readOffset()
 	switch {
 	case !ok:
-	case c.known.CompareAndSwap(false, true):
-		c.ahead.Store(int64(ahead))
+	case c.calibrated.CompareAndSwap(false, true):
+		c.offset.Store(int64(offset))
 	default:
-		c.raise(int64(ahead) - c.ahead.Load())
+		c.raise(int64(offset) - c.offset.Load())
 	}
 }
 
-// read returns by how much the boot clock is ahead of the steady one. It reports false where
-// there is none, or where this thread had to wait between the two.
-func (c *Clock) read() (time.Duration, bool) {
-	before := c.steady()
+// readOffset returns the difference of the boot clock and the monotonic clock. It reports
+// false if there is no boot clock, or if the thread was preempted between the readings.
+func (c *Clock) readOffset() (time.Duration, bool) {
+	before := c.monotonic()
 	boot, ok := c.boot()
-	return boot - before, ok && c.steady()-before <= noise/2
+	return boot - before, ok && c.monotonic()-before <= noise/2
 }
 
 func (c *Clock) boot() (time.Duration, bool) {
@@ -108,16 +109,16 @@
 	}
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
-		return 0, false // no such clock: suspensions are not noticed
+		return 0, false // without a boot clock, suspensions are not detected
 	}
 	return time.Duration(now.Nano()), true
 }
 
-// raise raises the time that the host was suspended for.
+// raise raises the suspended time. It ignores lower values, so that the clock never goes back.
 func (c *Clock) raise(suspended int64) {
 	for {
-		known := c.suspended.Load()
-		if suspended < known+int64(noise) || c.suspended.CompareAndSwap(known, suspended) {
+		current := c.suspended.Load()
+		if suspended < current+int64(noise) || c.suspended.CompareAndSwap(current, suspended) {
 			return
 		}
 	}
--- a/daemon/internal/clock/clock_test.go
+++ b/daemon/internal/clock/clock_test.go
@@ -10,21 +10,21 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/clock"
 )
 
-// host has the two clocks of a host.
-type host struct{ steady, boot time.Duration }
+// host simulates the monotonic clock and the boot clock of a host.
+type host struct{ monotonic, boot time.Duration }
 
 func (h *host) clock() *clock.Clock {
-	return &clock.Clock{Steady: func() time.Duration { return h.steady }, Boot: func() time.Duration { return h.boot }}
+	return &clock.Clock{Steady: func() time.Duration { return h.monotonic }, Boot: func() time.Duration { return h.boot }}
 }
 
 func (h *host) run(d time.Duration) {
-	h.steady += d
+	h.monotonic += d
 	h.boot += d
 }
 
-// TestSuspensionsCount: the steady clock does not count them, this one does, once.
-func TestSuspensionsCount(t *testing.T) {
-	h := &host{steady: time.Second, boot: time.Hour}
+// TestClockIncludesSuspensions guards against a suspension that is omitted or added twice.
+func TestClockIncludesSuspensions(t *testing.T) {
+	h := &host{monotonic: time.Second, boot: time.Hour}
 	c := h.clock()
 	start := c.Now()
 	h.run(time.Second)
@@ -39,13 +39,13 @@
 	assert.Equal(t, 8*time.Second, c.Now().Sub(start))
 }
 
-// TestItNeverGoesBack, whatever the clocks do between two looks.
-func TestItNeverGoesBack(t *testing.T) {
+// TestClockNeverGoesBack checks random sequences of suspensions.
+func TestClockNeverGoesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := &host{steady: time.Second, boot: time.Duration(rapid.Int64Range(0, 1e12).Draw(t, "boot"))}
+		h := &host{monotonic: time.Second, boot: time.Duration(rapid.Int64Range(0, 1e12).Draw(t, "boot"))}
 		c := h.clock()
-		before, suspended := c.Now(), time.Duration(0)
-		first := before
+		previous, suspended := c.Now(), time.Duration(0)
+		first := previous
 		ran := time.Duration(0)
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "suspended") {
@@ -57,16 +57,15 @@
 			ran += d
 			h.run(d)
 			now := c.Now()
-			assert.False(t, now.Before(before))
-			before = now
+			assert.False(t, now.Before(previous))
+			previous = now
 		}
 		h.run(time.Second)
-		assert.InDelta(t, float64(ran+suspended+time.Second), float64(c.Now().Sub(first)), float64(10*time.Millisecond), "all is counted but for noise")
+		assert.InDelta(t, float64(ran+suspended+time.Second), float64(c.Now().Sub(first)), float64(10*time.Millisecond), "the clock includes all suspensions but for noise")
 	})
 }
 
-// TestTheSystemsClockRuns beside time.Now.
-func TestTheSystemsClockRuns(t *testing.T) {
+func TestSystemClockAgreesWithTimeNow(t *testing.T) {
 	before, now := time.Now(), clock.Now()
 	assert.Less(t, clock.Since(now), time.Hour)
 	assert.Less(t, clock.Until(now), time.Hour)
