--- a/daemon/internal/helpers/helpers.go
+++ b/daemon/internal/helpers/helpers.go
@@ -1,5 +1,5 @@
-// Package helpers holds the few small functions that parts of every life span
-// need.
+// Package helpers provides small functions that packages of all parts of the
+// daemons share.
 package helpers
 
 import (
@@ -8,10 +8,10 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/clock"
 )
 
-// Pause waits and reports true, or false when stop closes first. A context's
-// Done and a tomb's Dying are both fit to stop it.
-func Pause(wait time.Duration, stop <-chan struct{}) bool {
-	timer := time.NewTimer(wait)
+// Pause sleeps and returns true, or returns false as soon as stop is closed. Stop
+// may be the Done channel of a context or the Dying channel of a tomb.
+func Pause(duration time.Duration, stop <-chan struct{}) bool {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -21,7 +21,7 @@
 	}
 }
 
-// Now reads a clock that may be nil, which stands for package clock.
+// Now returns the time of a clock. A nil clock stands for clock.Now.
 func Now(now func() time.Time) time.Time {
 	if now != nil {
 		return now()
@@ -29,7 +29,7 @@
 	return clock.Now()
 }
 
-// OrDefault returns value, or fallback where value is the zero value.
+// OrDefault returns value, or fallback if value is the zero value.
 func OrDefault[T comparable](value, fallback T) T {
 	var zero T
 	if value == zero {
--- a/daemon/internal/helpers/helpers_test.go
+++ b/daemon/internal/helpers/helpers_test.go
@@ -26,7 +26,7 @@
 	assert.Equal(t, "x", OrDefault("", "x"))
 }
 
-func TestNowTakesTheClockThatIsThere(t *testing.T) {
+func TestNowFallsBackToSystemClock(t *testing.T) {
 	at := time.Unix(1000, 0)
 	assert.Equal(t, at, Now(func() time.Time { return at }))
 	assert.False(t, Now(nil).IsZero())
