--- a/daemon/internal/patience/patience.go
+++ b/daemon/internal/patience/patience.go
@@ -1,10 +1,9 @@
-// Package patience bounds calls by what comes of their answers instead of by a
-// fixed time.
+// Package patience bounds calls by the progress of their responses: it has
+// separate timeouts for the first byte, for each further part and for the call.
 //
-// A fixed time cannot fit both an answer of a few bytes and one of hundreds of
-// kilobytes over a link that many share. Where it is too short, callers give up
-// halfway and begin anew, the link carries parts of answers that nobody uses, and
-// each round takes longer than the one before.
+// A single timeout cannot fit both a response of a few bytes and one of hundreds
+// of kilobytes over a shared link. If it is too short, callers abort transfers
+// halfway and start over, which wastes bandwidth and slows down the retries.
 package patience
 
 import (
@@ -17,17 +16,17 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// Causes for which a call ends. Each is a context.DeadlineExceeded too.
+// Causes of the cancellation of a call. Each wraps context.DeadlineExceeded.
 var (
-	// ErrSilent says that an answer did not begin in time.
-	ErrSilent = fmt.Errorf("no answer came in time: %w", context.DeadlineExceeded)
-	// ErrStalled says that an answer stopped halfway.
-	ErrStalled = fmt.Errorf("the answer stopped halfway: %w", context.DeadlineExceeded)
-	// ErrEndless says that an answer went on for too long.
-	ErrEndless = fmt.Errorf("the answer went on for too long: %w", context.DeadlineExceeded)
+	// ErrSilent reports that the first byte of a response did not arrive in time.
+	ErrSilent = fmt.Errorf("timed out waiting for the first byte of the response: %w", context.DeadlineExceeded)
+	// ErrStalled reports that a response stopped before its end.
+	ErrStalled = fmt.Errorf("response stalled: %w", context.DeadlineExceeded)
+	// ErrEndless reports that a call exceeded its total timeout.
+	ErrEndless = fmt.Errorf("response exceeded its total timeout: %w", context.DeadlineExceeded)
 )
 
-// Explain adds the cause to the error of a call that a limit ended.
+// Explain adds the cause to the error of a call that a timeout canceled.
 func Explain(ctx context.Context, err error) error {
 	cause := context.Cause(ctx)
 	if err == nil || cause == nil || !errors.Is(cause, context.DeadlineExceeded) || errors.Is(err, cause) {
@@ -36,58 +35,59 @@
 	return fmt.Errorf("%w: %w", err, cause)
 }
 
-// Limit says when a call is given up.
+// Limit holds the timeouts of a call.
 type Limit struct {
-	// First is how long the first byte may take.
+	// First bounds the time to the first byte of the response.
 	First time.Duration
-	// Stall is how long each part after the first may take.
+	// Stall bounds the time between two parts of the response.
 	Stall time.Duration
-	// Whole bounds the call.
+	// Whole bounds the time of the call.
 	Whole time.Duration
 }
 
-// Context returns the context of one call. Its cause tells which bound was passed.
-// The call reports what comes through provider.Progress.
+// Context returns the context of a call. Its cause tells which timeout passed. The
+// call reports received bytes through provider.Progress.
 func (l Limit) Context(ctx context.Context) (context.Context, context.CancelFunc) {
 	report := provider.Progress(ctx)
 	ctx, cancel := context.WithCancelCause(ctx)
 	c := &call{limit: l, cancel: cancel}
-	c.quiet = time.AfterFunc(l.First, c.giveUp)
-	endless := time.AfterFunc(l.Whole, func() { cancel(ErrEndless) })
+	c.idle = time.AfterFunc(l.First, c.timeOut)
+	total := time.AfterFunc(l.Whole, func() { cancel(ErrEndless) })
 	progress := func(bytes int) {
 		c.progress()
 		report(bytes)
 	}
 	end := func() {
-		c.quiet.Stop()
-		endless.Stop()
+		c.idle.Stop()
+		total.Stop()
 		cancel(nil)
 	}
 	return provider.WithProgress(ctx, progress), end
 }
 
-// call is one call under way.
+// call is a call in progress.
 type call struct {
 	limit  Limit
 	cancel context.CancelCauseFunc
-	quiet  *time.Timer
+	// idle fires when the first byte or the next part of the response is overdue.
+	idle *time.Timer
 
 	mu sync.Mutex
-	// begun says that a part of the answer came.
-	begun bool
+	// started is set when the first part of the response has arrived.
+	started bool
 }
 
 func (c *call) progress() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.begun = true
-	c.quiet.Reset(c.limit.Stall)
+	c.started = true
+	c.idle.Reset(c.limit.Stall)
 }
 
-func (c *call) giveUp() {
+func (c *call) timeOut() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.begun {
+	if c.started {
 		c.cancel(ErrStalled)
 		return
 	}
