--- a/daemon/internal/rendezvous/rendezvous.go
+++ b/daemon/internal/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
-// Package rendezvous ranks names for a key by rendezvous hashing: every process
-// that knows the same names gets the same ranking, and adding or removing a
-// name moves only what ranks it first.
+// Package rendezvous ranks names for a key by rendezvous hashing. Every process
+// with the same set of names computes the same ranking, and adding or removing a
+// name changes the first choice only of keys that rank this name first.
 package rendezvous
 
 import (
@@ -10,14 +10,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// scored is a name with its hash for the key.
+// scored is a name and its score for a key.
 type scored struct {
 	name  string
 	score uint64
 }
 
-// Score hashes a key with a name; the highest score ranks first. The separator keeps
-// ("ab","c") and ("a","bc") apart.
+// Score returns the hash of a key and a name; the highest score ranks first. The separator
+// gives ("ab","c") and ("a","bc") different hashes.
 func Score(key, name string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -27,7 +27,7 @@
 	return d.Sum64()
 }
 
-// Rank returns the names sorted by their rank for the key, first choice first.
+// Rank returns the names sorted by descending score for the key.
 func Rank(key string, names []string) []string {
 	all := make([]scored, len(names))
 	for i, name := range names {
@@ -46,7 +46,7 @@
 	return ranked
 }
 
-// First returns the first choice for the key, or "" where there are no names.
+// First returns the name with the highest score for the key, or "" if there are no names.
 func First(key string, names []string) string {
 	best, bestScore := "", uint64(0)
 	for _, name := range names {
