--- a/daemon/internal/connection/loadfeed/export_test.go
+++ b/daemon/internal/connection/loadfeed/export_test.go
@@ -1,6 +1,6 @@
 package loadfeed
 
-// Following is how many hosts are followed.
+// Following returns the number of hosts that are followed.
 func (r *Reader) Following() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/daemon/internal/connection/loadfeed/loadfeed.go
+++ b/daemon/internal/connection/loadfeed/loadfeed.go
@@ -1,9 +1,9 @@
-// Package loadfeed tells routers how loaded each engine is and what it holds.
+// Package loadfeed streams the load and the loaded models of each engine to routers.
 //
-// An engine's own report is fresh and free on its host and late elsewhere, and
-// a router knows only its own requests. So the loader beside the engine reads
-// the report and streams it, a JSON line at each change, to the routers that
-// ask. A router that hears nothing goes by its own requests.
+// A router sees only its own requests, and polling every engine over the network
+// is slow and costly. So the loader on the engine's host reads the engine's
+// report and streams it to routers as a JSON line at each change. Without a feed
+// a router falls back to counting its own requests.
 package loadfeed
 
 import (
@@ -22,35 +22,36 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// Path is the call's path.
+// Path is the URL path of a feed.
 const Path = "/load"
 
 const (
-	// linesPerSecond bounds the lines that a feed writes to all who read it, and
-	// leastPause the pause between two lines to one of them: however many read,
-	// a feed costs its host no more.
+	// linesPerSecond bounds the rate of lines of a feed over all its readers, and
+	// minPause the pause between two lines to one reader, so that the cost of a
+	// feed does not grow with the number of readers.
 	linesPerSecond = 800
-	leastPause     = 8 * time.Millisecond
-	// reopen bounds the pause before a feed is opened again, drawn at random.
-	reopen = 500 * time.Millisecond
+	minPause       = 8 * time.Millisecond
+	// maxReconnectPause bounds the random pause before a feed is reopened.
+	maxReconnectPause = 500 * time.Millisecond
 )
 
-// ClosesStep keeps lines from changing with each look at an engine.
+// ClosesStep is the resolution of Line.ClosesIn, so that the countdown does not change the
+// line at each reading of the engine.
 const ClosesStep = 250 * time.Millisecond
 
-// Line is one state of an engine.
+// Line is the state of an engine at one time.
 type Line struct {
 	Running int  `json:"running"`
 	Waiting int  `json:"waiting"`
 	Loading bool `json:"loading,omitempty"`
-	// ClosesIn is in how many milliseconds the engine is to be ordered to take a version,
-	// in whole steps of ClosesStep, 0 where that is not soon.
+	// ClosesIn is the time until the engine is ordered to load a version, in milliseconds
+	// and rounded up to a multiple of ClosesStep. It is 0 if no load is scheduled soon.
 	ClosesIn int64             `json:"closesIn,omitempty"`
 	Models   []provider.Loaded `json:"models,omitempty"`
 }
 
-// ClosesIn returns what a line says of an engine that is to be ordered at some time, zero
-// for none.
+// ClosesIn returns the value of Line.ClosesIn for a scheduled load time, which is zero if
+// no load is scheduled.
 func ClosesIn(at, now time.Time) int64 {
 	if !at.After(now) {
 		return 0
@@ -59,10 +60,10 @@
 	return (steps * ClosesStep).Milliseconds()
 }
 
-// Feed holds the newest state and gives it to all who ask. The zero value is
-// not ready; use NewFeed.
+// Feed holds the newest state and streams it to its readers. The zero value is not
+// ready; use NewFeed.
 type Feed struct {
-	// readers counts those who read.
+	// readers is the number of open streams.
 	readers atomic.Int64
 
 	mu      sync.Mutex
@@ -70,10 +71,10 @@
 	changed chan struct{}
 }
 
-// NewFeed returns a feed that has no state yet.
+// NewFeed returns a feed without a state.
 func NewFeed() *Feed { return &Feed{changed: make(chan struct{})} }
 
-// Publish takes a new state.
+// Publish sets the state and sends it to the readers if it changed.
 func (f *Feed) Publish(line Line) {
 	data, err := json.Marshal(line)
 	if err != nil {
@@ -95,34 +96,34 @@
 	return f.line, f.changed
 }
 
-// ServeHTTP streams lines until the caller leaves.
+// ServeHTTP streams lines until the client disconnects.
 func (f *Feed) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.readers.Add(1)
 	defer f.readers.Add(-1)
 	lines.Serve(w, r, f.pause, f.state)
 }
 
-// pause is the time within which changes are told together.
+// pause returns the time within which changes are batched into one line.
 func (f *Feed) pause() time.Duration {
-	return max(leastPause, time.Duration(f.readers.Load())*time.Second/linesPerSecond)
+	return max(minPause, time.Duration(f.readers.Load())*time.Second/linesPerSecond)
 }
 
-// Reader follows the feeds of many hosts. The exported fields must be set.
+// Reader reads the feeds of many hosts. The exported fields must be set.
 type Reader struct {
 	Client *http.Client
 	// OnLine is called with each line of a host.
 	OnLine func(host netip.AddrPort, line Line)
 
 	mu sync.Mutex
-	// following holds what ends each host's follower.
+	// following holds the function that cancels the goroutine of each host.
 	following map[netip.AddrPort]context.CancelFunc
-	// stopped says that nobody is followed any more, whoever asks for it: Stop would wait
-	// for a follower that began meanwhile, and never end.
+	// stopped makes Follow a no-op. Stop would otherwise wait forever for a goroutine that
+	// Follow starts after Stop has canceled the others.
 	stopped bool
 	running sync.WaitGroup
 }
 
-// Follow follows just these hosts from now on.
+// Follow replaces the set of hosts that are followed. After Stop it does nothing.
 func (r *Reader) Follow(hosts []netip.AddrPort) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -132,7 +133,7 @@
 	r.follow(hosts)
 }
 
-// follow follows some hosts and no others; the caller holds mu.
+// follow replaces the set of hosts that are followed. The caller holds mu.
 func (r *Reader) follow(hosts []netip.AddrPort) {
 	if r.following == nil {
 		r.following = map[netip.AddrPort]context.CancelFunc{}
@@ -154,7 +155,7 @@
 	}
 }
 
-// Stop ends all followers and waits for them.
+// Stop cancels all goroutines that read feeds and waits for them.
 func (r *Reader) Stop() {
 	r.mu.Lock()
 	r.stopped = true
@@ -166,15 +167,16 @@
 func (r *Reader) read(ctx context.Context, host netip.AddrPort) {
 	url := fmt.Sprintf("http://%s%s", host, Path)
 	for ctx.Err() == nil {
-		_ = lines.Read(ctx, r.Client, url, func(data []byte) error { return r.take(host, data) })
-		helpers.Pause(rand.N(reopen), ctx.Done())
+		_ = lines.Read(ctx, r.Client, url, func(data []byte) error { return r.deliver(host, data) })
+		helpers.Pause(rand.N(maxReconnectPause), ctx.Done())
 	}
 }
 
-func (r *Reader) take(host netip.AddrPort, data []byte) error {
+// deliver decodes a line and passes it to OnLine.
+func (r *Reader) deliver(host netip.AddrPort, data []byte) error {
 	var line Line
 	if err := json.Unmarshal(data, &line); err != nil {
-		return fmt.Errorf("load of %s: %w", host, err)
+		return fmt.Errorf("decode load line of %s: %w", host, err)
 	}
 	r.OnLine(host, line)
 	return nil
--- a/daemon/internal/connection/loadfeed/loadfeed_test.go
+++ b/daemon/internal/connection/loadfeed/loadfeed_test.go
@@ -14,25 +14,26 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// TestReadersHearChanges until they are told to follow the host no longer.
-func TestReadersHearChanges(t *testing.T) {
+// TestReaderReceivesChangesUntilStopped also guards against a stream that the feed keeps
+// open after its reader has stopped.
+func TestReaderReceivesChangesUntilStopped(t *testing.T) {
 	feed := NewFeed()
 	mux := http.NewServeMux()
 	mux.Handle(Path, feed)
 	server := httptest.NewServer(mux)
 	t.Cleanup(server.Close)
 	host := netip.MustParseAddrPort(server.Listener.Addr().String())
-	heard := make(chan Line, 64)
+	received := make(chan Line, 64)
 	reader := &Reader{Client: server.Client(), OnLine: func(from netip.AddrPort, line Line) {
 		assert.Equal(t, host, from)
-		heard <- line
+		received <- line
 	}}
 	reader.Follow([]netip.AddrPort{host})
 	want := Line{Running: 3, Waiting: 1, Models: []provider.Loaded{{Model: "m", Version: 2}}}
 	feed.Publish(want)
-	assert.Equal(t, want, <-heard)
+	assert.Equal(t, want, <-received)
 	feed.Publish(Line{Running: 4})
-	for line := range heard { // the first may be told again
+	for line := range received { // the first line may be repeated as a keep-alive
 		if line.Running == 4 {
 			break
 		}
@@ -44,11 +45,11 @@
 	assert.Zero(t, feed.readers.Load())
 }
 
-// TestManyReadersHearLessOften, so that a feed costs no more.
-func TestManyReadersHearLessOften(t *testing.T) {
+// TestFeedPauseGrowsWithReaders guards against a cost of a feed that grows with its readers.
+func TestFeedPauseGrowsWithReaders(t *testing.T) {
 	feed := NewFeed()
 	feed.readers.Store(2)
-	assert.Equal(t, leastPause, feed.pause())
+	assert.Equal(t, minPause, feed.pause())
 	feed.readers.Store(400)
 	assert.Equal(t, 500*time.Millisecond, feed.pause())
 }
