--- a/daemon/agent/agent.go
+++ b/daemon/agent/agent.go
@@ -1,7 +1,7 @@
-// Package agent assembles the process that stands beside one upstream.
+// Package agent assembles the agent, the process that runs next to an upstream.
 //
-// An agent fetches and shares weights, orders its engine, and is the last hop
-// of every request to its host.
+// An agent fetches weights and shares them with peers, has its engine load
+// versions, and is the last hop of every request to its host.
 package agent
 
 import (
@@ -37,44 +37,46 @@
 )
 
 const (
-	// lameDuck is how long a leaving agent still refuses with an answer,
-	// while its entries learn that it leaves.
+	// lameDuck is how long a draining agent still responds to new requests,
+	// with a refusal, while the entries learn that it is leaving.
 	lameDuck = time.Second
-	// linkBurst is the burst of a paced link in bytes.
+	// linkBurst is the burst of the link's rate limiters, in bytes.
 	linkBurst = 128 << 10
 )
 
-// Options vary an agent for tests and benches. The zero value is a production
-// agent.
+// Options configure an agent for tests and benchmarks. The zero value is a
+// production agent.
 type Options struct {
-	// LogOutput takes the log lines; nil means standard error.
+	// LogOutput receives the log lines; nil means standard error.
 	LogOutput io.Writer
-	// Policy is the way chunks are found; empty means the swarm.
+	// Policy is the policy by which chunks are fetched; empty means the swarm.
 	Policy string
-	// Uploads and Downloads bound the transfers between peers at a time, and
-	// Neighbours the hosts whose chunks are followed; 0 means the defaults.
+	// Uploads and Downloads bound the concurrent transfers between peers, and
+	// Neighbours the number of hosts whose chunks are tracked; 0 means the
+	// defaults.
 	Uploads, Downloads, Neighbours int
-	// Upload and Download pace the link; nil takes the settings' rates. A
-	// bench with a half-duplex link gives both the same limiter.
+	// Upload and Download limit the rates of the link; nil means the rates of
+	// the settings. A half-duplex link has the same limiter for both.
 	Upload, Download *rate.Limiter
-	// OnFetched counts received bytes by kind ("peer", "hall", "origin").
+	// OnFetched is called with received bytes by kind ("peer", "hall", "origin").
 	OnFetched func(kind string, bytes int64, useful bool)
-	// LameDuck varies the time in which a leaving agent still answers; 0
-	// takes the default.
+	// LameDuck is how long a draining agent still responds to new requests; 0
+	// means the default.
 	LameDuck time.Duration
-	// HostsEvery varies the interval between fetches of the host list; 0 takes
-	// the default.
+	// HostsEvery is the interval between fetches of the host list; 0 means the
+	// default.
 	HostsEvery time.Duration
-	// Dial makes the connections to other hosts; nil means over the network.
+	// Dial opens connections to other hosts; nil means over the network.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// UploadFault is asked at each chunk that is sent; nil means no faults.
+	// UploadFault returns the fault to inject into a chunk that is sent; nil
+	// means none.
 	UploadFault func() UploadFault
 }
 
-// UploadFault says what goes wrong with a chunk that is sent.
+// UploadFault is a fault injected into a chunk that is sent.
 type UploadFault = share.Fault
 
-// Process is one agent.
+// Process is an agent.
 type Process struct {
 	settings  settings.Agent
 	options   Options
@@ -87,8 +89,8 @@
 	follower  *follow.Follower
 	reporter  *report.Reporter
 	server    *server.Server
-	// transport carries requests to the upstream, chunks weights, and control
-	// all else, which meter counts.
+	// transport carries requests to the upstream, chunks carries weights, and
+	// control carries all other calls, whose bytes meter counts.
 	transport, chunks, control *http.Transport
 	meter                      dial.Meter
 
@@ -96,7 +98,7 @@
 	done     chan struct{}
 }
 
-// New prepares an agent; Start runs it.
+// New returns an agent; Start runs it.
 func New(s settings.Agent, options Options) (*Process, error) {
 	s.SetDefaults()
 	t, err := telemetry.New(telemetry.Options{Role: string(s.Role), Name: s.Name, Hall: s.Hall, Level: s.Log.Level, Output: options.LogOutput})
@@ -115,7 +117,7 @@
 	return p, nil
 }
 
-// Start opens the port and begins to follow, fetch and serve.
+// Start opens the port and starts all parts of the agent.
 func (p *Process) Start() error {
 	mux := http.NewServeMux()
 	if err := p.listen(mux); err != nil {
@@ -128,13 +130,13 @@
 		Host: p.settings.Name, Entries: entries, Client: client,
 		Incarnation: uint64(time.Now().UnixNano()), Member: p.member,
 	}
-	p.handler(mux)
+	p.registerRoutes(mux)
 	if p.settings.Upstream.Kind == settings.UpstreamEngine {
 		p.addEngine(mux, client, entries)
 	} else {
 		p.gate.Open(gate.Serving{Services: p.settings.Upstream.Services})
 	}
-	p.hosts.OnChange = func([]platform.Host) { p.noteListed(); p.reporter.Changed() }
+	p.hosts.OnChange = func([]platform.Host) { p.checkLeaving(); p.reporter.Changed() }
 	p.reporter.Start()
 	p.hosts.Start()
 	if p.installer != nil {
@@ -145,19 +147,19 @@
 	return nil
 }
 
-// listen opens the port. Requests wait until the mux is complete, because its
-// routes are added before any process knows the address.
+// listen opens the port. Start adds the routes to the mux later; no request
+// arrives before that, because no process has the address yet.
 func (p *Process) listen(mux *http.ServeMux) error {
-	opened, err := server.Listen(server.Options{Name: "peers", Address: p.settings.Listen.Peers, Handler: mux})
+	s, err := server.Listen(server.Options{Name: "peers", Address: p.settings.Listen.Peers, Handler: mux})
 	if err != nil {
 		return fmt.Errorf("agent %s: %w", p.settings.Name, err)
 	}
-	p.server = opened
+	p.server = s
 	return nil
 }
 
-// handler adds the request path and the pages.
-func (p *Process) handler(mux *http.ServeMux) {
+// registerRoutes adds the routes for requests and for telemetry.
+func (p *Process) registerRoutes(mux *http.ServeMux) {
 	p.telemetry.Pages(mux)
 	requests := &gate.Handler{
 		Gate: p.gate, Name: p.settings.Name, Upstream: p.settings.Upstream.Address,
@@ -166,7 +168,7 @@
 	requests.Register(mux)
 }
 
-// addEngine adds what only an agent beside an engine does.
+// addEngine adds the parts that only the agent of an engine has.
 func (p *Process) addEngine(mux *http.ServeMux, client *http.Client, entries func() []platform.Host) {
 	upload := p.limiter(p.options.Upload, p.settings.Weights.UploadBytesPerSecond)
 	sent := p.telemetry.Scope.Counter("weights_sent_bytes")
@@ -180,7 +182,7 @@
 	}
 	p.installer = &install.Installer{
 		Stage: p.stage, Fetcher: p.fetcher(client), Fence: fence, Gate: p.gate, Telemetry: p.telemetry,
-		Weights: ownAddress(p.server.Address), OnChange: p.reporter.Changed,
+		Weights: localAddress(p.server.Address), OnChange: p.reporter.Changed,
 	}
 	p.follower = &follow.Follower{
 		Host: p.settings.Name, Hall: p.settings.Hall, Entries: entries, Client: client,
@@ -188,17 +190,20 @@
 	}
 }
 
-// ownAddress is where a program on the same host reaches a listening port.
-func ownAddress(bound netip.AddrPort) netip.AddrPort {
+// localAddress returns the address at which processes on the same host reach a
+// listening port.
+func localAddress(bound netip.AddrPort) netip.AddrPort {
 	if bound.Addr().IsUnspecified() {
 		return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), bound.Port())
 	}
 	return bound
 }
 
-func (p *Process) limiter(given *rate.Limiter, perSecond int64) *rate.Limiter {
-	if given != nil || perSecond == 0 {
-		return given
+// limiter returns override if it is set, or else a limiter for a rate; nil
+// means no limit.
+func (p *Process) limiter(override *rate.Limiter, perSecond int64) *rate.Limiter {
+	if override != nil || perSecond == 0 {
+		return override
 	}
 	return rate.NewLimiter(rate.Limit(perSecond), linkBurst)
 }
@@ -212,8 +217,8 @@
 	sources = append(sources, source.NewSource("origin", p.settings.Weights.Origin, link))
 	return &fetch.Fetcher{
 		Self: p.settings.Name, Hall: p.settings.Hall, Stage: p.stage, Link: link, Sources: sources,
-		Have: func(ctx context.Context, peer netip.AddrPort, request *wire.HaveRequest) (*wire.HaveResponse, error) {
-			return wire.NewPeerProtobufClient("http://"+peer.String(), client).Have(ctx, request)
+		Have: func(ctx context.Context, peer netip.AddrPort, req *wire.HaveRequest) (*wire.HaveResponse, error) {
+			return wire.NewPeerProtobufClient("http://"+peer.String(), client).Have(ctx, req)
 		},
 		Telemetry: p.telemetry, Policy: fetch.Policy(p.options.Policy), PeerWait: p.settings.Weights.PeerWait.Std(),
 		PeerSlots: p.options.Downloads, Neighbours: p.options.Neighbours, OnBytes: p.countFetched(),
@@ -229,18 +234,19 @@
 	}
 }
 
-// noteListed leaves when the platform's list says that the host leaves.
-func (p *Process) noteListed() {
+// checkLeaving makes the agent refuse new requests once the host list marks its
+// host as leaving.
+func (p *Process) checkLeaving() {
 	all, _ := p.hosts.Hosts()
 	for _, host := range all {
 		if host.Name == p.settings.Name && host.State == platform.StateLeaving && !p.gate.Leaving() {
 			p.gate.Leave()
-			p.telemetry.Decide(telemetry.Decision{Step: "leave", Choice: "refuse new requests", Reason: "the host list says that the host leaves"})
+			p.telemetry.Decide(telemetry.Decision{Step: "leave", Choice: "refuse new requests", Reason: "the host list marks the host as leaving"})
 		}
 	}
 }
 
-// member returns what the agent says of itself.
+// member returns the member record that the agent reports.
 func (p *Process) member() *wire.Member {
 	m := &wire.Member{Name: p.settings.Name, Hall: p.settings.Hall, Address: p.Address().String(), Leaving: p.gate.Leaving()}
 	if p.installer == nil {
@@ -255,24 +261,25 @@
 	return m
 }
 
-// Address is where the agent listens.
+// Address returns the address on which the agent listens.
 func (p *Process) Address() netip.AddrPort { return p.server.Address }
 
-// ControlBytes returns the bytes of control messages that the agent exchanged
-// on connections that it made.
+// ControlBytes returns the number of bytes of control messages on connections
+// that the agent opened.
 func (p *Process) ControlBytes() int64 { return p.meter.Bytes() }
 
-// InFlight returns the number of requests at the upstream.
+// InFlight returns the number of requests in flight to the upstream.
 func (p *Process) InFlight() int { return p.gate.InFlight() }
 
 // Leaving reports whether the agent refuses new requests.
 func (p *Process) Leaving() bool { return p.gate.Leaving() }
 
-// Done is closed when the agent has ended.
+// Done returns a channel that is closed when the agent has stopped.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Stop drains: it refuses new requests, tells its entries, finishes what is in
-// flight and ends. The error says what had to be cut when the context ended.
+// Stop shuts the agent down gracefully. It refuses new requests, reports to its
+// entries that it is leaving, and waits for requests in flight. If the context
+// ends first it aborts those, and the error says so.
 func (p *Process) Stop(ctx context.Context) error {
 	var err error
 	p.stopOnce.Do(func() {
@@ -285,7 +292,7 @@
 func (p *Process) drain(ctx context.Context) error {
 	p.telemetry.SetNotReady("stopping")
 	p.gate.Leave()
-	p.telemetry.Decide(telemetry.Decision{Step: "leave", Choice: "drain", Reason: "the process was told to stop", Details: map[string]any{"inFlight": p.gate.InFlight()}})
+	p.telemetry.Decide(telemetry.Decision{Step: "leave", Choice: "drain", Reason: "shutdown requested", Details: map[string]any{"inFlight": p.gate.InFlight()}})
 	p.reporter.Send(ctx)
 	drained := p.gate.Drain(ctx)
 	helpers.Pause(helpers.OrDefault(p.options.LameDuck, lameDuck), ctx.Done())
@@ -296,7 +303,7 @@
 	return drained
 }
 
-// Kill ends the agent at once, as a host that dies.
+// Kill stops the agent at once, like a crash of its host.
 func (p *Process) Kill() {
 	p.stopOnce.Do(func() {
 		p.server.Kill()
@@ -304,7 +311,7 @@
 	})
 }
 
-// close ends all parts but the server.
+// close stops all parts but the server.
 func (p *Process) close() {
 	if p.follower != nil {
 		p.follower.Stop()
