--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -1,8 +1,8 @@
-// Package entry assembles the process that takes callers' requests and
-// operators' declarations.
+// Package entry assembles the entry, the process that accepts callers' requests
+// and operators' resource declarations.
 //
-// An entry keeps no state of its own: its tables are rebuilt from the
-// key-value service, or from other entries when that is out of reach.
+// An entry has no persistent state. It rebuilds its tables from the key-value
+// service, or from other entries while that is unreachable.
 package entry
 
 import (
@@ -39,33 +39,35 @@
 	"github.com/wheelcleat/wheelcleat/daemon/settings"
 )
 
-// lameDuck is how long a stopping entry still serves while it is not ready, so
-// that the balancer takes it off first.
+// lameDuck is how long a draining entry still serves after it has become not
+// ready, so that the load balancer can remove it first.
 const lameDuck = time.Second
 
-// tidyEvery is the interval in which state of gone hosts is dropped.
-const tidyEvery = 30 * time.Second
+// pruneInterval is the interval at which the state of removed hosts is dropped.
+const pruneInterval = 30 * time.Second
 
-// Options vary an entry for tests and benches. The zero value is a production
-// entry.
+// Options configure an entry for tests and benchmarks. The zero value is a
+// production entry.
 type Options struct {
-	// LogOutput takes the log lines; nil means standard error.
+	// LogOutput receives the log lines; nil means standard error.
 	LogOutput io.Writer
-	// Rearm varies the wait before the key-value watch is armed again, and
-	// LameDuck the time in which a stopping entry still serves; 0 takes the
-	// defaults.
+	// Rearm is the delay before the key-value watch is opened again, and
+	// LameDuck how long a draining entry still serves; 0 means the defaults.
 	Rearm, LameDuck time.Duration
-	// LeaseTTL, PlaceEvery and ReplaceAfter vary the placement; 0 likewise.
+	// LeaseTTL, PlaceEvery and ReplaceAfter are the times of the placer; 0 means
+	// the defaults.
 	LeaseTTL, PlaceEvery, ReplaceAfter time.Duration
-	// Silence varies the time after which a silent agent is suspect; 0 likewise.
+	// Silence is the time without a report after which an agent is suspect; 0
+	// means the default.
 	Silence time.Duration
-	// HostsEvery varies the interval between fetches of the host list; 0 likewise.
+	// HostsEvery is the interval between fetches of the host list; 0 means the
+	// default.
 	HostsEvery time.Duration
-	// Dial makes the connections to other hosts; nil means over the network.
+	// Dial opens connections to other hosts; nil means over the network.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Process is one entry.
+// Process is an entry.
 type Process struct {
 	settings  settings.Entry
 	options   Options
@@ -78,15 +80,16 @@
 	puller  *gossip.Puller
 	placer  *placer.Placer
 	router  *route.Router
-	// transport carries requests, client all else, which meter counts.
-	transport, client *http.Transport
-	meter             dial.Meter
+	// transport carries requests, and control carries all other calls, whose
+	// bytes meter counts.
+	transport, control *http.Transport
+	meter              dial.Meter
 
 	callers, operators, peers *server.Server
 
-	// mu guards the rest.
+	// mu guards the fields below.
 	mu sync.Mutex
-	// loaded is set once the table was filled, from whatever source.
+	// loaded is set once the table holds a configuration from any source.
 	loaded bool
 
 	stopping chan struct{}
@@ -94,7 +97,7 @@
 	done     chan struct{}
 }
 
-// New prepares an entry; Start runs it.
+// New returns an entry; Start runs it.
 func New(s settings.Entry, options Options) (*Process, error) {
 	s.SetDefaults()
 	t, err := telemetry.New(telemetry.Options{Role: string(s.Role), Name: s.Name, Hall: s.Hall, Level: s.Log.Level, Output: options.LogOutput})
@@ -108,13 +111,13 @@
 		transport: upstream.NewTransport(options.Dial),
 		stopping:  make(chan struct{}), done: make(chan struct{}),
 	}
-	p.client = dial.NewControlTransport(p.meter.Count(dial.OrDirect(options.Dial)))
+	p.control = dial.NewControlTransport(p.meter.Count(dial.OrDirect(options.Dial)))
 	return p, nil
 }
 
-// Start opens the ports and begins to follow the platform.
+// Start opens the ports and starts all parts of the entry.
 func (p *Process) Start() error {
-	client := &http.Client{Transport: p.client}
+	client := &http.Client{Transport: p.control}
 	kv := platform.NewKV(p.settings.Platform.KeyValue, client)
 	p.hosts = &hosts.Follower{List: platform.NewHostList(p.settings.Platform.HostList, client), Every: p.options.HostsEvery}
 	p.addFollowers(kv, client)
@@ -126,16 +129,18 @@
 	p.watcher.Start()
 	p.puller.Start()
 	p.placer.Start()
-	go p.tidy()
+	go p.prune()
 	return nil
 }
 
+// addFollowers creates the parts that follow the key-value service and other
+// entries.
 func (p *Process) addFollowers(kv *platform.KV, client *http.Client) {
-	p.watcher = &kvwatch.Watcher{KV: kv, Table: p.table, Rearm: p.options.Rearm, OnState: p.noteKV}
+	p.watcher = &kvwatch.Watcher{KV: kv, Table: p.table, Rearm: p.options.Rearm, OnState: p.onKVState}
 	p.puller = &gossip.Puller{
 		Name: p.settings.Name, Hall: p.settings.Hall, Table: p.table, Members: p.members, Client: client,
 		Entries:    func() []platform.Host { return p.hosts.Select(platform.RoleEntry, "") },
-		OnSuspects: p.noteSuspects, OnSnapshot: p.noteSnapshot,
+		OnSuspects: p.onSuspects, OnSnapshot: p.onSnapshot,
 	}
 	p.placer = &placer.Placer{
 		Hall: p.settings.Hall, Name: p.settings.Name, KV: kv, Table: p.table, Members: p.members,
@@ -157,14 +162,14 @@
 	if err != nil {
 		return err
 	}
-	own := wire.NewControlServer(&control.Server{Table: p.table, Members: p.members, Stopping: p.stopping})
+	service := wire.NewControlServer(&control.Server{Table: p.table, Members: p.members, Stopping: p.stopping})
 	mux := http.NewServeMux()
-	mux.Handle(own.PathPrefix(), own)
+	mux.Handle(service.PathPrefix(), service)
 	p.peers, err = server.Listen(server.Options{Name: "peers", Address: p.settings.Listen.Peers, Handler: mux})
 	return err
 }
 
-// callerRoutes are the routes of the callers' port.
+// callerRoutes returns the handler of the callers' port.
 func (p *Process) callerRoutes() http.Handler {
 	router := bunrouter.New()
 	handler := &intake.Handler{
@@ -174,12 +179,12 @@
 	}
 	handler.Register(router)
 	mux := http.NewServeMux()
-	p.telemetry.Health(mux) // for the balancer
+	p.telemetry.Health(mux) // for the load balancer
 	mux.Handle("/", router)
 	return mux
 }
 
-// operatorRoutes are the routes of the operators' port.
+// operatorRoutes returns the handler of the operators' port.
 func (p *Process) operatorRoutes(kv *platform.KV) http.Handler {
 	router := bunrouter.New()
 	handler := &resource.Handler{
@@ -194,8 +199,9 @@
 	return mux
 }
 
-// noteKV follows whether the key-value service answers.
-func (p *Process) noteKV(err error) {
+// onKVState updates readiness and metrics after each call to the key-value
+// service; err is nil if the service responded.
+func (p *Process) onKVState(err error) {
 	up := p.telemetry.Scope.Gauge("key_value_up")
 	if err == nil {
 		up.Update(1)
@@ -207,12 +213,12 @@
 	loaded := p.loaded
 	p.mu.Unlock()
 	if !loaded {
-		p.telemetry.SetNotReady("no configuration yet: the key-value service does not answer and no other entry has given it")
+		p.telemetry.SetNotReady("no configuration yet: the key-value service is unreachable and no other entry has sent a snapshot")
 	}
-	p.telemetry.Log.WithError(err).Warn("the key-value service does not answer; what is in force stays in force")
+	p.telemetry.Log.WithError(err).Warn("key-value service unreachable; keeping the current configuration")
 }
 
-// setLoaded makes the entry ready.
+// setLoaded makes the entry ready unless it is draining.
 func (p *Process) setLoaded() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -224,20 +230,20 @@
 	}
 }
 
-func (p *Process) noteSnapshot(peer string, revision uint64) {
+func (p *Process) onSnapshot(peer string, revision uint64) {
 	p.setLoaded()
-	p.telemetry.Decide(telemetry.Decision{Step: "configure", Choice: "take from " + peer, Reason: "the key-value service has given nothing yet", Revision: revision})
+	p.telemetry.Decide(telemetry.Decision{Step: "configure", Choice: "load from " + peer, Reason: "no configuration from the key-value service yet", Revision: revision})
 }
 
-func (p *Process) noteSuspects(names []string) {
+func (p *Process) onSuspects(names []string) {
 	for _, name := range names {
-		p.telemetry.Decide(telemetry.Decision{Step: "member", Choice: "suspect " + name, Reason: "no report for too long", Revision: p.table.View().Revision})
+		p.telemetry.Decide(telemetry.Decision{Step: "member", Choice: "suspect " + name, Reason: "no heartbeat within the timeout", Revision: p.table.View().Revision})
 	}
 }
 
-// tidy drops what is known of hosts that are gone.
-func (p *Process) tidy() {
-	ticker := time.NewTicker(tidyEvery)
+// prune drops the router's state of hosts that are no longer members.
+func (p *Process) prune() {
+	ticker := time.NewTicker(pruneInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -249,34 +255,35 @@
 	}
 }
 
-// Addresses are the ports of a running entry.
+// Addresses holds the addresses of the ports of a running entry.
 type Addresses struct {
 	Callers, Operators, Peers netip.AddrPort
 }
 
-// Addresses returns where the entry listens.
+// Addresses returns the addresses on which the entry listens.
 func (p *Process) Addresses() Addresses {
 	return Addresses{Callers: p.callers.Address, Operators: p.operators.Address, Peers: p.peers.Address}
 }
 
-// Revision returns the configuration revision that is in force here.
+// Revision returns the configuration revision that the entry applies.
 func (p *Process) Revision() uint64 { return p.table.View().Revision }
 
-// Members returns the number of agents that the entry knows of.
+// Members returns the number of agents in the entry's member table.
 func (p *Process) Members() int { return len(p.members.View().Agents) }
 
-// ControlBytes returns the bytes of control messages that the entry exchanged
-// on connections that it made.
+// ControlBytes returns the number of bytes of control messages on connections
+// that the entry opened.
 func (p *Process) ControlBytes() int64 { return p.meter.Bytes() }
 
-// NotReady returns why the entry is not ready, or "".
+// NotReady returns the reason why the entry is not ready, or "" if it is ready.
 func (p *Process) NotReady() string { return p.telemetry.NotReady() }
 
-// Done is closed when the entry has ended.
+// Done returns a channel that is closed when the entry has stopped.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Stop drains: not ready, then no new connections, then the end of what is in
-// flight. The error says what had to be cut when the context ended.
+// Stop shuts the entry down gracefully. It becomes not ready, refuses new
+// connections, and waits for requests in flight. If the context ends first it
+// aborts those, and the error says so.
 func (p *Process) Stop(ctx context.Context) error {
 	var err error
 	p.stopOnce.Do(func() {
@@ -291,14 +298,14 @@
 	close(p.stopping)
 	p.telemetry.SetNotReady("stopping")
 	p.mu.Unlock()
-	p.telemetry.Decide(telemetry.Decision{Step: "leave", Choice: "drain", Reason: "the process was told to stop"})
-	p.placer.Stop() // another entry takes the lease at once
+	p.telemetry.Decide(telemetry.Decision{Step: "leave", Choice: "drain", Reason: "shutdown requested"})
+	p.placer.Stop() // releases the lease, so that another entry can acquire it at once
 	p.callers.Closing()
 	helpers.Pause(helpers.OrDefault(p.options.LameDuck, lameDuck), ctx.Done())
 	return errors.Join(p.callers.Shutdown(ctx), p.operators.Shutdown(ctx), p.peers.Shutdown(ctx))
 }
 
-// Kill ends the entry at once, as a host that dies.
+// Kill stops the entry at once, like a crash of its host.
 func (p *Process) Kill() {
 	p.stopOnce.Do(func() {
 		p.killServers()
@@ -314,13 +321,13 @@
 	}
 }
 
-// close ends all parts but the servers.
+// close stops all parts but the servers.
 func (p *Process) close() {
 	p.placer.Stop()
 	p.puller.Stop()
 	p.watcher.Stop()
 	p.hosts.Stop()
-	p.client.CloseIdleConnections()
+	p.control.CloseIdleConnections()
 	p.transport.CloseIdleConnections()
 	p.telemetry.Close()
 	close(p.done)
