--- a/daemon/internal/connection/evidence/bench_test.go
+++ b/daemon/internal/connection/evidence/bench_test.go
@@ -16,35 +16,35 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/quarantine"
 )
 
-// BenchmarkTell tells 400 routers of an end: 20 ms until the last has it, on one core that
-// both sides share, over connections that rest from the round before, and 34 ms over new ones.
-func BenchmarkTell(b *testing.B) {
+// BenchmarkBroadcast measures the time until all of 400 routers have received a note, over
+// idle connections.
+func BenchmarkBroadcast(b *testing.B) {
 	const routers = 400
-	var told atomic.Int64
+	var received atomic.Int64
 	all := make(chan struct{}, 1)
-	known := &evidence.Known[quarantine.Note]{
+	receiver := &evidence.Known[quarantine.Note]{
 		All: func() []quarantine.Note { return nil }, Of: func([]quarantine.Note) []quarantine.Note { return nil },
 		Take: func([]quarantine.Note) {
-			if told.Add(1)%routers == 0 {
+			if received.Add(1)%routers == 0 {
 				all <- struct{}{}
 			}
 		},
 	}
 	var peers []netip.AddrPort
 	for range routers {
-		server := httptest.NewServer(http.HandlerFunc(known.ServeTold))
+		server := httptest.NewServer(http.HandlerFunc(receiver.ServeTold))
 		b.Cleanup(server.Close)
 		peers = append(peers, netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://")))
 	}
-	teller := &evidence.Teller[quarantine.Note]{
+	sender := &evidence.Teller[quarantine.Note]{
 		Path:   evidence.SuspectsPath,
 		Client: &http.Client{Transport: dial.NewHostTransport(dial.Direct, time.Minute)},
 		Peers:  func() []netip.AddrPort { return peers }, Take: func([]quarantine.Note, netip.AddrPort) {},
 	}
-	teller.Start()
-	b.Cleanup(teller.Stop)
+	sender.Start()
+	b.Cleanup(sender.Stop)
 	for b.Loop() {
-		require.True(b, teller.Tell(noted("a")))
+		require.True(b, sender.Tell(noteOf("a")))
 		<-all
 	}
 }
--- a/daemon/internal/connection/evidence/evidence.go
+++ b/daemon/internal/connection/evidence/evidence.go
@@ -1,19 +1,16 @@
-// Package evidence carries from router to router what they saw at upstreams: the contents
-// under which upstreams ended, and the limits that upstreams named. Packages quarantine and
-// ratelimit say what that means; here both are notes.
+// Package evidence broadcasts observations about upstreams among routers: contents that
+// crashed upstreams, and rate limits that upstreams returned. Packages quarantine and ratelimit
+// define these observations; this package calls both of them notes.
 //
-// Each router tells all others at once, over the port on which they hand out their copies of
-// the store: the news is worth most within the second in which the caller comes back, and
-// must come through while the store is down. An end breaks some ten requests, of as many
-// routers: at 400 routers each of them is sent ten messages of 330 bytes for an end.
-// A limit is told when it begins and ends, and when it changes by much, by those who read it in
-// an answer. Who missed news hears of it in the answer to its own next one, which is about the
-// same content or upstream, and a router that starts asks two others for everything.
+// Each router sends a note to all other routers at once, on the port that also serves replicas
+// of the store. Notes matter most within the second in which a caller retries, and must arrive
+// while the store is down. A router that misses a note receives it in the response to its own
+// next note about the same content or upstream. A router that starts fetches all notes from two
+// others.
 //
-// Rejected: the copies that routers of a hall follow, which pause after each change, and
-// end at the store; and one router that counts for all others, which saves messages, but has
-// to be found, and to be followed by another when it is gone. As in package peering messages
-// are plain HTTP and JSON: they are asked for on the same port.
+// Rejected: distribution through the replicas, which batch changes and depend on the store; and
+// one router that collects notes for all, which needs election and failover. As in package
+// peering, messages are plain HTTP and JSON on the same port.
 package evidence
 
 import (
@@ -31,121 +28,120 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/helpers"
 )
 
-// The paths of the calls about each kind of notes: GET for all that a router knows, POST to
-// tell it something.
+// URL paths, one for each kind of notes. GET returns all notes of a router, POST sends it notes.
 const (
 	SuspectsPath = "/suspects"
 	LimitsPath   = "/limits"
 )
 
 const (
-	// gather is how long notes are gathered for one message: all that broke with one end
-	// come within a few milliseconds.
-	gather = 5 * time.Millisecond
-	// mostGathered bounds the notes of a message, and mostQueued those that wait.
-	mostGathered, mostQueued = 64, 1024
-	// tellTimeout bounds a message. One to another region takes 6 ms; the rest is for a
-	// narrow link and a busy processor.
-	tellTimeout = 400 * time.Millisecond
-	// tries is how often a message is sent, and tellAgain the pause between: a router that
-	// starts again takes less than a second.
-	tries     = 4
-	tellAgain = 400 * time.Millisecond
-	// mostMessages bounds the messages under way.
-	mostMessages = 128
-	// askedAtStart is how many routers a router asks that starts, since one may have just
-	// started too, askAgain the pause before each, and mostAskedAtStart how often it asks.
-	askedAtStart     = 2
-	askAgain         = 200 * time.Millisecond
-	mostAskedAtStart = 50
-	// maxTold bounds a message, in bytes, and maxAll the answer with all that a full table
-	// knows.
-	maxTold = 256 << 10
-	maxAll  = 8 << 20
+	// batchDelay is how long notes are batched into one message. Connections that break by
+	// one crash do so within a few milliseconds.
+	batchDelay = 5 * time.Millisecond
+	// maxBatch bounds the notes of a message, and queueSize those that are not yet batched.
+	maxBatch, queueSize = 64, 1024
+	// sendTimeout bounds a call. It leaves room for a narrow link and a busy processor.
+	sendTimeout = 400 * time.Millisecond
+	// maxAttempts bounds the attempts to send a message, and retryDelay is the pause between
+	// them. Together they outlast the restart of a router.
+	maxAttempts = 4
+	retryDelay  = 400 * time.Millisecond
+	// maxInFlight bounds the messages in flight.
+	maxInFlight = 128
+	// catchUpPeers is the number of routers from which a starting router fetches all notes,
+	// since one of them may have just started too. catchUpDelay is the pause before each
+	// attempt, and maxCatchUpAttempts bounds them.
+	catchUpPeers       = 2
+	catchUpDelay       = 200 * time.Millisecond
+	maxCatchUpAttempts = 50
+	// maxMessage bounds a message, and maxAll a response with all notes, in bytes.
+	maxMessage = 256 << 10
+	maxAll     = 8 << 20
 )
 
-// Message is what a router tells another, and the answer.
+// Message is the body of a request or a response.
 type Message[N any] struct {
 	Notes []N `json:"notes"`
 }
 
-// Teller tells other routers notes of one kind. Client, Path, Peers and Take must be set
-// before Start.
+// Teller sends notes of one kind to all other routers. Client, Path, Peers and Take must be
+// set before Start.
 type Teller[N any] struct {
 	Client *http.Client
-	// Path is the one of the kind.
+	// Path is the URL path for this kind of notes.
 	Path string
 	// Peers returns the other routers.
 	Peers func() []netip.AddrPort
-	// Peer returns a router to ask for all that it knows; false while none is known. It may
-	// be nil.
+	// Peer returns a router from which to fetch all notes after the start, or false if there
+	// is none. It may be nil.
 	Peer func() (netip.AddrPort, bool)
-	// Take takes what another router answered that it knows.
+	// Take is called with the notes in the response of a router.
 	Take func(notes []N, from netip.AddrPort)
-	// OnFailed is called where a router could not be told. It may be nil.
+	// OnFailed is called when a message could not be sent to a router. It may be nil.
 	OnFailed func(peer netip.AddrPort, err error)
 
 	queue chan N
-	// underWay holds a token for each message under way.
-	underWay chan struct{}
+	// inFlight is a semaphore with a token for each message in flight.
+	inFlight chan struct{}
 	tomb     tomb.Tomb
 }
 
-// Start begins to tell; Stop ends it.
-func (t *Teller[N]) Start() {
-	t.queue = make(chan N, mostQueued)
-	t.underWay = make(chan struct{}, mostMessages)
-	t.tomb.Go(until(t.run))
-	if t.Peer != nil {
-		t.tomb.Go(until(t.catchUp))
+// Start starts the goroutines; Stop stops them.
+func (s *Teller[N]) Start() {
+	s.queue = make(chan N, queueSize)
+	s.inFlight = make(chan struct{}, maxInFlight)
+	s.tomb.Go(withoutError(s.run))
+	if s.Peer != nil {
+		s.tomb.Go(withoutError(s.catchUp))
 	}
 }
 
-// until has a tomb run what ends by itself or with the tomb.
-func until(run func()) func() error {
+// withoutError adapts a function that cannot fail to tomb.Go.
+func withoutError(run func()) func() error {
 	return func() error {
 		run()
 		return nil
 	}
 }
 
-// catchUp asks other routers for all that they know, after the start.
-func (t *Teller[N]) catchUp() {
-	ctx := t.tomb.Context(nil) //nolint:staticcheck // nil asks the tomb for its own context
-	for answered, asked := 0, 0; answered < askedAtStart && asked < mostAskedAtStart; asked++ {
-		if !helpers.Pause(askAgain, t.tomb.Dying()) {
+// catchUp fetches all notes from other routers after the start.
+func (s *Teller[N]) catchUp() {
+	ctx := s.tomb.Context(nil) //nolint:staticcheck // nil asks the tomb for its own context
+	for succeeded, attempts := 0, 0; succeeded < catchUpPeers && attempts < maxCatchUpAttempts; attempts++ {
+		if !helpers.Pause(catchUpDelay, s.tomb.Dying()) {
 			return
 		}
-		peer, ok := t.Peer()
+		peer, ok := s.Peer()
 		if !ok {
 			continue
 		}
-		if notes, err := All[N](ctx, t.Client, peer, t.Path); err == nil {
-			t.Take(notes, peer)
-			answered++
+		if notes, err := All[N](ctx, s.Client, peer, s.Path); err == nil {
+			s.Take(notes, peer)
+			succeeded++
 		}
 	}
 }
 
-// Stop ends the teller and waits for it. What was not told is lost.
-func (t *Teller[N]) Stop() {
-	t.tomb.Kill(nil)
-	_ = t.tomb.Wait()
+// Stop stops all goroutines and waits for them. Notes that were not sent yet are dropped.
+func (s *Teller[N]) Stop() {
+	s.tomb.Kill(nil)
+	_ = s.tomb.Wait()
 }
 
-// Tell has all others told. It never waits, and reports false where too much waits already.
-func (t *Teller[N]) Tell(note N) bool {
+// Tell queues a note for all other routers. It never blocks, and returns false if the queue is
+// full.
+func (s *Teller[N]) Tell(note N) bool {
 	select {
-	case t.queue <- note:
+	case s.queue <- note:
 		return true
 	default:
 		return false
 	}
 }
 
-func (t *Teller[N]) run() {
+func (s *Teller[N]) run() {
 	for {
-		notes := t.gathered()
+		notes := s.nextBatch()
 		if len(notes) == 0 {
 			return
 		}
@@ -153,101 +149,103 @@
 		if err != nil {
 			continue
 		}
-		for _, peer := range t.Peers() {
-			t.tomb.Go(func() error {
-				t.tellPeer(peer, body)
+		for _, peer := range s.Peers() {
+			s.tomb.Go(func() error {
+				s.sendWithRetry(peer, body)
 				return nil
 			})
 		}
 	}
 }
 
-// gathered waits for notes and returns those that come together, none at the end.
-func (t *Teller[N]) gathered() []N {
+// nextBatch waits for notes and returns those that are queued within batchDelay of the first.
+// It returns none once the tomb is dying.
+func (s *Teller[N]) nextBatch() []N {
 	var notes []N
-	var over <-chan time.Time
-	for len(notes) < mostGathered {
+	var deadline <-chan time.Time
+	for len(notes) < maxBatch {
 		select {
-		case note := <-t.queue:
+		case note := <-s.queue:
 			notes = append(notes, note)
-			if over == nil {
-				over = time.After(gather)
+			if deadline == nil {
+				deadline = time.After(batchDelay)
 			}
-		case <-over:
+		case <-deadline:
 			return notes
-		case <-t.tomb.Dying():
+		case <-s.tomb.Dying():
 			return nil
 		}
 	}
 	return notes
 }
 
-// tellPeer tells one router, again where it does not answer.
-func (t *Teller[N]) tellPeer(peer netip.AddrPort, body []byte) {
-	for try := 1; ; try++ {
-		answer, err := t.send(peer, body)
+// sendWithRetry sends a message to one router and retries after a failure.
+func (s *Teller[N]) sendWithRetry(peer netip.AddrPort, body []byte) {
+	for attempt := 1; ; attempt++ {
+		resp, err := s.send(peer, body)
 		if err == nil {
-			t.Take(answer.Notes, peer)
+			s.Take(resp.Notes, peer)
 			return
 		}
-		if try == tries || !helpers.Pause(tellAgain, t.tomb.Dying()) {
-			if t.OnFailed != nil && t.tomb.Alive() {
-				t.OnFailed(peer, err)
+		if attempt == maxAttempts || !helpers.Pause(retryDelay, s.tomb.Dying()) {
+			if s.OnFailed != nil && s.tomb.Alive() {
+				s.OnFailed(peer, err)
 			}
 			return
 		}
 	}
 }
 
-func (t *Teller[N]) send(peer netip.AddrPort, body []byte) (Message[N], error) {
+func (s *Teller[N]) send(peer netip.AddrPort, body []byte) (Message[N], error) {
 	select {
-	case t.underWay <- struct{}{}:
-		defer func() { <-t.underWay }()
-	case <-t.tomb.Dying():
-		return Message[N]{}, t.tomb.Err()
+	case s.inFlight <- struct{}{}:
+		defer func() { <-s.inFlight }()
+	case <-s.tomb.Dying():
+		return Message[N]{}, s.tomb.Err()
 	}
-	ctx, cancel := context.WithTimeout(t.tomb.Context(nil), tellTimeout) //nolint:staticcheck // nil asks the tomb for its own context
+	ctx, cancel := context.WithTimeout(s.tomb.Context(nil), sendTimeout) //nolint:staticcheck // nil asks the tomb for its own context
 	defer cancel()
-	var answer Message[N]
-	if err := call.PostJSON(ctx, t.Client, "http://"+peer.String()+t.Path, body, maxTold, &answer); err != nil {
-		return answer, fmt.Errorf("tell router %s news at %s: %w", peer, t.Path, err)
+	var resp Message[N]
+	if err := call.PostJSON(ctx, s.Client, "http://"+peer.String()+s.Path, body, maxMessage, &resp); err != nil {
+		return resp, fmt.Errorf("send notes to router %s at %s: %w", peer, s.Path, err)
 	}
-	return answer, nil
+	return resp, nil
 }
 
-// All asks a router for all that it knows.
+// All fetches all notes of a router.
 func All[N any](ctx context.Context, client *http.Client, peer netip.AddrPort, path string) ([]N, error) {
-	ctx, cancel := context.WithTimeout(ctx, tellTimeout)
+	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
-	var answer Message[N]
-	if err := call.JSON(ctx, client, "http://"+peer.String()+path, maxAll, &answer); err != nil {
-		return nil, fmt.Errorf("ask router %s for news at %s: %w", peer, path, err)
+	var resp Message[N]
+	if err := call.JSON(ctx, client, "http://"+peer.String()+path, maxAll, &resp); err != nil {
+		return nil, fmt.Errorf("fetch notes of router %s at %s: %w", peer, path, err)
 	}
-	return answer.Notes, nil
+	return resp.Notes, nil
 }
 
-// Known is what a router knows, for the others. Its fields must be set.
+// Known serves the notes of a router to the others. Its fields must be set.
 type Known[N any] struct {
-	// All returns everything, Of what is known of what some notes are about, and Take takes
-	// news.
+	// All returns all notes of this router, and Of those about the same contents or upstreams
+	// as the given notes. Take merges received notes.
 	All  func() []N
 	Of   func(notes []N) []N
 	Take func(notes []N)
 }
 
-// ServeAll answers with everything that is known.
+// ServeAll responds with all notes.
 func (k *Known[N]) ServeAll(w http.ResponseWriter, _ *http.Request) { reply(w, k.All()) }
 
-// ServeTold takes a message, and answers with what was known before of the same.
+// ServeTold merges the notes of a message, and responds with the notes that this router held
+// before about the same contents or upstreams.
 func (k *Known[N]) ServeTold(w http.ResponseWriter, r *http.Request) {
 	var message Message[N]
-	if err := json.NewDecoder(io.LimitReader(r.Body, maxTold)).Decode(&message); err != nil {
-		http.Error(w, "decode the notes: "+err.Error(), http.StatusBadRequest)
+	if err := json.NewDecoder(io.LimitReader(r.Body, maxMessage)).Decode(&message); err != nil {
+		http.Error(w, "decode notes: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	known := k.Of(message.Notes)
+	related := k.Of(message.Notes)
 	k.Take(message.Notes)
-	reply(w, known)
+	reply(w, related)
 }
 
 func reply[N any](w http.ResponseWriter, notes []N) {
--- a/daemon/internal/connection/evidence/evidence_test.go
+++ b/daemon/internal/connection/evidence/evidence_test.go
@@ -20,10 +20,11 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/quarantine"
 )
 
-var deadly = content.Request{Body: []byte("deadly")}.Name()
+var crashing = content.Request{Body: []byte("deadly")}.Name()
 
-func noted(upstreams ...string) quarantine.Note {
-	note := quarantine.Note{Content: deadly}
+// noteOf returns a note that the content crashed some upstreams.
+func noteOf(upstreams ...string) quarantine.Note {
+	note := quarantine.Note{Content: crashing}
 	for _, upstream := range upstreams {
 		depth := map[string]int{"a": 1, "b": 2, "c": 3}[upstream]
 		note.Ends = append(note.Ends, quarantine.End{Upstream: upstream, Depth: depth})
@@ -31,33 +32,33 @@
 	return note
 }
 
-// peer is a router that keeps what it is told.
+// peer is a router that stores the notes that it receives.
 type peer struct {
 	address netip.AddrPort
 	mu      sync.Mutex
 	table   quarantine.Table
-	// fails is how many messages it answers with an error.
-	fails int
+	// failures is the number of further messages that fail.
+	failures int
 }
 
 func startPeer(t *testing.T) *peer {
 	t.Helper()
 	p := &peer{}
-	known := &evidence.Known[quarantine.Note]{
+	receiver := &evidence.Known[quarantine.Note]{
 		All:  p.notes,
 		Of:   func([]quarantine.Note) []quarantine.Note { return p.notes() },
-		Take: p.take,
+		Take: p.merge,
 	}
-	pages := bunrouter.New()
-	pages.Compat().GET(evidence.SuspectsPath, known.ServeAll)
-	pages.Compat().POST(evidence.SuspectsPath, func(w http.ResponseWriter, r *http.Request) {
+	routes := bunrouter.New()
+	routes.Compat().GET(evidence.SuspectsPath, receiver.ServeAll)
+	routes.Compat().POST(evidence.SuspectsPath, func(w http.ResponseWriter, r *http.Request) {
 		if p.failing() {
-			http.Error(w, "not now", http.StatusServiceUnavailable)
+			http.Error(w, "injected failure", http.StatusServiceUnavailable)
 			return
 		}
-		known.ServeTold(w, r)
+		receiver.ServeTold(w, r)
 	})
-	server := httptest.NewServer(pages)
+	server := httptest.NewServer(routes)
 	t.Cleanup(server.Close)
 	p.address = netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))
 	return p
@@ -66,8 +67,8 @@
 func (p *peer) failing() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.fails--
-	return p.fails >= 0
+	p.failures--
+	return p.failures >= 0
 }
 
 func (p *peer) notes() []quarantine.Note {
@@ -76,7 +77,7 @@
 	return p.table.Notes()
 }
 
-func (p *peer) take(notes []quarantine.Note) {
+func (p *peer) merge(notes []quarantine.Note) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, note := range notes {
@@ -87,102 +88,103 @@
 func (p *peer) judge() quarantine.Verdict {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.table.Judge(deadly, time.Now())
+	return p.table.Judge(crashing, time.Now())
 }
 
-func startTeller(t *testing.T, own *peer, others ...netip.AddrPort) *evidence.Teller[quarantine.Note] {
+func startSender(t *testing.T, own *peer, others ...netip.AddrPort) *evidence.Teller[quarantine.Note] {
 	t.Helper()
-	teller := &evidence.Teller[quarantine.Note]{
+	sender := &evidence.Teller[quarantine.Note]{
 		Path:   evidence.SuspectsPath,
 		Client: http.DefaultClient, Peers: func() []netip.AddrPort { return others },
-		Take: func(notes []quarantine.Note, _ netip.AddrPort) { own.take(notes) },
+		Take: func(notes []quarantine.Note, _ netip.AddrPort) { own.merge(notes) },
 	}
-	teller.Start()
-	t.Cleanup(teller.Stop)
-	return teller
+	sender.Start()
+	t.Cleanup(sender.Stop)
+	return sender
 }
 
-func await(t *testing.T, what string, condition func() bool) {
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	require.Eventually(t, condition, 10*time.Second, time.Millisecond, what)
 }
 
-// TestAllAreTold: each router hears of an end, also one that fails at first, and one that
-// is gone keeps the others from nothing.
-func TestAllAreTold(t *testing.T) {
+// TestNotesReachAllRouters guards against a note that is lost at a router whose first
+// responses are errors, or because another router is unreachable.
+func TestNotesReachAllRouters(t *testing.T) {
 	own, second, third := &peer{}, startPeer(t), startPeer(t)
-	third.fails = 2
-	gone := startPeer(t).address
-	gone = netip.AddrPortFrom(gone.Addr(), 1)
-	teller := startTeller(t, own, gone, second.address, third.address)
-	require.True(t, teller.Tell(noted("a")))
-	require.True(t, teller.Tell(noted("b", "c")))
+	third.failures = 2
+	unreachable := startPeer(t).address
+	unreachable = netip.AddrPortFrom(unreachable.Addr(), 1)
+	sender := startSender(t, own, unreachable, second.address, third.address)
+	require.True(t, sender.Tell(noteOf("a")))
+	require.True(t, sender.Tell(noteOf("b", "c")))
 	for _, p := range []*peer{second, third} {
-		await(t, "it holds the content back", func() bool { return p.judge() == quarantine.Held })
+		waitFor(t, "the content is quarantined", func() bool { return p.judge() == quarantine.Held })
 	}
 }
 
-// TestWhoMissedNewsHearsOfItInTheAnswer: a router that was cut off tells of one end, and
-// learns of those before.
-func TestWhoMissedNewsHearsOfItInTheAnswer(t *testing.T) {
+// TestMissedNotesArriveInResponse checks that a router which missed notes receives them in the
+// response to its own note about the same content.
+func TestMissedNotesArriveInResponse(t *testing.T) {
 	own, other := &peer{}, startPeer(t)
-	other.take([]quarantine.Note{noted("b", "c")})
-	teller := startTeller(t, own, other.address)
-	own.take([]quarantine.Note{noted("a")})
-	require.True(t, teller.Tell(noted("a")))
-	await(t, "it holds the content back", func() bool { return own.judge() == quarantine.Held })
+	other.merge([]quarantine.Note{noteOf("b", "c")})
+	sender := startSender(t, own, other.address)
+	own.merge([]quarantine.Note{noteOf("a")})
+	require.True(t, sender.Tell(noteOf("a")))
+	waitFor(t, "the content is quarantined", func() bool { return own.judge() == quarantine.Held })
 }
 
-// TestAStartingRouterAsks: it has all that another knows, although nobody tells it anything.
-func TestAStartingRouterAsks(t *testing.T) {
+// TestStartingRouterFetchesNotes checks that a starting router has the notes of another one,
+// although no router sends it any.
+func TestStartingRouterFetchesNotes(t *testing.T) {
 	own, other := &peer{}, startPeer(t)
-	other.take([]quarantine.Note{noted("a", "b", "c")})
-	teller := &evidence.Teller[quarantine.Note]{
+	other.merge([]quarantine.Note{noteOf("a", "b", "c")})
+	sender := &evidence.Teller[quarantine.Note]{
 		Path:   evidence.SuspectsPath,
 		Client: http.DefaultClient, Peers: func() []netip.AddrPort { return nil },
 		Peer: func() (netip.AddrPort, bool) { return other.address, true },
-		Take: func(notes []quarantine.Note, _ netip.AddrPort) { own.take(notes) },
+		Take: func(notes []quarantine.Note, _ netip.AddrPort) { own.merge(notes) },
 	}
-	teller.Start()
-	t.Cleanup(teller.Stop)
-	await(t, "it holds the content back", func() bool { return own.judge() == quarantine.Held })
+	sender.Start()
+	t.Cleanup(sender.Stop)
+	waitFor(t, "the content is quarantined", func() bool { return own.judge() == quarantine.Held })
 }
 
-// TestAStopWaitsForNobody: a router that does not answer keeps no other from its stop, and
-// what is told too much is left out.
-func TestAStopWaitsForNobody(t *testing.T) {
-	asked := make(chan struct{}, 1)
-	client := &http.Client{Transport: silent{asked}}
+// TestStopDoesNotWaitForUnresponsiveRouter also checks that a full queue drops notes instead
+// of blocking.
+func TestStopDoesNotWaitForUnresponsiveRouter(t *testing.T) {
+	requested := make(chan struct{}, 1)
+	client := &http.Client{Transport: unresponsive{requested}}
 	failed := make(chan error, 1)
-	teller := &evidence.Teller[quarantine.Note]{
+	sender := &evidence.Teller[quarantine.Note]{
 		Path:   evidence.SuspectsPath,
 		Client: client, Peers: func() []netip.AddrPort { return []netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:1")} },
 		Take: func([]quarantine.Note, netip.AddrPort) {}, OnFailed: func(_ netip.AddrPort, err error) { failed <- err },
 	}
-	assert.False(t, teller.Tell(noted("a")), "not started")
-	teller.Start()
-	require.True(t, teller.Tell(noted("a")))
-	<-asked
-	teller.Stop()
+	assert.False(t, sender.Tell(noteOf("a")), "the sender is not started")
+	sender.Start()
+	require.True(t, sender.Tell(noteOf("a")))
+	<-requested
+	sender.Stop()
 	select {
 	case err := <-failed:
-		assert.Fail(t, "a stop is no failure", err)
+		assert.Fail(t, "OnFailed was called because of Stop", err)
 	default:
 	}
-	told := 0
-	for teller.Tell(noted("a")) {
-		told++
+	queued := 0
+	for sender.Tell(noteOf("a")) {
+		queued++
 	}
-	assert.Positive(t, told)
+	assert.Positive(t, queued)
 }
 
-var errOver = errors.New("the call is over")
+var errCanceled = errors.New("call canceled")
 
-// silent never answers.
-type silent struct{ asked chan<- struct{} }
+// unresponsive is a transport whose calls block until their context ends.
+type unresponsive struct{ requested chan<- struct{} }
 
-func (s silent) RoundTrip(r *http.Request) (*http.Response, error) {
-	s.asked <- struct{}{}
+func (u unresponsive) RoundTrip(r *http.Request) (*http.Response, error) {
+	u.requested <- struct{}{}
 	<-r.Context().Done()
-	return nil, errors.Join(errOver, context.Cause(r.Context()))
+	return nil, errors.Join(errCanceled, context.Cause(r.Context()))
 }
