--- a/daemon/internal/connection/peering/engine.go
+++ b/daemon/internal/connection/peering/engine.go
@@ -16,57 +16,56 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// EnginePath is the path of the call by which a loader learns what the configuration
-// says of its engine's service: some hundred bytes, where the configuration may have
-// hundreds of kilobytes.
+// EnginePath is the URL path of the call by which a loader fetches the part of the
+// configuration for its engine's service. The complete configuration may be a thousand
+// times larger.
 const EnginePath = "/engine"
 
 const (
-	// engineAnswers is how long an answer to it may take.
-	engineAnswers = 500 * time.Millisecond
-	// maxEngine bounds the answer, in bytes.
-	maxEngine = 64 << 10
+	// engineTimeout bounds the time to the first byte of the response.
+	engineTimeout = 500 * time.Millisecond
+	// maxEngineResponse bounds the response, in bytes.
+	maxEngineResponse = 64 << 10
 )
 
-// EngineNews is what a configuration says of an engine's service.
+// EngineNews is the part of a configuration for the service of an engine.
 type EngineNews struct {
 	replica.EngineConfig
-	// Revision is the configuration's.
+	// Revision is the revision of the configuration.
 	Revision provider.Revision `json:"revision"`
 }
 
-// EngineHandler answers from the newest view.
+// EngineHandler serves EngineNews from the newest view.
 func EngineHandler(view func() *replica.View) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		known := view()
-		if known.Configuration == nil {
-			http.Error(w, "no configuration is known yet", http.StatusServiceUnavailable)
+		current := view()
+		if current.Configuration == nil {
+			http.Error(w, "no configuration loaded yet", http.StatusServiceUnavailable)
 			return
 		}
-		needs, err := replica.EngineConfigFor(known.Configuration, r.URL.Query().Get("service"))
+		config, err := replica.EngineConfigFor(current.Configuration, r.URL.Query().Get("service"))
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusNotFound)
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(EngineNews{EngineConfig: needs, Revision: known.ConfigurationRevision})
+		_ = json.NewEncoder(w).Encode(EngineNews{EngineConfig: config, Revision: current.ConfigurationRevision})
 	}
 }
 
-// errIncomplete says that an answer lacks what a loader cannot do without.
-var errIncomplete = errors.New("the answer names no model or no origin")
+var errIncomplete = errors.New("response without a model or an origin")
 
-func askEngine(ctx context.Context, client *http.Client, peer netip.AddrPort, service string) (EngineNews, error) {
-	limit := patience.Limit{First: engineAnswers, Stall: engineAnswers, Whole: 2 * engineAnswers}
+func fetchEngine(ctx context.Context, client *http.Client, peer netip.AddrPort, service string) (EngineNews, error) {
+	limit := patience.Limit{First: engineTimeout, Stall: engineTimeout, Whole: 2 * engineTimeout}
 	ctx, end := limit.Context(ctx)
 	defer end()
-	var news EngineNews
-	question := fmt.Sprintf("http://%s%s?%s", peer, EnginePath, url.Values{"service": {service}}.Encode())
-	if err := call.JSON(ctx, client, question, maxEngine, &news); err != nil {
-		return news, fmt.Errorf("ask peer %s for the engine's service: %w", peer, patience.Explain(ctx, err))
+	var resp EngineNews
+	target := fmt.Sprintf("http://%s%s?%s", peer, EnginePath, url.Values{"service": {service}}.Encode())
+	if err := call.JSON(ctx, client, target, maxEngineResponse, &resp); err != nil {
+		return resp, fmt.Errorf("fetch the engine's configuration from peer %s: %w", peer, patience.Explain(ctx, err))
 	}
-	if !news.Complete() {
-		return news, fmt.Errorf("ask peer %s for the engine's service: %w", peer, errIncomplete)
+	if !resp.Complete() {
+		return resp, fmt.Errorf("fetch the engine's configuration from peer %s: %w", peer, errIncomplete)
 	}
-	return news, nil
+	return resp, nil
 }
--- a/daemon/internal/connection/peering/listings.go
+++ b/daemon/internal/connection/peering/listings.go
@@ -7,17 +7,17 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// mostListings bounds the listings that are kept of one state. Followers that are up to
-// date ask for the same one; others are a few changes behind.
-const mostListings = 16
+// maxListings bounds the listings that are cached of one state of a table. All followers
+// that are up to date request the same listing; others lag by a few changes.
+const maxListings = 16
 
-// listings holds what was listed of the newest state of a table. The zero value is ready
-// to use.
+// listings caches listings of the newest state of a table, so that each is encoded and
+// packed once for all followers. The zero value is ready to use.
 type listings struct {
 	mu sync.Mutex
-	// changes is the state, by how often the table had changed.
+	// changes identifies the state by the change count of the table.
 	changes uint64
-	kept    map[listingKey]*listing
+	cache   map[listingKey]*listing
 }
 
 type listingKey struct {
@@ -25,31 +25,32 @@
 	after  provider.Revision
 }
 
-// listing is the entries under a prefix above a revision.
+// listing holds the entries under a prefix above a revision.
 type listing struct {
 	entries []provider.Entry
 
 	pack sync.Once
-	// all is the entries packed together, once they were asked for.
+	// all holds the entries packed together, valid once pack has run.
 	all []byte
 }
 
-// of lists a table, once for each of its states.
-func (l *listings) of(table *replica.Table, prefix string, after provider.Revision) *listing {
-	// Read before the entries: a change between the two is listed once more.
+// list returns a listing of the table's current state, from the cache if possible.
+func (l *listings) list(table *replica.Table, prefix string, after provider.Revision) *listing {
+	// The count is read before the entries. A change in between makes the cached listing
+	// expire early, but never makes a stale one stay.
 	changes := table.ChangeCount()
 	key := listingKey{prefix: prefix, after: after}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.kept == nil || l.changes != changes || len(l.kept) >= mostListings && l.kept[key] == nil {
-		l.changes, l.kept = changes, map[listingKey]*listing{}
+	if l.cache == nil || l.changes != changes || len(l.cache) >= maxListings && l.cache[key] == nil {
+		l.changes, l.cache = changes, map[listingKey]*listing{}
 	}
-	known := l.kept[key]
-	if known == nil {
-		known = &listing{entries: table.PrefixEntriesAfter(prefix, after).Entries}
-		l.kept[key] = known
+	cached := l.cache[key]
+	if cached == nil {
+		cached = &listing{entries: table.PrefixEntriesAfter(prefix, after).Entries}
+		l.cache[key] = cached
 	}
-	return known
+	return cached
 }
 
 // packed returns the entries packed together.
--- a/daemon/internal/connection/peering/neighbours.go
+++ b/daemon/internal/connection/peering/neighbours.go
@@ -16,53 +16,53 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// NewsWait is how long a neighbour holds its answer while there is no news. It bounds
-// how long one that froze stays unnoticed.
+// NewsWait is the wait of a long poll to a neighbour. It bounds how long a frozen
+// neighbour stays undetected.
 const NewsWait = replica.HopWait
 
 const (
-	// wholeWait is NewsWait for the whole copy, of one that may just be starting.
-	wholeWait = time.Second
-	// muteFor is how long a neighbour is not asked that did not answer, or has not
-	// heard the store for too long.
-	muteFor = 2 * time.Second
-	// muteStarting is the same for one that is not up yet or knows nothing yet. It
-	// says so within milliseconds, so that asking it again soon costs little; after a
-	// loss of power all of a hall start together.
-	muteStarting = 250 * time.Millisecond
+	// replicaWait is the wait of a call for the complete replica, whose neighbour may
+	// just be starting.
+	replicaWait = time.Second
+	// defaultBackoff is the backoff of a neighbour that did not respond or whose replica
+	// is stale.
+	defaultBackoff = 2 * time.Second
+	// startingBackoff is the backoff of a neighbour that is starting. It is short, because
+	// such a neighbour refuses at once, and because all daemons of a hall start together
+	// after a power failure.
+	startingBackoff = 250 * time.Millisecond
 )
 
-// errStarting says that a neighbour knows nothing yet.
-var errStarting = fmt.Errorf("it knows nothing yet: %w", replica.ErrStale)
+// errStarting reports that the replica of a neighbour is still empty.
+var errStarting = fmt.Errorf("replica still empty: %w", replica.ErrStale)
 
-// Neighbours asks daemons of the own hall in place of the store, for one follower.
-// Client and Choose must be set.
+// Neighbours fetches updates from daemons of the own hall in place of the store, for one
+// follower. Client and Choose must be set.
 type Neighbours struct {
 	Client *http.Client
-	// Choose returns the daemon to ask, among those that are usable; false where the
-	// store is to be read.
+	// Choose returns the usable daemon to call, or false if the store is to be read.
 	Choose func(usable func(netip.AddrPort) bool) (netip.AddrPort, bool)
-	// Hold reports, where Choose has none, whether the store is to be left alone for now.
-	// Nil means never.
+	// Hold reports whether to postpone the read of the store after Choose has returned
+	// false. Nil means never.
 	Hold func() bool
-	// OnMute is called when a neighbour is not asked for a while. It may be nil.
+	// OnMute is called when a neighbour enters backoff. It may be nil.
 	OnMute func(neighbour netip.AddrPort, reason error)
 	// Now is the clock; nil means clock.Now.
 	Now func() time.Time
 
-	// muted are the neighbours that are not asked for a while, behind those of them that
-	// answered.
-	muted, behind backoff.List
-	// followed is the neighbour whose whole copy was taken last, and generation that
-	// copy's. Only News touches them, which one follower calls.
+	// failed holds the neighbours in backoff, and stale those of them that responded with
+	// a stale replica.
+	failed, stale backoff.List
+	// followed is the neighbour whose complete replica was loaded last, and generation
+	// that of the replica. Only News uses them, which one follower calls.
 	followed   netip.AddrPort
 	generation uint64
 }
 
-// News asks a neighbour for what its copy has under a prefix above a revision. It
-// asks for all of it where that is 0, and where the neighbour's copy was read anew
-// since all of it was taken last, or never was: it may have entries then that are
-// below the revision and were missed by this daemon as by the one it followed before.
+// News fetches the entries of a neighbour's replica under a prefix above a revision. It
+// fetches all entries under the prefix if the revision is 0, if the neighbour is not the
+// one followed before, or if its replica has a new generation: that replica may then have
+// entries below the revision that this daemon missed.
 func (n *Neighbours) News(ctx context.Context, prefix string, after provider.Revision) (replica.Update, error) {
 	neighbour, ok := n.Choose(n.usable)
 	switch {
@@ -75,49 +75,50 @@
 	if neighbour != n.followed {
 		after = 0
 	}
-	news, err := n.ask(ctx, neighbour, prefix, after)
-	if err == nil && after > 0 && news.Generation != n.generation {
-		news, err = n.ask(ctx, neighbour, prefix, 0)
+	update, err := n.fetch(ctx, neighbour, prefix, after)
+	if err == nil && after > 0 && update.Generation != n.generation {
+		update, err = n.fetch(ctx, neighbour, prefix, 0)
 	}
-	if err == nil && news.After == 0 {
-		n.followed, n.generation = neighbour, news.Generation
+	if err == nil && update.After == 0 {
+		n.followed, n.generation = neighbour, update.Generation
 	}
-	return news, n.judge(ctx, neighbour, err)
+	return update, n.checkError(ctx, neighbour, err)
 }
 
-func (n *Neighbours) ask(ctx context.Context, neighbour netip.AddrPort, prefix string, after provider.Revision) (replica.Update, error) {
-	asked := question{prefix: prefix, after: after, wait: NewsWait, packed: true}
+func (n *Neighbours) fetch(ctx context.Context, neighbour netip.AddrPort, prefix string, after provider.Revision) (replica.Update, error) {
+	req := request{prefix: prefix, after: after, wait: NewsWait, packed: true}
 	if after == 0 {
-		asked.wait = wholeWait
+		req.wait = replicaWait
 	}
-	news, err := ask(ctx, n.Client, neighbour, asked)
-	if err == nil && news.Revision == 0 {
-		return news, fmt.Errorf("neighbour %s: %w", neighbour, errStarting)
+	update, err := fetch(ctx, n.Client, neighbour, req)
+	if err == nil && update.Revision == 0 {
+		return update, fmt.Errorf("neighbour %s: %w", neighbour, errStarting)
 	}
-	if err == nil && news.Stale() {
-		err = fmt.Errorf("neighbour %s, heard it %s ago: %w", neighbour, news.SinceData.Round(time.Millisecond), replica.ErrStale)
+	if err == nil && update.Stale() {
+		err = fmt.Errorf("neighbour %s, last data from the store %s ago: %w", neighbour, update.SinceData.Round(time.Millisecond), replica.ErrStale)
 	}
-	return news, err
+	return update, err
 }
 
-// Engine asks a neighbour what the configuration says of an engine's service.
+// Engine fetches the part of the configuration for an engine's service from a neighbour.
 func (n *Neighbours) Engine(ctx context.Context, service string) (EngineNews, error) {
 	neighbour, ok := n.Choose(n.usable)
 	if !ok {
 		return EngineNews{}, replica.ErrNoPeer
 	}
-	news, err := askEngine(ctx, n.Client, neighbour, service)
-	return news, n.judge(ctx, neighbour, err)
+	resp, err := fetchEngine(ctx, n.Client, neighbour, service)
+	return resp, n.checkError(ctx, neighbour, err)
 }
 
-// judge mutes a neighbour that failed, unless it was the caller that gave up.
-func (n *Neighbours) judge(ctx context.Context, neighbour netip.AddrPort, err error) error {
+// checkError puts a neighbour whose call failed in backoff, unless the caller canceled. It
+// returns err.
+func (n *Neighbours) checkError(ctx context.Context, neighbour netip.AddrPort, err error) error {
 	if err == nil || ctx.Err() != nil {
 		return err
 	}
-	n.muted.Add(neighbour, muteTime(err), n.Now)
+	n.failed.Add(neighbour, backoffFor(err), n.Now)
 	if errors.Is(err, replica.ErrStale) {
-		n.behind.Add(neighbour, muteTime(err), n.Now)
+		n.stale.Add(neighbour, backoffFor(err), n.Now)
 	}
 	if n.OnMute != nil {
 		n.OnMute(neighbour, err)
@@ -125,27 +126,27 @@
 	return err
 }
 
-// muteTime is how long a neighbour that failed is not asked.
-func muteTime(err error) time.Duration {
+// backoffFor returns the backoff of a neighbour after an error.
+func backoffFor(err error) time.Duration {
 	var status *call.StatusError
 	unavailable := errors.As(err, &status) && status.Status == http.StatusServiceUnavailable
 	if unavailable || errors.Is(err, errStarting) || errors.Is(err, syscall.ECONNREFUSED) {
-		return muteStarting
+		return startingBackoff
 	}
-	return muteFor
+	return defaultBackoff
 }
 
-// State is what is known of a neighbour.
+// State returns the state of a neighbour by the last call to it.
 func (n *Neighbours) State(neighbour netip.AddrPort) readers.State {
 	switch {
-	case !n.muted.Has(neighbour, n.Now):
+	case !n.failed.Has(neighbour, n.Now):
 		return readers.Usable
-	case n.behind.Has(neighbour, n.Now):
+	case n.stale.Has(neighbour, n.Now):
 		return readers.Stale
 	default:
 		return readers.Unreachable
 	}
 }
 
-// usable reports whether a neighbour may be asked now.
-func (n *Neighbours) usable(neighbour netip.AddrPort) bool { return !n.muted.Has(neighbour, n.Now) }
+// usable reports whether a neighbour is not in backoff.
+func (n *Neighbours) usable(neighbour netip.AddrPort) bool { return !n.failed.Has(neighbour, n.Now) }
--- a/daemon/internal/connection/peering/packed.go
+++ b/daemon/internal/connection/peering/packed.go
@@ -11,37 +11,36 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// A configuration of 1,650 routes is 300 KB. The router that reads it sends it to up to
-// 32 others of its hall over a link of 40 Mbit/s: 405 KB each in base64 take 2.6 s, most
-// of the time in which a change has to be in force. Routes are alike, so packed they are
-// a sixth or less.
+// Large values are compressed ("packed"): a router sends a configuration of hundreds of
+// kilobytes to many others over a narrow link, and its routes resemble each other.
 
 const (
-	// packFrom is the size from which values are packed; smaller ones gain little.
-	packFrom = 2 << 10
-	// maxValue bounds an unpacked value: a store holds less.
-	maxValue = maxCopy
+	// minPacked is the size in bytes from which values are packed.
+	minPacked = 2 << 10
+	// maxValue bounds an unpacked value, in bytes. Values in the store are smaller.
+	maxValue = maxResponse
 )
 
 // packedEntry is an entry on the wire. One of Value and Packed is empty.
 type packedEntry struct {
 	provider.Entry
-	// Packed is the value, deflated.
+	// Packed is the compressed value.
 	Packed []byte `json:"packed,omitempty"`
 }
 
-// packer packs entries, each state of one once. The zero value is ready to use.
+// packer packs entries and caches the result for each revision of an entry. The zero value
+// is ready to use.
 type packer struct {
 	mu sync.Mutex
-	// packed holds the newest states that were packed, by key.
+	// packed holds the newest revision of each packed entry, by key.
 	packed map[string]packedEntry
 }
 
-// pack returns entries as they go on the wire.
+// pack returns entries in their wire form.
 func (p *packer) pack(entries []provider.Entry) []packedEntry {
 	packed := make([]packedEntry, 0, len(entries))
 	for _, entry := range entries {
-		if len(entry.Value) < packFrom {
+		if len(entry.Value) < minPacked {
 			packed = append(packed, packedEntry{Entry: entry})
 			continue
 		}
@@ -50,12 +49,13 @@
 	return packed
 }
 
-// packOne packs a large entry. Those who ask meanwhile wait: they want the same one.
+// packOne packs a large entry. It holds mu meanwhile, so that concurrent calls for the same
+// entry wait for the result instead of packing it again.
 func (p *packer) packOne(entry provider.Entry) packedEntry {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if known, ok := p.packed[entry.Key]; ok && known.Revision == entry.Revision {
-		return known
+	if cached, ok := p.packed[entry.Key]; ok && cached.Revision == entry.Revision {
+		return cached
 	}
 	result := packedEntry{Entry: entry, Packed: deflate(entry.Value)}
 	result.Value = nil
@@ -66,7 +66,7 @@
 	return result
 }
 
-// unpack returns entries as they were before pack.
+// unpack reverses pack.
 func unpack(packed []packedEntry) ([]provider.Entry, error) {
 	entries := make([]provider.Entry, 0, len(packed))
 	for _, p := range packed {
@@ -83,7 +83,8 @@
 	return entries, nil
 }
 
-// packAll packs entries together, because the records of upstreams and routers are alike.
+// packAll packs entries together, because the records of upstreams and routers resemble each
+// other and compress better that way.
 func packAll(entries []packedEntry) []byte {
 	data, err := json.Marshal(entries)
 	if err != nil {
@@ -92,7 +93,7 @@
 	return deflate(data)
 }
 
-// unpackAll returns entries as they were before pack and packAll.
+// unpackAll reverses pack and packAll.
 func unpackAll(packed []byte) ([]provider.Entry, error) {
 	data, err := inflate(packed)
 	if err != nil {
@@ -100,15 +101,15 @@
 	}
 	var entries []packedEntry
 	if err := json.Unmarshal(data, &entries); err != nil {
-		return nil, fmt.Errorf("decode the unpacked entries: %w", err)
+		return nil, fmt.Errorf("decode unpacked entries: %w", err)
 	}
 	return unpack(entries)
 }
 
 func deflate(value []byte) []byte {
 	var packed bytes.Buffer
-	writer, _ := flate.NewWriter(&packed, flate.DefaultCompression) // fails for wrong levels only
-	_, _ = writer.Write(value)                                      // a buffer takes everything
+	writer, _ := flate.NewWriter(&packed, flate.DefaultCompression) // fails for invalid levels only
+	_, _ = writer.Write(value)                                      // writes to a buffer cannot fail
 	_ = writer.Close()
 	return packed.Bytes()
 }
@@ -116,7 +117,7 @@
 func inflate(packed []byte) ([]byte, error) {
 	value, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxValue+1))
 	if err == nil && len(value) > maxValue {
-		err = fmt.Errorf("the value is larger than %d bytes", maxValue)
+		err = fmt.Errorf("value larger than %d bytes", maxValue)
 	}
 	return value, err
 }
--- a/daemon/internal/connection/peering/packed_test.go
+++ b/daemon/internal/connection/peering/packed_test.go
@@ -34,9 +34,9 @@
 	return data
 }
 
-// TestALargeConfigurationIsPacked replays a hall of 32 routers that follow one: what
-// that one sends them of a large configuration is a sixth of it at most.
-func TestALargeConfigurationIsPacked(t *testing.T) {
+// TestLargeConfigurationIsPacked guards against a large configuration that is sent
+// uncompressed to all followers of a hall.
+func TestLargeConfigurationIsPacked(t *testing.T) {
 	const followers = 32
 	table := &replica.Table{}
 	value := largeConfiguration(t)
@@ -44,21 +44,21 @@
 	source := &Source{Table: table, Standing: func() replica.Status { return replica.Status{Revision: 7} }}
 	sent := 0
 	for range followers {
-		answer := httptest.NewRecorder()
-		source.ServeHTTP(answer, httptest.NewRequest(http.MethodGet, "/copy?after=0", http.NoBody))
-		sent += answer.Body.Len()
+		rec := httptest.NewRecorder()
+		source.ServeHTTP(rec, httptest.NewRequest(http.MethodGet, "/copy?after=0", http.NoBody))
+		sent += rec.Body.Len()
 		var message packedMessage
-		require.NoError(t, json.Unmarshal(answer.Body.Bytes(), &message))
-		entries, err := unpack(message.Entries)
+		require.NoError(t, json.Unmarshal(rec.Body.Bytes(), &message))
+		unpacked, err := unpack(message.Entries)
 		require.NoError(t, err)
-		assert.Equal(t, []provider.Entry{{Key: "c", Value: value, Revision: 7}}, entries)
+		assert.Equal(t, []provider.Entry{{Key: "c", Value: value, Revision: 7}}, unpacked)
 	}
 	assert.Less(t, sent, followers*len(value)/6)
 }
 
-// TestPackedEntriesAreTheSame: whatever entries hold, they arrive as they were sent,
-// also when the state of a key changes between two answers.
-func TestPackedEntriesAreTheSame(t *testing.T) {
+// TestUnpackReversesPack checks random values, also if the value of a key changes between
+// two responses of the same packer.
+func TestUnpackReversesPack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var p packer
 		for revision := range rapid.IntRange(1, 5).Draw(t, "states") {
@@ -79,44 +79,43 @@
 	})
 }
 
-// TestSpoiltPackedEntriesAreNotTaken: an answer that cannot be unpacked is an error.
-func TestSpoiltPackedEntriesAreNotTaken(t *testing.T) {
+func TestCorruptPackedEntryIsAnError(t *testing.T) {
 	_, err := unpack([]packedEntry{{Entry: provider.Entry{Key: "c"}, Packed: []byte("no deflated bytes")}})
 	assert.ErrorContains(t, err, `unpack "c"`)
 }
 
-// TestCopyOfAFleetIsPackedOnce replays a hall of 117 routers that start together and follow
-// one: the records of 546 routers and 461 upstreams are packed once, to a third at most, and
-// callers that do not ask for that get them as before.
-func TestCopyOfAFleetIsPackedOnce(t *testing.T) {
-	var made []provider.Entry
+// TestReplicaIsPackedOnceForAllFollowers guards against a router that packs its replica for
+// each of many followers that start together. Callers that do not request the packed form
+// receive plain entries.
+func TestReplicaIsPackedOnceForAllFollowers(t *testing.T) {
+	var entries []provider.Entry
 	for i := range 1007 {
 		value := fmt.Sprintf(`{"service":"lovo38b","address":"10.%d.64.%d:8761","zone":"natal-a","capacity":8,"state":"ready","sequence":%d}`, i%5, i%250, i*7919)
-		made = append(made, provider.Entry{Key: fmt.Sprintf("u/i-%08x", i*2654435761), Value: []byte(value), Revision: provider.Revision(i + 1)})
+		entries = append(entries, provider.Entry{Key: fmt.Sprintf("u/i-%08x", i*2654435761), Value: []byte(value), Revision: provider.Revision(i + 1)})
 	}
 	table := &replica.Table{}
-	table.Apply(made)
+	table.Apply(entries)
 	source := &Source{Table: table, Standing: func() replica.Status { return replica.Status{Revision: 1007} }}
 	get := func(target string) (packedMessage, int) {
-		answer := httptest.NewRecorder()
-		source.ServeHTTP(answer, httptest.NewRequest(http.MethodGet, target, http.NoBody))
+		rec := httptest.NewRecorder()
+		source.ServeHTTP(rec, httptest.NewRequest(http.MethodGet, target, http.NoBody))
 		var message packedMessage
-		require.NoError(t, json.Unmarshal(answer.Body.Bytes(), &message))
-		return message, answer.Body.Len()
+		require.NoError(t, json.Unmarshal(rec.Body.Bytes(), &message))
+		return message, rec.Body.Len()
 	}
 	plain, plainSize := get("/copy?after=0")
-	assert.Len(t, plain.Entries, len(made))
+	assert.Len(t, plain.Entries, len(entries))
 	for range 117 {
 		message, size := get("/copy?after=0&form=packed")
 		assert.Less(t, size, plainSize/3)
-		entries, err := message.unpacked()
+		unpacked, err := message.unpacked()
 		require.NoError(t, err)
-		assert.ElementsMatch(t, made, entries)
+		assert.ElementsMatch(t, entries, unpacked)
 	}
-	assert.Len(t, source.listings.kept, 1, "one listing for all of them")
+	assert.Len(t, source.listings.cache, 1, "all followers share one listing")
 	table.Apply([]provider.Entry{{Key: "u/new", Revision: 2000}})
 	message, _ := get("/copy?after=1007&form=packed")
-	entries, err := message.unpacked()
+	unpacked, err := message.unpacked()
 	require.NoError(t, err)
-	assert.Len(t, entries, 1, "a changed table is listed anew")
+	assert.Len(t, unpacked, 1, "a changed table is listed again")
 }
--- a/daemon/internal/connection/peering/peering.go
+++ b/daemon/internal/connection/peering/peering.go
@@ -1,22 +1,20 @@
-// Package peering hands a daemon's copy of the store to other daemons.
+// Package peering serves the replica of a daemon to other daemons.
 //
-// Two kinds of daemons ask for it. Those of the same hall ask in place of the store
-// (Neighbours): a few routers of a hall read the store and the others follow them,
-// so that a large entry crosses the link to a hall's region twice and not once a
-// daemon. And a router that the store turns away, while it serves others, asks any
-// (Puller), so that it still learns of new configurations and removed keys.
+// Daemons of the same hall read it in place of the store (Neighbours): a few routers of a
+// hall read the store and the others follow them, so that a large entry does not cross the
+// link to the hall once for each daemon. A router that the store rejects while it serves
+// others reads it from any router (Puller), so that it still receives new configurations
+// and removals of keys.
 //
-// Both make the same call: everything above a revision, held back until there is
-// something. A copy goes through the same table as the store's news, where the
-// highest revision wins, so that one that is behind does no harm. The answer says up
-// to which revision it is complete and when the store was last heard, by which the
-// caller tells whether it may do without the store.
+// Both make the same call, a long poll for all entries above a revision. Entries of a peer
+// go into the same table as those of the store, where the highest revision wins, so that a
+// stale peer does no harm. The response includes the revision up to which the replica is
+// complete and the age of its data, by which the caller decides whether to read the store.
 //
-// All followers of a router ask for the same, so each state of the table is listed,
-// encoded and packed once for all of them.
+// Each state of the table is listed, encoded and packed once for all followers.
 //
-// Rejected: changes pushed to subscribers, since a frozen subscriber would have to be
-// told from a slow one.
+// Pushing changes to subscribers was rejected, since it needs backpressure that tells a
+// frozen subscriber from a slow one.
 package peering
 
 import (
@@ -35,61 +33,63 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// Path is the call's path.
+// Path is the URL path of the call.
 const Path = "/copy"
 
-// formPacked is the value of the query's form by which a caller says that it takes entries
-// packed together. Callers of earlier versions do not say so.
+// formPacked is the value of the query parameter form that requests entries packed together.
+// Callers of earlier versions omit it.
 const formPacked = "packed"
 
 const (
-	// maxCopy bounds an answer, in bytes.
-	maxCopy = 32 << 20
-	// maxWait bounds how long an answer is held.
+	// maxResponse bounds a response, in bytes.
+	maxResponse = 32 << 20
+	// maxWait bounds the wait of a long poll.
 	maxWait = 5 * time.Second
-	// standingEvery is how often a daemon that knows nothing yet looks again while
-	// it holds an answer, and the least pause between two looks.
-	standingEvery = 20 * time.Millisecond
-	// answerBegins is how long the answer of a daemon may take, beyond the time for
-	// which it is held. One of the same hall takes 1 ms, one of another region 6;
-	// the rest is for a busy processor.
-	answerBegins = 400 * time.Millisecond
-	// wholeBegins is the same for a whole copy, which may be sent to many at once.
-	wholeBegins = time.Second
-	// answerStalls is how long an answer may stop halfway.
-	answerStalls = 500 * time.Millisecond
-	// longestAnswer bounds a call.
-	longestAnswer = 10 * time.Second
+	// statusPollInterval is the shortest time between two checks of the replica's status
+	// during a long poll. The checks detect that an empty replica becomes ready, or that the
+	// replica becomes stale.
+	statusPollInterval = 20 * time.Millisecond
+	// firstByteTimeout bounds the time to the first byte of a response, beyond the wait of
+	// the long poll.
+	firstByteTimeout = 400 * time.Millisecond
+	// replicaFirstByteTimeout is the same for a complete replica, which a daemon may send to
+	// many others at once.
+	replicaFirstByteTimeout = time.Second
+	// stallTimeout bounds the time between two parts of a response.
+	stallTimeout = 500 * time.Millisecond
+	// callTimeout bounds a call.
+	callTimeout = 10 * time.Second
 )
 
-// message is an answer.
+// message is a response with plain entries.
 type message struct {
 	provider.Listing
-	// The rest is the answering daemon's standing, but for its revision.
-	Answered   time.Duration `json:"answered"`
-	Heard      time.Duration `json:"heard"`
-	Lost       bool          `json:"lost,omitempty"`
-	Generation uint64        `json:"generation"`
-	Hops       int           `json:"hops,omitempty"`
+	// The fields below are the status of the responding daemon's replica, without its
+	// revision.
+	SinceAnswer  time.Duration `json:"answered"`
+	SinceData    time.Duration `json:"heard"`
+	Disconnected bool          `json:"lost,omitempty"`
+	Generation   uint64        `json:"generation"`
+	Hops         int           `json:"hops,omitempty"`
 }
 
-// standing returns that of the daemon that answered.
-func (m *message) standing() replica.Status {
+// status returns the status of the responding daemon's replica.
+func (m *message) status() replica.Status {
 	return replica.Status{
-		Revision: m.At, SinceAnswer: m.Answered, SinceData: m.Heard, Disconnected: m.Lost, Generation: m.Generation, Hops: m.Hops,
+		Revision: m.At, SinceAnswer: m.SinceAnswer, SinceData: m.SinceData, Disconnected: m.Disconnected, Generation: m.Generation, Hops: m.Hops,
 	}
 }
 
-// packedMessage is a message on the wire; its entries take the place of message's.
+// packedMessage is the wire form of a message. Its Entries replace those of message.
 type packedMessage struct {
 	message
 	Entries []packedEntry `json:"entries"`
-	// Packed holds the entries in place of Entries, as packAll made them, where the caller
-	// asked for that.
+	// Packed holds the output of packAll in place of Entries, if the request asks for the
+	// packed form.
 	Packed []byte `json:"packed,omitempty"`
 }
 
-// unpacked returns the entries, whichever way they came.
+// unpacked returns the entries of either form.
 func (m *packedMessage) unpacked() ([]provider.Entry, error) {
 	if len(m.Packed) == 0 {
 		return unpack(m.Entries)
@@ -97,137 +97,139 @@
 	return unpackAll(m.Packed)
 }
 
-// Source is the copy that a daemon hands out.
+// Source serves the replica of a daemon.
 type Source struct {
-	Table    *replica.Table
+	Table *replica.Table
+	// Standing returns the status of the replica.
 	Standing func() replica.Status
 
 	packer   packer
 	listings listings
 }
 
-// ServeHTTP answers one call. It is held until there is news for as long as the
-// caller asks for, and one for the whole copy until it is complete. Once this daemon
-// does not hear the store any more the answer says so at once.
+// ServeHTTP responds to a long poll once there are entries above the revision, or when the
+// wait is over. A call for the complete replica also waits until the replica is ready. When
+// the replica becomes stale the response is sent at once.
 func (s *Source) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	asked, err := parse(r.URL.Query())
+	req, err := parse(r.URL.Query())
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	answer, ok := s.await(r.Context(), asked)
+	resp, ok := s.await(r.Context(), req)
 	if !ok {
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	reply := packedMessage{message: answer}
-	if asked.packed && len(answer.Entries) > 0 {
-		// A state that is newer by now does no harm: it has all that the answer says.
-		reply.Packed = s.listings.of(s.Table, asked.prefix, asked.after).packed(&s.packer)
+	reply := packedMessage{message: resp}
+	if req.packed && len(resp.Entries) > 0 {
+		// The table may be newer by now. It then still has all entries up to resp.At.
+		reply.Packed = s.listings.list(s.Table, req.prefix, req.after).packed(&s.packer)
 	} else {
-		reply.Entries = s.packer.pack(answer.Entries)
+		reply.Entries = s.packer.pack(resp.Entries)
 	}
 	_ = json.NewEncoder(w).Encode(reply)
 }
 
-// await returns the answer to a question, or false where the caller has left.
-func (s *Source) await(ctx context.Context, asked question) (message, bool) {
-	timer := time.NewTimer(asked.wait)
+// await returns the response to a long poll, or false if the client disconnected.
+func (s *Source) await(ctx context.Context, req request) (message, bool) {
+	timer := time.NewTimer(req.wait)
 	defer timer.Stop()
 	for {
 		changed := s.Table.Changed()
-		answer := s.answer(asked)
-		known := answer.At > 0
-		news := len(answer.Entries) > 0 || answer.standing().Stale()
-		if asked.wait == 0 || known && news {
-			return answer, true
+		resp := s.response(req)
+		ready := resp.At > 0
+		update := len(resp.Entries) > 0 || resp.status().Stale()
+		if req.wait == 0 || ready && update {
+			return resp, true
 		}
-		again := standingEvery
-		if known {
-			again = max(answer.standing().MaxStaleness()-answer.Heard, standingEvery)
+		recheck := statusPollInterval
+		if ready {
+			recheck = max(resp.status().MaxStaleness()-resp.SinceData, statusPollInterval)
 		}
 		select {
 		case <-changed:
-		case <-time.After(again):
+		case <-time.After(recheck):
 		case <-timer.C:
-			return s.answer(asked), true
+			return s.response(req), true
 		case <-ctx.Done():
 			return message{}, false
 		}
 	}
 }
 
-// answer reads the standing before the table, so that the copy is complete up to it.
-func (s *Source) answer(asked question) message {
-	standing := s.Standing()
-	listed := s.listings.of(s.Table, asked.prefix, asked.after)
-	answer := message{
-		Listing:  provider.Listing{Entries: listed.entries, At: standing.Revision},
-		Answered: standing.SinceAnswer, Heard: standing.SinceData, Lost: standing.Disconnected, Generation: standing.Generation,
-		Hops: standing.Hops,
+// response returns the current response to a request. It reads the status before the table, so
+// that the entries are complete up to the status's revision.
+func (s *Source) response(req request) message {
+	status := s.Standing()
+	listed := s.listings.list(s.Table, req.prefix, req.after)
+	resp := message{
+		Listing:     provider.Listing{Entries: listed.entries, At: status.Revision},
+		SinceAnswer: status.SinceAnswer, SinceData: status.SinceData, Disconnected: status.Disconnected, Generation: status.Generation,
+		Hops: status.Hops,
 	}
-	if asked.wait > 0 && standing.Stale() {
-		answer.Entries = nil // who follows this daemon leaves it, and would drop them
+	if req.wait > 0 && status.Stale() {
+		resp.Entries = nil // a follower drops the entries of a stale daemon
 	}
-	return answer
+	return resp
 }
 
-// question is what is asked for: the keys under a prefix, above a revision, held for
-// some time.
-type question struct {
+// request holds the parameters of a call: the prefix of the keys, the revision above which
+// entries are listed, and the wait of the long poll.
+type request struct {
 	prefix string
 	after  provider.Revision
 	wait   time.Duration
-	// packed asks for the entries packed together.
+	// packed requests the entries packed together.
 	packed bool
 }
 
-func parse(query url.Values) (question, error) {
+func parse(query url.Values) (request, error) {
 	after, err := strconv.ParseUint(query.Get("after"), 10, 64)
 	if err != nil {
-		return question{}, fmt.Errorf("after: a revision is missing: %w", err)
+		return request{}, fmt.Errorf("after: not a revision: %w", err)
 	}
 	wait := time.Duration(0)
 	if text := query.Get("wait"); text != "" {
 		if wait, err = time.ParseDuration(text); err != nil {
-			return question{}, fmt.Errorf("wait: give a time such as 500ms: %w", err)
+			return request{}, fmt.Errorf("wait: not a duration such as 500ms: %w", err)
 		}
 	}
 	wait = min(max(wait, 0), maxWait)
 	packed := query.Get("form") == formPacked
-	return question{prefix: query.Get("prefix"), after: provider.Revision(after), wait: wait, packed: packed}, nil
+	return request{prefix: query.Get("prefix"), after: provider.Revision(after), wait: wait, packed: packed}, nil
 }
 
-// url returns the question as a call to a peer.
-func (q question) url(peer netip.AddrPort) string {
-	query := url.Values{"after": {strconv.FormatUint(uint64(q.after), 10)}}
-	if q.prefix != "" {
-		query.Set("prefix", q.prefix)
+// url returns the URL of the call to a peer.
+func (r request) url(peer netip.AddrPort) string {
+	query := url.Values{"after": {strconv.FormatUint(uint64(r.after), 10)}}
+	if r.prefix != "" {
+		query.Set("prefix", r.prefix)
 	}
-	if q.wait > 0 {
-		query.Set("wait", q.wait.String())
+	if r.wait > 0 {
+		query.Set("wait", r.wait.String())
 	}
-	if q.packed {
+	if r.packed {
 		query.Set("form", formPacked)
 	}
 	return fmt.Sprintf("http://%s%s?%s", peer, Path, query.Encode())
 }
 
-// ask makes one call to a peer.
-func ask(ctx context.Context, client *http.Client, peer netip.AddrPort, asked question) (replica.Update, error) {
-	limit := patience.Limit{First: asked.wait + answerBegins, Stall: answerStalls, Whole: longestAnswer}
-	if asked.after == 0 {
-		limit.First = asked.wait + wholeBegins
+// fetch makes one call to a peer.
+func fetch(ctx context.Context, client *http.Client, peer netip.AddrPort, req request) (replica.Update, error) {
+	limit := patience.Limit{First: req.wait + firstByteTimeout, Stall: stallTimeout, Whole: callTimeout}
+	if req.after == 0 {
+		limit.First = req.wait + replicaFirstByteTimeout
 	}
 	ctx, end := limit.Context(ctx)
 	defer end()
-	var answer packedMessage
-	if err := call.JSON(ctx, client, asked.url(peer), maxCopy, &answer); err != nil {
-		return replica.Update{}, fmt.Errorf("ask peer %s for its copy: %w", peer, patience.Explain(ctx, err))
+	var resp packedMessage
+	if err := call.JSON(ctx, client, req.url(peer), maxResponse, &resp); err != nil {
+		return replica.Update{}, fmt.Errorf("fetch update from peer %s: %w", peer, patience.Explain(ctx, err))
 	}
-	entries, err := answer.unpacked()
+	entries, err := resp.unpacked()
 	if err != nil {
-		return replica.Update{}, fmt.Errorf("ask peer %s for its copy: %w", peer, err)
+		return replica.Update{}, fmt.Errorf("fetch update from peer %s: %w", peer, err)
 	}
-	return replica.Update{Entries: entries, After: asked.after, Status: answer.standing()}, nil
+	return replica.Update{Entries: entries, After: req.after, Status: resp.status()}, nil
 }
--- a/daemon/internal/connection/peering/puller.go
+++ b/daemon/internal/connection/peering/puller.go
@@ -14,37 +14,38 @@
 )
 
 const (
-	// pullEvery is the interval between calls while the store is silent.
-	pullEvery = 300 * time.Millisecond
-	// pullSlowest is the longest pause between calls for a whole copy that failed, drawn at
-	// random: all routers of a hall that starts may ask over the same link between regions.
-	pullSlowest = 3 * time.Second
+	// pullInterval is the time between calls while the store is unreachable.
+	pullInterval = 300 * time.Millisecond
+	// maxRetryPause bounds the additional random pause after a failed call for the complete
+	// replica. It spreads the calls of a hall whose routers all start at once and share a
+	// narrow link.
+	maxRetryPause = 3 * time.Second
 )
 
-// Puller asks peers while the store does not answer.
+// Puller fetches updates from peers while the store is unreachable.
 type Puller struct {
 	Client *http.Client
-	// Follower is the one whose copy is kept up; the store is silent to it.
+	// Follower is the follower whose replica is updated.
 	Follower *replica.Follower
-	// Peer returns the peer to ask now; false for none.
+	// Peer returns the peer to call, or false if there is none.
 	Peer func() (netip.AddrPort, bool)
-	// First is the prefix that is asked for before all else while nothing is known: that of
-	// the routers of the own hall, whose copies are nearer. It may be empty.
+	// First is a prefix that is fetched first while the replica is empty: that of the routers
+	// of the own hall, from which the complete replica is then fetched. It may be empty.
 	First string
-	// Needed reports whether the store has been silent for too long.
+	// Needed reports whether the store has been unreachable for too long.
 	Needed func() bool
 	// OnPull is called after each call. It may be nil.
 	OnPull func(peer netip.AddrPort, fresh int, err error)
 
-	// hasFirst says that a peer told what it has under First.
+	// hasFirst is set once the entries under First were fetched.
 	hasFirst bool
 	tomb     tomb.Tomb
 }
 
-// Start begins to watch for silence; Stop ends it.
+// Start starts the puller.
 func (p *Puller) Start() { p.tomb.Go(p.run) }
 
-// Stop ends the puller and waits for it.
+// Stop stops the puller and waits for it.
 func (p *Puller) Stop() {
 	p.tomb.Kill(nil)
 	_ = p.tomb.Wait()
@@ -52,9 +53,9 @@
 
 func (p *Puller) run() error {
 	ctx := p.tomb.Context(nil) //nolint:staticcheck // nil asks the tomb for its own context
-	pause := pullEvery
+	pause := pullInterval
 	for helpers.Pause(pause, p.tomb.Dying()) {
-		pause = pullEvery
+		pause = pullInterval
 		if !p.Needed() {
 			continue
 		}
@@ -62,55 +63,56 @@
 		if !ok {
 			continue
 		}
-		if err := p.ask(ctx, peer); err != nil && p.Follower.Revision() == 0 {
-			pause += rand.N(pullSlowest)
+		if err := p.pullNext(ctx, peer); err != nil && p.Follower.Revision() == 0 {
+			pause += rand.N(maxRetryPause)
 		}
 	}
 	return nil
 }
 
-// ask asks one peer for what is to be known next.
-func (p *Puller) ask(ctx context.Context, peer netip.AddrPort) error {
+// pullNext fetches the entries under First from a peer if they are missing, and otherwise an
+// update of the replica.
+func (p *Puller) pullNext(ctx context.Context, peer netip.AddrPort) error {
 	if p.First != "" && !p.hasFirst && p.Follower.Revision() == 0 {
 		return p.pullFirst(ctx, peer)
 	}
 	return p.pull(ctx, peer)
 }
 
-// pullFirst asks one peer for what it has under First. That is no copy of the store, so
-// nothing is complete by it.
+// pullFirst fetches the entries under First from a peer. It leaves the follower's revision as
+// it is, because the replica is not complete.
 func (p *Puller) pullFirst(ctx context.Context, peer netip.AddrPort) error {
-	news, err := ask(ctx, p.Client, peer, question{prefix: p.First, packed: true})
+	update, err := fetch(ctx, p.Client, peer, request{prefix: p.First, packed: true})
 	fresh := 0
 	if err == nil {
-		fresh = p.Follower.Table.Apply(news.Entries)
-		p.hasFirst = news.Revision > 0
+		fresh = p.Follower.Table.Apply(update.Entries)
+		p.hasFirst = update.Revision > 0
 	}
-	p.tell(peer, fresh, err)
+	p.notify(peer, fresh, err)
 	return err
 }
 
-// pull asks one peer for what is above the revision up to which the copy is
-// complete. The highest revision that is known would not do: a copy that has it may
-// lack older ones.
+// pull fetches from a peer the entries above the revision up to which the replica is complete.
+// The highest revision in the table is no substitute, since older entries may be missing below
+// it.
 func (p *Puller) pull(ctx context.Context, peer netip.AddrPort) error {
-	news, err := ask(ctx, p.Client, peer, question{prefix: p.Follower.Prefix, after: p.Follower.Revision(), packed: true})
+	update, err := fetch(ctx, p.Client, peer, request{prefix: p.Follower.Prefix, after: p.Follower.Revision(), packed: true})
 	fresh := 0
 	if err == nil {
-		fresh = p.Follower.ApplyUpdate(news)
+		fresh = p.Follower.ApplyUpdate(update)
 	}
-	p.tell(peer, fresh, err)
+	p.notify(peer, fresh, err)
 	return err
 }
 
-func (p *Puller) tell(peer netip.AddrPort, fresh int, err error) {
+func (p *Puller) notify(peer netip.AddrPort, fresh int, err error) {
 	if p.OnPull != nil {
 		p.OnPull(peer, fresh, err)
 	}
 }
 
-// Choose returns one of some peers, by chance. Most times it is one of the near ones, whose
-// links are wide: once of farOneOf it is one of the far ones.
+// Choose returns a random peer, or false if there is none. It is a far one in one of farOneOf
+// cases on average, and otherwise a near one, which has a wide link.
 func Choose(near, far []netip.AddrPort, farOneOf int) (netip.AddrPort, bool) {
 	from := far
 	if len(near) > 0 && (len(far) == 0 || rand.IntN(farOneOf) > 0) {
