--- a/daemon/internal/connection/peering/engine.go
+++ b/daemon/internal/connection/peering/engine.go
@@ -56,7 +56,7 @@
 var errIncomplete = errors.New("response without a model or an origin")
 
 func fetchEngine(ctx context.Context, client *http.Client, peer netip.AddrPort, service string) (EngineNews, error) {
-	limit := patience.Limit{First: engineTimeout, Stall: engineTimeout, Whole: 2 * engineTimeout}
+	limit := patience.Limit{FirstByte: engineTimeout, Stall: engineTimeout, Total: 2 * engineTimeout}
 	ctx, end := limit.Context(ctx)
 	defer end()
 	var resp EngineNews
--- a/daemon/internal/connection/peering/peering.go
+++ b/daemon/internal/connection/peering/peering.go
@@ -217,9 +217,9 @@
 
 // fetch makes one call to a peer.
 func fetch(ctx context.Context, client *http.Client, peer netip.AddrPort, req request) (replica.Update, error) {
-	limit := patience.Limit{First: req.wait + firstByteTimeout, Stall: stallTimeout, Whole: callTimeout}
+	limit := patience.Limit{FirstByte: req.wait + firstByteTimeout, Stall: stallTimeout, Total: callTimeout}
 	if req.after == 0 {
-		limit.First = req.wait + replicaFirstByteTimeout
+		limit.FirstByte = req.wait + replicaFirstByteTimeout
 	}
 	ctx, end := limit.Context(ctx)
 	defer end()
--- a/daemon/internal/patience/patience.go
+++ b/daemon/internal/patience/patience.go
@@ -18,12 +18,12 @@
 
 // Causes of the cancellation of a call. Each wraps context.DeadlineExceeded.
 var (
-	// ErrSilent reports that the first byte of a response did not arrive in time.
-	ErrSilent = fmt.Errorf("timed out waiting for the first byte of the response: %w", context.DeadlineExceeded)
+	// ErrNoResponse reports that the first byte of a response did not arrive in time.
+	ErrNoResponse = fmt.Errorf("timed out waiting for the first byte of the response: %w", context.DeadlineExceeded)
 	// ErrStalled reports that a response stopped before its end.
 	ErrStalled = fmt.Errorf("response stalled: %w", context.DeadlineExceeded)
-	// ErrEndless reports that a call exceeded its total timeout.
-	ErrEndless = fmt.Errorf("response exceeded its total timeout: %w", context.DeadlineExceeded)
+	// ErrTooLong reports that a call exceeded its total timeout.
+	ErrTooLong = fmt.Errorf("response exceeded its total timeout: %w", context.DeadlineExceeded)
 )
 
 // Explain adds the cause to the error of a call that a timeout canceled.
@@ -37,12 +37,12 @@
 
 // Limit holds the timeouts of a call.
 type Limit struct {
-	// First bounds the time to the first byte of the response.
-	First time.Duration
+	// FirstByte bounds the time to the first byte of the response.
+	FirstByte time.Duration
 	// Stall bounds the time between two parts of the response.
 	Stall time.Duration
-	// Whole bounds the time of the call.
-	Whole time.Duration
+	// Total bounds the time of the call.
+	Total time.Duration
 }
 
 // Context returns the context of a call. Its cause tells which timeout passed. The
@@ -51,8 +51,8 @@
 	report := provider.Progress(ctx)
 	ctx, cancel := context.WithCancelCause(ctx)
 	c := &call{limit: l, cancel: cancel}
-	c.idle = time.AfterFunc(l.First, c.timeOut)
-	total := time.AfterFunc(l.Whole, func() { cancel(ErrEndless) })
+	c.idle = time.AfterFunc(l.FirstByte, c.timeOut)
+	total := time.AfterFunc(l.Total, func() { cancel(ErrTooLong) })
 	progress := func(bytes int) {
 		c.progress()
 		report(bytes)
@@ -91,5 +91,5 @@
 		c.cancel(ErrStalled)
 		return
 	}
-	c.cancel(ErrSilent)
+	c.cancel(ErrNoResponse)
 }
--- a/daemon/internal/patience/patience_test.go
+++ b/daemon/internal/patience/patience_test.go
@@ -16,7 +16,7 @@
 // TestTimeoutsFollowProgressOfResponse guards against a timeout that cancels a slow
 // response that makes progress, or misses one that stalls.
 func TestTimeoutsFollowProgressOfResponse(t *testing.T) {
-	limit := patience.Limit{First: time.Second, Stall: 300 * time.Millisecond, Whole: 20 * time.Second}
+	limit := patience.Limit{FirstByte: time.Second, Stall: 300 * time.Millisecond, Total: 20 * time.Second}
 	tests := []struct {
 		name     string
 		parts    int
@@ -24,10 +24,10 @@
 		elapsed  time.Duration
 		cause    error
 	}{
-		{"no response", 0, 0, time.Second, patience.ErrSilent},
+		{"no response", 0, 0, time.Second, patience.ErrNoResponse},
 		{"slow with progress", 50, 200 * time.Millisecond, 10300 * time.Millisecond, patience.ErrStalled},
 		{"stalls after two parts", 2, 200 * time.Millisecond, 700 * time.Millisecond, patience.ErrStalled},
-		{"exceeds the total timeout", 200, 200 * time.Millisecond, 20 * time.Second, patience.ErrEndless},
+		{"exceeds the total timeout", 200, 200 * time.Millisecond, 20 * time.Second, patience.ErrTooLong},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/daemon/internal/process/platform/kv.go
+++ b/daemon/internal/process/platform/kv.go
@@ -180,7 +180,7 @@
 	if timeout == 0 {
 		timeout = callTimeout
 	}
-	ctx, end := patience.Limit{First: timeout, Stall: callTimeout, Whole: longestRead}.Context(ctx)
+	ctx, end := patience.Limit{FirstByte: timeout, Stall: callTimeout, Total: longestRead}.Context(ctx)
 	defer end()
 	address := "http://" + c.peer.String() + call.path
 	if len(call.query) > 0 {
--- a/daemon/internal/process/replica/follower.go
+++ b/daemon/internal/process/replica/follower.go
@@ -334,7 +334,7 @@
 // readLimit returns the limit of a call that the store may hold for up to wait before it
 // answers.
 func readLimit(wait time.Duration) patience.Limit {
-	return patience.Limit{First: wait + firstByteTimeout, Stall: stallTimeout, Whole: readTimeout}
+	return patience.Limit{FirstByte: wait + firstByteTimeout, Stall: stallTimeout, Total: readTimeout}
 }
 
 // supersededBytes counts the bytes of states that a newer state of the same key follows.
@@ -349,7 +349,7 @@
 }
 
 // initialReadLimit is the limit of a list while the process starts.
-var initialReadLimit = patience.Limit{First: initialFirstByteTimeout, Stall: stallTimeout, Whole: readTimeout}
+var initialReadLimit = patience.Limit{FirstByte: initialFirstByteTimeout, Stall: stallTimeout, Total: readTimeout}
 
 // list lists the prefix and replaces its part of the table.
 func (f *Follower) list(ctx context.Context) (provider.Listing, error) {
--- a/daemon/loader/needs.go
+++ b/daemon/loader/needs.go
@@ -42,7 +42,7 @@
 // readLimit bounds a read of the whole configuration from the store. All loaders of a
 // region may read it over the same link. Were they to give up halfway and begin anew,
 // none would ever have it whole.
-var readLimit = patience.Limit{First: 2 * time.Second, Stall: 2 * time.Second, Whole: 30 * time.Second}
+var readLimit = patience.Limit{FirstByte: 2 * time.Second, Stall: 2 * time.Second, Total: 30 * time.Second}
 
 // lookForNeeds looks now and then.
 func (p *Process) lookForNeeds() error {
