--- a/daemon/internal/connection/peering/engine.go
+++ b/daemon/internal/connection/peering/engine.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/call"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/patience"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/timeout"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
@@ -56,13 +56,13 @@
 var errIncomplete = errors.New("response without a model or an origin")
 
 func fetchEngine(ctx context.Context, client *http.Client, peer netip.AddrPort, service string) (EngineNews, error) {
-	limit := patience.Limit{FirstByte: engineTimeout, Stall: engineTimeout, Total: 2 * engineTimeout}
+	limit := timeout.Limit{FirstByte: engineTimeout, Stall: engineTimeout, Total: 2 * engineTimeout}
 	ctx, end := limit.Context(ctx)
 	defer end()
 	var resp EngineNews
 	target := fmt.Sprintf("http://%s%s?%s", peer, EnginePath, url.Values{"service": {service}}.Encode())
 	if err := call.JSON(ctx, client, target, maxEngineResponse, &resp); err != nil {
-		return resp, fmt.Errorf("fetch the engine's configuration from peer %s: %w", peer, patience.Explain(ctx, err))
+		return resp, fmt.Errorf("fetch the engine's configuration from peer %s: %w", peer, timeout.Explain(ctx, err))
 	}
 	if !resp.Complete() {
 		return resp, fmt.Errorf("fetch the engine's configuration from peer %s: %w", peer, errIncomplete)
--- a/daemon/internal/connection/peering/peering.go
+++ b/daemon/internal/connection/peering/peering.go
@@ -28,8 +28,8 @@
 	"time"
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/call"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/patience"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/timeout"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
@@ -217,7 +217,7 @@
 
 // fetch makes one call to a peer.
 func fetch(ctx context.Context, client *http.Client, peer netip.AddrPort, req request) (replica.Update, error) {
-	limit := patience.Limit{FirstByte: req.wait + firstByteTimeout, Stall: stallTimeout, Total: callTimeout}
+	limit := timeout.Limit{FirstByte: req.wait + firstByteTimeout, Stall: stallTimeout, Total: callTimeout}
 	if req.after == 0 {
 		limit.FirstByte = req.wait + replicaFirstByteTimeout
 	}
@@ -225,7 +225,7 @@
 	defer end()
 	var resp packedMessage
 	if err := call.JSON(ctx, client, req.url(peer), maxResponse, &resp); err != nil {
-		return replica.Update{}, fmt.Errorf("fetch update from peer %s: %w", peer, patience.Explain(ctx, err))
+		return replica.Update{}, fmt.Errorf("fetch update from peer %s: %w", peer, timeout.Explain(ctx, err))
 	}
 	entries, err := resp.unpacked()
 	if err != nil {
--- a/daemon/internal/process/platform/kv.go
+++ b/daemon/internal/process/platform/kv.go
@@ -13,7 +13,7 @@
 	"strconv"
 	"time"
 
-	"github.com/wheelcleat/wheelcleat/daemon/internal/patience"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/timeout"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
@@ -176,11 +176,11 @@
 
 // do makes a call and reads its answer into target, which may be nil.
 func (c *kvClient) do(ctx context.Context, call kvCall, target any) error {
-	timeout := call.timeout
-	if timeout == 0 {
-		timeout = callTimeout
+	firstByte := call.timeout
+	if firstByte == 0 {
+		firstByte = callTimeout
 	}
-	ctx, end := patience.Limit{FirstByte: timeout, Stall: callTimeout, Total: longestRead}.Context(ctx)
+	ctx, end := timeout.Limit{FirstByte: firstByte, Stall: callTimeout, Total: longestRead}.Context(ctx)
 	defer end()
 	address := "http://" + c.peer.String() + call.path
 	if len(call.query) > 0 {
@@ -194,7 +194,7 @@
 	}
 	response, err := c.client.Do(request)
 	if err != nil {
-		return c.wrap(call, lost(patience.Explain(ctx, err), connected))
+		return c.wrap(call, lost(timeout.Explain(ctx, err), connected))
 	}
 	defer func() { _ = response.Body.Close() }()
 	if err := statusError(response, call); err != nil {
@@ -208,7 +208,7 @@
 		err = json.Unmarshal(data, target)
 	}
 	if err != nil {
-		return c.wrap(call, errors.Join(ErrUnknown, patience.Explain(ctx, err)))
+		return c.wrap(call, errors.Join(ErrUnknown, timeout.Explain(ctx, err)))
 	}
 	return nil
 }
--- a/daemon/internal/process/replica/follower.go
+++ b/daemon/internal/process/replica/follower.go
@@ -11,7 +11,7 @@
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/clock"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/helpers"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/patience"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/timeout"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
@@ -232,7 +232,7 @@
 	defer end()
 	listing, err := f.Store.ListStale(ctx, prefix)
 	if err != nil {
-		return patience.Explain(ctx, err)
+		return timeout.Explain(ctx, err)
 	}
 	f.Table.Replace(prefix, listing)
 	return nil
@@ -328,13 +328,13 @@
 	if cause := context.Cause(ctx); errors.Is(cause, errProbeFailed) || errors.Is(cause, errMissedChange) {
 		return changes, errors.Join(err, cause)
 	}
-	return changes, patience.Explain(ctx, err)
+	return changes, timeout.Explain(ctx, err)
 }
 
 // readLimit returns the limit of a call that the store may hold for up to wait before it
 // answers.
-func readLimit(wait time.Duration) patience.Limit {
-	return patience.Limit{FirstByte: wait + firstByteTimeout, Stall: stallTimeout, Total: readTimeout}
+func readLimit(wait time.Duration) timeout.Limit {
+	return timeout.Limit{FirstByte: wait + firstByteTimeout, Stall: stallTimeout, Total: readTimeout}
 }
 
 // supersededBytes counts the bytes of states that a newer state of the same key follows.
@@ -349,7 +349,7 @@
 }
 
 // initialReadLimit is the limit of a list while the process starts.
-var initialReadLimit = patience.Limit{FirstByte: initialFirstByteTimeout, Stall: stallTimeout, Total: readTimeout}
+var initialReadLimit = timeout.Limit{FirstByte: initialFirstByteTimeout, Stall: stallTimeout, Total: readTimeout}
 
 // list lists the prefix and replaces its part of the table.
 func (f *Follower) list(ctx context.Context) (provider.Listing, error) {
@@ -366,7 +366,7 @@
 	}
 	listing, err := list(ctx, f.Prefix)
 	if err != nil {
-		return listing, patience.Explain(ctx, err)
+		return listing, timeout.Explain(ctx, err)
 	}
 	f.recordAnswer(0, 0)
 	f.hops.Store(0)
--- a/daemon/internal/process/replica/probe.go
+++ b/daemon/internal/process/replica/probe.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/helpers"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/patience"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/timeout"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
@@ -123,7 +123,7 @@
 	ctx, end := readLimit(0).Context(provider.WithProgress(ctx, f.countBytes))
 	defer end()
 	listing, err := f.Store.ListStale(ctx, f.Prefix)
-	return listing, patience.Explain(ctx, err)
+	return listing, timeout.Explain(ctx, err)
 }
 
 // probe probes the store periodically until the context ends, and returns the cause for
@@ -149,7 +149,7 @@
 	ctx, end := readLimit(0).Context(provider.WithProgress(ctx, f.countBytes))
 	defer end()
 	_, err := f.Store.ListStale(ctx, f.ProbePrefix)
-	return patience.Explain(ctx, err)
+	return timeout.Explain(ctx, err)
 }
 
 // countBytes reports received bytes to OnBytes. It does not mark the store as reachable:
--- a/daemon/internal/patience/patience.go
+++ b/daemon/internal/timeout/timeout.go
@@ -1,10 +1,10 @@
-// Package patience bounds calls by the progress of their responses: it has
+// Package timeout bounds calls by the progress of their responses: it has
 // separate timeouts for the first byte, for each further part and for the call.
 //
 // A single timeout cannot fit both a response of a few bytes and one of hundreds
 // of kilobytes over a shared link. If it is too short, callers abort transfers
 // halfway and start over, which wastes bandwidth and slows down the retries.
-package patience
+package timeout
 
 import (
 	"context"
--- a/daemon/internal/patience/patience_test.go
+++ b/daemon/internal/timeout/timeout_test.go
@@ -1,4 +1,4 @@
-package patience_test
+package timeout_test
 
 import (
 	"context"
@@ -9,14 +9,14 @@
 	"github.com/stretchr/testify/assert"
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/helpers"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/patience"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/timeout"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
 // TestTimeoutsFollowProgressOfResponse guards against a timeout that cancels a slow
 // response that makes progress, or misses one that stalls.
 func TestTimeoutsFollowProgressOfResponse(t *testing.T) {
-	limit := patience.Limit{FirstByte: time.Second, Stall: 300 * time.Millisecond, Total: 20 * time.Second}
+	limit := timeout.Limit{FirstByte: time.Second, Stall: 300 * time.Millisecond, Total: 20 * time.Second}
 	tests := []struct {
 		name     string
 		parts    int
@@ -24,10 +24,10 @@
 		elapsed  time.Duration
 		cause    error
 	}{
-		{"no response", 0, 0, time.Second, patience.ErrNoResponse},
-		{"slow with progress", 50, 200 * time.Millisecond, 10300 * time.Millisecond, patience.ErrStalled},
-		{"stalls after two parts", 2, 200 * time.Millisecond, 700 * time.Millisecond, patience.ErrStalled},
-		{"exceeds the total timeout", 200, 200 * time.Millisecond, 20 * time.Second, patience.ErrTooLong},
+		{"no response", 0, 0, time.Second, timeout.ErrNoResponse},
+		{"slow with progress", 50, 200 * time.Millisecond, 10300 * time.Millisecond, timeout.ErrStalled},
+		{"stalls after two parts", 2, 200 * time.Millisecond, 700 * time.Millisecond, timeout.ErrStalled},
+		{"exceeds the total timeout", 200, 200 * time.Millisecond, 20 * time.Second, timeout.ErrTooLong},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/daemon/loader/needs.go
+++ b/daemon/loader/needs.go
@@ -12,9 +12,9 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/clock"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/peering"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/helpers"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/patience"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/rendezvous"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/timeout"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
@@ -42,7 +42,7 @@
 // readLimit bounds a read of the whole configuration from the store. All loaders of a
 // region may read it over the same link. Were they to give up halfway and begin anew,
 // none would ever have it whole.
-var readLimit = patience.Limit{FirstByte: 2 * time.Second, Stall: 2 * time.Second, Total: 30 * time.Second}
+var readLimit = timeout.Limit{FirstByte: 2 * time.Second, Stall: 2 * time.Second, Total: 30 * time.Second}
 
 // lookForNeeds looks now and then.
 func (p *Process) lookForNeeds() error {
@@ -93,7 +93,7 @@
 	defer end()
 	entry, err := p.provider.Store.GetStale(ctx, p.provider.Prefixes.Configuration)
 	if err != nil {
-		return peering.EngineNews{}, patience.Explain(ctx, err)
+		return peering.EngineNews{}, timeout.Explain(ctx, err)
 	}
 	record, err := p.provider.Decode(entry)
 	if err == nil && record.Configuration == nil {
