--- a/daemon/internal/connection/evidence/bench_test.go
+++ b/daemon/internal/connection/evidence/bench_test.go
@@ -22,9 +22,9 @@
 	const routers = 400
 	var received atomic.Int64
 	all := make(chan struct{}, 1)
-	receiver := &evidence.Known[quarantine.Note]{
-		All: func() []quarantine.Note { return nil }, Of: func([]quarantine.Note) []quarantine.Note { return nil },
-		Take: func([]quarantine.Note) {
+	receiver := &evidence.Receiver[quarantine.Note]{
+		All: func() []quarantine.Note { return nil }, Related: func([]quarantine.Note) []quarantine.Note { return nil },
+		Merge: func([]quarantine.Note) {
 			if received.Add(1)%routers == 0 {
 				all <- struct{}{}
 			}
@@ -32,19 +32,19 @@
 	}
 	var peers []netip.AddrPort
 	for range routers {
-		server := httptest.NewServer(http.HandlerFunc(receiver.ServeTold))
+		server := httptest.NewServer(http.HandlerFunc(receiver.ServeNotes))
 		b.Cleanup(server.Close)
 		peers = append(peers, netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://")))
 	}
-	sender := &evidence.Teller[quarantine.Note]{
+	sender := &evidence.Sender[quarantine.Note]{
 		Path:   evidence.SuspectsPath,
 		Client: &http.Client{Transport: dial.NewHostTransport(dial.Direct, time.Minute)},
-		Peers:  func() []netip.AddrPort { return peers }, Take: func([]quarantine.Note, netip.AddrPort) {},
+		Peers:  func() []netip.AddrPort { return peers }, OnNotes: func([]quarantine.Note, netip.AddrPort) {},
 	}
 	sender.Start()
 	b.Cleanup(sender.Stop)
 	for b.Loop() {
-		require.True(b, sender.Tell(noteOf("a")))
+		require.True(b, sender.Send(noteOf("a")))
 		<-all
 	}
 }
--- a/daemon/internal/connection/evidence/evidence.go
+++ b/daemon/internal/connection/evidence/evidence.go
@@ -64,19 +64,19 @@
 	Notes []N `json:"notes"`
 }
 
-// Teller sends notes of one kind to all other routers. Client, Path, Peers and Take must be
+// Sender sends notes of one kind to all other routers. Client, Path, Peers and OnNotes must be
 // set before Start.
-type Teller[N any] struct {
+type Sender[N any] struct {
 	Client *http.Client
 	// Path is the URL path for this kind of notes.
 	Path string
 	// Peers returns the other routers.
 	Peers func() []netip.AddrPort
-	// Peer returns a router from which to fetch all notes after the start, or false if there
-	// is none. It may be nil.
-	Peer func() (netip.AddrPort, bool)
-	// Take is called with the notes in the response of a router.
-	Take func(notes []N, from netip.AddrPort)
+	// CatchUpPeer returns a router from which to fetch all notes after the start, or false if
+	// there is none. It may be nil.
+	CatchUpPeer func() (netip.AddrPort, bool)
+	// OnNotes is called with the notes in the response of a router.
+	OnNotes func(notes []N, from netip.AddrPort)
 	// OnFailed is called when a message could not be sent to a router. It may be nil.
 	OnFailed func(peer netip.AddrPort, err error)
 
@@ -87,11 +87,11 @@
 }
 
 // Start starts the goroutines; Stop stops them.
-func (s *Teller[N]) Start() {
+func (s *Sender[N]) Start() {
 	s.queue = make(chan N, queueSize)
 	s.inFlight = make(chan struct{}, maxInFlight)
 	s.tomb.Go(withoutError(s.run))
-	if s.Peer != nil {
+	if s.CatchUpPeer != nil {
 		s.tomb.Go(withoutError(s.catchUp))
 	}
 }
@@ -105,32 +105,32 @@
 }
 
 // catchUp fetches all notes from other routers after the start.
-func (s *Teller[N]) catchUp() {
+func (s *Sender[N]) catchUp() {
 	ctx := s.tomb.Context(nil) //nolint:staticcheck // nil asks the tomb for its own context
 	for succeeded, attempts := 0, 0; succeeded < catchUpPeers && attempts < maxCatchUpAttempts; attempts++ {
 		if !helpers.Pause(catchUpDelay, s.tomb.Dying()) {
 			return
 		}
-		peer, ok := s.Peer()
+		peer, ok := s.CatchUpPeer()
 		if !ok {
 			continue
 		}
-		if notes, err := All[N](ctx, s.Client, peer, s.Path); err == nil {
-			s.Take(notes, peer)
+		if notes, err := FetchAll[N](ctx, s.Client, peer, s.Path); err == nil {
+			s.OnNotes(notes, peer)
 			succeeded++
 		}
 	}
 }
 
 // Stop stops all goroutines and waits for them. Notes that were not sent yet are dropped.
-func (s *Teller[N]) Stop() {
+func (s *Sender[N]) Stop() {
 	s.tomb.Kill(nil)
 	_ = s.tomb.Wait()
 }
 
-// Tell queues a note for all other routers. It never blocks, and returns false if the queue is
+// Send queues a note for all other routers. It never blocks, and returns false if the queue is
 // full.
-func (s *Teller[N]) Tell(note N) bool {
+func (s *Sender[N]) Send(note N) bool {
 	select {
 	case s.queue <- note:
 		return true
@@ -139,7 +139,7 @@
 	}
 }
 
-func (s *Teller[N]) run() {
+func (s *Sender[N]) run() {
 	for {
 		notes := s.nextBatch()
 		if len(notes) == 0 {
@@ -160,7 +160,7 @@
 
 // nextBatch waits for notes and returns those that are queued within batchDelay of the first.
 // It returns none once the tomb is dying.
-func (s *Teller[N]) nextBatch() []N {
+func (s *Sender[N]) nextBatch() []N {
 	var notes []N
 	var deadline <-chan time.Time
 	for len(notes) < maxBatch {
@@ -180,11 +180,11 @@
 }
 
 // sendWithRetry sends a message to one router and retries after a failure.
-func (s *Teller[N]) sendWithRetry(peer netip.AddrPort, body []byte) {
+func (s *Sender[N]) sendWithRetry(peer netip.AddrPort, body []byte) {
 	for attempt := 1; ; attempt++ {
-		resp, err := s.send(peer, body)
+		resp, err := s.post(peer, body)
 		if err == nil {
-			s.Take(resp.Notes, peer)
+			s.OnNotes(resp.Notes, peer)
 			return
 		}
 		if attempt == maxAttempts || !helpers.Pause(retryDelay, s.tomb.Dying()) {
@@ -196,7 +196,7 @@
 	}
 }
 
-func (s *Teller[N]) send(peer netip.AddrPort, body []byte) (Message[N], error) {
+func (s *Sender[N]) post(peer netip.AddrPort, body []byte) (Message[N], error) {
 	select {
 	case s.inFlight <- struct{}{}:
 		defer func() { <-s.inFlight }()
@@ -212,8 +212,8 @@
 	return resp, nil
 }
 
-// All fetches all notes of a router.
-func All[N any](ctx context.Context, client *http.Client, peer netip.AddrPort, path string) ([]N, error) {
+// FetchAll fetches all notes of a router.
+func FetchAll[N any](ctx context.Context, client *http.Client, peer netip.AddrPort, path string) ([]N, error) {
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	var resp Message[N]
@@ -223,28 +223,28 @@
 	return resp.Notes, nil
 }
 
-// Known serves the notes of a router to the others. Its fields must be set.
-type Known[N any] struct {
-	// All returns all notes of this router, and Of those about the same contents or upstreams
-	// as the given notes. Take merges received notes.
-	All  func() []N
-	Of   func(notes []N) []N
-	Take func(notes []N)
+// Receiver serves the notes of a router to the others. Its fields must be set.
+type Receiver[N any] struct {
+	// All returns all notes of this router, and Related those about the same contents or
+	// upstreams as the given notes. Merge merges received notes.
+	All     func() []N
+	Related func(notes []N) []N
+	Merge   func(notes []N)
 }
 
 // ServeAll responds with all notes.
-func (k *Known[N]) ServeAll(w http.ResponseWriter, _ *http.Request) { reply(w, k.All()) }
+func (r *Receiver[N]) ServeAll(w http.ResponseWriter, _ *http.Request) { reply(w, r.All()) }
 
-// ServeTold merges the notes of a message, and responds with the notes that this router held
+// ServeNotes merges the notes of a message, and responds with the notes that this router held
 // before about the same contents or upstreams.
-func (k *Known[N]) ServeTold(w http.ResponseWriter, r *http.Request) {
+func (r *Receiver[N]) ServeNotes(w http.ResponseWriter, req *http.Request) {
 	var message Message[N]
-	if err := json.NewDecoder(io.LimitReader(r.Body, maxMessage)).Decode(&message); err != nil {
+	if err := json.NewDecoder(io.LimitReader(req.Body, maxMessage)).Decode(&message); err != nil {
 		http.Error(w, "decode notes: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	related := k.Of(message.Notes)
-	k.Take(message.Notes)
+	related := r.Related(message.Notes)
+	r.Merge(message.Notes)
 	reply(w, related)
 }
 
--- a/daemon/internal/connection/evidence/evidence_test.go
+++ b/daemon/internal/connection/evidence/evidence_test.go
@@ -44,10 +44,10 @@
 func startPeer(t *testing.T) *peer {
 	t.Helper()
 	p := &peer{}
-	receiver := &evidence.Known[quarantine.Note]{
-		All:  p.notes,
-		Of:   func([]quarantine.Note) []quarantine.Note { return p.notes() },
-		Take: p.merge,
+	receiver := &evidence.Receiver[quarantine.Note]{
+		All:     p.notes,
+		Related: func([]quarantine.Note) []quarantine.Note { return p.notes() },
+		Merge:   p.merge,
 	}
 	routes := bunrouter.New()
 	routes.Compat().GET(evidence.SuspectsPath, receiver.ServeAll)
@@ -56,7 +56,7 @@
 			http.Error(w, "injected failure", http.StatusServiceUnavailable)
 			return
 		}
-		receiver.ServeTold(w, r)
+		receiver.ServeNotes(w, r)
 	})
 	server := httptest.NewServer(routes)
 	t.Cleanup(server.Close)
@@ -91,12 +91,12 @@
 	return p.table.Judge(crashing, time.Now())
 }
 
-func startSender(t *testing.T, own *peer, others ...netip.AddrPort) *evidence.Teller[quarantine.Note] {
+func startSender(t *testing.T, own *peer, others ...netip.AddrPort) *evidence.Sender[quarantine.Note] {
 	t.Helper()
-	sender := &evidence.Teller[quarantine.Note]{
+	sender := &evidence.Sender[quarantine.Note]{
 		Path:   evidence.SuspectsPath,
 		Client: http.DefaultClient, Peers: func() []netip.AddrPort { return others },
-		Take: func(notes []quarantine.Note, _ netip.AddrPort) { own.merge(notes) },
+		OnNotes: func(notes []quarantine.Note, _ netip.AddrPort) { own.merge(notes) },
 	}
 	sender.Start()
 	t.Cleanup(sender.Stop)
@@ -116,8 +116,8 @@
 	unreachable := startPeer(t).address
 	unreachable = netip.AddrPortFrom(unreachable.Addr(), 1)
 	sender := startSender(t, own, unreachable, second.address, third.address)
-	require.True(t, sender.Tell(noteOf("a")))
-	require.True(t, sender.Tell(noteOf("b", "c")))
+	require.True(t, sender.Send(noteOf("a")))
+	require.True(t, sender.Send(noteOf("b", "c")))
 	for _, p := range []*peer{second, third} {
 		waitFor(t, "the content is quarantined", func() bool { return p.judge() == quarantine.Held })
 	}
@@ -130,7 +130,7 @@
 	other.merge([]quarantine.Note{noteOf("b", "c")})
 	sender := startSender(t, own, other.address)
 	own.merge([]quarantine.Note{noteOf("a")})
-	require.True(t, sender.Tell(noteOf("a")))
+	require.True(t, sender.Send(noteOf("a")))
 	waitFor(t, "the content is quarantined", func() bool { return own.judge() == quarantine.Held })
 }
 
@@ -139,11 +139,11 @@
 func TestStartingRouterFetchesNotes(t *testing.T) {
 	own, other := &peer{}, startPeer(t)
 	other.merge([]quarantine.Note{noteOf("a", "b", "c")})
-	sender := &evidence.Teller[quarantine.Note]{
+	sender := &evidence.Sender[quarantine.Note]{
 		Path:   evidence.SuspectsPath,
 		Client: http.DefaultClient, Peers: func() []netip.AddrPort { return nil },
-		Peer: func() (netip.AddrPort, bool) { return other.address, true },
-		Take: func(notes []quarantine.Note, _ netip.AddrPort) { own.merge(notes) },
+		CatchUpPeer: func() (netip.AddrPort, bool) { return other.address, true },
+		OnNotes:     func(notes []quarantine.Note, _ netip.AddrPort) { own.merge(notes) },
 	}
 	sender.Start()
 	t.Cleanup(sender.Stop)
@@ -156,14 +156,14 @@
 	requested := make(chan struct{}, 1)
 	client := &http.Client{Transport: unresponsive{requested}}
 	failed := make(chan error, 1)
-	sender := &evidence.Teller[quarantine.Note]{
+	sender := &evidence.Sender[quarantine.Note]{
 		Path:   evidence.SuspectsPath,
 		Client: client, Peers: func() []netip.AddrPort { return []netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:1")} },
-		Take: func([]quarantine.Note, netip.AddrPort) {}, OnFailed: func(_ netip.AddrPort, err error) { failed <- err },
+		OnNotes: func([]quarantine.Note, netip.AddrPort) {}, OnFailed: func(_ netip.AddrPort, err error) { failed <- err },
 	}
-	assert.False(t, sender.Tell(noteOf("a")), "the sender is not started")
+	assert.False(t, sender.Send(noteOf("a")), "the sender is not started")
 	sender.Start()
-	require.True(t, sender.Tell(noteOf("a")))
+	require.True(t, sender.Send(noteOf("a")))
 	<-requested
 	sender.Stop()
 	select {
@@ -172,7 +172,7 @@
 	default:
 	}
 	queued := 0
-	for sender.Tell(noteOf("a")) {
+	for sender.Send(noteOf("a")) {
 		queued++
 	}
 	assert.Positive(t, queued)
--- a/daemon/router/limit_test.go
+++ b/daemon/router/limit_test.go
@@ -206,7 +206,7 @@
 // limitsOf returns the limits that a router knows, as others see it.
 func limitsOf(t *testing.T, set settings.Router) []ratelimit.Named {
 	t.Helper()
-	all, err := evidence.All[ratelimit.Named](t.Context(), http.DefaultClient, set.Listen.Peers, evidence.LimitsPath)
+	all, err := evidence.FetchAll[ratelimit.Named](t.Context(), http.DefaultClient, set.Listen.Peers, evidence.LimitsPath)
 	require.NoError(t, err)
 	return all
 }
--- a/daemon/router/limits.go
+++ b/daemon/router/limits.go
@@ -53,7 +53,7 @@
 		change = table.Heard(upstream, heard.Said, heard.Sent, now)
 	})
 	p.limitChanged(limitNews{upstream: upstream, change: change, from: sourceOwn, request: heard.Request})
-	if change.Tell && !p.limitTeller.Tell(ratelimit.Named{Upstream: upstream, Note: change.After}) {
+	if change.Tell && !p.limitTeller.Send(ratelimit.Named{Upstream: upstream, Note: change.After}) {
 		p.recorder.notTold()
 	}
 }
@@ -150,10 +150,10 @@
 }
 
 // newLimitTeller prepares the telling of other routers.
-func (p *Process) newLimitTeller(client *http.Client) *evidence.Teller[ratelimit.Named] {
-	return &evidence.Teller[ratelimit.Named]{
-		Client: client, Path: evidence.LimitsPath, Peers: p.otherRouters, Peer: p.peer, OnFailed: p.recorder.routerNotTold,
-		Take: func(all []ratelimit.Named, peer netip.AddrPort) { p.takeLimits(all, sourceAnswer, peer) },
+func (p *Process) newLimitTeller(client *http.Client) *evidence.Sender[ratelimit.Named] {
+	return &evidence.Sender[ratelimit.Named]{
+		Client: client, Path: evidence.LimitsPath, Peers: p.otherRouters, CatchUpPeer: p.peer, OnFailed: p.recorder.routerNotTold,
+		OnNotes: func(all []ratelimit.Named, peer netip.AddrPort) { p.takeLimits(all, sourceAnswer, peer) },
 	}
 }
 
@@ -165,12 +165,12 @@
 
 // limitPages hands out the limits that are known, and takes what others tell.
 func (p *Process) limitPages(pages *bunrouter.Router) {
-	known := &evidence.Known[ratelimit.Named]{
-		All: p.allLimits, Of: p.limitsOf,
-		Take: func(all []ratelimit.Named) { p.takeLimits(all, sourceRouter, netip.AddrPort{}) },
+	known := &evidence.Receiver[ratelimit.Named]{
+		All: p.allLimits, Related: p.limitsOf,
+		Merge: func(all []ratelimit.Named) { p.takeLimits(all, sourceRouter, netip.AddrPort{}) },
 	}
 	pages.Compat().GET(evidence.LimitsPath, known.ServeAll)
-	pages.Compat().POST(evidence.LimitsPath, known.ServeTold)
+	pages.Compat().POST(evidence.LimitsPath, known.ServeNotes)
 }
 
 func (p *Process) allLimits() (all []ratelimit.Named) {
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -104,10 +104,10 @@
 	// tells the other routers.
 	probe    *livenessprobe.Probe
 	suspects *suspects
-	teller   *evidence.Teller[quarantine.Note]
+	teller   *evidence.Sender[quarantine.Note]
 	// limits are those that upstreams named, and limitTeller tells the other routers.
 	limits      *limits
-	limitTeller *evidence.Teller[ratelimit.Named]
+	limitTeller *evidence.Sender[ratelimit.Named]
 	// enginesAt holds the ids of the engines on each host. It is replaced when
 	// the list changes, and read for each line of a loader.
 	enginesAt atomic.Pointer[map[netip.Addr][]string]
--- a/daemon/router/suspects.go
+++ b/daemon/router/suspects.go
@@ -174,7 +174,7 @@
 // tell takes a note of this router's own and tells the others.
 func (p *Process) tell(note quarantine.Note, from source) {
 	p.learn(note, from, netip.AddrPort{})
-	if !p.teller.Tell(note) {
+	if !p.teller.Send(note) {
 		p.recorder.notTold()
 	}
 }
@@ -238,10 +238,10 @@
 }
 
 // newTeller prepares the telling of other routers.
-func (p *Process) newTeller(client *http.Client) *evidence.Teller[quarantine.Note] {
-	return &evidence.Teller[quarantine.Note]{
-		Client: client, Path: evidence.SuspectsPath, Peers: p.otherRouters, Peer: p.peer, OnFailed: p.recorder.routerNotTold,
-		Take: func(notes []quarantine.Note, peer netip.AddrPort) {
+func (p *Process) newTeller(client *http.Client) *evidence.Sender[quarantine.Note] {
+	return &evidence.Sender[quarantine.Note]{
+		Client: client, Path: evidence.SuspectsPath, Peers: p.otherRouters, CatchUpPeer: p.peer, OnFailed: p.recorder.routerNotTold,
+		OnNotes: func(notes []quarantine.Note, peer netip.AddrPort) {
 			for _, note := range notes {
 				p.learn(note, sourceAnswer, peer)
 			}
@@ -264,16 +264,16 @@
 // suspectPages hands out what is known, takes what others tell, and lets operators lift
 // what stands against a content.
 func (p *Process) suspectPages(pages *bunrouter.Router) {
-	known := &evidence.Known[quarantine.Note]{
-		All: p.suspects.all, Of: p.suspects.of,
-		Take: func(notes []quarantine.Note) {
+	known := &evidence.Receiver[quarantine.Note]{
+		All: p.suspects.all, Related: p.suspects.of,
+		Merge: func(notes []quarantine.Note) {
 			for _, note := range notes {
 				p.learn(note, sourceRouter, netip.AddrPort{})
 			}
 		},
 	}
 	pages.Compat().GET(evidence.SuspectsPath, known.ServeAll)
-	pages.Compat().POST(evidence.SuspectsPath, known.ServeTold)
+	pages.Compat().POST(evidence.SuspectsPath, known.ServeNotes)
 	pages.DELETE(evidence.SuspectsPath+"/:content", bunrouter.HandlerFunc(p.lift))
 }
 
