--- a/daemon/internal/connection/evidence/bench_test.go
+++ b/daemon/internal/connection/broadcast/bench_test.go
@@ -1,4 +1,4 @@
-package evidence_test
+package broadcast_test
 
 import (
 	"net/http"
@@ -11,8 +11,8 @@
 
 	"github.com/stretchr/testify/require"
 
+	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/broadcast"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/dial"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/evidence"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/quarantine"
 )
 
@@ -22,7 +22,7 @@
 	const routers = 400
 	var received atomic.Int64
 	all := make(chan struct{}, 1)
-	receiver := &evidence.Receiver[quarantine.Note]{
+	receiver := &broadcast.Receiver[quarantine.Note]{
 		All: func() []quarantine.Note { return nil }, Related: func([]quarantine.Note) []quarantine.Note { return nil },
 		Merge: func([]quarantine.Note) {
 			if received.Add(1)%routers == 0 {
@@ -36,8 +36,8 @@
 		b.Cleanup(server.Close)
 		peers = append(peers, netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://")))
 	}
-	sender := &evidence.Sender[quarantine.Note]{
-		Path:   evidence.SuspectsPath,
+	sender := &broadcast.Sender[quarantine.Note]{
+		Path:   broadcast.SuspectsPath,
 		Client: &http.Client{Transport: dial.NewHostTransport(dial.Direct, time.Minute)},
 		Peers:  func() []netip.AddrPort { return peers }, OnNotes: func([]quarantine.Note, netip.AddrPort) {},
 	}
--- a/daemon/internal/connection/evidence/evidence.go
+++ b/daemon/internal/connection/broadcast/broadcast.go
@@ -1,4 +1,4 @@
-// Package evidence broadcasts observations about upstreams among routers: contents that
+// Package broadcast sends observations about upstreams to all other routers: contents that
 // crashed upstreams, and rate limits that upstreams returned. Packages quarantine and ratelimit
 // define these observations; this package calls both of them notes.
 //
@@ -11,7 +11,7 @@
 // Rejected: distribution through the replicas, which batch changes and depend on the store; and
 // one router that collects notes for all, which needs election and failover. As in package
 // peering, messages are plain HTTP and JSON on the same port.
-package evidence
+package broadcast
 
 import (
 	"context"
--- a/daemon/internal/connection/evidence/evidence_test.go
+++ b/daemon/internal/connection/broadcast/broadcast_test.go
@@ -1,4 +1,4 @@
-package evidence_test
+package broadcast_test
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 	"github.com/uptrace/bunrouter"
 
-	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/evidence"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/broadcast"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/content"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/quarantine"
 )
@@ -44,14 +44,14 @@
 func startPeer(t *testing.T) *peer {
 	t.Helper()
 	p := &peer{}
-	receiver := &evidence.Receiver[quarantine.Note]{
+	receiver := &broadcast.Receiver[quarantine.Note]{
 		All:     p.notes,
 		Related: func([]quarantine.Note) []quarantine.Note { return p.notes() },
 		Merge:   p.merge,
 	}
 	routes := bunrouter.New()
-	routes.Compat().GET(evidence.SuspectsPath, receiver.ServeAll)
-	routes.Compat().POST(evidence.SuspectsPath, func(w http.ResponseWriter, r *http.Request) {
+	routes.Compat().GET(broadcast.SuspectsPath, receiver.ServeAll)
+	routes.Compat().POST(broadcast.SuspectsPath, func(w http.ResponseWriter, r *http.Request) {
 		if p.failing() {
 			http.Error(w, "injected failure", http.StatusServiceUnavailable)
 			return
@@ -91,10 +91,10 @@
 	return p.table.Judge(crashing, time.Now())
 }
 
-func startSender(t *testing.T, own *peer, others ...netip.AddrPort) *evidence.Sender[quarantine.Note] {
+func startSender(t *testing.T, own *peer, others ...netip.AddrPort) *broadcast.Sender[quarantine.Note] {
 	t.Helper()
-	sender := &evidence.Sender[quarantine.Note]{
-		Path:   evidence.SuspectsPath,
+	sender := &broadcast.Sender[quarantine.Note]{
+		Path:   broadcast.SuspectsPath,
 		Client: http.DefaultClient, Peers: func() []netip.AddrPort { return others },
 		OnNotes: func(notes []quarantine.Note, _ netip.AddrPort) { own.merge(notes) },
 	}
@@ -139,8 +139,8 @@
 func TestStartingRouterFetchesNotes(t *testing.T) {
 	own, other := &peer{}, startPeer(t)
 	other.merge([]quarantine.Note{noteOf("a", "b", "c")})
-	sender := &evidence.Sender[quarantine.Note]{
-		Path:   evidence.SuspectsPath,
+	sender := &broadcast.Sender[quarantine.Note]{
+		Path:   broadcast.SuspectsPath,
 		Client: http.DefaultClient, Peers: func() []netip.AddrPort { return nil },
 		CatchUpPeer: func() (netip.AddrPort, bool) { return other.address, true },
 		OnNotes:     func(notes []quarantine.Note, _ netip.AddrPort) { own.merge(notes) },
@@ -156,8 +156,8 @@
 	requested := make(chan struct{}, 1)
 	client := &http.Client{Transport: unresponsive{requested}}
 	failed := make(chan error, 1)
-	sender := &evidence.Sender[quarantine.Note]{
-		Path:   evidence.SuspectsPath,
+	sender := &broadcast.Sender[quarantine.Note]{
+		Path:   broadcast.SuspectsPath,
 		Client: client, Peers: func() []netip.AddrPort { return []netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:1")} },
 		OnNotes: func([]quarantine.Note, netip.AddrPort) {}, OnFailed: func(_ netip.AddrPort, err error) { failed <- err },
 	}
--- a/daemon/router/ends_test.go
+++ b/daemon/router/ends_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/evidence"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/broadcast"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/quarantine"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
@@ -257,7 +257,7 @@
 	}
 	response, err := http.Get("http://" + f.routers[0].Listen.Peers.String() + "/suspects")
 	require.NoError(t, err)
-	var known evidence.Message[quarantine.Note]
+	var known broadcast.Message[quarantine.Note]
 	require.NoError(t, json.NewDecoder(response.Body).Decode(&known))
 	require.NoError(t, response.Body.Close())
 	require.Len(t, known.Notes, 1)
--- a/daemon/router/limit_test.go
+++ b/daemon/router/limit_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/evidence"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/broadcast"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/loadfeed"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/places"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/readers"
@@ -206,7 +206,7 @@
 // limitsOf returns the limits that a router knows, as others see it.
 func limitsOf(t *testing.T, set settings.Router) []ratelimit.Named {
 	t.Helper()
-	all, err := evidence.FetchAll[ratelimit.Named](t.Context(), http.DefaultClient, set.Listen.Peers, evidence.LimitsPath)
+	all, err := broadcast.FetchAll[ratelimit.Named](t.Context(), http.DefaultClient, set.Listen.Peers, broadcast.LimitsPath)
 	require.NoError(t, err)
 	return all
 }
--- a/daemon/router/limits.go
+++ b/daemon/router/limits.go
@@ -11,7 +11,7 @@
 	"github.com/uptrace/bunrouter"
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/clock"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/evidence"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/broadcast"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/places"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/dispatch"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/ratelimit"
@@ -150,9 +150,9 @@
 }
 
 // newLimitTeller prepares the telling of other routers.
-func (p *Process) newLimitTeller(client *http.Client) *evidence.Sender[ratelimit.Named] {
-	return &evidence.Sender[ratelimit.Named]{
-		Client: client, Path: evidence.LimitsPath, Peers: p.otherRouters, CatchUpPeer: p.peer, OnFailed: p.recorder.routerNotTold,
+func (p *Process) newLimitTeller(client *http.Client) *broadcast.Sender[ratelimit.Named] {
+	return &broadcast.Sender[ratelimit.Named]{
+		Client: client, Path: broadcast.LimitsPath, Peers: p.otherRouters, CatchUpPeer: p.peer, OnFailed: p.recorder.routerNotTold,
 		OnNotes: func(all []ratelimit.Named, peer netip.AddrPort) { p.takeLimits(all, sourceAnswer, peer) },
 	}
 }
@@ -165,12 +165,12 @@
 
 // limitPages hands out the limits that are known, and takes what others tell.
 func (p *Process) limitPages(pages *bunrouter.Router) {
-	known := &evidence.Receiver[ratelimit.Named]{
+	known := &broadcast.Receiver[ratelimit.Named]{
 		All: p.allLimits, Related: p.limitsOf,
 		Merge: func(all []ratelimit.Named) { p.takeLimits(all, sourceRouter, netip.AddrPort{}) },
 	}
-	pages.Compat().GET(evidence.LimitsPath, known.ServeAll)
-	pages.Compat().POST(evidence.LimitsPath, known.ServeNotes)
+	pages.Compat().GET(broadcast.LimitsPath, known.ServeAll)
+	pages.Compat().POST(broadcast.LimitsPath, known.ServeNotes)
 }
 
 func (p *Process) allLimits() (all []ratelimit.Named) {
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -18,8 +18,8 @@
 	"sync/atomic"
 	"time"
 
+	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/broadcast"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/dial"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/evidence"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/livenessprobe"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/loadfeed"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/peering"
@@ -104,10 +104,10 @@
 	// tells the other routers.
 	probe    *livenessprobe.Probe
 	suspects *suspects
-	teller   *evidence.Sender[quarantine.Note]
+	teller   *broadcast.Sender[quarantine.Note]
 	// limits are those that upstreams named, and limitTeller tells the other routers.
 	limits      *limits
-	limitTeller *evidence.Sender[ratelimit.Named]
+	limitTeller *broadcast.Sender[ratelimit.Named]
 	// enginesAt holds the ids of the engines on each host. It is replaced when
 	// the list changes, and read for each line of a loader.
 	enginesAt atomic.Pointer[map[netip.Addr][]string]
--- a/daemon/router/suspects.go
+++ b/daemon/router/suspects.go
@@ -11,7 +11,7 @@
 	"github.com/uptrace/bunrouter"
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/clock"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/evidence"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/broadcast"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/helpers"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/rendezvous"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/content"
@@ -238,9 +238,9 @@
 }
 
 // newTeller prepares the telling of other routers.
-func (p *Process) newTeller(client *http.Client) *evidence.Sender[quarantine.Note] {
-	return &evidence.Sender[quarantine.Note]{
-		Client: client, Path: evidence.SuspectsPath, Peers: p.otherRouters, CatchUpPeer: p.peer, OnFailed: p.recorder.routerNotTold,
+func (p *Process) newTeller(client *http.Client) *broadcast.Sender[quarantine.Note] {
+	return &broadcast.Sender[quarantine.Note]{
+		Client: client, Path: broadcast.SuspectsPath, Peers: p.otherRouters, CatchUpPeer: p.peer, OnFailed: p.recorder.routerNotTold,
 		OnNotes: func(notes []quarantine.Note, peer netip.AddrPort) {
 			for _, note := range notes {
 				p.learn(note, sourceAnswer, peer)
@@ -264,7 +264,7 @@
 // suspectPages hands out what is known, takes what others tell, and lets operators lift
 // what stands against a content.
 func (p *Process) suspectPages(pages *bunrouter.Router) {
-	known := &evidence.Receiver[quarantine.Note]{
+	known := &broadcast.Receiver[quarantine.Note]{
 		All: p.suspects.all, Related: p.suspects.of,
 		Merge: func(notes []quarantine.Note) {
 			for _, note := range notes {
@@ -272,9 +272,9 @@
 			}
 		},
 	}
-	pages.Compat().GET(evidence.SuspectsPath, known.ServeAll)
-	pages.Compat().POST(evidence.SuspectsPath, known.ServeNotes)
-	pages.DELETE(evidence.SuspectsPath+"/:content", bunrouter.HandlerFunc(p.lift))
+	pages.Compat().GET(broadcast.SuspectsPath, known.ServeAll)
+	pages.Compat().POST(broadcast.SuspectsPath, known.ServeNotes)
+	pages.DELETE(broadcast.SuspectsPath+"/:content", bunrouter.HandlerFunc(p.lift))
 }
 
 // lift clears a content at an operator's wish, here and everywhere.
