--- a/daemon/internal/connection/peering/engine.go
+++ b/daemon/internal/connection/peering/engine.go
@@ -28,14 +28,14 @@
 	maxEngineResponse = 64 << 10
 )
 
-// EngineNews is the part of a configuration for the service of an engine.
-type EngineNews struct {
+// VersionedEngineConfig is the part of a configuration for the service of an engine, with
+// the revision of the configuration.
+type VersionedEngineConfig struct {
 	replica.EngineConfig
-	// Revision is the revision of the configuration.
 	Revision provider.Revision `json:"revision"`
 }
 
-// EngineHandler serves EngineNews from the newest view.
+// EngineHandler serves a VersionedEngineConfig from the newest view.
 func EngineHandler(view func() *replica.View) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		current := view()
@@ -49,17 +49,17 @@
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(EngineNews{EngineConfig: config, Revision: current.ConfigurationRevision})
+		_ = json.NewEncoder(w).Encode(VersionedEngineConfig{EngineConfig: config, Revision: current.ConfigurationRevision})
 	}
 }
 
 var errIncomplete = errors.New("response without a model or an origin")
 
-func fetchEngine(ctx context.Context, client *http.Client, peer netip.AddrPort, service string) (EngineNews, error) {
+func fetchEngine(ctx context.Context, client *http.Client, peer netip.AddrPort, service string) (VersionedEngineConfig, error) {
 	limit := timeout.Limit{FirstByte: engineTimeout, Stall: engineTimeout, Total: 2 * engineTimeout}
 	ctx, end := limit.Context(ctx)
 	defer end()
-	var resp EngineNews
+	var resp VersionedEngineConfig
 	target := fmt.Sprintf("http://%s%s?%s", peer, EnginePath, url.Values{"service": {service}}.Encode())
 	if err := call.JSON(ctx, client, target, maxEngineResponse, &resp); err != nil {
 		return resp, fmt.Errorf("fetch the engine's configuration from peer %s: %w", peer, timeout.Explain(ctx, err))
--- a/daemon/internal/connection/peering/neighbours.go
+++ b/daemon/internal/connection/peering/neighbours.go
@@ -16,9 +16,9 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// NewsWait is the wait of a long poll to a neighbour. It bounds how long a frozen
+// LongPollWait is the wait of a long poll to a neighbour. It bounds how long a frozen
 // neighbour stays undetected.
-const NewsWait = replica.HopWait
+const LongPollWait = replica.HopWait
 
 const (
 	// replicaWait is the wait of a call for the complete replica, whose neighbour may
@@ -45,8 +45,8 @@
 	// Hold reports whether to postpone the read of the store after Choose has returned
 	// false. Nil means never.
 	Hold func() bool
-	// OnMute is called when a neighbour enters backoff. It may be nil.
-	OnMute func(neighbour netip.AddrPort, reason error)
+	// OnBackoff is called when a neighbour enters backoff. It may be nil.
+	OnBackoff func(neighbour netip.AddrPort, reason error)
 	// Now is the clock; nil means clock.Now.
 	Now func() time.Time
 
@@ -54,16 +54,16 @@
 	// a stale replica.
 	failed, stale backoff.List
 	// followed is the neighbour whose complete replica was loaded last, and generation
-	// that of the replica. Only News uses them, which one follower calls.
+	// that of the replica. Only FetchUpdate uses them, which one follower calls.
 	followed   netip.AddrPort
 	generation uint64
 }
 
-// News fetches the entries of a neighbour's replica under a prefix above a revision. It
+// FetchUpdate fetches the entries of a neighbour's replica under a prefix above a revision. It
 // fetches all entries under the prefix if the revision is 0, if the neighbour is not the
 // one followed before, or if its replica has a new generation: that replica may then have
 // entries below the revision that this daemon missed.
-func (n *Neighbours) News(ctx context.Context, prefix string, after provider.Revision) (replica.Update, error) {
+func (n *Neighbours) FetchUpdate(ctx context.Context, prefix string, after provider.Revision) (replica.Update, error) {
 	neighbour, ok := n.Choose(n.usable)
 	switch {
 	case ok:
@@ -86,7 +86,7 @@
 }
 
 func (n *Neighbours) fetch(ctx context.Context, neighbour netip.AddrPort, prefix string, after provider.Revision) (replica.Update, error) {
-	req := request{prefix: prefix, after: after, wait: NewsWait, packed: true}
+	req := request{prefix: prefix, after: after, wait: LongPollWait, packed: true}
 	if after == 0 {
 		req.wait = replicaWait
 	}
@@ -100,11 +100,11 @@
 	return update, err
 }
 
-// Engine fetches the part of the configuration for an engine's service from a neighbour.
-func (n *Neighbours) Engine(ctx context.Context, service string) (EngineNews, error) {
+// FetchEngine fetches the part of the configuration for an engine's service from a neighbour.
+func (n *Neighbours) FetchEngine(ctx context.Context, service string) (VersionedEngineConfig, error) {
 	neighbour, ok := n.Choose(n.usable)
 	if !ok {
-		return EngineNews{}, replica.ErrNoPeer
+		return VersionedEngineConfig{}, replica.ErrNoPeer
 	}
 	resp, err := fetchEngine(ctx, n.Client, neighbour, service)
 	return resp, n.checkError(ctx, neighbour, err)
@@ -120,8 +120,8 @@
 	if errors.Is(err, replica.ErrStale) {
 		n.stale.Add(neighbour, backoffFor(err), n.Now)
 	}
-	if n.OnMute != nil {
-		n.OnMute(neighbour, err)
+	if n.OnBackoff != nil {
+		n.OnBackoff(neighbour, err)
 	}
 	return err
 }
--- a/daemon/internal/connection/peering/packed_test.go
+++ b/daemon/internal/connection/peering/packed_test.go
@@ -41,7 +41,7 @@
 	table := &replica.Table{}
 	value := largeConfiguration(t)
 	table.Apply([]provider.Entry{{Key: "c", Value: value, Revision: 7}})
-	source := &Source{Table: table, Standing: func() replica.Status { return replica.Status{Revision: 7} }}
+	source := &Source{Table: table, Status: func() replica.Status { return replica.Status{Revision: 7} }}
 	sent := 0
 	for range followers {
 		rec := httptest.NewRecorder()
@@ -95,7 +95,7 @@
 	}
 	table := &replica.Table{}
 	table.Apply(entries)
-	source := &Source{Table: table, Standing: func() replica.Status { return replica.Status{Revision: 1007} }}
+	source := &Source{Table: table, Status: func() replica.Status { return replica.Status{Revision: 1007} }}
 	get := func(target string) (packedMessage, int) {
 		rec := httptest.NewRecorder()
 		source.ServeHTTP(rec, httptest.NewRequest(http.MethodGet, target, http.NoBody))
--- a/daemon/internal/connection/peering/peering.go
+++ b/daemon/internal/connection/peering/peering.go
@@ -100,8 +100,8 @@
 // Source serves the replica of a daemon.
 type Source struct {
 	Table *replica.Table
-	// Standing returns the status of the replica.
-	Standing func() replica.Status
+	// Status returns the status of the replica.
+	Status func() replica.Status
 
 	packer   packer
 	listings listings
@@ -161,7 +161,7 @@
 // response returns the current response to a request. It reads the status before the table, so
 // that the entries are complete up to the status's revision.
 func (s *Source) response(req request) message {
-	status := s.Standing()
+	status := s.Status()
 	listed := s.listings.list(s.Table, req.prefix, req.after)
 	resp := message{
 		Listing:     provider.Listing{Entries: listed.entries, At: status.Revision},
--- a/daemon/internal/connection/peering/peering_test.go
+++ b/daemon/internal/connection/peering/peering_test.go
@@ -30,7 +30,7 @@
 func startDaemon(t *testing.T, status replica.Status) *daemon {
 	t.Helper()
 	d := &daemon{table: &replica.Table{}, status: status}
-	source := &Source{Table: d.table, Standing: d.currentStatus}
+	source := &Source{Table: d.table, Status: d.currentStatus}
 	server := httptest.NewServer(source)
 	t.Cleanup(server.Close)
 	d.address = netip.MustParseAddrPort(server.Listener.Addr().String())
@@ -68,13 +68,13 @@
 func TestLongPollWaitsForChangeUnderPrefix(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table, at := &replica.Table{}, provider.Revision(4)
-		source := &Source{Table: table, Standing: func() replica.Status {
+		source := &Source{Table: table, Status: func() replica.Status {
 			return replica.Status{Revision: at, SinceAnswer: 30 * time.Millisecond, SinceData: 20 * time.Millisecond}
 		}}
 		table.Apply(entries(3, 4))
 		var resp message
 		responded := false
-		req := request{after: 4, prefix: "f", wait: NewsWait}
+		req := request{after: 4, prefix: "f", wait: LongPollWait}
 		poll := func() {
 			resp, responded = source.await(t.Context(), req)
 		}
@@ -95,7 +95,7 @@
 		poll()
 		assert.True(t, responded)
 		assert.Empty(t, resp.Entries)
-		assert.Equal(t, NewsWait, time.Since(started))
+		assert.Equal(t, LongPollWait, time.Since(started))
 	})
 }
 
@@ -104,14 +104,14 @@
 func TestLongPollEndsWhenReplicaBecomesStale(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lastData := time.Now()
-		source := &Source{Table: &replica.Table{}, Standing: func() replica.Status {
+		source := &Source{Table: &replica.Table{}, Status: func() replica.Status {
 			return replica.Status{Revision: 4, SinceData: time.Since(lastData)}
 		}}
 		resp, _ := source.await(t.Context(), request{after: 4, wait: maxWait})
 		assert.True(t, resp.status().Stale())
 		assert.Equal(t, replica.ReaderMaxStaleness, time.Since(lastData))
 
-		source.Standing = func() replica.Status { return replica.Status{Revision: 4, Disconnected: true} }
+		source.Status = func() replica.Status { return replica.Status{Revision: 4, Disconnected: true} }
 		started := time.Now()
 		resp, _ = source.await(t.Context(), request{after: 4, wait: maxWait})
 		assert.True(t, resp.Disconnected)
@@ -124,7 +124,7 @@
 func TestStaleDaemonSendsNoEntriesToFollowers(t *testing.T) {
 	table := &replica.Table{}
 	table.Apply(entries(3, 4))
-	source := &Source{Table: table, Standing: func() replica.Status { return replica.Status{Revision: 4, Disconnected: true} }}
+	source := &Source{Table: table, Status: func() replica.Status { return replica.Status{Revision: 4, Disconnected: true} }}
 	resp, _ := source.await(t.Context(), request{wait: maxWait})
 	assert.True(t, resp.Disconnected)
 	assert.Empty(t, resp.Entries)
@@ -139,21 +139,21 @@
 	d := startDaemon(t, replica.Status{Revision: 6, Generation: 1})
 	d.table.Apply(entries(3, 6))
 	neighbours := &Neighbours{Client: d.client, Choose: d.only}
-	update, err := neighbours.News(t.Context(), "", 5)
+	update, err := neighbours.FetchUpdate(t.Context(), "", 5)
 	require.NoError(t, err)
 	assert.Equal(t, provider.Revision(0), update.After, "the first call to a neighbour fetches all entries")
-	update, err = neighbours.News(t.Context(), "", 5)
+	update, err = neighbours.FetchUpdate(t.Context(), "", 5)
 	require.NoError(t, err)
 	assert.Equal(t, provider.Revision(5), update.After)
 	assert.Equal(t, entries(6), update.Entries)
 
 	d.table.Apply(entries(4))
 	d.setStatus(replica.Status{Revision: 6, Generation: 2})
-	update, err = neighbours.News(t.Context(), "", 5)
+	update, err = neighbours.FetchUpdate(t.Context(), "", 5)
 	require.NoError(t, err)
 	assert.Equal(t, provider.Revision(0), update.After)
 	assert.Len(t, update.Entries, 3)
-	update, err = neighbours.News(t.Context(), "", 5)
+	update, err = neighbours.FetchUpdate(t.Context(), "", 5)
 	require.NoError(t, err)
 	assert.Equal(t, provider.Revision(5), update.After, "a generation is fetched completely only once")
 }
@@ -161,7 +161,7 @@
 func TestUpdateHasOnlyEntriesUnderPrefix(t *testing.T) {
 	d := startDaemon(t, replica.Status{Revision: 9})
 	d.table.Apply([]provider.Entry{{Key: "c", Value: make([]byte, 1000), Revision: 8}, {Key: "u/1", Revision: 9}})
-	update, err := (&Neighbours{Client: d.client, Choose: d.only}).News(t.Context(), "u/", 0)
+	update, err := (&Neighbours{Client: d.client, Choose: d.only}).FetchUpdate(t.Context(), "u/", 0)
 	require.NoError(t, err)
 	assert.Equal(t, []provider.Entry{{Key: "u/1", Revision: 9}}, update.Entries)
 }
@@ -171,7 +171,7 @@
 func TestStartingDaemonRespondsOnceReplicaIsReady(t *testing.T) {
 	d := startDaemon(t, replica.Status{})
 	responses := make(chan message, 1)
-	source := &Source{Table: d.table, Standing: d.currentStatus}
+	source := &Source{Table: d.table, Status: d.currentStatus}
 	go func() {
 		resp, _ := source.await(t.Context(), request{wait: maxWait})
 		responses <- resp
@@ -208,19 +208,19 @@
 			var muted []netip.AddrPort
 			neighbours := &Neighbours{
 				Client: d.client, Choose: d.only, Now: func() time.Time { return now },
-				OnMute: func(neighbour netip.AddrPort, _ error) { muted = append(muted, neighbour) },
+				OnBackoff: func(neighbour netip.AddrPort, _ error) { muted = append(muted, neighbour) },
 			}
-			_, err := neighbours.News(t.Context(), "", 3)
+			_, err := neighbours.FetchUpdate(t.Context(), "", 3)
 			require.Error(t, err)
 			require.NotErrorIs(t, err, replica.ErrNoPeer)
 			assert.Equal(t, []netip.AddrPort{d.address}, muted)
-			_, err = neighbours.News(t.Context(), "", 3)
+			_, err = neighbours.FetchUpdate(t.Context(), "", 3)
 			require.ErrorIs(t, err, replica.ErrNoPeer, "the neighbour is in backoff")
 			now = now.Add(test.backoff - time.Millisecond)
-			_, err = neighbours.News(t.Context(), "", 3)
+			_, err = neighbours.FetchUpdate(t.Context(), "", 3)
 			require.ErrorIs(t, err, replica.ErrNoPeer, "the neighbour is still in backoff")
 			now = now.Add(time.Millisecond)
-			_, err = neighbours.News(t.Context(), "", 3)
+			_, err = neighbours.FetchUpdate(t.Context(), "", 3)
 			require.NotErrorIs(t, err, replica.ErrNoPeer, "the backoff is over")
 		})
 	}
@@ -231,7 +231,7 @@
 func TestNeighbourIsUsableDuringLongResponseOfStore(t *testing.T) {
 	d := startDaemon(t, replica.Status{Revision: 4, SinceAnswer: 5 * time.Second, SinceData: 10 * time.Millisecond})
 	d.table.Apply(entries(3, 4))
-	update, err := (&Neighbours{Client: d.client, Choose: d.only}).News(t.Context(), "", 3)
+	update, err := (&Neighbours{Client: d.client, Choose: d.only}).FetchUpdate(t.Context(), "", 3)
 	require.NoError(t, err)
 	assert.Equal(t, 5*time.Second, update.SinceAnswer, "the update says how old it may be")
 }
@@ -241,7 +241,7 @@
 	neighbours := &Neighbours{Client: d.client, Choose: d.only}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, err := neighbours.News(ctx, "", 4)
+	_, err := neighbours.FetchUpdate(ctx, "", 4)
 	require.Error(t, err)
 	assert.True(t, neighbours.usable(d.address))
 }
@@ -273,16 +273,16 @@
 	neighbours := &Neighbours{
 		Client: server.Client(), Choose: func(func(netip.AddrPort) bool) (netip.AddrPort, bool) { return address, true },
 	}
-	_, err := neighbours.Engine(t.Context(), "s")
+	_, err := neighbours.FetchEngine(t.Context(), "s")
 	require.Error(t, err)
 	engine, origin := provider.EngineSpec{Model: "m", Chunks: 3}, netip.MustParseAddrPort("10.0.0.1:80")
 	view = &replica.View{ConfigurationRevision: 9, Configuration: &provider.Configuration{
 		Services: []provider.Service{{Name: "s", Engine: &engine}, {Name: "o", Origin: origin}},
 	}}
-	resp, err := neighbours.Engine(t.Context(), "s")
+	resp, err := neighbours.FetchEngine(t.Context(), "s")
 	require.NoError(t, err)
-	assert.Equal(t, EngineNews{EngineConfig: replica.EngineConfig{Engine: engine, Origin: origin}, Revision: 9}, resp)
-	_, err = neighbours.Engine(t.Context(), "other")
+	assert.Equal(t, VersionedEngineConfig{EngineConfig: replica.EngineConfig{Engine: engine, Origin: origin}, Revision: 9}, resp)
+	_, err = neighbours.FetchEngine(t.Context(), "other")
 	require.Error(t, err)
 	assert.False(t, errors.Is(err, replica.ErrNoPeer))
 }
@@ -293,7 +293,7 @@
 	d := startDaemon(t, replica.Status{Revision: 9})
 	d.table.Apply([]provider.Entry{{Key: "c", Value: make([]byte, 1000), Revision: 8}, {Key: "m/hall/1", Value: []byte("v"), Revision: 9}})
 	follower := &replica.Follower{Table: &replica.Table{}}
-	puller := &Puller{Client: d.client, Follower: follower, First: "m/hall/"}
+	puller := &Puller{Client: d.client, Follower: follower, FirstPrefix: "m/hall/"}
 	require.NoError(t, puller.pullNext(t.Context(), d.address))
 	assert.Len(t, follower.Table.EntriesAfter(0).Entries, 1)
 	assert.Zero(t, follower.Revision(), "the replica is not complete")
--- a/daemon/internal/connection/peering/puller.go
+++ b/daemon/internal/connection/peering/puller.go
@@ -29,15 +29,16 @@
 	Follower *replica.Follower
 	// Peer returns the peer to call, or false if there is none.
 	Peer func() (netip.AddrPort, bool)
-	// First is a prefix that is fetched first while the replica is empty: that of the routers
-	// of the own hall, from which the complete replica is then fetched. It may be empty.
-	First string
+	// FirstPrefix is a prefix that is fetched first while the replica is empty: that of the
+	// routers of the own hall, from which the complete replica is then fetched. It may be
+	// empty.
+	FirstPrefix string
 	// Needed reports whether the store has been unreachable for too long.
 	Needed func() bool
 	// OnPull is called after each call. It may be nil.
 	OnPull func(peer netip.AddrPort, fresh int, err error)
 
-	// hasFirst is set once the entries under First were fetched.
+	// hasFirst is set once the entries under FirstPrefix were fetched.
 	hasFirst bool
 	tomb     tomb.Tomb
 }
@@ -70,19 +71,19 @@
 	return nil
 }
 
-// pullNext fetches the entries under First from a peer if they are missing, and otherwise an
-// update of the replica.
+// pullNext fetches the entries under FirstPrefix from a peer if they are missing, and otherwise
+// an update of the replica.
 func (p *Puller) pullNext(ctx context.Context, peer netip.AddrPort) error {
-	if p.First != "" && !p.hasFirst && p.Follower.Revision() == 0 {
+	if p.FirstPrefix != "" && !p.hasFirst && p.Follower.Revision() == 0 {
 		return p.pullFirst(ctx, peer)
 	}
 	return p.pull(ctx, peer)
 }
 
-// pullFirst fetches the entries under First from a peer. It leaves the follower's revision as
-// it is, because the replica is not complete.
+// pullFirst fetches the entries under FirstPrefix from a peer. It leaves the follower's revision
+// as it is, because the replica is not complete.
 func (p *Puller) pullFirst(ctx context.Context, peer netip.AddrPort) error {
-	update, err := fetch(ctx, p.Client, peer, request{prefix: p.First, packed: true})
+	update, err := fetch(ctx, p.Client, peer, request{prefix: p.FirstPrefix, packed: true})
 	fresh := 0
 	if err == nil {
 		fresh = p.Follower.Table.Apply(update.Entries)
@@ -111,9 +112,9 @@
 	}
 }
 
-// Choose returns a random peer, or false if there is none. It is a far one in one of farOneOf
-// cases on average, and otherwise a near one, which has a wide link.
-func Choose(near, far []netip.AddrPort, farOneOf int) (netip.AddrPort, bool) {
+// ChoosePeer returns a random peer, or false if there is none. It is a far one in one of
+// farOneOf cases on average, and otherwise a near one, which has a wide link.
+func ChoosePeer(near, far []netip.AddrPort, farOneOf int) (netip.AddrPort, bool) {
 	from := far
 	if len(near) > 0 && (len(far) == 0 || rand.IntN(farOneOf) > 0) {
 		from = near
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -173,14 +173,14 @@
 	p.versions.StaleFirstList = true
 	p.versions.WatchWait = func() time.Duration { return versionsWait }
 	p.versions.RecheckInterval = versionsLook
-	p.versions.QueryPeer = p.newNeighbours().News
+	p.versions.QueryPeer = p.newNeighbours().FetchUpdate
 	hall := p.current.Load().Hall
 	p.hosts = follower(p.provider.Prefixes.Upstreams)
 	p.hosts.PollInterval = func() time.Duration { return hostsEvery/2 + rand.N(hostsEvery/2) }
-	p.hosts.QueryPeer, p.hosts.PeerAttempts = p.neighbours.News, nearTries
+	p.hosts.QueryPeer, p.hosts.PeerAttempts = p.neighbours.FetchUpdate, nearTries
 	p.routers = follower(p.provider.Prefixes.OfHall(hall, ""))
 	p.routers.PollInterval = p.routersPause
-	p.routers.QueryPeer = p.newNeighbours().News
+	p.routers.QueryPeer = p.newNeighbours().FetchUpdate
 	p.routers.BootstrapPrefixes = []string{p.provider.Prefixes.OfHall(hall, readers.Shard(p.current.Load().Name)), p.routers.Prefix}
 	p.routers.BootstrapDone = p.knowsRouter
 }
@@ -193,7 +193,7 @@
 
 // newNeighbours returns what asks the routers of this hall for one follower.
 func (p *Process) newNeighbours() *peering.Neighbours {
-	return &peering.Neighbours{Client: p.client, Choose: p.neighbour, OnMute: p.telemetry.NeighbourMuted}
+	return &peering.Neighbours{Client: p.client, Choose: p.neighbour, OnBackoff: p.telemetry.NeighbourMuted}
 }
 
 // routersPause is the pause before the hall's routers are listed again: short while none of
--- a/daemon/loader/needs.go
+++ b/daemon/loader/needs.go
@@ -72,7 +72,7 @@
 // look asks a router of this hall, and reads the store where none answers, unless only
 // routers are to be asked.
 func (p *Process) look(ctx context.Context, routersOnly bool) error {
-	news, err := p.neighbours.Engine(ctx, p.current.Load().Service)
+	news, err := p.neighbours.FetchEngine(ctx, p.current.Load().Service)
 	if err != nil && !routersOnly {
 		news, err = p.readNeeds(ctx)
 	}
@@ -88,12 +88,12 @@
 }
 
 // readNeeds reads the whole configuration from the store.
-func (p *Process) readNeeds(ctx context.Context) (peering.EngineNews, error) {
+func (p *Process) readNeeds(ctx context.Context) (peering.VersionedEngineConfig, error) {
 	ctx, end := readLimit.Context(ctx)
 	defer end()
 	entry, err := p.provider.Store.GetStale(ctx, p.provider.Prefixes.Configuration)
 	if err != nil {
-		return peering.EngineNews{}, timeout.Explain(ctx, err)
+		return peering.VersionedEngineConfig{}, timeout.Explain(ctx, err)
 	}
 	record, err := p.provider.Decode(entry)
 	if err == nil && record.Configuration == nil {
@@ -101,10 +101,10 @@
 	}
 	if err != nil {
 		p.log.WithField("reason", err.Error()).Error("configuration not taken, the last good one stays")
-		return peering.EngineNews{}, fmt.Errorf("decode the configuration: %w", err)
+		return peering.VersionedEngineConfig{}, fmt.Errorf("decode the configuration: %w", err)
 	}
 	needs, err := replica.EngineConfigFor(record.Configuration, p.current.Load().Service)
-	return peering.EngineNews{EngineConfig: needs, Revision: entry.Revision}, err
+	return peering.VersionedEngineConfig{EngineConfig: needs, Revision: entry.Revision}, err
 }
 
 // neighbour returns the router of this hall to ask: each loader prefers another one.
--- a/daemon/router/hall.go
+++ b/daemon/router/hall.go
@@ -98,7 +98,7 @@
 	after := pulseEvery + p.settle() + silenceSlack
 	if p.inCompany() {
 		hops := max(p.follower.Status().Hops, 1)
-		after += time.Duration(hops) * peering.NewsWait
+		after += time.Duration(hops) * peering.LongPollWait
 	}
 	return after
 }
@@ -140,7 +140,7 @@
 		}
 	}
 	if p.follower.Revision() == 0 {
-		return peering.Choose(near, far, wholeFarOneOf)
+		return peering.ChoosePeer(near, far, wholeFarOneOf)
 	}
-	return peering.Choose(near, far, farOneOf)
+	return peering.ChoosePeer(near, far, farOneOf)
 }
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -158,16 +158,16 @@
 }
 
 func (p *Process) addFollowers(client *http.Client) {
-	p.neighbours = &peering.Neighbours{Client: client, Choose: p.neighbour, Hold: p.holds, OnMute: p.telemetry.NeighbourMuted}
+	p.neighbours = &peering.Neighbours{Client: client, Choose: p.neighbour, Hold: p.holds, OnBackoff: p.telemetry.NeighbourMuted}
 	own := p.member()
 	ofShard, ofHall := p.provider.Prefixes.OfHall(own.Hall, own.Shard), p.provider.Prefixes.OfHall(own.Hall, "")
 	p.follower = &replica.Follower{
 		Store: p.provider.Store, Prefix: p.provider.Prefixes.All, Table: p.table, OnConnectionChange: p.recorder.contact,
 		OnBytes: p.recorder.storeBytes, Debounce: p.settle, ProbeInterval: pulseEvery, ProbePrefix: p.provider.Prefixes.Versions,
-		QueryPeer: p.neighbours.News, BootstrapPrefixes: []string{ofShard, ofHall}, BootstrapRecent: p.foundHall, BootstrapDone: p.follows,
+		QueryPeer: p.neighbours.FetchUpdate, BootstrapPrefixes: []string{ofShard, ofHall}, BootstrapRecent: p.foundHall, BootstrapDone: p.follows,
 	}
 	p.puller = &peering.Puller{
-		Client: client, Follower: p.follower, Peer: p.peer, Needed: p.needsPeer, OnPull: p.recorder.pulled, First: ofHall,
+		Client: client, Follower: p.follower, Peer: p.peer, Needed: p.needsPeer, OnPull: p.recorder.pulled, FirstPrefix: ofHall,
 	}
 	p.announcer = &announcer{store: p.provider.Store, onContact: p.recorder.contact, put: p.provider.EncodeMember(own)}
 }
--- a/daemon/router/serving.go
+++ b/daemon/router/serving.go
@@ -91,7 +91,7 @@
 
 func (p *Process) peerPages() http.Handler {
 	pages := bunrouter.New()
-	copies := &peering.Source{Table: p.table, Standing: p.follower.Status}
+	copies := &peering.Source{Table: p.table, Status: p.follower.Status}
 	pages.Compat().GET(peering.Path, copies.ServeHTTP)
 	pages.Compat().GET(peering.EnginePath, peering.EngineHandler(p.compiler.View))
 	p.suspectPages(pages)
