--- a/daemon/internal/connection/places/client.go
+++ b/daemon/internal/connection/places/client.go
@@ -33,61 +33,61 @@
 	maxResponse = 1 << 10
 )
 
-// response is the encoded form of an Answer.
-type response struct {
-	Given   bool `json:"given"`
-	Running int  `json:"running"`
-	Waiting int  `json:"waiting"`
-	Loading bool `json:"loading,omitempty"`
-	// Wait is in milliseconds.
-	Wait  int64           `json:"wait,omitempty"`
-	Limit *ratelimit.Note `json:"limit,omitempty"`
+// wireResponse is the encoded form of a Response.
+type wireResponse struct {
+	Granted      bool            `json:"given"`
+	Running      int             `json:"running"`
+	Waiting      int             `json:"waiting"`
+	Loading      bool            `json:"loading,omitempty"`
+	RetryAfterMs int64           `json:"wait,omitempty"`
+	RateLimit    *ratelimit.Note `json:"limit,omitempty"`
 }
 
-// Answer is the response of a loader.
-type Answer struct {
+// Response is the response of a loader.
+type Response struct {
 	// Load is the load of the engine on which the decision was based.
 	Load
-	// Given reports whether the router has the place.
-	Given bool
-	// Limit is the rate limit of the engine, as the loader holds it; nil if there is none.
-	Limit *ratelimit.Note
+	// Granted reports whether the router has the place.
+	Granted bool
+	// RateLimit is the rate limit of the engine, as the loader holds it; nil if there is none.
+	RateLimit *ratelimit.Note
 }
 
-// Handler serves requests for places from a ledger. OnAnswer is called with each answer.
-func Handler(ledger *Ledger, onAnswer func(Answer)) http.HandlerFunc {
+// Handler serves requests for places from a ledger. OnResponse is called with each response,
+// without its rate limit.
+func Handler(ledger *Ledger, onResponse func(Response)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		question, err := parse(r)
+		req, err := parse(r)
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		load, given := ledger.Take(question)
-		onAnswer(Answer{Load: load, Given: given})
+		load, granted := ledger.Reserve(req)
+		onResponse(Response{Load: load, Granted: granted})
 		w.Header()["Date"] = nil
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(response{
-			Given: given, Running: load.Running, Waiting: load.Waiting, Loading: load.Loading,
-			Wait: load.Wait.Milliseconds(), Limit: ledger.Known(question.Engine),
+		_ = json.NewEncoder(w).Encode(wireResponse{
+			Granted: granted, Running: load.Running, Waiting: load.Waiting, Loading: load.Loading,
+			RetryAfterMs: load.RetryAfter.Milliseconds(), RateLimit: ledger.RateLimit(req.Engine),
 		})
 	}
 }
 
-func parse(r *http.Request) (Question, error) {
+func parse(r *http.Request) (Request, error) {
 	query := r.URL.Query()
 	limit, err := parseLimit(query)
 	if err != nil {
-		return Question{}, err
+		return Request{}, err
 	}
-	question := Question{Limit: limit, Engine: ratelimit.Upstream{ID: query.Get(engineParam)}}
+	req := Request{Limit: limit, Engine: ratelimit.Upstream{ID: query.Get(engineParam)}}
 	if started, err := strconv.ParseInt(query.Get(startedParam), 10, 64); err == nil {
-		question.Engine.Started = time.Unix(0, started)
+		req.Engine.Started = time.Unix(0, started)
 	}
-	if question.Known, err = parseRateLimit(query); err != nil {
-		return question, err
+	if req.RateLimit, err = parseRateLimit(query); err != nil {
+		return req, err
 	}
-	question.Cold, err = parseCold(query)
-	return question, err
+	req.Cold, err = parseCold(query)
+	return req, err
 }
 
 // The optional query parameters for the engine and its rate limit.
@@ -157,11 +157,11 @@
 	if err != nil {
 		return Limit{}, fmt.Errorf("lasts: %w", err)
 	}
-	return Limit{Waiting: waiting, Taken: taken, Lasts: time.Duration(duration) * time.Millisecond}, nil
+	return Limit{Waiting: waiting, InUse: taken, Duration: time.Duration(duration) * time.Millisecond}, nil
 }
 
-// ErrMuted reports that no call was made, because the loader is in backoff.
-var ErrMuted = errors.New("loader in backoff after a failed call")
+// ErrBackoff reports that no call was made, because the loader is in backoff.
+var ErrBackoff = errors.New("loader in backoff after a failed call")
 
 // Client requests places from loaders. Client must be set.
 type Client struct {
@@ -174,49 +174,49 @@
 }
 
 // query returns the encoded query parameters.
-func (q *Question) query() string {
-	query := fmt.Sprintf("waiting=%d&taken=%d&lasts=%d", q.Waiting, q.Taken, q.Lasts.Milliseconds())
-	if q.Engine.ID != "" {
-		query += "&" + engineParam + "=" + url.QueryEscape(q.Engine.ID)
+func (r *Request) query() string {
+	query := fmt.Sprintf("waiting=%d&taken=%d&lasts=%d", r.Waiting, r.InUse, r.Duration.Milliseconds())
+	if r.Engine.ID != "" {
+		query += "&" + engineParam + "=" + url.QueryEscape(r.Engine.ID)
 	}
-	if !q.Engine.Started.IsZero() {
-		query += "&" + startedParam + "=" + strconv.FormatInt(q.Engine.Started.UnixNano(), 10)
+	if !r.Engine.Started.IsZero() {
+		query += "&" + startedParam + "=" + strconv.FormatInt(r.Engine.Started.UnixNano(), 10)
 	}
-	if q.Cold != nil {
-		query += "&" + coldParam + "=" + strconv.FormatFloat(q.Cold.PerSecond, 'f', -1, 64)
-		query += "&" + coldForParam + "=" + strconv.FormatInt(q.Cold.Left.Milliseconds(), 10)
+	if r.Cold != nil {
+		query += "&" + coldParam + "=" + strconv.FormatFloat(r.Cold.PerSecond, 'f', -1, 64)
+		query += "&" + coldForParam + "=" + strconv.FormatInt(r.Cold.Left.Milliseconds(), 10)
 	}
-	if q.Known == nil {
+	if r.RateLimit == nil {
 		return query
 	}
 	limit := endedValue
-	if !q.Known.Ended {
-		limit = strconv.FormatFloat(q.Known.PerSecond, 'f', -1, 64)
+	if !r.RateLimit.Ended {
+		limit = strconv.FormatFloat(r.RateLimit.PerSecond, 'f', -1, 64)
 	}
-	return query + "&" + limitParam + "=" + limit + "&" + ageParam + "=" + strconv.FormatInt(q.Known.Age.Milliseconds(), 10)
+	return query + "&" + limitParam + "=" + limit + "&" + ageParam + "=" + strconv.FormatInt(r.RateLimit.Age.Milliseconds(), 10)
 }
 
-// Ask requests a place from a loader. An error means that the load is unknown, because the
+// Reserve requests a place from a loader. An error means that the load is unknown, because the
 // call failed or the loader is in backoff.
-func (c *Client) Ask(ctx context.Context, loader netip.AddrPort, question Question) (Answer, error) {
+func (c *Client) Reserve(ctx context.Context, loader netip.AddrPort, req Request) (Response, error) {
 	if c.failed.Has(loader, c.Now) {
-		return Answer{}, ErrMuted
+		return Response{}, ErrBackoff
 	}
-	answer, err := c.request(ctx, loader, question)
+	resp, err := c.request(ctx, loader, req)
 	if err != nil && ctx.Err() == nil {
 		c.failed.Add(loader, minBackoff+rand.N(maxBackoff-minBackoff), c.Now)
 	}
-	return answer, err
+	return resp, err
 }
 
-func (c *Client) request(ctx context.Context, loader netip.AddrPort, question Question) (Answer, error) {
+func (c *Client) request(ctx context.Context, loader netip.AddrPort, req Request) (Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	target := "http://" + loader.String() + Path + "?" + question.query()
-	var resp response
+	target := "http://" + loader.String() + Path + "?" + req.query()
+	var resp wireResponse
 	if err := call.JSON(ctx, c.Client, target, maxResponse, &resp); err != nil {
-		return Answer{}, fmt.Errorf("request place from loader %s: %w", loader, err)
+		return Response{}, fmt.Errorf("request place from loader %s: %w", loader, err)
 	}
-	load := Load{Running: resp.Running, Waiting: resp.Waiting, Loading: resp.Loading, Wait: time.Duration(resp.Wait) * time.Millisecond}
-	return Answer{Load: load, Given: resp.Given, Limit: resp.Limit}, nil
+	load := Load{Running: resp.Running, Waiting: resp.Waiting, Loading: resp.Loading, RetryAfter: time.Duration(resp.RetryAfterMs) * time.Millisecond}
+	return Response{Load: load, Granted: resp.Granted, RateLimit: resp.RateLimit}, nil
 }
--- a/daemon/internal/connection/places/ledger.go
+++ b/daemon/internal/connection/places/ledger.go
@@ -29,28 +29,28 @@
 	Running, Waiting int
 	// Loading reports that the engine serves no requests, or is about to stop serving.
 	Loading bool
-	// Wait is the time after which to retry if the engine's rate limit is used up, else 0.
-	Wait time.Duration
+	// RetryAfter is the time after which to retry if the engine's rate limit is used up, else 0.
+	RetryAfter time.Duration
 }
 
 // Limit is the highest load of an engine at which a request is admitted.
 type Limit struct {
 	// Waiting is the highest number of queued requests.
 	Waiting int
-	// Taken is the highest number of queued and running requests.
-	Taken int
-	// Lasts is the expected duration of the request. 0 admits the request even if the engine
+	// InUse is the highest number of queued and running requests.
+	InUse int
+	// Duration is the expected duration of the request. 0 admits the request even if the engine
 	// is scheduled to load a version soon.
-	Lasts time.Duration
+	Duration time.Duration
 }
 
-// Question is a router's request for a place.
-type Question struct {
+// Request is a router's request for a place.
+type Request struct {
 	Limit
-	// Engine identifies the engine and its start, and Known is its rate limit as the router
-	// holds it; nil if there is none.
-	Engine ratelimit.Upstream
-	Known  *ratelimit.Note
+	// Engine identifies the engine and its start, and RateLimit is its rate limit as the
+	// router holds it; nil if there is none.
+	Engine    ratelimit.Upstream
+	RateLimit *ratelimit.Note
 	// Cold is the warm-up state of the engine as the router holds it; nil if it is warm.
 	Cold *ratelimit.Cold
 }
@@ -85,9 +85,9 @@
 	l.prune()
 }
 
-// Close sets the scheduled load time of the engine, zero if no load is scheduled soon.
+// CloseAt sets the scheduled load time of the engine, zero if no load is scheduled soon.
 // Requests that are expected to run at that time get no place.
-func (l *Ledger) Close(at time.Time) {
+func (l *Ledger) CloseAt(at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.closes = at
@@ -96,7 +96,7 @@
 // tooLong reports whether a request is expected to run when the engine closes. The caller
 // holds mu.
 func (l *Ledger) tooLong(limit Limit) bool {
-	return !l.closes.IsZero() && limit.Lasts > 0 && helpers.Now(l.Now).Add(limit.Lasts).After(l.closes)
+	return !l.closes.IsZero() && limit.Duration > 0 && helpers.Now(l.Now).Add(limit.Duration).After(l.closes)
 }
 
 // prune drops the reservations that the load reflects. The caller holds mu.
@@ -109,24 +109,24 @@
 	l.pending = l.pending[first:]
 }
 
-// Take reserves a place if the engine's load is within the limit and its rate limit over all
+// Reserve reserves a place if the engine's load is within the limit and its rate limit over all
 // routers is not used up. It returns the load on which the decision was based, in which pending
 // reservations count as waiting.
-func (l *Ledger) Take(question Question) (Load, bool) {
+func (l *Ledger) Reserve(req Request) (Load, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.update(question)
-	load, fits := l.fits(question.Limit)
+	l.update(req)
+	load, fits := l.fits(req.Limit)
 	if !fits {
 		return load, false
 	}
 	now := helpers.Now(l.Now)
-	wait, ok := l.warmup.Allow(question.Engine, ratelimit.Whole, now)
+	wait, ok := l.warmup.Allow(req.Engine, ratelimit.Whole, now)
 	if ok {
-		wait, ok = l.limits.Allow(question.Engine, ratelimit.Whole, now)
+		wait, ok = l.limits.Allow(req.Engine, ratelimit.Whole, now)
 	}
 	if !ok {
-		load.Wait = max(wait, time.Millisecond)
+		load.RetryAfter = max(wait, time.Millisecond)
 		return load, false
 	}
 	l.pending = append(l.pending, now)
@@ -134,21 +134,21 @@
 }
 
 // update merges the router's view of the engine's limits. The caller holds mu.
-func (l *Ledger) update(question Question) {
-	if question.Cold != nil {
-		l.warmup.Told(question.Engine, *question.Cold, helpers.Now(l.Now))
+func (l *Ledger) update(req Request) {
+	if req.Cold != nil {
+		l.warmup.Told(req.Engine, *req.Cold, helpers.Now(l.Now))
 	}
-	if question.Known == nil {
+	if req.RateLimit == nil {
 		return
 	}
-	change := l.limits.Told(question.Engine, *question.Known, helpers.Now(l.Now))
+	change := l.limits.Told(req.Engine, *req.RateLimit, helpers.Now(l.Now))
 	if change.Changed && l.OnLimit != nil {
-		l.OnLimit(question.Engine, change)
+		l.OnLimit(req.Engine, change)
 	}
 }
 
-// Known returns the rate limit of an engine, nil if there is none.
-func (l *Ledger) Known(engine ratelimit.Upstream) *ratelimit.Note {
+// RateLimit returns the rate limit of an engine, nil if there is none.
+func (l *Ledger) RateLimit(engine ratelimit.Upstream) *ratelimit.Note {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	note, ok := l.limits.Known(engine, helpers.Now(l.Now))
@@ -163,5 +163,5 @@
 	load := l.load
 	load.Waiting += len(l.pending)
 	closed := !l.observed || load.Loading || l.tooLong(limit)
-	return load, !closed && load.Waiting <= limit.Waiting && load.Running+load.Waiting <= limit.Taken
+	return load, !closed && load.Waiting <= limit.Waiting && load.Running+load.Waiting <= limit.InUse
 }
--- a/daemon/internal/connection/places/places_test.go
+++ b/daemon/internal/connection/places/places_test.go
@@ -23,8 +23,8 @@
 
 func (c *clock) read() time.Time { return c.now }
 
-// question returns a request for a place within a limit.
-func question(limit places.Limit) places.Question { return places.Question{Limit: limit} }
+// request returns a request for a place within a limit.
+func request(limit places.Limit) places.Request { return places.Request{Limit: limit} }
 
 // settled is longer than the time after which the load reflects a reservation.
 const settled = 100 * time.Millisecond
@@ -46,7 +46,7 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
-				if _, given := ledger.Take(question(places.Limit{Waiting: count, Taken: count - 1})); given {
+				if _, given := ledger.Reserve(request(places.Limit{Waiting: count, InUse: count - 1})); given {
 					reserved++
 				}
 			case 2: // the requests of the reservations arrive, or their routers crashed
@@ -63,7 +63,7 @@
 		running, reserved = 0, 0
 		c.now = c.now.Add(settled)
 		observe()
-		load, given := ledger.Take(question(places.Limit{Taken: count - 1}))
+		load, given := ledger.Reserve(request(places.Limit{InUse: count - 1}))
 		assert.True(t, given, "unused reservations are free again: %+v", load)
 	})
 }
@@ -71,26 +71,26 @@
 // TestLimitsBoundWaitingAndRunning covers each bound of a limit, and engines without a load.
 func TestLimitsBoundWaitingAndRunning(t *testing.T) {
 	ledger := &places.Ledger{}
-	_, given := ledger.Take(question(places.Limit{Waiting: 9, Taken: 99}))
+	_, given := ledger.Reserve(request(places.Limit{Waiting: 9, InUse: 99}))
 	assert.False(t, given, "no load was observed yet")
 
 	ledger.Observe(places.Load{Running: 3, Waiting: 1}, true)
-	_, given = ledger.Take(question(places.Limit{Waiting: 0, Taken: 99}))
+	_, given = ledger.Reserve(request(places.Limit{Waiting: 0, InUse: 99}))
 	assert.False(t, given, "one request waits")
-	_, given = ledger.Take(question(places.Limit{Waiting: 1, Taken: 3}))
+	_, given = ledger.Reserve(request(places.Limit{Waiting: 1, InUse: 3}))
 	assert.False(t, given, "four places are in use")
-	load, given := ledger.Take(question(places.Limit{Waiting: 1, Taken: 4}))
+	load, given := ledger.Reserve(request(places.Limit{Waiting: 1, InUse: 4}))
 	assert.True(t, given)
 	assert.Equal(t, places.Load{Running: 3, Waiting: 1}, load)
-	load, given = ledger.Take(question(places.Limit{Waiting: 1, Taken: 99}))
+	load, given = ledger.Reserve(request(places.Limit{Waiting: 1, InUse: 99}))
 	assert.False(t, given, "the previous reservation counts as waiting")
 	assert.Equal(t, 2, load.Waiting)
 
 	ledger.Observe(places.Load{Loading: true}, true)
-	_, given = ledger.Take(question(places.Limit{Waiting: 99, Taken: 99}))
+	_, given = ledger.Reserve(request(places.Limit{Waiting: 99, InUse: 99}))
 	assert.False(t, given, "the engine loads a version")
 	ledger.Observe(places.Load{}, false)
-	_, given = ledger.Take(question(places.Limit{Waiting: 99, Taken: 99}))
+	_, given = ledger.Reserve(request(places.Limit{Waiting: 99, InUse: 99}))
 	assert.False(t, given, "the engine does not respond")
 }
 
@@ -101,22 +101,22 @@
 	return netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))
 }
 
-// TestAskOverHTTP checks that limits and loads survive encoding, and that an invalid query is
+// TestReserveOverHTTP checks that limits and loads survive encoding, and that an invalid query is
 // rejected.
-func TestAskOverHTTP(t *testing.T) {
+func TestReserveOverHTTP(t *testing.T) {
 	ledger := &places.Ledger{}
 	ledger.Observe(places.Load{Running: 2, Waiting: 1}, true)
-	var answers []bool
-	address := serve(t, places.Handler(ledger, func(answer places.Answer) { answers = append(answers, answer.Given) }))
+	var granted []bool
+	address := serve(t, places.Handler(ledger, func(resp places.Response) { granted = append(granted, resp.Granted) }))
 	client := &places.Client{Client: http.DefaultClient}
 
-	answer, err := client.Ask(context.Background(), address, question(places.Limit{Waiting: 1, Taken: 3}))
+	resp, err := client.Reserve(context.Background(), address, request(places.Limit{Waiting: 1, InUse: 3}))
 	require.NoError(t, err)
-	assert.Equal(t, places.Answer{Load: places.Load{Running: 2, Waiting: 1}, Given: true}, answer)
-	answer, err = client.Ask(context.Background(), address, question(places.Limit{Waiting: 1, Taken: 3}))
+	assert.Equal(t, places.Response{Load: places.Load{Running: 2, Waiting: 1}, Granted: true}, resp)
+	resp, err = client.Reserve(context.Background(), address, request(places.Limit{Waiting: 1, InUse: 3}))
 	require.NoError(t, err)
-	assert.False(t, answer.Given)
-	assert.Equal(t, []bool{true, false}, answers)
+	assert.False(t, resp.Granted)
+	assert.Equal(t, []bool{true, false}, granted)
 
 	response, err := http.Get("http://" + address.String() + places.Path + "?waiting=x&taken=1")
 	require.NoError(t, err)
@@ -134,21 +134,21 @@
 	}))
 	c := &clock{now: time.Unix(1000, 0)}
 	client := &places.Client{Client: http.DefaultClient, Now: c.read}
-	ask := func(ctx context.Context) error {
-		_, err := client.Ask(ctx, address, places.Question{})
+	reserve := func(ctx context.Context) error {
+		_, err := client.Reserve(ctx, address, places.Request{})
 		return err
 	}
 	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
-	require.Error(t, ask(canceled))
+	require.Error(t, reserve(canceled))
 	assert.Zero(t, calls)
 
-	require.Error(t, ask(context.Background()))
-	require.ErrorIs(t, ask(context.Background()), places.ErrMuted)
+	require.Error(t, reserve(context.Background()))
+	require.ErrorIs(t, reserve(context.Background()), places.ErrBackoff)
 	assert.Equal(t, 1, calls)
 	c.now = c.now.Add(time.Second)
-	err := ask(context.Background())
-	assert.False(t, errors.Is(err, places.ErrMuted))
+	err := reserve(context.Background())
+	assert.False(t, errors.Is(err, places.ErrBackoff))
 	assert.Equal(t, 2, calls)
 }
 
@@ -159,17 +159,17 @@
 	ledger := &places.Ledger{Now: func() time.Time { return now }}
 	ledger.Observe(places.Load{}, true)
 	take := func(duration time.Duration) bool {
-		_, given := ledger.Take(question(places.Limit{Waiting: 99, Taken: 99, Lasts: duration}))
+		_, given := ledger.Reserve(request(places.Limit{Waiting: 99, InUse: 99, Duration: duration}))
 		return given
 	}
 	assert.True(t, take(time.Hour), "no load is scheduled")
-	ledger.Close(now.Add(time.Second))
+	ledger.CloseAt(now.Add(time.Second))
 	assert.True(t, take(time.Second))
 	assert.False(t, take(1001*time.Millisecond))
 	assert.True(t, take(0))
 	now = now.Add(600 * time.Millisecond)
 	assert.False(t, take(500*time.Millisecond))
-	ledger.Close(time.Time{})
+	ledger.CloseAt(time.Time{})
 	assert.True(t, take(time.Hour))
 }
 
@@ -180,30 +180,30 @@
 	c := &clock{now: time.Unix(1000, 0)}
 	ledger := &places.Ledger{Now: c.read}
 	ledger.Observe(places.Load{}, true)
-	address := serve(t, places.Handler(ledger, func(places.Answer) {}))
+	address := serve(t, places.Handler(ledger, func(places.Response) {}))
 	client := &places.Client{Client: http.DefaultClient}
-	ask := func(engine ratelimit.Upstream, known *ratelimit.Note) places.Answer {
+	reserve := func(engine ratelimit.Upstream, limit *ratelimit.Note) places.Response {
 		c.now = c.now.Add(settled)
 		ledger.Observe(places.Load{}, true)
-		answer, err := client.Ask(context.Background(), address, places.Question{Limit: places.Limit{Taken: 3}, Engine: engine, Known: known})
+		resp, err := client.Reserve(context.Background(), address, places.Request{Limit: places.Limit{InUse: 3}, Engine: engine, RateLimit: limit})
 		require.NoError(t, err)
-		return answer
+		return resp
 	}
 	engine := ratelimit.Upstream{ID: "u/1 &", Started: time.Unix(0, 12345)}
-	assert.Nil(t, ask(engine, nil).Limit)
-	assert.True(t, ask(engine, &ratelimit.Note{PerSecond: 0.5, Age: 20 * time.Millisecond}).Given)
-	other := ask(engine, nil)
-	assert.False(t, other.Given)
-	assert.Equal(t, &ratelimit.Note{PerSecond: 0.5, Age: 20*time.Millisecond + settled}, other.Limit)
-	assert.Positive(t, other.Wait)
-	next := ask(engine, nil)
-	assert.Greater(t, next.Wait, other.Wait, "each refused request has a later time to retry")
+	assert.Nil(t, reserve(engine, nil).RateLimit)
+	assert.True(t, reserve(engine, &ratelimit.Note{PerSecond: 0.5, Age: 20 * time.Millisecond}).Granted)
+	other := reserve(engine, nil)
+	assert.False(t, other.Granted)
+	assert.Equal(t, &ratelimit.Note{PerSecond: 0.5, Age: 20*time.Millisecond + settled}, other.RateLimit)
+	assert.Positive(t, other.RetryAfter)
+	next := reserve(engine, nil)
+	assert.Greater(t, next.RetryAfter, other.RetryAfter, "each refused request has a later time to retry")
 
 	restarted := engine
 	restarted.Started = time.Unix(0, 54321)
-	assert.True(t, ask(restarted, nil).Given)
-	assert.True(t, ask(engine, &ratelimit.Note{Ended: true}).Given)
-	assert.True(t, ask(engine, nil).Given)
+	assert.True(t, reserve(restarted, nil).Granted)
+	assert.True(t, reserve(engine, &ratelimit.Note{Ended: true}).Granted)
+	assert.True(t, reserve(engine, nil).Granted)
 
 	for _, query := range []string{"&limit=x&age=1", "&limit=-1&age=1", "&limit=1", "&limit=1&age=x"} {
 		response, err := http.Get("http://" + address.String() + places.Path + "?waiting=1&taken=1&lasts=1&of=u" + query)
@@ -221,12 +221,12 @@
 	given := 0
 	for step := range 100 {
 		ledger.Observe(places.Load{}, true)
-		q := question(places.Limit{Waiting: 100, Taken: 100})
+		q := request(places.Limit{Waiting: 100, InUse: 100})
 		q.Engine = ratelimit.Upstream{ID: "e"}
 		if step%2 == 0 {
 			q.Cold = &ratelimit.Cold{PerSecond: 10, Left: time.Second - time.Duration(step)*10*time.Millisecond}
 		}
-		if _, ok := ledger.Take(q); ok {
+		if _, ok := ledger.Reserve(q); ok {
 			given++
 		}
 		c.now = c.now.Add(10 * time.Millisecond)
@@ -235,9 +235,9 @@
 	c.now = c.now.Add(settled)
 	ledger.Observe(places.Load{}, true)
 	for range 20 {
-		q := question(places.Limit{Waiting: 100, Taken: 100})
+		q := request(places.Limit{Waiting: 100, InUse: 100})
 		q.Engine = ratelimit.Upstream{ID: "e"}
-		_, ok := ledger.Take(q)
+		_, ok := ledger.Reserve(q)
 		assert.True(t, ok, "the engine is warm")
 	}
 }
--- a/daemon/internal/request/admission/admission.go
+++ b/daemon/internal/request/admission/admission.go
@@ -85,7 +85,7 @@
 )
 
 // Unlimited lets a request in anywhere.
-var Unlimited = places.Limit{Waiting: math.MaxInt32, Taken: math.MaxInt32}
+var Unlimited = places.Limit{Waiting: math.MaxInt32, InUse: math.MaxInt32}
 
 // Service is what is known of a service's engines.
 type Service struct {
@@ -138,12 +138,12 @@
 	case last && (r.Sent || s.Objective <= 0):
 		return Unlimited
 	case r.Returned && !r.Sent:
-		return places.Limit{Taken: max(0, free-w.returnedFree(s))}
+		return places.Limit{InUse: max(0, free-w.returnedFree(s))}
 	case last:
-		return places.Limit{Waiting: s.mayWait(), Taken: free + w.beyond(s)}
+		return places.Limit{Waiting: s.mayWait(), InUse: free + w.beyond(s)}
 	default:
 		step := asked / max(w.Each, 1)
-		return places.Limit{Waiting: min(step, s.mayWait()), Taken: free + min(step, w.beyond(s))}
+		return places.Limit{Waiting: min(step, s.mayWait()), InUse: free + min(step, w.beyond(s))}
 	}
 }
 
--- a/daemon/internal/request/admission/admission_test.go
+++ b/daemon/internal/request/admission/admission_test.go
@@ -18,11 +18,11 @@
 	untilNow = policy{questions: 3, limit: func(s admission.Service, _ admission.Request, asked int, last bool) places.Limit {
 		free := s.Places - 1
 		if !last {
-			return places.Limit{Waiting: asked, Taken: free}
+			return places.Limit{Waiting: asked, InUse: free}
 		}
 		part := min(max((s.Full-0.2)/0.4, 0), 1)
 		wait := (1 - 0.7*part) * float64(s.Objective)
-		return places.Limit{Waiting: max(asked, int(wait/float64(s.ReadTime))), Taken: free + int(wait/float64(s.PlaceEvery))}
+		return places.Limit{Waiting: max(asked, int(wait/float64(s.ReadTime))), InUse: free + int(wait/float64(s.PlaceEvery))}
 	}}
 )
 
@@ -71,12 +71,12 @@
 		ways := admission.StandingWays()
 		for asked := range ways.Questions {
 			limit := ways.Limit(s, r, asked, asked == ways.Questions-1)
-			assert.GreaterOrEqual(t, limit.Taken, taken)
-			assert.Less(t, limit.Taken, s.Places+ways.Beyond)
-			taken = limit.Taken
+			assert.GreaterOrEqual(t, limit.InUse, taken)
+			assert.Less(t, limit.InUse, s.Places+ways.Beyond)
+			taken = limit.InUse
 			back := ways.Limit(s, admission.Request{Rank: r.Rank, Returned: true}, asked, false)
 			assert.LessOrEqual(t, back.Waiting, limit.Waiting)
-			assert.Less(t, back.Taken, taken+1)
+			assert.Less(t, back.InUse, taken+1)
 		}
 		r.Sent, r.Returned = true, true
 		assert.Equal(t, admission.Unlimited, ways.Limit(s, r, 0, true), "what was done for it would be lost")
--- a/daemon/internal/request/admission/lab_test.go
+++ b/daemon/internal/request/admission/lab_test.go
@@ -207,7 +207,7 @@
 		if fleet[i].out(now) || p.version.closing(fleet[i], c, now) {
 			continue
 		}
-		if load.Waiting <= limit.Waiting && load.Running+load.Waiting <= limit.Taken {
+		if load.Waiting <= limit.Waiting && load.Running+load.Waiting <= limit.InUse {
 			fleet[i].waiting = append(fleet[i].waiting, c)
 			return full + weight*(nonefree-full)
 		}
--- a/daemon/internal/request/dispatch/limit_test.go
+++ b/daemon/internal/request/dispatch/limit_test.go
@@ -24,7 +24,7 @@
 		if engine.ID == free {
 			return places.Load{}, true, nil
 		}
-		return places.Load{Wait: turn}, false, nil
+		return places.Load{RetryAfter: turn}, false, nil
 	}
 }
 
@@ -91,7 +91,7 @@
 		if engine.ID == first {
 			return places.Load{Waiting: 1}, limit.Waiting > 0, nil
 		}
-		return places.Load{Wait: turn}, false, nil
+		return places.Load{RetryAfter: turn}, false, nil
 	}
 	choice, err := q.place(context.Background())
 	require.NoError(t, err)
--- a/daemon/internal/request/dispatch/place.go
+++ b/daemon/internal/request/dispatch/place.go
@@ -82,7 +82,7 @@
 	search.Service = q.engines(choice, q.view.Objective(q.service.Name))
 	limit := search.Limit(choice.Candidates == 1)
 	if limit != admission.Unlimited {
-		limit.Lasts = lasts
+		limit.Duration = lasts
 	}
 	load, given, err := q.ask(ctx, choice, limit)
 	switch {
@@ -94,9 +94,9 @@
 		return q.unasked(choice, DoorNews)
 	case err != nil:
 		search.Silent()
-	case load.Wait > 0:
+	case load.RetryAfter > 0:
 		search.Limited()
-		q.Pool.Throttle(choice.Upstream.ID, load.Wait)
+		q.Pool.Throttle(choice.Upstream.ID, load.RetryAfter)
 	default:
 		search.Denied(load)
 	}
@@ -183,7 +183,7 @@
 	load, given, err := q.AskPlace(ctx, choice.Upstream, limit)
 	asked := Asked{
 		Upstream: choice.Upstream.ID, Given: given, Running: load.Running, Waiting: load.Waiting,
-		Most: limit.Waiting, Taken: limit.Taken, Took: clock.Since(started), Wait: load.Wait,
+		Most: limit.Waiting, Taken: limit.InUse, Took: clock.Since(started), Wait: load.RetryAfter,
 	}
 	if err != nil {
 		asked.Cause = err.Error()
--- a/daemon/internal/request/dispatch/place_test.go
+++ b/daemon/internal/request/dispatch/place_test.go
@@ -104,7 +104,7 @@
 	assert.Equal(t, q.story.Asked[1].Upstream, choice.Upstream.ID)
 	assert.Equal(t, 10, choice.Running)
 	assert.Zero(t, f.asked[0].Waiting, "the first is asked for a place where nothing waits")
-	assert.Equal(t, 16-1, f.asked[1].Taken, "and never for one beyond those of the engine")
+	assert.Equal(t, 16-1, f.asked[1].InUse, "and never for one beyond those of the engine")
 	assert.Equal(t, 1, f.inFlight(t))
 	choice.Done(balance.Served)
 	assert.Zero(t, f.inFlight(t))
@@ -169,7 +169,7 @@
 func TestSentBeforeTakesAnyPlace(t *testing.T) {
 	f := newFleet(t, 9, func(int) (bool, error) { return false, nil })
 	_, _ = f.request("hasty", 1).place(context.Background())
-	assert.Equal(t, places.Limit{Waiting: math.MaxInt32, Taken: math.MaxInt32}, f.asked[len(f.asked)-1])
+	assert.Equal(t, places.Limit{Waiting: math.MaxInt32, InUse: math.MaxInt32}, f.asked[len(f.asked)-1])
 }
 
 // TestRoutesOfAServiceHaveOneLimit, so that the patient do not take every place
--- a/daemon/lab/engine.go
+++ b/daemon/lab/engine.go
@@ -87,7 +87,7 @@
 
 // look has the loader look at its engine.
 func (e *engine) look() {
-	e.ledger.Close(e.closes())
+	e.ledger.CloseAt(e.closes())
 	e.ledger.Observe(e.load(), e.play.events.now >= e.out)
 }
 
--- a/daemon/lab/router.go
+++ b/daemon/lab/router.go
@@ -117,17 +117,17 @@
 		}
 		limit := search.Limit(choice.Candidates == 1)
 		if limit != admission.Unlimited {
-			limit.Lasts = lasts
+			limit.Duration = lasts
 		}
 		e := r.engine(choice)
-		load, given := e.ledger.Take(places.Question{Limit: limit, Engine: ratelimit.Upstream{ID: e.record.ID}, Known: e.known()})
+		load, given := e.ledger.Reserve(places.Request{Limit: limit, Engine: ratelimit.Upstream{ID: e.record.ID}, RateLimit: e.known()})
 		r.pool.ReportLoad(choice.Upstream.ID, load.Running, load.Waiting, load.Loading)
 		if given {
 			r.pace.Full(service, load.Running+load.Waiting >= choice.Upstream.Places)
 			return e, choice, true
 		}
-		if load.Wait > 0 {
-			r.pool.Throttle(choice.Upstream.ID, load.Wait)
+		if load.RetryAfter > 0 {
+			r.pool.Throttle(choice.Upstream.ID, load.RetryAfter)
 		} else {
 			search.Denied(load)
 		}
--- a/daemon/loader/notes.go
+++ b/daemon/loader/notes.go
@@ -46,17 +46,17 @@
 	p.feed.Publish(loadfeed.Line{
 		Running: report.Running, Waiting: report.Waiting, Loading: loading, ClosesIn: loadfeed.ClosesIn(closes, clock.Now()), Models: report.Models,
 	})
-	p.ledger.Close(closes)
+	p.ledger.CloseAt(closes)
 	p.ledger.Observe(places.Load{Running: report.Running, Waiting: report.Waiting, Loading: loading}, true)
 }
 
 // noteAnswer counts an answer to a router that asked for a place.
-func (p *Process) noteAnswer(answer places.Answer) {
+func (p *Process) noteAnswer(answer places.Response) {
 	name := "places_given"
 	switch {
-	case answer.Wait > 0:
+	case answer.RetryAfter > 0:
 		name = "places_denied_by_limit"
-	case !answer.Given:
+	case !answer.Granted:
 		name = "places_denied"
 	}
 	p.telemetry.Scope.Counter(name).Inc(1)
--- a/daemon/loader/notes_test.go
+++ b/daemon/loader/notes_test.go
@@ -22,13 +22,13 @@
 	require.NoError(t, err)
 	t.Cleanup(output.Close)
 	p := &Process{telemetry: told, feed: loadfeed.NewFeed(), ledger: &places.Ledger{}, keeper: &keep.Keeper{}}
-	anywhere := places.Question{Limit: places.Limit{Waiting: 9, Taken: 9}}
+	anywhere := places.Request{Limit: places.Limit{Waiting: 9, InUse: 9}}
 
 	p.noteReport(provider.EngineReport{}, nil)
-	_, given := p.ledger.Take(anywhere)
+	_, given := p.ledger.Reserve(anywhere)
 	assert.False(t, given)
 	p.noteReport(provider.EngineReport{Models: []provider.Loaded{{Model: "m", Version: 1}}}, nil)
-	_, given = p.ledger.Take(anywhere)
+	_, given = p.ledger.Reserve(anywhere)
 	assert.True(t, given)
 }
 
--- a/daemon/router/limit_test.go
+++ b/daemon/router/limit_test.go
@@ -272,7 +272,7 @@
 	feed := loadfeed.NewFeed()
 	feed.Publish(loadfeed.Line{Models: []provider.Loaded{{Model: "m", Version: 1}}})
 	pages.Handle(loadfeed.Path, feed)
-	answer := places.Handler(ledger, func(places.Answer) {})
+	answer := places.Handler(ledger, func(places.Response) {})
 	pages.HandleFunc(places.Path, func(w http.ResponseWriter, r *http.Request) {
 		ledger.Observe(places.Load{}, true)
 		answer(w, r)
--- a/daemon/router/limits.go
+++ b/daemon/router/limits.go
@@ -126,27 +126,27 @@
 // of the engine's limit, and learns what it knows.
 func (p *Process) askPlace(ctx context.Context, engine *provider.Upstream, limit places.Limit) (places.Load, bool, error) {
 	upstream := startOf(engine)
-	question := places.Question{Limit: limit, Engine: ratelimit.Upstream{ID: upstream.ID, Started: upstream.Started}}
+	question := places.Request{Limit: limit, Engine: ratelimit.Upstream{ID: upstream.ID, Started: upstream.Started}}
 	p.limits.do(func(table *ratelimit.Table, now time.Time) {
 		if note, known := table.Known(upstream, now); known {
-			question.Known = &note
+			question.RateLimit = &note
 		}
 		question.Cold = p.coldness(engine, now)
 	})
 	loader := netip.AddrPortFrom(engine.Address.Addr(), p.current.Load().LoaderPort)
-	answer, err := p.asker.Ask(ctx, loader, question)
+	answer, err := p.asker.Reserve(ctx, loader, question)
 	switch {
 	case err != nil:
 		return answer.Load, false, err
-	case answer.Limit != nil:
-		p.told(ratelimit.Named{Upstream: upstream, Note: *answer.Limit}, sourceLoader, loader)
-	case question.Known != nil && !question.Known.Ended:
+	case answer.RateLimit != nil:
+		p.told(ratelimit.Named{Upstream: upstream, Note: *answer.RateLimit}, sourceLoader, loader)
+	case question.RateLimit != nil && !question.RateLimit.Ended:
 		return answer.Load, false, errNotCounted
 	}
-	if answer.Wait > 0 {
+	if answer.RetryAfter > 0 {
 		p.recorder.limitDenied(dispatch.DoorLoader)
 	}
-	return answer.Load, answer.Given, nil
+	return answer.Load, answer.Granted, nil
 }
 
 // newLimitTeller prepares the telling of other routers.
