--- a/daemon/internal/connection/livenessprobe/livenessprobe.go
+++ b/daemon/internal/connection/livenessprobe/livenessprobe.go
@@ -46,9 +46,9 @@
 	until time.Time
 }
 
-// Ended reports whether no process listens at the address of an upstream whose connection
+// Crashed reports whether no process listens at the address of an upstream whose connection
 // broke just now. Concurrent calls for an address share one check.
-func (p *Probe) Ended(ctx context.Context, upstream netip.AddrPort) bool {
+func (p *Probe) Crashed(ctx context.Context, upstream netip.AddrPort) bool {
 	c, own := p.join(upstream)
 	if own {
 		c.crashed = p.refused(ctx, upstream)
--- a/daemon/internal/connection/livenessprobe/livenessprobe_test.go
+++ b/daemon/internal/connection/livenessprobe/livenessprobe_test.go
@@ -23,9 +23,9 @@
 	require.NoError(t, err)
 	addr := listener.Addr().(*net.TCPAddr).AddrPort()
 	probe := &livenessprobe.Probe{Dial: dial.Direct}
-	assert.False(t, probe.Ended(context.Background(), addr))
+	assert.False(t, probe.Crashed(context.Background(), addr))
 	require.NoError(t, listener.Close())
-	assert.True(t, probe.Ended(context.Background(), addr), "a result that the upstream listens is not cached")
+	assert.True(t, probe.Crashed(context.Background(), addr), "a result that the upstream listens is not cached")
 
 	unresponsive := &livenessprobe.Probe{Dial: func(ctx context.Context, _, _ string) (net.Conn, error) {
 		<-ctx.Done()
@@ -33,7 +33,7 @@
 	}}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	assert.False(t, unresponsive.Ended(ctx, addr))
+	assert.False(t, unresponsive.Crashed(ctx, addr))
 }
 
 // TestConcurrentCallsShareOneCheck guards against a dial for each of many connections that
@@ -54,7 +54,7 @@
 	const callers = 16
 	results := make(chan bool, callers)
 	for range callers {
-		go func() { results <- probe.Ended(context.Background(), addr) }()
+		go func() { results <- probe.Crashed(context.Background(), addr) }()
 	}
 	close(proceed)
 	for range callers {
@@ -62,6 +62,6 @@
 	}
 	assert.EqualValues(t, 1, dials.Load())
 	now = now.Add(time.Second)
-	assert.True(t, probe.Ended(context.Background(), addr))
+	assert.True(t, probe.Crashed(context.Background(), addr))
 	assert.EqualValues(t, 2, dials.Load())
 }
--- a/daemon/router/suspects.go
+++ b/daemon/router/suspects.go
@@ -134,7 +134,7 @@
 // broke finds out whether the upstream ended under a send whose connection broke. The
 // request waits for that, one round trip, before it is sent again.
 func (p *Process) broke(b dispatch.Break) {
-	ended := p.probe.Ended(context.Background(), b.Upstream.Address)
+	ended := p.probe.Crashed(context.Background(), b.Upstream.Address)
 	p.recorder.broke(b, ended)
 	if !ended {
 		return
