--- a/daemon/agent/agent.go
+++ b/daemon/agent/agent.go
@@ -113,7 +113,7 @@
 	}
 	connect := dial.OrDirect(options.Dial)
 	p.chunks = dial.NewChunkTransport(connect)
-	p.control = dial.NewControlTransport(p.meter.Count(connect))
+	p.control = dial.NewControlTransport(p.meter.Wrap(connect))
 	return p, nil
 }
 
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -111,7 +111,7 @@
 		transport: upstream.NewTransport(options.Dial),
 		stopping:  make(chan struct{}), done: make(chan struct{}),
 	}
-	p.control = dial.NewControlTransport(p.meter.Count(dial.OrDirect(options.Dial)))
+	p.control = dial.NewControlTransport(p.meter.Wrap(dial.OrDirect(options.Dial)))
 	return p, nil
 }
 
--- a/daemon/internal/connection/dial/dial.go
+++ b/daemon/internal/connection/dial/dial.go
@@ -38,8 +38,8 @@
 // Bytes returns the count so far.
 func (m *Meter) Bytes() int64 { return m.bytes.Load() }
 
-// Count returns a Func that opens connections by f and adds their bytes to the meter.
-func (m *Meter) Count(f Func) Func {
+// Wrap returns a Func that opens connections by f and adds their bytes to the meter.
+func (m *Meter) Wrap(f Func) Func {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := f(ctx, network, address)
 		if err != nil {
--- a/daemon/internal/connection/dial/hosts.go
+++ b/daemon/internal/connection/dial/hosts.go
@@ -22,10 +22,10 @@
 	probeCount    = 2
 )
 
-// Watchful opens a connection that fails within seconds when its host becomes
+// Host opens a connection to another host that fails within seconds when its host becomes
 // unreachable. Without keep-alive probes and a user timeout, a connection to a
 // host that was cut off or lost power hangs.
-func Watchful(ctx context.Context, network, address string) (net.Conn, error) {
+func Host(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := &net.Dialer{
 		Timeout:         hostTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeInterval, Interval: probeInterval, Count: probeCount},
@@ -34,8 +34,8 @@
 	return dialer.DialContext(ctx, network, address)
 }
 
-// Within returns a Func that opens connections by f and bounds the time to connect.
-func Within(timeout time.Duration, f Func) Func {
+// WithTimeout returns a Func that opens connections by f and bounds the time to connect.
+func WithTimeout(timeout time.Duration, f Func) Func {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -133,7 +133,7 @@
 		return nil, fmt.Errorf("loader %s: %w", s.Name, err)
 	}
 	if options.Dial == nil {
-		options.Dial = dial.Watchful
+		options.Dial = dial.Host
 	}
 	p := &Process{
 		telemetry: t, output: output, log: t.Log,
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -137,12 +137,12 @@
 		return nil, fmt.Errorf("router %s: %w", s.Name, err)
 	}
 	if options.Dial == nil {
-		options.Dial = dial.Watchful
+		options.Dial = dial.Host
 	}
 	p := &Process{
 		options: options, telemetry: t, output: output, recorder: newRecorder(t),
 		table: &replica.Table{}, pool: &balance.Pool{Hall: s.Hall}, done: make(chan struct{}),
-		probe: &livenessprobe.Probe{Dial: dial.Within(probeConnect, options.Dial)}, suspects: &suspects{}, limits: &limits{},
+		probe: &livenessprobe.Probe{Dial: dial.WithTimeout(probeConnect, options.Dial)}, suspects: &suspects{}, limits: &limits{},
 		over: make(chan struct{}),
 	}
 	p.current.Store(&s)
--- a/daemon/router/serving.go
+++ b/daemon/router/serving.go
@@ -42,7 +42,7 @@
 
 func (p *Process) dispatcher() *dispatch.Dispatcher {
 	bounds := p.current.Load().Bounds
-	connect := dial.Within(upstreamConnect, p.options.Dial)
+	connect := dial.WithTimeout(upstreamConnect, p.options.Dial)
 	p.toUpstreams = dial.NewHostTransport(connect, upstreamIdle)
 	p.budget = &dispatch.Budget{
 		Ratio: bounds.RetryRatio, Slack: bounds.RetrySlack, Window: bounds.RetryWindow.Std(),
