--- a/daemon/internal/connection/broadcast/broadcast.go
+++ b/daemon/internal/connection/broadcast/broadcast.go
@@ -217,7 +217,7 @@
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	var resp Message[N]
-	if err := call.JSON(ctx, client, "http://"+peer.String()+path, maxAll, &resp); err != nil {
+	if err := call.GetJSON(ctx, client, "http://"+peer.String()+path, maxAll, &resp); err != nil {
 		return nil, fmt.Errorf("fetch notes of router %s at %s: %w", peer, path, err)
 	}
 	return resp.Notes, nil
--- a/daemon/internal/connection/peering/engine.go
+++ b/daemon/internal/connection/peering/engine.go
@@ -61,7 +61,7 @@
 	defer end()
 	var resp VersionedEngineConfig
 	target := fmt.Sprintf("http://%s%s?%s", peer, EnginePath, url.Values{"service": {service}}.Encode())
-	if err := call.JSON(ctx, client, target, maxEngineResponse, &resp); err != nil {
+	if err := call.GetJSON(ctx, client, target, maxEngineResponse, &resp); err != nil {
 		return resp, fmt.Errorf("fetch the engine's configuration from peer %s: %w", peer, timeout.Explain(ctx, err))
 	}
 	if !resp.Complete() {
--- a/daemon/internal/connection/peering/peering.go
+++ b/daemon/internal/connection/peering/peering.go
@@ -224,7 +224,7 @@
 	ctx, end := limit.Context(ctx)
 	defer end()
 	var resp packedMessage
-	if err := call.JSON(ctx, client, req.url(peer), maxResponse, &resp); err != nil {
+	if err := call.GetJSON(ctx, client, req.url(peer), maxResponse, &resp); err != nil {
 		return replica.Update{}, fmt.Errorf("fetch update from peer %s: %w", peer, timeout.Explain(ctx, err))
 	}
 	entries, err := resp.unpacked()
--- a/daemon/internal/connection/places/client.go
+++ b/daemon/internal/connection/places/client.go
@@ -214,7 +214,7 @@
 	defer cancel()
 	target := "http://" + loader.String() + Path + "?" + req.query()
 	var resp wireResponse
-	if err := call.JSON(ctx, c.Client, target, maxResponse, &resp); err != nil {
+	if err := call.GetJSON(ctx, c.Client, target, maxResponse, &resp); err != nil {
 		return Response{}, fmt.Errorf("request place from loader %s: %w", loader, err)
 	}
 	load := Load{Running: resp.Running, Waiting: resp.Waiting, Loading: resp.Loading, RetryAfter: time.Duration(resp.RetryAfterMs) * time.Millisecond}
