--- a/daemon/internal/connection/follow/follow.go
+++ b/daemon/internal/connection/follow/follow.go
@@ -80,8 +80,8 @@
 	return f.revision
 }
 
-// Ranked returns the entries of a hall sorted by a host's preference.
-func Ranked(host string, entries []platform.Host) []platform.Host {
+// RankEntries returns the entries of a hall sorted by a host's preference.
+func RankEntries(host string, entries []platform.Host) []platform.Host {
 	byName := make(map[string]platform.Host, len(entries))
 	names := make([]string, len(entries))
 	for i, entry := range entries {
@@ -101,7 +101,7 @@
 	ctx := f.tomb.Context(nil) //nolint:staticcheck // tomb takes nil for "no parent"
 	failures := 0
 	for f.tomb.Alive() {
-		ranked := Ranked(f.Host, f.Entries())
+		ranked := RankEntries(f.Host, f.Entries())
 		if len(ranked) == 0 {
 			helpers.Pause(retryMin, f.tomb.Dying())
 			continue
--- a/daemon/internal/connection/report/report.go
+++ b/daemon/internal/connection/report/report.go
@@ -115,7 +115,7 @@
 // waits for them.
 func (r *Reporter) Send(ctx context.Context) {
 	member := r.stamp()
-	ranked := follow.Ranked(r.Host, r.Entries())
+	ranked := follow.RankEntries(r.Host, r.Entries())
 	var group sync.WaitGroup
 	for _, entry := range ranked[:min(fanOut, len(ranked))] {
 		group.Go(func() { r.send(ctx, entry, member) })
