--- a/daemon/internal/connection/dial/hosts.go
+++ b/daemon/internal/connection/dial/hosts.go
@@ -22,9 +22,9 @@
 	probeCount    = 2
 )
 
-// Host opens a connection to another host that fails within seconds when its host becomes
-// unreachable. Without keep-alive probes and a user timeout, a connection to a
-// host that was cut off or lost power hangs.
+// Host opens a connection to another host that fails within seconds when the host
+// becomes unreachable. Without keep-alive probes and a user timeout, a connection
+// to a host that was cut off or lost power hangs.
 func Host(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := &net.Dialer{
 		Timeout:         hostTimeout,
--- a/daemon/internal/connection/upstream/transport.go
+++ b/daemon/internal/connection/upstream/transport.go
@@ -4,7 +4,7 @@
 // breaks: those with a safe method or an idempotency key, and those whose body
 // it can rewind through GetBody. The upstream may have executed the request by
 // then. A body that is neither nil nor http.NoBody, without GetBody, disables
-// these retries for every method, so OneShot gives each request such a body.
+// these retries for every method, so DisableRetry gives each request such a body.
 // The transport still retries when it has written no byte to the connection;
 // that is safe, because the request was not sent.
 package upstream
@@ -39,17 +39,17 @@
 	}
 }
 
-// oneShot hides the type of a body, so that the transport cannot rewind it.
-type oneShot struct{ io.Reader }
+// noRewind hides the type of a body, so that the transport cannot rewind it.
+type noRewind struct{ io.Reader }
 
 // Close does nothing: the server that read the request closes the body.
-func (oneShot) Close() error { return nil }
+func (noRewind) Close() error { return nil }
 
-// OneShot keeps the transport from retrying a request.
-func OneShot(request *http.Request, body io.Reader) {
+// DisableRetry keeps the transport from retrying a request.
+func DisableRetry(req *http.Request, body io.Reader) {
 	if body == nil {
 		body = http.NoBody
 	}
-	request.Body = oneShot{body}
-	request.GetBody = nil
+	req.Body = noRewind{body}
+	req.GetBody = nil
 }
--- a/daemon/internal/request/exchange/exchange.go
+++ b/daemon/internal/request/exchange/exchange.go
@@ -176,13 +176,13 @@
 	CutConnectionHeaders(out.Header)
 	c.setHeaders(out.Header, send)
 	if len(send.Body) == 0 {
-		upstream.OneShot(out, nil)
+		upstream.DisableRetry(out, nil)
 		if in.Method == http.MethodGet || in.Method == http.MethodHead {
 			out.Body = nil
 		}
 		return out
 	}
-	upstream.OneShot(out, strings.NewReader(string(send.Body)))
+	upstream.DisableRetry(out, strings.NewReader(string(send.Body)))
 	return out
 }
 
--- a/daemon/internal/request/relay/relay.go
+++ b/daemon/internal/request/relay/relay.go
@@ -99,7 +99,7 @@
 	if hop.Body != nil {
 		body = hop.Body
 	}
-	upstream.OneShot(out, body)
+	upstream.DisableRetry(out, body)
 	out.ContentLength = in.ContentLength
 	out.Host = in.Host
 	if hop.ExpectContinue && in.ContentLength != 0 {
