--- a/daemon/internal/connection/gossip/gossip.go
+++ b/daemon/internal/connection/gossip/gossip.go
@@ -23,7 +23,7 @@
 
 // Defaults of a Puller.
 const (
-	DefaultEvery = 500 * time.Millisecond
+	DefaultInterval = 500 * time.Millisecond
 	// PeersPerRound is the number of entries of the own hall pulled from in a round.
 	PeersPerRound = 2
 )
@@ -39,8 +39,8 @@
 	// Entries returns the entries of the host list.
 	Entries func() []platform.Host
 	Client  *http.Client
-	// Every is the mean interval between rounds; 0 means DefaultEvery.
-	Every time.Duration
+	// Interval is the mean interval between rounds; 0 means DefaultEvery.
+	Interval time.Duration
 	// OnSuspects is called with the agents that a sweep marked as suspect. It
 	// may be nil.
 	OnSuspects func(names []string)
@@ -75,7 +75,7 @@
 func (p *Puller) run() error {
 	ctx := p.tomb.Context(nil) //nolint:staticcheck // tomb takes nil for "no parent"
 	p.peers = map[string]*peer{}
-	interval := helpers.OrDefault(p.Every, DefaultEvery)
+	interval := helpers.OrDefault(p.Interval, DefaultInterval)
 	for {
 		p.round(ctx)
 		if marked := p.Members.Sweep(); len(marked) > 0 && p.OnSuspects != nil {
--- a/daemon/internal/connection/report/report.go
+++ b/daemon/internal/connection/report/report.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	// DefaultEvery is the interval between heartbeats.
-	DefaultEvery = time.Second
+	// DefaultInterval is the interval between heartbeats.
+	DefaultInterval = time.Second
 	// fanOut is the number of entries that an agent reports to, so that two of
 	// them may fail at once.
 	fanOut = 3
@@ -42,8 +42,8 @@
 	Incarnation uint64
 	// Member returns the current record without incarnation and sequence.
 	Member func() *wire.Member
-	// Every is the interval between heartbeats; 0 means DefaultEvery.
-	Every time.Duration
+	// Interval is the interval between heartbeats; 0 means DefaultEvery.
+	Interval time.Duration
 
 	tomb tomb.Tomb
 	// setUp creates changes, so that Changed may be called before Start.
@@ -90,7 +90,7 @@
 
 func (r *Reporter) run() error {
 	ctx := r.tomb.Context(nil) //nolint:staticcheck // tomb takes nil for "no parent"
-	interval := helpers.OrDefault(r.Every, DefaultEvery)
+	interval := helpers.OrDefault(r.Interval, DefaultInterval)
 	for {
 		r.Send(ctx)
 		timer := time.NewTimer(interval)
