--- a/daemon/internal/clock/clock.go
+++ b/daemon/internal/clock/clock.go
@@ -29,9 +29,9 @@
 // Clock is a monotonic clock that includes suspensions. The zero value reads the clocks of
 // the system.
 type Clock struct {
-	// Steady returns the monotonic time, which excludes suspensions, and Boot the time that
+	// Monotonic returns the monotonic time, which excludes suspensions, and Boot the time that
 	// includes them. Nil means the system's clock.
-	Steady, Boot func() time.Duration
+	Monotonic, Boot func() time.Duration
 
 	// checked is the monotonic time of the last reading of Boot; 0 means never. offset is the
 	// initial difference of Boot and Steady, valid once calibrated is set. suspended is by how
@@ -73,8 +73,8 @@
 }
 
 func (c *Clock) monotonic() time.Duration {
-	if c.Steady != nil {
-		return c.Steady()
+	if c.Monotonic != nil {
+		return c.Monotonic()
 	}
 	return time.Since(startTime)
 }
--- a/daemon/internal/clock/clock_test.go
+++ b/daemon/internal/clock/clock_test.go
@@ -14,7 +14,7 @@
 type host struct{ monotonic, boot time.Duration }
 
 func (h *host) clock() *clock.Clock {
-	return &clock.Clock{Steady: func() time.Duration { return h.monotonic }, Boot: func() time.Duration { return h.boot }}
+	return &clock.Clock{Monotonic: func() time.Duration { return h.monotonic }, Boot: func() time.Duration { return h.boot }}
 }
 
 func (h *host) run(d time.Duration) {
--- a/daemon/internal/process/replica/suspension_test.go
+++ b/daemon/internal/process/replica/suspension_test.go
@@ -17,7 +17,7 @@
 type host struct{ steady, boot time.Duration }
 
 func (h *host) now() func() time.Time {
-	c := &clock.Clock{Steady: func() time.Duration { return h.steady }, Boot: func() time.Duration { return h.boot }}
+	c := &clock.Clock{Monotonic: func() time.Duration { return h.steady }, Boot: func() time.Duration { return h.boot }}
 	c.Now()
 	return c.Now
 }
