--- a/cli/internal/bench/distribute.go
+++ b/cli/internal/bench/distribute.go
@@ -113,7 +113,7 @@
 		OriginBytesPerSecond: rateOf(originCopies),
 		UploadBytesPerSecond: rateOf(hostCopies), DownloadBytesPerSecond: rateOf(hostCopies),
 	}
-	config.Entry.HostsEvery, config.Agent.HostsEvery = 200*time.Millisecond, 200*time.Millisecond
+	config.Entry.HostsInterval, config.Agent.HostsInterval = 200*time.Millisecond, 200*time.Millisecond
 	config.Agent.Policy = d.Policy
 	config.Agent.Uploads, config.Agent.Downloads, config.Agent.Neighbours = d.Uploads, d.Downloads, d.Neighbours
 	config.LogLevel = "debug"
--- a/cli/internal/bench/route.go
+++ b/cli/internal/bench/route.go
@@ -119,7 +119,7 @@
 	if r.LogOutput != nil {
 		config.LogLevel = "info"
 	}
-	config.Entry.HostsEvery, config.Agent.HostsEvery = 200*time.Millisecond, 200*time.Millisecond
+	config.Entry.HostsInterval, config.Agent.HostsInterval = 200*time.Millisecond, 200*time.Millisecond
 	var err error
 	if r.fleet, err = fleet.Start(config); err != nil {
 		return err
--- a/cli/internal/command/command_test.go
+++ b/cli/internal/command/command_test.go
@@ -111,7 +111,7 @@
 func small(t *testing.T) (*fleet.Fleet, []string) {
 	t.Helper()
 	config := fleet.Config{Halls: []string{"hall-1"}, EntriesPerHall: 1, Agents: 2}
-	config.Entry.HostsEvery, config.Agent.HostsEvery = 50*time.Millisecond, 50*time.Millisecond
+	config.Entry.HostsInterval, config.Agent.HostsInterval = 50*time.Millisecond, 50*time.Millisecond
 	f, err := fleet.Start(config)
 	require.NoError(t, err)
 	t.Cleanup(f.Kill)
--- a/daemon/agent/agent.go
+++ b/daemon/agent/agent.go
@@ -63,9 +63,9 @@
 	// LameDuck is how long a draining agent still responds to new requests; 0
 	// means the default.
 	LameDuck time.Duration
-	// HostsEvery is the interval between fetches of the host list; 0 means the
+	// HostsInterval is the interval between fetches of the host list; 0 means the
 	// default.
-	HostsEvery time.Duration
+	HostsInterval time.Duration
 	// Dial opens connections to other hosts; nil means over the network.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	// UploadFault returns the fault to inject into a chunk that is sent; nil
@@ -124,7 +124,7 @@
 		return err
 	}
 	client := &http.Client{Transport: p.control}
-	p.hosts = &hosts.Follower{List: platform.NewHostList(p.settings.Platform.HostList, client), Hall: p.settings.Hall, Every: p.options.HostsEvery}
+	p.hosts = &hosts.Follower{List: platform.NewHostList(p.settings.Platform.HostList, client), Hall: p.settings.Hall, Every: p.options.HostsInterval}
 	entries := func() []platform.Host { return p.hosts.Select(platform.RoleEntry, "") }
 	p.reporter = &report.Reporter{
 		Host: p.settings.Name, Entries: entries, Client: client,
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -51,18 +51,18 @@
 type Options struct {
 	// LogOutput receives the log lines; nil means standard error.
 	LogOutput io.Writer
-	// Rearm is the delay before the key-value watch is opened again, and
+	// RearmDelay is the delay before the key-value watch is opened again, and
 	// LameDuck how long a draining entry still serves; 0 means the defaults.
-	Rearm, LameDuck time.Duration
-	// LeaseTTL, PlaceEvery and ReplaceAfter are the times of the placer; 0 means
+	RearmDelay, LameDuck time.Duration
+	// LeaseTTL, PlaceInterval and ReplaceAfter are the times of the placer; 0 means
 	// the defaults.
-	LeaseTTL, PlaceEvery, ReplaceAfter time.Duration
-	// Silence is the time without a report after which an agent is suspect; 0
+	LeaseTTL, PlaceInterval, ReplaceAfter time.Duration
+	// SuspectAfter is the time without a report after which an agent is suspect; 0
 	// means the default.
-	Silence time.Duration
-	// HostsEvery is the interval between fetches of the host list; 0 means the
+	SuspectAfter time.Duration
+	// HostsInterval is the interval between fetches of the host list; 0 means the
 	// default.
-	HostsEvery time.Duration
+	HostsInterval time.Duration
 	// Dial opens connections to other hosts; nil means over the network.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
@@ -106,7 +106,7 @@
 	}
 	p := &Process{
 		settings: s, options: options, telemetry: t,
-		table: &tables.Table{}, members: &members.Table{Silence: options.Silence},
+		table: &tables.Table{}, members: &members.Table{Silence: options.SuspectAfter},
 		router:    &route.Router{Hall: s.Hall},
 		transport: upstream.NewTransport(options.Dial),
 		stopping:  make(chan struct{}), done: make(chan struct{}),
@@ -119,7 +119,7 @@
 func (p *Process) Start() error {
 	client := &http.Client{Transport: p.control}
 	kv := platform.NewKV(p.settings.Platform.KeyValue, client)
-	p.hosts = &hosts.Follower{List: platform.NewHostList(p.settings.Platform.HostList, client), Every: p.options.HostsEvery}
+	p.hosts = &hosts.Follower{List: platform.NewHostList(p.settings.Platform.HostList, client), Every: p.options.HostsInterval}
 	p.addFollowers(kv, client)
 	if err := p.listen(kv); err != nil {
 		p.killServers()
@@ -136,7 +136,7 @@
 // addFollowers creates the parts that follow the key-value service and other
 // entries.
 func (p *Process) addFollowers(kv *platform.KV, client *http.Client) {
-	p.watcher = &kvwatch.Watcher{KV: kv, Table: p.table, Rearm: p.options.Rearm, OnState: p.onKVState}
+	p.watcher = &kvwatch.Watcher{KV: kv, Table: p.table, Rearm: p.options.RearmDelay, OnState: p.onKVState}
 	p.puller = &gossip.Puller{
 		Name: p.settings.Name, Hall: p.settings.Hall, Table: p.table, Members: p.members, Client: client,
 		Entries:    func() []platform.Host { return p.hosts.Select(platform.RoleEntry, "") },
@@ -145,7 +145,7 @@
 	p.placer = &placer.Placer{
 		Hall: p.settings.Hall, Name: p.settings.Name, KV: kv, Table: p.table, Members: p.members,
 		Listed: p.hosts.Hosts, Telemetry: p.telemetry,
-		TTL: p.options.LeaseTTL, Every: p.options.PlaceEvery, ReplaceAfter: p.options.ReplaceAfter,
+		TTL: p.options.LeaseTTL, Every: p.options.PlaceInterval, ReplaceAfter: p.options.ReplaceAfter,
 	}
 }
 
