--- a/daemon/internal/clock/clock.go
+++ b/daemon/internal/clock/clock.go
@@ -2,10 +2,10 @@
 // daemons use it for ages of data, leases, schedules and deadlines.
 //
 // The monotonic clock, from which time.Now takes differences, stops while the host is
-// suspended. With it a router would use stale data as fresh after a suspension, and an
-// engine would serve a version whose lease has expired. Wall-clock time includes suspensions
-// but jumps. So this clock adds to the monotonic time the suspended time, which it derives
-// from the kernel's boot clock.
+// suspended. With it a router would take stale data for fresh after a suspension, and would
+// keep using a version that has expired. Wall-clock time includes suspensions but jumps. So
+// this clock adds to the monotonic time the suspended time, which it derives from the
+// kernel's boot clock.
 //
 // The boot clock alone was rejected: it costs a system call for each reading. It is read at
 // most once in checkInterval, which bounds how long a suspension goes undetected.
@@ -34,7 +34,7 @@
 	Monotonic, Boot func() time.Duration
 
 	// checked is the monotonic time of the last reading of Boot; 0 means never. offset is the
-	// initial difference of Boot and Steady, valid once calibrated is set. suspended is by how
+	// initial difference of Boot and Monotonic, valid once calibrated is set. suspended is by how
 	// much the difference has grown since.
 	checked, offset, suspended atomic.Int64
 	calibrated                 atomic.Bool
--- a/daemon/internal/connection/gossip/gossip.go
+++ b/daemon/internal/connection/gossip/gossip.go
@@ -39,7 +39,7 @@
 	// Entries returns the entries of the host list.
 	Entries func() []platform.Host
 	Client  *http.Client
-	// Interval is the mean interval between rounds; 0 means DefaultEvery.
+	// Interval is the mean interval between rounds; 0 means DefaultInterval.
 	Interval time.Duration
 	// OnSuspects is called with the agents that a sweep marked as suspect. It
 	// may be nil.
--- a/daemon/internal/connection/report/report.go
+++ b/daemon/internal/connection/report/report.go
@@ -42,7 +42,7 @@
 	Incarnation uint64
 	// Member returns the current record without incarnation and sequence.
 	Member func() *wire.Member
-	// Interval is the interval between heartbeats; 0 means DefaultEvery.
+	// Interval is the interval between heartbeats; 0 means DefaultInterval.
 	Interval time.Duration
 
 	tomb tomb.Tomb
--- a/daemon/internal/request/quarantine/quarantine.go
+++ b/daemon/internal/request/quarantine/quarantine.go
@@ -31,7 +31,7 @@
 // were known then are no news, and neither are ends deeper than one since could be.
 //
 // The package has no clock and no network. Routers tell each other of each end and keep
-// the same table (package evidence); what is held back lies in the store as well.
+// the same table (package broadcast); what is held back lies in the store as well.
 //
 // Rejected: blame by how long a request had run, since engines end while they read a prompt
 // as well as after hours; one router that judges for all, which has to be found and may be
