--- a/daemon/agent/agent.go
+++ b/daemon/agent/agent.go
@@ -84,7 +84,7 @@
 
 	gate      *gate.Gate
 	stage     *stage.Stage
-	installer *install.Installer // nil beside a plain service
+	installer *install.Installer // nil for a plain service
 	hosts     *hosts.Follower
 	follower  *follow.Follower
 	reporter  *report.Reporter
