--- /dev/null
+++ b/daemon/internal/connection/places/client.go
@@ -0,0 +1,222 @@
+package places
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"net/http"
+	"net/netip"
+	"net/url"
+	"strconv"
+	"time"
+
+	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/backoff"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/call"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/request/ratelimit"
+)
+
+// Path is the URL path of the call. A request is a GET with a short query, and its
+// response a line of JSON. Twirp was rejected: a router makes this call for each
+// request over narrow links that weights share, and twirp messages are twice as long.
+const Path = "/place"
+
+const (
+	// callTimeout bounds a call. A slower response would delay the request more than a
+	// wrong choice of engine does.
+	callTimeout = 50 * time.Millisecond
+	// minBackoff and maxBackoff bound the backoff of a loader after a failed call. It is
+	// drawn at random, so that routers do not retry at the same time.
+	minBackoff, maxBackoff = 300 * time.Millisecond, 900 * time.Millisecond
+	// maxResponse bounds a response, in bytes.
+	maxResponse = 1 << 10
+)
+
+// wireResponse is the encoded form of a Response.
+type wireResponse struct {
+	Granted      bool            `json:"given"`
+	Running      int             `json:"running"`
+	Waiting      int             `json:"waiting"`
+	Loading      bool            `json:"loading,omitempty"`
+	RetryAfterMs int64           `json:"wait,omitempty"`
+	RateLimit    *ratelimit.Note `json:"limit,omitempty"`
+}
+
+// Response is the response of a loader.
+type Response struct {
+	// Load is the load of the engine on which the decision was based.
+	Load
+	// Granted reports whether the router has the place.
+	Granted bool
+	// RateLimit is the rate limit of the engine, as the loader holds it; nil if there is none.
+	RateLimit *ratelimit.Note
+}
+
+// Handler serves requests for places from a ledger. OnResponse is called with each response,
+// without its rate limit.
+func Handler(ledger *Ledger, onResponse func(Response)) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		req, err := parse(r)
+		if err != nil {
+			http.Error(w, err.Error(), http.StatusBadRequest)
+			return
+		}
+		load, granted := ledger.Reserve(req)
+		onResponse(Response{Load: load, Granted: granted})
+		w.Header()["Date"] = nil
+		w.Header().Set("Content-Type", "application/json")
+		_ = json.NewEncoder(w).Encode(wireResponse{
+			Granted: granted, Running: load.Running, Waiting: load.Waiting, Loading: load.Loading,
+			RetryAfterMs: load.RetryAfter.Milliseconds(), RateLimit: ledger.RateLimit(req.Engine),
+		})
+	}
+}
+
+func parse(r *http.Request) (Request, error) {
+	query := r.URL.Query()
+	limit, err := parseLimit(query)
+	if err != nil {
+		return Request{}, err
+	}
+	req := Request{Limit: limit, Engine: ratelimit.Upstream{ID: query.Get(engineParam)}}
+	if started, err := strconv.ParseInt(query.Get(startedParam), 10, 64); err == nil {
+		req.Engine.Started = time.Unix(0, started)
+	}
+	if req.RateLimit, err = parseRateLimit(query); err != nil {
+		return req, err
+	}
+	req.Cold, err = parseCold(query)
+	return req, err
+}
+
+// The optional query parameters for the engine and its rate limit.
+const (
+	engineParam  = "of"
+	startedParam = "started"
+	limitParam   = "limit"
+	ageParam     = "age" // in milliseconds
+	endedValue   = "ended"
+	coldParam    = "cold"    // requests a second
+	coldForParam = "coldFor" // in milliseconds
+)
+
+// parseCold parses the rate and the remaining time of a warm-up; nil if there is none.
+func parseCold(query url.Values) (*ratelimit.Cold, error) {
+	text := query.Get(coldParam)
+	if text == "" {
+		return nil, nil //nolint:nilnil // the parameter is optional
+	}
+	perSecond, err := strconv.ParseFloat(text, 64)
+	if err != nil || !(perSecond > 0) {
+		return nil, fmt.Errorf("%s: %w: %q", coldParam, errInvalidRate, text)
+	}
+	remaining, err := strconv.ParseInt(query.Get(coldForParam), 10, 64)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", coldForParam, err)
+	}
+	return &ratelimit.Cold{PerSecond: perSecond, Left: time.Duration(remaining) * time.Millisecond}, nil
+}
+
+// parseRateLimit parses the engine's rate limit as the router holds it; nil if there is none.
+func parseRateLimit(query url.Values) (*ratelimit.Note, error) {
+	text := query.Get(limitParam)
+	if text == "" {
+		return nil, nil //nolint:nilnil // the parameter is optional
+	}
+	age, err := strconv.ParseInt(query.Get(ageParam), 10, 64)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", ageParam, err)
+	}
+	note := &ratelimit.Note{Age: time.Duration(age) * time.Millisecond}
+	if text == endedValue {
+		note.Ended = true
+		return note, nil
+	}
+	parsed := ratelimit.Parse([]string{text})
+	if parsed.Kind != ratelimit.Limited {
+		return nil, fmt.Errorf("%s: %w: %s", limitParam, errInvalidRate, parsed)
+	}
+	note.PerSecond = parsed.PerSecond
+	return note, nil
+}
+
+var errInvalidRate = errors.New("not a number of requests a second")
+
+// parseLimit parses the admission limit, which is required.
+func parseLimit(query url.Values) (Limit, error) {
+	waiting, err := strconv.Atoi(query.Get("waiting"))
+	if err != nil {
+		return Limit{}, fmt.Errorf("waiting: %w", err)
+	}
+	taken, err := strconv.Atoi(query.Get("taken"))
+	if err != nil {
+		return Limit{}, fmt.Errorf("taken: %w", err)
+	}
+	duration, err := strconv.Atoi(query.Get("lasts"))
+	if err != nil {
+		return Limit{}, fmt.Errorf("lasts: %w", err)
+	}
+	return Limit{Waiting: waiting, InUse: taken, Duration: time.Duration(duration) * time.Millisecond}, nil
+}
+
+// ErrBackoff reports that no call was made, because the loader is in backoff.
+var ErrBackoff = errors.New("loader in backoff after a failed call")
+
+// Client requests places from loaders. Client must be set.
+type Client struct {
+	Client *http.Client
+	// Now is the clock; nil means clock.Now.
+	Now func() time.Time
+
+	// failed holds the loaders in backoff.
+	failed backoff.List
+}
+
+// query returns the encoded query parameters.
+func (r *Request) query() string {
+	query := fmt.Sprintf("waiting=%d&taken=%d&lasts=%d", r.Waiting, r.InUse, r.Duration.Milliseconds())
+	if r.Engine.ID != "" {
+		query += "&" + engineParam + "=" + url.QueryEscape(r.Engine.ID)
+	}
+	if !r.Engine.Started.IsZero() {
+		query += "&" + startedParam + "=" + strconv.FormatInt(r.Engine.Started.UnixNano(), 10)
+	}
+	if r.Cold != nil {
+		query += "&" + coldParam + "=" + strconv.FormatFloat(r.Cold.PerSecond, 'f', -1, 64)
+		query += "&" + coldForParam + "=" + strconv.FormatInt(r.Cold.Left.Milliseconds(), 10)
+	}
+	if r.RateLimit == nil {
+		return query
+	}
+	limit := endedValue
+	if !r.RateLimit.Ended {
+		limit = strconv.FormatFloat(r.RateLimit.PerSecond, 'f', -1, 64)
+	}
+	return query + "&" + limitParam + "=" + limit + "&" + ageParam + "=" + strconv.FormatInt(r.RateLimit.Age.Milliseconds(), 10)
+}
+
+// Reserve requests a place from a loader. An error means that the load is unknown, because the
+// call failed or the loader is in backoff.
+func (c *Client) Reserve(ctx context.Context, loader netip.AddrPort, req Request) (Response, error) {
+	if c.failed.Has(loader, c.Now) {
+		return Response{}, ErrBackoff
+	}
+	resp, err := c.request(ctx, loader, req)
+	if err != nil && ctx.Err() == nil {
+		c.failed.Add(loader, minBackoff+rand.N(maxBackoff-minBackoff), c.Now)
+	}
+	return resp, err
+}
+
+func (c *Client) request(ctx context.Context, loader netip.AddrPort, req Request) (Response, error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	target := "http://" + loader.String() + Path + "?" + req.query()
+	var resp wireResponse
+	if err := call.GetJSON(ctx, c.Client, target, maxResponse, &resp); err != nil {
+		return Response{}, fmt.Errorf("request place from loader %s: %w", loader, err)
+	}
+	load := Load{Running: resp.Running, Waiting: resp.Waiting, Loading: resp.Loading, RetryAfter: time.Duration(resp.RetryAfterMs) * time.Millisecond}
+	return Response{Load: load, Granted: resp.Granted, RateLimit: resp.RateLimit}, nil
+}
--- a/daemon/internal/request/dispatch/limit_test.go
+++ b/daemon/internal/request/dispatch/limit_test.go
@@ -24,7 +24,7 @@
 		if engine.ID == free {
 			return places.Load{}, true, nil
 		}
-		return places.Load{Wait: retryWait}, false, nil
+		return places.Load{RetryAfter: retryWait}, false, nil
 	}
 }
 
@@ -91,7 +91,7 @@
 		if engine.ID == first {
 			return places.Load{Waiting: 1}, limit.Waiting > 0, nil
 		}
-		return places.Load{Wait: retryWait}, false, nil
+		return places.Load{RetryAfter: retryWait}, false, nil
 	}
 	choice, err := q.choosePlace(context.Background())
 	require.NoError(t, err)
--- a/daemon/router/limit_test.go
+++ b/daemon/router/limit_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/evidence"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/broadcast"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/loadfeed"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/places"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/readers"
@@ -199,7 +199,7 @@
 // knownLimits returns the limits that a router holds, as its peers receive them.
 func knownLimits(t *testing.T, cfg settings.Router) []ratelimit.Named {
 	t.Helper()
-	all, err := evidence.All[ratelimit.Named](t.Context(), http.DefaultClient, cfg.Listen.Peers, evidence.LimitsPath)
+	all, err := broadcast.FetchAll[ratelimit.Named](t.Context(), http.DefaultClient, cfg.Listen.Peers, broadcast.LimitsPath)
 	require.NoError(t, err)
 	return all
 }
@@ -265,7 +265,7 @@
 	feed := loadfeed.NewFeed()
 	feed.Publish(loadfeed.Line{Models: []provider.LoadedModel{{Model: "m", Version: 1}}})
 	pages.Handle(loadfeed.Path, feed)
-	answer := places.Handler(ledger, func(places.Answer) {})
+	answer := places.Handler(ledger, func(places.Response) {})
 	pages.HandleFunc(places.Path, func(w http.ResponseWriter, r *http.Request) {
 		ledger.Observe(places.Load{}, true)
 		answer(w, r)
--- a/daemon/router/limits.go
+++ b/daemon/router/limits.go
@@ -11,7 +11,7 @@
 	"github.com/uptrace/bunrouter"
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/clock"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/evidence"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/broadcast"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/places"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/dispatch"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/ratelimit"
@@ -52,7 +52,7 @@
 		change = table.Heard(upstream, report.Limit, report.Sent, now)
 	})
 	p.limitChanged(limitUpdate{upstream: upstream, change: change, from: sourceOwn, request: report.Request})
-	if change.Tell && !p.limitNotifier.Tell(ratelimit.Named{Upstream: upstream, Note: change.After}) {
+	if change.Tell && !p.limitNotifier.Send(ratelimit.Named{Upstream: upstream, Note: change.After}) {
 		p.recorder.notificationDropped()
 	}
 }
@@ -126,34 +126,34 @@
 // that this router holds for the engine, and the answer the limit that the loader holds.
 func (p *Process) requestPlace(ctx context.Context, engine *provider.Upstream, limit places.Limit) (places.Load, bool, error) {
 	upstream := instanceOf(engine)
-	query := places.Question{Limit: limit, Engine: ratelimit.Upstream{ID: upstream.ID, Started: upstream.Started}}
+	query := places.Request{Limit: limit, Engine: ratelimit.Upstream{ID: upstream.ID, Started: upstream.Started}}
 	p.limits.withTable(func(table *ratelimit.Table, now time.Time) {
 		if note, known := table.Known(upstream, now); known {
-			query.Known = &note
+			query.RateLimit = &note
 		}
 		query.Cold = p.coldLimit(engine, now)
 	})
 	loader := netip.AddrPortFrom(engine.Address.Addr(), p.current.Load().LoaderPort)
-	answer, err := p.placeClient.Ask(ctx, loader, query)
+	answer, err := p.placeClient.Reserve(ctx, loader, query)
 	switch {
 	case err != nil:
 		return answer.Load, false, err
-	case answer.Limit != nil:
-		p.applyLimit(ratelimit.Named{Upstream: upstream, Note: *answer.Limit}, sourceLoader, loader)
-	case query.Known != nil && !query.Known.Ended:
+	case answer.RateLimit != nil:
+		p.applyLimit(ratelimit.Named{Upstream: upstream, Note: *answer.RateLimit}, sourceLoader, loader)
+	case query.RateLimit != nil && !query.RateLimit.Ended:
 		return answer.Load, false, errLimitNotEnforced
 	}
-	if answer.Wait > 0 {
+	if answer.RetryAfter > 0 {
 		p.recorder.limitDenied(dispatch.PathLoader)
 	}
-	return answer.Load, answer.Given, nil
+	return answer.Load, answer.Granted, nil
 }
 
 // newLimitNotifier prepares the notification of other routers about limits.
-func (p *Process) newLimitNotifier(client *http.Client) *evidence.Teller[ratelimit.Named] {
-	return &evidence.Teller[ratelimit.Named]{
-		Client: client, Path: evidence.LimitsPath, Peers: p.otherRouters, Peer: p.choosePeer, OnFailed: p.recorder.notificationFailed,
-		Take: func(all []ratelimit.Named, peer netip.AddrPort) { p.applyLimits(all, sourceAnswer, peer) },
+func (p *Process) newLimitNotifier(client *http.Client) *broadcast.Sender[ratelimit.Named] {
+	return &broadcast.Sender[ratelimit.Named]{
+		Client: client, Path: broadcast.LimitsPath, Peers: p.otherRouters, CatchUpPeer: p.choosePeer, OnFailed: p.recorder.notificationFailed,
+		OnNotes: func(all []ratelimit.Named, peer netip.AddrPort) { p.applyLimits(all, sourceAnswer, peer) },
 	}
 }
 
@@ -166,12 +166,12 @@
 // addLimitRoutes adds the routes on which this router serves its limits and receives those of
 // other routers.
 func (p *Process) addLimitRoutes(routes *bunrouter.Router) {
-	known := &evidence.Known[ratelimit.Named]{
-		All: p.allLimits, Of: p.knownLimits,
-		Take: func(all []ratelimit.Named) { p.applyLimits(all, sourceRouter, netip.AddrPort{}) },
+	known := &broadcast.Receiver[ratelimit.Named]{
+		All: p.allLimits, Related: p.knownLimits,
+		Merge: func(all []ratelimit.Named) { p.applyLimits(all, sourceRouter, netip.AddrPort{}) },
 	}
-	routes.Compat().GET(evidence.LimitsPath, known.ServeAll)
-	routes.Compat().POST(evidence.LimitsPath, known.ServeTold)
+	routes.Compat().GET(broadcast.LimitsPath, known.ServeAll)
+	routes.Compat().POST(broadcast.LimitsPath, known.ServeNotes)
 }
 
 func (p *Process) allLimits() (all []ratelimit.Named) {
--- a/daemon/router/listeners.go
+++ b/daemon/router/listeners.go
@@ -43,7 +43,7 @@
 // the quarantine.
 func (p *Process) dispatcher() *dispatch.Dispatcher {
 	bounds := p.current.Load().Bounds
-	connect := dial.Within(upstreamConnectTimeout, p.options.Dial)
+	connect := dial.WithTimeout(upstreamConnectTimeout, p.options.Dial)
 	p.upstreamTransport = dial.NewHostTransport(connect, upstreamIdleTimeout)
 	p.budget = &dispatch.Budget{
 		Ratio: bounds.RetryRatio, Slack: bounds.RetrySlack, Window: bounds.RetryWindow.Std(),
@@ -94,7 +94,7 @@
 // limits.
 func (p *Process) peerHandler() http.Handler {
 	routes := bunrouter.New()
-	source := &peering.Source{Table: p.table, Standing: p.follower.Status}
+	source := &peering.Source{Table: p.table, Status: p.follower.Status}
 	routes.Compat().GET(peering.Path, source.ServeHTTP)
 	routes.Compat().GET(peering.EnginePath, peering.EngineHandler(p.compiler.View))
 	p.addSuspectRoutes(routes)
--- a/daemon/router/replication.go
+++ b/daemon/router/replication.go
@@ -99,7 +99,7 @@
 	after := storeProbeInterval + p.debounce() + storeResponseSlack
 	if p.hasHallPeers() {
 		hops := max(p.follower.Status().Hops, 1)
-		after += time.Duration(hops) * peering.NewsWait
+		after += time.Duration(hops) * peering.LongPollWait
 	}
 	return after
 }
@@ -141,7 +141,7 @@
 		}
 	}
 	if p.follower.Revision() == 0 {
-		return peering.Choose(local, remote, fullCopyRemoteOneIn)
+		return peering.ChoosePeer(local, remote, fullCopyRemoteOneIn)
 	}
-	return peering.Choose(local, remote, remotePeerOneIn)
+	return peering.ChoosePeer(local, remote, remotePeerOneIn)
 }
