--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -213,7 +213,7 @@
 	loaded := p.loaded
 	p.mu.Unlock()
 	if !loaded {
-		p.telemetry.SetNotReady("no configuration yet: the key-value service is unreachable and no other entry has sent a snapshot")
+		p.telemetry.SetNotReady("no configuration yet: the key-value service does not answer and no other entry has given it")
 	}
 	p.telemetry.Log.WithError(err).Warn("key-value service unreachable; keeping the current configuration")
 }
--- a/daemon/internal/connection/broadcast/broadcast.go
+++ b/daemon/internal/connection/broadcast/broadcast.go
@@ -240,7 +240,7 @@
 func (r *Receiver[N]) ServeNotes(w http.ResponseWriter, req *http.Request) {
 	var message Message[N]
 	if err := json.NewDecoder(io.LimitReader(req.Body, maxMessage)).Decode(&message); err != nil {
-		http.Error(w, "decode notes: "+err.Error(), http.StatusBadRequest)
+		http.Error(w, "decode the notes: "+err.Error(), http.StatusBadRequest)
 		return
 	}
 	related := r.Related(message.Notes)
--- a/daemon/internal/connection/peering/engine.go
+++ b/daemon/internal/connection/peering/engine.go
@@ -40,7 +40,7 @@
 	return func(w http.ResponseWriter, r *http.Request) {
 		current := view()
 		if current.Configuration == nil {
-			http.Error(w, "no configuration loaded yet", http.StatusServiceUnavailable)
+			http.Error(w, "no configuration is known yet", http.StatusServiceUnavailable)
 			return
 		}
 		config, err := replica.EngineConfigFor(current.Configuration, r.URL.Query().Get("service"))
--- a/daemon/internal/connection/peering/peering.go
+++ b/daemon/internal/connection/peering/peering.go
@@ -187,12 +187,12 @@
 func parse(query url.Values) (request, error) {
 	after, err := strconv.ParseUint(query.Get("after"), 10, 64)
 	if err != nil {
-		return request{}, fmt.Errorf("after: not a revision: %w", err)
+		return request{}, fmt.Errorf("after: a revision is missing: %w", err)
 	}
 	wait := time.Duration(0)
 	if text := query.Get("wait"); text != "" {
 		if wait, err = time.ParseDuration(text); err != nil {
-			return request{}, fmt.Errorf("wait: not a duration such as 500ms: %w", err)
+			return request{}, fmt.Errorf("wait: give a time such as 500ms: %w", err)
 		}
 	}
 	wait = min(max(wait, 0), maxWait)
