--- a/daemon/internal/version/keep/busy_test.go
+++ b/daemon/internal/version/keep/busy_test.go
@@ -8,9 +8,8 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// TestBusyEngines: what waits counts too, and an engine of unknown size is never
-// busy.
-func TestBusyEngines(t *testing.T) {
+// TestIsBusyCountsRunningAndWaiting also covers an engine of unknown size, which is never busy.
+func TestIsBusyCountsRunningAndWaiting(t *testing.T) {
 	assert.False(t, isBusy(provider.EngineReport{}, 16))
 	assert.False(t, isBusy(provider.EngineReport{Running: 9}, 16))
 	assert.True(t, isBusy(provider.EngineReport{Running: 9, Waiting: 1}, 16))
--- a/daemon/internal/version/keep/fetch.go
+++ b/daemon/internal/version/keep/fetch.go
@@ -14,45 +14,47 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// This file has the goal's version fetched; manifest.go finds its manifest.
+// This file fetches the newest declared version; manifest.go looks up its manifest.
 
-// keepFetching has the goal's version under way, and no other.
-func (k *Keeper) keepFetching(ctx context.Context, plan Plan) {
-	if k.fetching == plan.Goal.Version || k.nearlyThere() {
+// ensureFetch starts the fetch of the newest declared version and cancels that of any other,
+// unless that one is nearly complete.
+func (k *Keeper) ensureFetch(ctx context.Context, plan Plan) {
+	if k.fetchVersion == plan.Goal.Version || k.nearlyComplete() {
 		return
 	}
 	k.stopFetch()
-	k.fetching, k.fetchSince = plan.Goal.Version, clock.Now()
+	k.fetchVersion, k.fetchStarted = plan.Goal.Version, clock.Now()
 	fetchCtx, cancel := context.WithCancel(ctx)
 	k.cancel = cancel
-	k.fetched = make(chan struct{})
+	k.fetchDone = make(chan struct{})
 	go func(done chan<- struct{}) {
 		defer close(done)
 		k.fetch(fetchCtx, plan)
-	}(k.fetched)
+	}(k.fetchDone)
 }
 
-// nearlyThere reports whether the version under way is so far that it is worth
-// its end although a newer one was declared: engines have to reach it earlier.
-func (k *Keeper) nearlyThere() bool {
-	const worthIt = 0.6
-	c := k.Held.Get(k.fetching)
+// nearlyComplete reports whether the running fetch should end although a newer version was
+// declared: engines have to reach its version earlier than the newer one.
+func (k *Keeper) nearlyComplete() bool {
+	const minShare = 0.6
+	c := k.Held.Get(k.fetchVersion)
 	if c == nil || c.Complete() {
 		return false
 	}
 	count, _ := c.Count()
-	return float64(count) >= worthIt*float64(len(c.Manifest.Digests)) && clock.Since(k.fetchSince) < fetchMost
+	return float64(count) >= minShare*float64(len(c.Manifest.Digests)) && clock.Since(k.fetchStarted) < maxSupersededFetch
 }
 
 func (k *Keeper) stopFetch() {
 	if k.cancel != nil {
 		k.cancel()
-		<-k.fetched
+		<-k.fetchDone
 		k.cancel = nil
 	}
 }
 
-// fetch brings a version to this host, over as many tries as it takes.
+// fetch fetches a version, with retries until it succeeds, is superseded, or the context
+// ends.
 func (k *Keeper) fetch(ctx context.Context, plan Plan) {
 	started := clock.Now()
 	for ctx.Err() == nil {
@@ -67,7 +69,7 @@
 		if errors.Is(err, swarm.ErrManifest) {
 			k.Held.Drop(plan.Goal.Version)
 		}
-		helpers.Pause(rand.N(retryPause), ctx.Done())
+		helpers.Pause(rand.N(maxRetryDelay), ctx.Done())
 		if newer, ok := k.Plan(0); ok && newer.Goal.Version == plan.Goal.Version {
 			plan = newer
 		}
@@ -90,23 +92,23 @@
 	fetch := k.NewFetch(plan, c)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var looking sync.WaitGroup
-	defer looking.Wait()
-	looked := make(chan struct{})
-	looking.Go(func() {
-		k.takeStaged(ctx, plan, c)
-		close(looked)
+	var scan sync.WaitGroup
+	defer scan.Wait()
+	scanned := make(chan struct{})
+	scan.Go(func() {
+		k.reuseStaged(ctx, plan, c)
+		close(scanned)
 	})
-	fetch.AfterOthers = looked
+	fetch.AfterOthers = scanned
 	defer cancel()
 	return fetch.Run(ctx)
 }
 
-// manifest finds the manifest of the goal's version.
+// manifest looks up the manifest of the newest declared version.
 func (k *Keeper) manifest(ctx context.Context, plan Plan) (provider.Manifest, error) {
 	started := clock.Now()
 	goal := plan.Goal
-	inquiry := &Inquiry{
+	lookup := &Inquiry{
 		Own: k.Own, Ranked: k.Ranked(goal),
 		AskPeer: func(ctx context.Context, peer netip.AddrPort) (provider.Manifest, error) {
 			return k.AskPeer(ctx, peer, goal.Version)
@@ -116,13 +118,13 @@
 		},
 		Check: func(manifest provider.Manifest) error { return checkManifest(manifest, plan) },
 	}
-	found, err := inquiry.Find(ctx)
+	found, err := lookup.Find(ctx)
 	if err != nil {
 		return provider.Manifest{}, fmt.Errorf("manifest of version %d: %w", goal.Version, err)
 	}
 	k.OnStep(Step{
 		Name: StepManifest, Version: goal.Version, Took: clock.Since(started),
-		Reason: fmt.Sprintf("from %s after %d questions to other hosts", found.From, found.Asked),
+		Reason: fmt.Sprintf("from %s after %d queries to peers", found.From, found.Asked),
 	})
 	return found.Manifest, nil
 }
--- a/daemon/internal/version/keep/keep.go
+++ b/daemon/internal/version/keep/keep.go
@@ -1,11 +1,12 @@
-// Package keep keeps an engine at the declared version of its model: it has the
-// version fetched, lays it beside the engine, checks it there, and orders the
-// engine to take it when its turn has come.
+// Package keep brings an engine to the declared version of its model. It fetches the
+// version, writes it to the engine's staging area, verifies it there, and orders the
+// engine to load it at its scheduled load time. Package loader runs one instance for
+// the engine on its host.
 //
-// Nothing it does depends on having seen an order's answer. Each round begins
-// with the engine's own report, so a lost answer, a restarted engine and a
-// restarted loader all lead to the same question: what does it hold, and what
-// is declared?
+// The package is a reconciliation loop: each round starts from the engine's own report
+// and compares it with the declared versions. Nothing depends on the reply to an order,
+// so a lost reply, a restarted engine and a restarted loader need no handling of their
+// own.
 package keep
 
 import (
@@ -23,53 +24,54 @@
 )
 
 const (
-	// roundEvery is the interval of rounds.
-	roundEvery = 50 * time.Millisecond
-	// BusyEvery is the one while the engine is busy: routers then need its report the
-	// fresher, and each report costs processor time on this host and on theirs.
+	// roundInterval is the interval between rounds.
+	roundInterval = 50 * time.Millisecond
+	// BusyEvery is the interval between rounds while the engine is busy. Routers need
+	// fresher load reports then; an idle engine is polled less often because each report
+	// costs processor time on this host and on the routers.
 	BusyEvery = 20 * time.Millisecond
-	// busyShare is the part of an engine's places from which it is busy.
-	busyShare = 0.6
+	// busyThreshold is the share of an engine's places in use from which it counts as busy.
+	busyThreshold = 0.6
 	// callTimeout bounds a call to the engine on this host.
 	callTimeout = time.Second
-	// retryPause bounds the pause after a failed fetch, drawn at random.
-	retryPause = 400 * time.Millisecond
-	// clearLeast is the time in which routers hear that nothing more is to be
-	// sent, and clearMost the longest that an order waits for what waits.
-	clearLeast = 200 * time.Millisecond
-	clearMost  = 2 * time.Second
-	// CloseAhead is how long before its turn an engine takes only requests that are
-	// likely to be done by then, about as long as most streams run. An order cuts nothing,
-	// and what runs at it keeps the engine from all else until the longest has ended: 2.0 s
-	// from the order to the new version without this, 1.1 s with it (means of 358 orders on
-	// quiet days of three small fleets).
+	// maxRetryDelay bounds the random delay after a failed fetch.
+	maxRetryDelay = 400 * time.Millisecond
+	// minDrain is the time for routers to learn that the engine is draining, and maxDrain
+	// the longest that an order waits for queued requests.
+	minDrain = 200 * time.Millisecond
+	maxDrain = 2 * time.Second
+	// CloseAhead is how long before its scheduled load an engine accepts only requests that
+	// are likely to end by then, about the duration of most streams. An order cuts no
+	// request, and the engine serves nothing new until the longest running one has ended,
+	// so a long request accepted shortly before the order leaves the other places idle.
 	CloseAhead = 1600 * time.Millisecond
-	// fetchMost is the longest that a fetch is not given up for a newer version.
-	fetchMost = 6 * time.Second
-	// orderAgain is the time after an order in which its effect must show in
-	// the engine's report before it is given again.
-	orderAgain = 500 * time.Millisecond
+	// maxSupersededFetch is how long a nearly complete fetch may continue after a newer
+	// version was declared, counted from its start.
+	maxSupersededFetch = 6 * time.Second
+	// orderRetryInterval is the time for an order to take effect in the engine's report
+	// before it is sent again.
+	orderRetryInterval = 500 * time.Millisecond
 )
 
-// Goal is what the engine should hold.
+// Goal is a declared version that the engine should load.
 type Goal struct {
 	Model   string
 	Version int
-	// Fence goes with the order, so that an older order is refused.
+	// Fence is the fencing token of the order: an engine refuses one lower than it has seen.
 	Fence provider.Revision
-	// Turn is when an engine that serves an older version may be ordered.
+	// Turn is the earliest time to order an engine that serves an older version.
 	Turn time.Time
 }
 
-// Plan is what a loader knows of its part of the fleet.
+// Plan is the desired state of one engine, with what is needed to reach it.
 type Plan struct {
 	// Goal is the newest declared version, the one to fetch, and Earlier the
 	// ones declared before it, newest first.
 	Goal    Goal
 	Earlier []Goal
-	// Origin is where the weights come from.
+	// Origin is the address of the origin of the weights.
 	Origin netip.AddrPort
-	// Places is how many requests the engine runs at once.
+	// Places is the number of requests that the engine runs at once.
 	Places int
 	// Chunks and ChunkBytes are the declared sizes of a version.
 	Chunks, ChunkBytes int
@@ -77,48 +79,50 @@
 	OriginTime time.Duration
 }
 
-// goals are all declared versions, newest first.
+// goals returns all declared versions, newest first.
 func (p Plan) goals() []Goal { return append([]Goal{p.Goal}, p.Earlier...) }
 
-// Keeper keeps one engine. The exported fields must be set.
+// Keeper reconciles one engine with its plan. The exported fields must be set, except Now.
 type Keeper struct {
 	Engine  provider.Engine
 	Origin  provider.Origin
 	Address netip.AddrPort // of the engine
 	Held    *swarm.Held
-	// Plan returns what is to be done for an engine that holds some version, 0
-	// for none, or false while that is not known.
+	// Plan returns the plan for an engine that serves the given version, 0 for none. It
+	// reports false while the configuration or the declared versions are not known.
 	Plan func(held int) (Plan, bool)
-	// Own is this loader, and Ranked all loaders of the service in the order in which
-	// it falls to them to ask the origin for a version's manifest.
+	// Own is the address of this loader, and Ranked returns all loaders of the service in
+	// the order in which they query the origin for a version's manifest.
 	Own    netip.AddrPort
 	Ranked func(Goal) []netip.AddrPort
-	// NewFetch prepares a fetch of a copy; the keeper runs it.
+	// NewFetch prepares the fetch of a copy without running it.
 	NewFetch func(plan Plan, c *swarm.Copy) *swarm.Fetch
-	// AskPeer asks one peer for a manifest.
+	// AskPeer requests a manifest from one peer.
 	AskPeer func(ctx context.Context, peer netip.AddrPort, version int) (provider.Manifest, error)
-	// Now is the clock by which orders are given; nil means clock.Now.
+	// Now is the clock that orders are scheduled by; nil means clock.Now.
 	Now func() time.Time
 	// OnReport is called with each report of the engine.
 	OnReport func(report provider.EngineReport, err error)
-	// OnStep is called for each decision and its outcome.
+	// OnStep is called with the outcome of each step.
 	OnStep func(step Step)
 
-	// fetching is the version under way, with what ends it; only run uses them.
-	fetching   int
-	fetchSince time.Time
-	cancel     context.CancelFunc
-	fetched    chan struct{}
-	// prepared is the version that was laid beside the engine.
-	prepared int
-	ordered  time.Time
-	// clearing is when routers were told to send nothing more, zero if not.
-	clearing time.Time
-	// started is when the engine that was last asked had started.
-	started time.Time
-	// closes is the turn that the engine's next version has soon, zero if it has none.
-	closes time.Time
-	tomb   tomb.Tomb
+	// fetchVersion is the version of the running fetch, which cancel ends and fetchDone
+	// waits for. Only run uses these fields.
+	fetchVersion int
+	fetchStarted time.Time
+	cancel       context.CancelFunc
+	fetchDone    chan struct{}
+	// stagedVersion is the version that was written to the engine's staging area.
+	stagedVersion int
+	orderedAt     time.Time
+	// drainStarted is when routers were told to send no more requests, zero while the
+	// engine is not draining.
+	drainStarted time.Time
+	// engineStarted is the start time in the engine's last report.
+	engineStarted time.Time
+	// closesAt is the scheduled load time if it is less than CloseAhead away, otherwise zero.
+	closesAt time.Time
+	tomb     tomb.Tomb
 }
 
 // The names of steps.
@@ -130,22 +134,22 @@
 	StepOrder    = "order"
 )
 
-// Step is one decision about weights.
+// Step is the outcome of one step towards a version.
 type Step struct {
 	Name    string
 	Version int
-	// Reason says why, Err what went wrong.
+	// Reason explains the step, and Err is set where it failed.
 	Reason string
 	Err    error
 	Took   time.Duration
-	// Running is how many requests ran at an order.
+	// Running is the number of requests that ran when an order was sent.
 	Running int
 }
 
-// Start begins to keep the engine; Stop ends it.
+// Start runs the reconciliation loop until Stop.
 func (k *Keeper) Start() { k.tomb.Go(k.run) }
 
-// Stop ends the keeper and waits for it.
+// Stop ends the loop and waits for it.
 func (k *Keeper) Stop() {
 	k.tomb.Kill(nil)
 	_ = k.tomb.Wait()
@@ -153,9 +157,9 @@
 
 func (k *Keeper) run() error {
 	ctx := k.tomb.Context(nil) //nolint:staticcheck // nil asks the tomb for its own context
-	pause := roundEvery
+	pause := roundInterval
 	for helpers.Pause(pause, k.tomb.Dying()) {
-		pause = roundEvery
+		pause = roundInterval
 		if k.round(ctx) {
 			pause = BusyEvery
 		}
@@ -164,128 +168,129 @@
 	return nil
 }
 
-// round looks at the engine, does what is due, and reports whether the engine is
-// busy.
+// round reads the engine's report, takes the steps that are due, and reports whether the
+// engine is busy.
 func (k *Keeper) round(ctx context.Context) (busy bool) {
 	report, err := k.report(ctx)
 	k.OnReport(report, err)
-	plan, ok := k.Plan(holds(report))
+	plan, ok := k.Plan(loadedVersion(report))
 	if !ok {
 		return false
 	}
-	k.keepFetching(ctx, plan)
+	k.ensureFetch(ctx, plan)
 	if err != nil {
 		return false
 	}
-	k.noteStart(report.Started)
-	k.bringUp(ctx, plan, report)
+	k.resetOnRestart(report.Started)
+	k.advance(ctx, plan, report)
 	return isBusy(report, plan.Places)
 }
 
-// noteStart forgets what was begun with the engine's process before this one: it knows of
-// no order, and an empty engine is not to wait for the effect of one.
-func (k *Keeper) noteStart(started time.Time) {
-	if started.Equal(k.started) {
+// resetOnRestart clears the state of orders to an earlier engine process: the new process
+// has received none of them, and an empty engine must not wait for one to take effect.
+func (k *Keeper) resetOnRestart(started time.Time) {
+	if started.Equal(k.engineStarted) {
 		return
 	}
-	k.started = started
-	k.ordered, k.clearing = time.Time{}, time.Time{}
+	k.engineStarted = started
+	k.orderedAt, k.drainStarted = time.Time{}, time.Time{}
 }
 
-// isBusy reports whether an engine's places are taken so far that routers need
-// to know soon which are free.
+// isBusy reports whether so many of an engine's places are in use that routers need
+// frequent load reports.
 func isBusy(report provider.EngineReport, places int) bool {
-	return places > 0 && float64(report.Running+report.Waiting) >= busyShare*float64(places)
+	return places > 0 && float64(report.Running+report.Waiting) >= busyThreshold*float64(places)
 }
 
-// bringUp brings the engine nearer to the version that it should hold.
-func (k *Keeper) bringUp(ctx context.Context, plan Plan, report provider.EngineReport) {
-	k.closes = closing(plan, holds(report), k.now())
+// advance takes the next step towards the version that the engine should load.
+func (k *Keeper) advance(ctx context.Context, plan Plan, report provider.EngineReport) {
+	k.closesAt = closeTime(plan, loadedVersion(report), k.now())
 	goal, c := k.next(plan, report)
 	if c == nil || report.Loading {
-		k.clearing = time.Time{}
+		k.drainStarted = time.Time{}
 		return
 	}
-	if k.prepared != goal.Version {
-		k.prepare(ctx, goal, c)
+	if k.stagedVersion != goal.Version {
+		k.stage(ctx, goal, c)
 	}
-	held := holds(report)
-	if k.now().Sub(k.ordered) < orderAgain {
+	loaded := loadedVersion(report)
+	if k.now().Sub(k.orderedAt) < orderRetryInterval {
 		return
 	}
-	if held == 0 && k.check(ctx, goal, c) || held > 0 && k.cleared(ctx, goal, c, report) {
+	if loaded == 0 && k.verify(ctx, goal, c) || loaded > 0 && k.drained(ctx, goal, c, report) {
 		k.order(ctx, goal, report)
 	}
 }
 
-// cleared reports whether an engine that serves may be ordered: its turn has
-// come, what lies beside it was checked, the routers were told to send nothing
-// more, and what waited has begun. What waits at an order may begin on the old
-// version much later, when the engine stands still meanwhile. What runs is not waited
-// for: the engine takes nothing new until it has ended, and then loads.
-func (k *Keeper) cleared(ctx context.Context, goal Goal, c *swarm.Copy, report provider.EngineReport) bool {
+// drained reports whether a serving engine may be ordered to load: its load time has come,
+// the staged chunks were verified, routers were told to send no more requests, and the
+// engine's queue is empty. A request that is queued at the order may start on the old version
+// much later if the engine stalls in between. Running requests are not waited for: the engine
+// accepts nothing new, lets them end, and then loads.
+func (k *Keeper) drained(ctx context.Context, goal Goal, c *swarm.Copy, report provider.EngineReport) bool {
 	now := k.now()
 	if now.Before(goal.Turn) {
-		k.clearing = time.Time{}
+		k.drainStarted = time.Time{}
 		return false
 	}
-	if k.clearing.IsZero() {
-		if !k.check(ctx, goal, c) {
+	if k.drainStarted.IsZero() {
+		if !k.verify(ctx, goal, c) {
 			return false
 		}
 		if report.Running+report.Waiting == 0 {
-			return true // as when routers send nothing to old versions any more
+			return true // for example once routers send nothing to old versions
 		}
-		k.clearing = now
+		k.drainStarted = now
 		return false
 	}
-	waited := now.Sub(k.clearing)
-	return waited > clearMost || waited > clearLeast && report.Waiting == 0
+	waited := now.Sub(k.drainStarted)
+	return waited > maxDrain || waited > minDrain && report.Waiting == 0
 }
 
 func (k *Keeper) now() time.Time { return helpers.Now(k.Now) }
 
-// Clearing reports whether the engine is to get no new requests because an
-// order is about to be given. Only OnReport may call it.
-func (k *Keeper) Clearing() bool { return !k.clearing.IsZero() }
+// Clearing reports whether the engine is draining: it accepts no new requests because an
+// order is imminent. Only OnReport may call it.
+func (k *Keeper) Clearing() bool { return !k.drainStarted.IsZero() }
 
-// Closes is when the engine is to be ordered, zero where that is not soon. Only OnReport
-// may call it.
-func (k *Keeper) Closes() time.Time { return k.closes }
+// Closes returns the scheduled load time if it is less than CloseAhead away, otherwise
+// zero. Only OnReport may call it.
+func (k *Keeper) Closes() time.Time { return k.closesAt }
 
-// closing returns the turn that an engine has soon, zero if it has none. Whether its copy
-// is whole by then does not matter: that shows too late for what runs.
-func closing(plan Plan, held int, now time.Time) time.Time {
+// closeTime returns the scheduled load time of an engine if it is less than CloseAhead
+// away, otherwise zero. It applies whether or not the copy is complete: that is known only
+// at the load time, too late for the requests that are running then.
+func closeTime(plan Plan, loaded int, now time.Time) time.Time {
 	var next time.Time
 	for _, goal := range plan.goals() {
 		soon := now.Before(goal.Turn) && !now.Before(goal.Turn.Add(-CloseAhead))
-		if held > 0 && goal.Version > held && soon && (next.IsZero() || goal.Turn.Before(next)) {
+		if loaded > 0 && goal.Version > loaded && soon && (next.IsZero() || goal.Turn.Before(next)) {
 			next = goal.Turn
 		}
 	}
 	return next
 }
 
-// next chooses the version to order: the newest that is here whole and whose
-// turn has come, else the one whose turn comes first. It returns no copy where
-// there is nothing to order.
+// next returns the version to load and its copy: the newest complete one whose load time
+// has come, otherwise the one that is scheduled first. The copy is nil where there is
+// nothing to load.
 func (k *Keeper) next(plan Plan, report provider.EngineReport) (Goal, *swarm.Copy) {
-	held := holds(report)
+	loaded := loadedVersion(report)
 	var best Goal
-	var copied *swarm.Copy
+	var bestCopy *swarm.Copy
 	for _, goal := range plan.goals() {
 		c := k.Held.Get(goal.Version)
-		if goal.Version <= held || c == nil || !c.Complete() {
+		if goal.Version <= loaded || c == nil || !c.Complete() {
 			continue
 		}
-		if copied == nil || k.now().Before(best.Turn) {
-			best, copied = goal, c
+		if bestCopy == nil || k.now().Before(best.Turn) {
+			best, bestCopy = goal, c
 		}
-		if held == 0 {
-			break // an empty engine takes the newest
+		if loaded == 0 {
+			break // an empty engine loads the newest version at once
 		}
 	}
-	return best, copied
+	return best, bestCopy
 }
 
 func (k *Keeper) report(ctx context.Context) (provider.EngineReport, error) {
@@ -294,16 +299,16 @@
 	return k.Engine.Report(ctx, k.Address)
 }
 
-// holds is the version that an engine holds whole, or 0. An engine serves one
+// loadedVersion returns the version that an engine has loaded, or 0. An engine serves one
 // model.
-func holds(report provider.EngineReport) int {
+func loadedVersion(report provider.EngineReport) int {
 	if len(report.Models) == 0 {
 		return 0
 	}
 	return report.Models[0].Version
 }
 
-// order has the engine take what lies beside it.
+// order sends the engine the order to load the staged version.
 func (k *Keeper) order(ctx context.Context, goal Goal, report provider.EngineReport) {
 	started := clock.Now()
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -311,8 +316,8 @@
 	result, err := k.Engine.Start(ctx, k.Address, provider.Order{
 		Model: goal.Model, Version: goal.Version, Fence: goal.Fence, Sequence: report.Sequence,
 	})
-	k.ordered = k.now()
-	k.clearing = time.Time{}
-	reason := fmt.Sprintf("holds version %d, %d requests run, order %s", holds(report), report.Running, result)
+	k.orderedAt = k.now()
+	k.drainStarted = time.Time{}
+	reason := fmt.Sprintf("version %d loaded, %d requests running, order %s", loadedVersion(report), report.Running, result)
 	k.OnStep(Step{Name: StepOrder, Version: goal.Version, Reason: reason, Err: err, Took: clock.Since(started), Running: report.Running})
 }
--- a/daemon/internal/version/keep/keep_test.go
+++ b/daemon/internal/version/keep/keep_test.go
@@ -20,8 +20,8 @@
 )
 
 var (
-	errLost = errors.New("the answer was lost")
-	host    = netip.MustParseAddrPort("127.0.0.1:9")
+	errReplyLost = errors.New("reply lost")
+	host         = netip.MustParseAddrPort("127.0.0.1:9")
 )
 
 const chunks = 4
@@ -36,33 +36,33 @@
 	return manifest
 }
 
-// engine is an engine with a place beside it. It fails the test when it is
-// ordered to take what is not whole.
+// engine is a fake engine with a staging area. It fails the test when it is ordered to load
+// an incomplete version.
 type engine struct {
 	t  *testing.T
 	mu sync.Mutex
-	// staged is what lies beside it, held the version that it serves.
+	// staged holds the chunks in the staging area, and loaded is the version that it serves.
 	staged   map[int][]byte
-	held     int
+	loaded   int
 	sequence uint64
 	waiting  int
 	running  int
 	orders   int
-	// fenced counts the orders that were refused for their fence.
+	// fenced counts the orders that were refused for their fencing token.
 	fenced int
-	// fence is the highest that the engine has seen.
+	// fence is the highest fencing token that the engine has seen.
 	fence provider.Revision
-	// loseAnswers is how many orders are taken without an answer.
-	loseAnswers int
-	// cleared is set once a report came while the routers were told to send
-	// nothing more, and rounds counts the reports.
-	cleared atomic.Bool
-	rounds  atomic.Int64
-	// clock is the keeper's, in nanoseconds; 0 leaves it the system's.
+	// lostReplies is the number of orders that take effect but whose reply is lost.
+	lostReplies int
+	// draining holds whether the engine was draining at the last report, and rounds counts
+	// the reports.
+	draining atomic.Bool
+	rounds   atomic.Int64
+	// clock is the time in nanoseconds of the loop under test; 0 selects the system's clock.
 	clock atomic.Int64
 }
 
-// now is the clock of the engine's keeper.
+// now returns the time of the loop under test.
 func (e *engine) now() time.Time {
 	if at := e.clock.Load(); at != 0 {
 		return time.Unix(0, at)
@@ -70,24 +70,23 @@
 	return time.Now()
 }
 
-// pass lets time pass for the keeper, which looks at the engine a few times at
-// that time.
-func (e *engine) pass(d time.Duration) {
+// advance moves the clock on and waits for a few rounds at the new time.
+func (e *engine) advance(d time.Duration) {
 	e.t.Helper()
 	e.clock.Add(int64(d))
-	const looks = 3
-	until := e.rounds.Load() + looks
-	await(e.t, "a few looks", func() bool { return e.rounds.Load() >= until })
+	const rounds = 3
+	until := e.rounds.Load() + rounds
+	await(e.t, "a few rounds", func() bool { return e.rounds.Load() >= until })
 }
 
-func (e *engine) calls() provider.Engine {
+func (e *engine) provider() provider.Engine {
 	return provider.Engine{
 		Report: func(context.Context, netip.AddrPort) (provider.EngineReport, error) {
 			e.mu.Lock()
 			defer e.mu.Unlock()
 			report := provider.EngineReport{Sequence: e.sequence, Waiting: e.waiting, Running: e.running}
-			if e.held > 0 {
-				report.Models = []provider.Loaded{{Model: "m", Version: e.held}}
+			if e.loaded > 0 {
+				report.Models = []provider.Loaded{{Model: "m", Version: e.loaded}}
 			}
 			return report, nil
 		},
@@ -120,15 +119,15 @@
 		return provider.OrderFenced, errors.New("fence")
 	}
 	for index := range chunks {
-		assert.Equal(e.t, chunkOf(order.Version, index), e.staged[index], "ordered to take what is not whole")
+		assert.Equal(e.t, chunkOf(order.Version, index), e.staged[index], "ordered to load an incomplete version")
 	}
-	assert.Zero(e.t, e.waiting, "ordered while requests wait")
-	e.held = order.Version
+	assert.Zero(e.t, e.waiting, "ordered while requests are queued")
+	e.loaded = order.Version
 	e.sequence++
 	e.orders++
-	if e.loseAnswers > 0 {
-		e.loseAnswers--
-		return provider.OrderUnknown, errLost
+	if e.lostReplies > 0 {
+		e.lostReplies--
+		return provider.OrderUnknown, errReplyLost
 	}
 	return provider.OrderBegun, nil
 }
@@ -136,10 +135,10 @@
 func (e *engine) version() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.held
+	return e.loaded
 }
 
-// start runs a keeper of an engine for goals that the test may change.
+// start runs a loop for an engine; plan may return other plans as the test goes on.
 func start(t *testing.T, e *engine, plan func() keep.Plan) *keep.Keeper {
 	t.Helper()
 	k := newKeeper(e, plan)
@@ -148,10 +147,10 @@
 	return k
 }
 
-// newKeeper returns a keeper of an engine that no other host is near.
+// newKeeper returns a loop for an engine without peers; its origin has every version.
 func newKeeper(e *engine, plan func() keep.Plan) *keep.Keeper {
 	k := &keep.Keeper{
-		Engine: e.calls(), Address: host, Held: &swarm.Held{}, Own: host,
+		Engine: e.provider(), Address: host, Held: &swarm.Held{}, Own: host,
 		Origin: provider.Origin{
 			Manifest: func(_ context.Context, _ netip.AddrPort, _ string, version int) (provider.Manifest, error) {
 				return manifestOf(version), nil
@@ -166,7 +165,7 @@
 	}
 	k.Now = e.now
 	k.OnReport = func(provider.EngineReport, error) {
-		e.cleared.Store(k.Clearing())
+		e.draining.Store(k.Clearing())
 		e.rounds.Add(1)
 	}
 	k.NewFetch = func(_ keep.Plan, c *swarm.Copy) *swarm.Fetch {
@@ -178,8 +177,8 @@
 	return k
 }
 
-func goal(version int, turn time.Time) keep.Goal {
-	return keep.Goal{Model: "m", Version: version, Turn: turn, Fence: provider.Revision(version)}
+func goal(version int, loadTime time.Time) keep.Goal {
+	return keep.Goal{Model: "m", Version: version, Turn: loadTime, Fence: provider.Revision(version)}
 }
 
 func planOf(goals ...keep.Goal) keep.Plan {
@@ -191,37 +190,37 @@
 	require.Eventually(t, condition, 10*time.Second, 5*time.Millisecond, what)
 }
 
-func TestEmptyEngineIsLoadedAtOnce(t *testing.T) {
+func TestEmptyEngineLoadsWithoutWaitingForItsLoadTime(t *testing.T) {
 	e := &engine{t: t, staged: map[int][]byte{}}
 	start(t, e, func() keep.Plan { return planOf(goal(3, time.Now().Add(time.Hour))) })
 	await(t, "version 3", func() bool { return e.version() == 3 })
 }
 
-func TestServingEngineWaitsForItsTurn(t *testing.T) {
-	e := &engine{t: t, staged: map[int][]byte{}, held: 1, running: 1}
+func TestServingEngineWaitsForItsLoadTime(t *testing.T) {
+	e := &engine{t: t, staged: map[int][]byte{}, loaded: 1, running: 1}
 	var mu sync.Mutex
-	turn := time.Now().Add(time.Hour)
+	loadTime := time.Now().Add(time.Hour)
 	k := start(t, e, func() keep.Plan {
 		mu.Lock()
 		defer mu.Unlock()
-		return planOf(goal(2, turn))
+		return planOf(goal(2, loadTime))
 	})
-	await(t, "the copy is whole", func() bool { c := k.Held.Get(2); return c != nil && c.Complete() })
+	await(t, "the copy is complete", func() bool { c := k.Held.Get(2); return c != nil && c.Complete() })
 	assert.Equal(t, 1, e.version())
 	mu.Lock()
-	turn = time.Now()
+	loadTime = time.Now()
 	mu.Unlock()
 	await(t, "version 2", func() bool { return e.version() == 2 })
 }
 
-// TestNothingIsOrderedWhileRequestsWait: what waits at an order may begin on the
-// old version much later.
-func TestNothingIsOrderedWhileRequestsWait(t *testing.T) {
-	e := &engine{t: t, staged: map[int][]byte{}, held: 1, waiting: 2}
+// TestOrderWaitsForQueuedRequests guards against a queued request that starts on the old
+// version long after the order.
+func TestOrderWaitsForQueuedRequests(t *testing.T) {
+	e := &engine{t: t, staged: map[int][]byte{}, loaded: 1, waiting: 2}
 	e.clock.Store(time.Hour.Nanoseconds())
 	start(t, e, func() keep.Plan { return planOf(goal(2, time.Unix(0, 0))) })
-	await(t, "routers are told", e.cleared.Load)
-	e.pass(time.Second)
+	await(t, "engine is draining", e.draining.Load)
+	e.advance(time.Second)
 	assert.Equal(t, 1, e.version())
 	e.mu.Lock()
 	e.waiting = 0
@@ -229,65 +228,65 @@
 	await(t, "version 2", func() bool { return e.version() == 2 })
 }
 
-// TestRunningRequestsAreNotWaitedFor: the engine ends them before it loads, so the order
-// is given with however many, and none of them is cut by it.
-func TestRunningRequestsAreNotWaitedFor(t *testing.T) {
+// TestOrderDoesNotWaitForRunningRequests: the engine lets running requests end before it
+// loads, so the order is sent however many there are.
+func TestOrderDoesNotWaitForRunningRequests(t *testing.T) {
 	for _, running := range []int{1, 2, 12} {
-		e := &engine{t: t, staged: map[int][]byte{}, held: 1, running: running}
+		e := &engine{t: t, staged: map[int][]byte{}, loaded: 1, running: running}
 		e.clock.Store(time.Hour.Nanoseconds())
 		start(t, e, func() keep.Plan { return planOf(goal(2, time.Unix(0, 0))) })
-		await(t, "routers are told", e.cleared.Load)
-		assert.Equal(t, 1, e.version(), "routers are given time to hear of it")
-		e.pass(300 * time.Millisecond)
+		await(t, "engine is draining", e.draining.Load)
+		assert.Equal(t, 1, e.version(), "ordered before routers learned of the drain")
+		e.advance(300 * time.Millisecond)
 		await(t, "version 2", func() bool { return e.version() == 2 })
 	}
 }
 
-// TestAnEngineClosesBeforeItsTurn: only so long before that most requests are done, and
-// not for a version that it holds.
-func TestAnEngineClosesBeforeItsTurn(t *testing.T) {
-	e := &engine{t: t, staged: map[int][]byte{}, held: 1}
-	began := time.Unix(0, time.Hour.Nanoseconds())
-	e.clock.Store(began.UnixNano())
-	turn := began.Add(10 * time.Second)
-	var closes atomic.Value
+// TestEngineClosesShortlyBeforeItsLoadTime: it closes neither earlier nor for a version that
+// it has loaded.
+func TestEngineClosesShortlyBeforeItsLoadTime(t *testing.T) {
+	e := &engine{t: t, staged: map[int][]byte{}, loaded: 1}
+	startTime := time.Unix(0, time.Hour.Nanoseconds())
+	e.clock.Store(startTime.UnixNano())
+	loadTime := startTime.Add(10 * time.Second)
+	var closesAt atomic.Value
 	k := newKeeper(e, func() keep.Plan {
-		return planOf(goal(3, turn.Add(time.Hour)), goal(2, turn), goal(1, began.Add(time.Second)))
+		return planOf(goal(3, loadTime.Add(time.Hour)), goal(2, loadTime), goal(1, startTime.Add(time.Second)))
 	})
-	noted := k.OnReport
+	onReport := k.OnReport
 	k.OnReport = func(report provider.EngineReport, err error) {
-		closes.Store(k.Closes())
-		noted(report, err)
+		closesAt.Store(k.Closes())
+		onReport(report, err)
 	}
 	k.Start()
 	t.Cleanup(k.Stop)
-	e.pass(8 * time.Second)
-	assert.Zero(t, closes.Load())
-	e.pass(time.Second)
-	assert.Equal(t, turn, closes.Load())
-	e.pass(2 * time.Second)
-	assert.Zero(t, closes.Load(), "its turn has come")
+	e.advance(8 * time.Second)
+	assert.Zero(t, closesAt.Load())
+	e.advance(time.Second)
+	assert.Equal(t, loadTime, closesAt.Load())
+	e.advance(2 * time.Second)
+	assert.Zero(t, closesAt.Load(), "the load time has passed")
 }
 
-// TestIdleEngineIsOrderedAtOnce: there is nothing to wait for.
-func TestIdleEngineIsOrderedAtOnce(t *testing.T) {
-	e := &engine{t: t, staged: map[int][]byte{}, held: 1}
+// TestIdleEngineIsOrderedWithoutDraining: an engine without requests has nothing to drain.
+func TestIdleEngineIsOrderedWithoutDraining(t *testing.T) {
+	e := &engine{t: t, staged: map[int][]byte{}, loaded: 1}
 	start(t, e, func() keep.Plan { return planOf(goal(2, time.Now().Add(-time.Second))) })
 	await(t, "version 2", func() bool { return e.version() == 2 })
-	assert.False(t, e.cleared.Load(), "routers were not told to send nothing more")
+	assert.False(t, e.draining.Load(), "an idle engine was drained")
 }
 
-func TestLostAnswerIsNoSecondLoad(t *testing.T) {
-	e := &engine{t: t, staged: map[int][]byte{}, loseAnswers: 1}
+func TestLostReplyCausesNoSecondLoad(t *testing.T) {
+	e := &engine{t: t, staged: map[int][]byte{}, lostReplies: 1}
 	k := start(t, e, func() keep.Plan { return planOf(goal(2, time.Time{})) })
 	await(t, "version 2", func() bool { return e.version() == 2 })
 	k.Stop()
 	assert.Equal(t, 1, e.orders)
 }
 
-// TestFencedOrderIsGivenAgainByANewerFence: an engine that has seen a higher one
-// takes nothing by the old, and the version once the store's news is as new.
-func TestFencedOrderIsGivenAgainByANewerFence(t *testing.T) {
+// TestFencedOrderIsRetriedWithNewerToken: an engine that has seen a higher fencing token
+// refuses the order until this loader's view of the store is as new.
+func TestFencedOrderIsRetriedWithNewerToken(t *testing.T) {
 	e := &engine{t: t, staged: map[int][]byte{}, fence: 9}
 	var fence atomic.Uint64
 	fence.Store(3)
@@ -306,22 +305,22 @@
 	await(t, "version 2", func() bool { return e.version() == 2 })
 }
 
-func TestRestartedEngineIsLoadedAgain(t *testing.T) {
+func TestRestartedEngineLoadsAgain(t *testing.T) {
 	e := &engine{t: t, staged: map[int][]byte{}}
 	start(t, e, func() keep.Plan { return planOf(goal(2, time.Time{})) })
 	await(t, "version 2", func() bool { return e.version() == 2 })
 	e.mu.Lock()
-	e.held, e.sequence = 0, 0
-	e.staged[1] = []byte("turned bad") // what lies there is checked again
+	e.loaded, e.sequence = 0, 0
+	e.staged[1] = []byte("corrupt chunk") // verified again before the order
 	delete(e.staged, 2)
 	e.mu.Unlock()
 	await(t, "version 2 again", func() bool { return e.version() == 2 })
 }
 
-// TestNewerVersionSupersedes: a version named while the one before is on its
-// way; an engine ends at the newest, and every order was for a whole version.
-func TestNewerVersionSupersedes(t *testing.T) {
-	e := &engine{t: t, staged: map[int][]byte{}, held: 1}
+// TestNewerVersionSupersedesRunningFetch: the engine ends at the newest version, and every
+// order is for a complete one.
+func TestNewerVersionSupersedesRunningFetch(t *testing.T) {
+	e := &engine{t: t, staged: map[int][]byte{}, loaded: 1}
 	var mu sync.Mutex
 	goals := []keep.Goal{goal(2, time.Now())}
 	start(t, e, func() keep.Plan {
--- a/daemon/internal/version/keep/manifest.go
+++ b/daemon/internal/version/keep/manifest.go
@@ -15,164 +15,168 @@
 const (
 	// manifestTimeout bounds a call for a manifest.
 	manifestTimeout = 700 * time.Millisecond
-	// manifestAgain is the pause after a host that does not know the manifest, and
-	// manifestSlow the time after which another host is asked beside a silent one.
-	manifestAgain = 60 * time.Millisecond
-	manifestSlow  = 100 * time.Millisecond
-	// originStep is how much later than the host before it each of the first
-	// manifestHosts hosts asks the origin, and laterStep the same for all others.
-	// Several times what the origin takes for an answer, which is some 20 ms; asked by
-	// all hosts at once it resets most connections.
-	originStep    = 250 * time.Millisecond
-	laterStep     = 25 * time.Millisecond
-	manifestHosts = 4
+	// peerRetryDelay is the delay before the next query after a peer failed or did not have
+	// the manifest, and peerHedgeDelay the time after which a second peer is queried beside
+	// one that has not answered.
+	peerRetryDelay = 60 * time.Millisecond
+	peerHedgeDelay = 100 * time.Millisecond
+	// leadStagger is the delay between the origin queries of consecutive hosts among the
+	// first leadHosts of the ranking, and backupStagger the delay among all others. Without
+	// a stagger well above the origin's response time all hosts would query the origin at
+	// once, which resets most of the connections.
+	leadStagger   = 250 * time.Millisecond
+	backupStagger = 25 * time.Millisecond
+	leadHosts     = 4
 )
 
-// Inquiry finds the manifest of a version. For each version all hosts have the same
-// ranking. The first asks the origin at once, and each of the next a while later, so
-// that the origin is asked about once and never by all. Until its turn has come a host
-// asks others: those that are first, and any others in between, which spread what they
-// know. The exported fields must be set.
+// Inquiry looks up the manifest of a version. All hosts compute the same ranking for a
+// version. The first host queries the origin at once and each following one a while later,
+// so that the origin is queried about once and never by all hosts together. Until its delay
+// has passed a host queries its peers: the first hosts of the ranking, and between them
+// random hosts, through which the manifest spreads. The exported fields must be set.
 type Inquiry struct {
-	// Own is this host, and Ranked all that are to have the version, this one
-	// included or not.
+	// Own is this host, and Ranked all hosts that should have the version, best first. It
+	// need not include Own.
 	Own    netip.AddrPort
 	Ranked []netip.AddrPort
-	// AskPeer and AskOrigin ask once; what they return was not checked.
+	// AskPeer and AskOrigin make one call each and return the manifest unverified.
 	AskPeer   func(ctx context.Context, peer netip.AddrPort) (provider.Manifest, error)
 	AskOrigin func(ctx context.Context) (provider.Manifest, error)
-	// Check compares a manifest with what was declared and asked for.
+	// Check validates a manifest against the declared version.
 	Check func(provider.Manifest) error
 
-	// asked counts the questions to other hosts, and open are those without an answer.
-	asked int
-	open  map[netip.AddrPort]bool
+	// queries counts the queries to peers, and pending holds the peers that have not
+	// answered.
+	queries int
+	pending map[netip.AddrPort]bool
 }
 
-// Found is a manifest and how it was found.
+// Found is the result of a lookup.
 type Found struct {
 	Manifest provider.Manifest
-	// From is the host that had it, or swarm.FromOrigin.
+	// From is the address of the host that sent it, or swarm.FromOrigin.
 	From string
-	// Asked is how many questions went to other hosts.
+	// Asked is the number of queries to peers.
 	Asked int
 }
 
-// answer is what one question led to. Peer is not valid where the origin was asked.
-type answer struct {
+// reply is the result of one query. Its peer is invalid where the origin was queried.
+type reply struct {
 	peer     netip.AddrPort
 	manifest provider.Manifest
 	err      error
 }
 
-func (a answer) from() string {
-	if a.peer.IsValid() {
-		return a.peer.String()
+func (r reply) source() string {
+	if r.peer.IsValid() {
+		return r.peer.String()
 	}
 	return swarm.FromOrigin
 }
 
-// Find asks until there is a manifest, the origin fails, or the context ends.
+// Find returns the first valid manifest. It fails where the origin fails or the context
+// ends.
 func (q *Inquiry) Find(ctx context.Context) (Found, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	q.open = map[netip.AddrPort]bool{}
-	answers := make(chan answer)
-	turn := time.NewTimer(q.originTurn())
-	defer turn.Stop()
-	next := time.NewTimer(0)
-	defer next.Stop()
+	q.pending = map[netip.AddrPort]bool{}
+	replies := make(chan reply)
+	originTimer := time.NewTimer(q.originDelay())
+	defer originTimer.Stop()
+	peerTimer := time.NewTimer(0)
+	defer peerTimer.Stop()
 	for {
 		select {
-		case <-turn.C:
-			go q.ask(ctx, answers, netip.AddrPort{})
-		case <-next.C:
+		case <-originTimer.C:
+			go q.query(ctx, replies, netip.AddrPort{})
+		case <-peerTimer.C:
 			if peer, ok := q.nextPeer(); ok {
-				q.open[peer] = true
-				go q.ask(ctx, answers, peer)
+				q.pending[peer] = true
+				go q.query(ctx, replies, peer)
 			}
-			next.Reset(manifestSlow)
-		case a := <-answers:
-			if a.err == nil {
-				return Found{Manifest: a.manifest, From: a.from(), Asked: q.asked}, nil
+			peerTimer.Reset(peerHedgeDelay)
+		case r := <-replies:
+			if r.err == nil {
+				return Found{Manifest: r.manifest, From: r.source(), Asked: q.queries}, nil
 			}
-			if !a.peer.IsValid() {
-				return Found{}, a.err
+			if !r.peer.IsValid() {
+				return Found{}, r.err
 			}
-			delete(q.open, a.peer)
-			next.Reset(manifestAgain)
+			delete(q.pending, r.peer)
+			peerTimer.Reset(peerRetryDelay)
 		case <-ctx.Done():
-			return Found{}, fmt.Errorf("look for a manifest: %w", ctx.Err())
+			return Found{}, fmt.Errorf("look up manifest: %w", ctx.Err())
 		}
 	}
 }
 
-// ask asks once, the origin where the peer is not valid, and hands the answer over
-// unless nobody waits for it any more.
-func (q *Inquiry) ask(ctx context.Context, answers chan<- answer, peer netip.AddrPort) {
-	limited, cancel := context.WithTimeout(ctx, manifestTimeout)
+// query makes one call, to the origin where the peer is invalid, and sends the reply unless
+// the lookup has ended.
+func (q *Inquiry) query(ctx context.Context, replies chan<- reply, peer netip.AddrPort) {
+	callCtx, cancel := context.WithTimeout(ctx, manifestTimeout)
 	defer cancel()
-	a := answer{peer: peer}
+	r := reply{peer: peer}
 	if peer.IsValid() {
-		a.manifest, a.err = q.AskPeer(limited, peer)
+		r.manifest, r.err = q.AskPeer(callCtx, peer)
 	} else {
-		a.manifest, a.err = q.AskOrigin(limited)
+		r.manifest, r.err = q.AskOrigin(callCtx)
 	}
-	if a.err == nil {
-		a.err = q.Check(a.manifest)
+	if r.err == nil {
+		r.err = q.Check(r.manifest)
 	}
 	select {
-	case answers <- a:
+	case replies <- r:
 	case <-ctx.Done():
 	}
 }
 
-// originTurn is when it falls to this host to ask the origin.
-func (q *Inquiry) originTurn() time.Duration {
+// originDelay returns how long this host waits before it queries the origin.
+func (q *Inquiry) originDelay() time.Duration {
 	rank := slices.Index(q.Ranked, q.Own)
 	if rank < 0 {
 		rank = len(q.Ranked)
 	}
-	early := min(rank, manifestHosts)
-	return time.Duration(early)*originStep + time.Duration(rank-early)*laterStep
+	leads := min(rank, leadHosts)
+	return time.Duration(leads)*leadStagger + time.Duration(rank-leads)*backupStagger
 }
 
-// nextPeer chooses a host to ask next, and reports false where there is none. One of
-// the first hosts asks these in turn, so that it hears of the manifest before its own
-// turn comes; others ask by turns one of them and any host.
+// nextPeer returns the next peer to query, or false where every candidate is still pending.
+// A lead host cycles through the other lead hosts, so that it learns of the manifest before
+// it queries the origin itself. Other hosts alternate between a lead host and a random one.
 func (q *Inquiry) nextPeer() (netip.AddrPort, bool) {
-	first := q.Ranked[:min(manifestHosts, len(q.Ranked))]
-	round, anyHost := q.asked, false
-	if !slices.Contains(first, q.Own) {
-		round, anyHost = q.asked/2, q.asked%2 == 1
+	leads := q.Ranked[:min(leadHosts, len(q.Ranked))]
+	round, anyHost := q.queries, false
+	if !slices.Contains(leads, q.Own) {
+		round, anyHost = q.queries/2, q.queries%2 == 1
 	}
-	q.asked++
+	q.queries++
 	if anyHost {
 		return q.pick(q.Ranked, rand.Int())
 	}
-	return q.pick(first, round)
+	return q.pick(leads, round)
 }
 
-// pick returns the host at a place among those that owe no answer, counted around.
-func (q *Inquiry) pick(hosts []netip.AddrPort, place int) (netip.AddrPort, bool) {
-	free := slices.DeleteFunc(slices.Clone(hosts), func(host netip.AddrPort) bool {
-		return host == q.Own || q.open[host]
+// pick returns the host at an index, modulo their number, among the hosts without a pending
+// query.
+func (q *Inquiry) pick(hosts []netip.AddrPort, index int) (netip.AddrPort, bool) {
+	idle := slices.DeleteFunc(slices.Clone(hosts), func(host netip.AddrPort) bool {
+		return host == q.Own || q.pending[host]
 	})
-	if len(free) == 0 {
+	if len(idle) == 0 {
 		return netip.AddrPort{}, false
 	}
-	return free[place%len(free)], true
+	return idle[index%len(idle)], true
 }
 
-// checkManifest compares a manifest with what was declared and asked for.
+// checkManifest validates a manifest against the plan.
 func checkManifest(manifest provider.Manifest, plan Plan) error {
 	switch {
 	case manifest.Version != plan.Goal.Version:
-		return fmt.Errorf("manifest: version: %d where %d was asked for", manifest.Version, plan.Goal.Version)
+		return fmt.Errorf("manifest: version: got %d, requested %d", manifest.Version, plan.Goal.Version)
 	case len(manifest.Digests) != plan.Chunks:
-		return fmt.Errorf("manifest: digests: %d where the configuration declares %d chunks", len(manifest.Digests), plan.Chunks)
+		return fmt.Errorf("manifest: digests: got %d, the configuration declares %d chunks", len(manifest.Digests), plan.Chunks)
 	case manifest.ChunkBytes != plan.ChunkBytes:
-		return fmt.Errorf("manifest: chunk bytes: %d where the configuration declares %d", manifest.ChunkBytes, plan.ChunkBytes)
+		return fmt.Errorf("manifest: chunk bytes: got %d, the configuration declares %d", manifest.ChunkBytes, plan.ChunkBytes)
 	}
 	return nil
 }
--- a/daemon/internal/version/keep/stage.go
+++ b/daemon/internal/version/keep/stage.go
@@ -11,86 +11,87 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// This file lays chunks beside the engine and reads them back.
+// This file writes chunks to the engine's staging area and reads them back.
 
-// takeStaged takes what already lies beside the engine and belongs to the
-// version: from before this loader or the engine was started. It waits for an
-// engine that does not answer yet.
-func (k *Keeper) takeStaged(ctx context.Context, plan Plan, c *swarm.Copy) {
-	for ctx.Err() == nil && k.tryStaged(ctx, plan, c) != nil {
-		helpers.Pause(roundEvery, ctx.Done())
+// reuseStaged adds to a copy the chunks of its version that are in the engine's staging area
+// already, from before a restart of this loader or of the engine. It retries until the
+// engine answers.
+func (k *Keeper) reuseStaged(ctx context.Context, plan Plan, c *swarm.Copy) {
+	for ctx.Err() == nil && k.tryReuseStaged(ctx, plan, c) != nil {
+		helpers.Pause(roundInterval, ctx.Done())
 	}
 }
 
-func (k *Keeper) tryStaged(ctx context.Context, plan Plan, c *swarm.Copy) error {
-	const misses = 3 // an empty place is empty throughout
-	for index, missed := 0, 0; index < len(c.Manifest.Digests) && missed < misses; index++ {
-		chunk, err := k.staged(ctx, plan.Goal.Model, index)
+func (k *Keeper) tryReuseStaged(ctx context.Context, plan Plan, c *swarm.Copy) error {
+	const maxMisses = 3 // an empty staging area has no chunk at all, so a few misses suffice
+	for index, misses := 0, 0; index < len(c.Manifest.Digests) && misses < maxMisses; index++ {
+		chunk, err := k.readChunk(ctx, plan.Goal.Model, index)
 		switch {
 		case err == nil && c.Put(index, chunk) == nil:
 		case err == nil || errors.Is(err, provider.ErrNotFound):
-			missed++
+			misses++
 		default:
-			return fmt.Errorf("read what lies beside the engine: %w", err)
+			return fmt.Errorf("read staged chunk: %w", err)
 		}
 	}
 	return nil
 }
 
-func (k *Keeper) staged(ctx context.Context, model string, index int) ([]byte, error) {
+func (k *Keeper) readChunk(ctx context.Context, model string, index int) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return k.Engine.Staged(ctx, k.Address, model, index)
 }
 
-// prepare lays a version beside the engine ahead of its turn. It is read back
-// right before the order, so not here.
-func (k *Keeper) prepare(ctx context.Context, goal Goal, c *swarm.Copy) {
+// stage writes a version to the engine's staging area ahead of its load time. It is verified
+// only right before the order, because staged chunks may become corrupt in between.
+func (k *Keeper) stage(ctx context.Context, goal Goal, c *swarm.Copy) {
 	started := clock.Now()
 	var err error
 	for index := 0; index < len(c.Manifest.Digests) && err == nil; index++ {
-		err = k.putChunk(ctx, goal.Model, index, c.Chunk(index))
+		err = k.writeChunk(ctx, goal.Model, index, c.Chunk(index))
 	}
 	if err == nil {
-		k.prepared = goal.Version
+		k.stagedVersion = goal.Version
 	}
 	k.OnStep(Step{Name: StepStage, Version: goal.Version, Err: err, Took: clock.Since(started)})
 }
 
-// stage reads back every chunk beside the engine and mends what is not right.
-func (k *Keeper) stage(ctx context.Context, goal Goal, c *swarm.Copy) (mended int, err error) {
+// repairStaged reads back every staged chunk, writes those that do not match again, and
+// returns how many these were.
+func (k *Keeper) repairStaged(ctx context.Context, goal Goal, c *swarm.Copy) (repaired int, err error) {
 	for index := range c.Manifest.Digests {
-		if k.stagedRight(ctx, goal, c, index) {
+		if k.stagedMatches(ctx, goal, c, index) {
 			continue
 		}
-		mended++
-		if err := k.putChunk(ctx, goal.Model, index, c.Chunk(index)); err != nil {
-			return mended, fmt.Errorf("stage chunk %d: %w", index, err)
+		repaired++
+		if err := k.writeChunk(ctx, goal.Model, index, c.Chunk(index)); err != nil {
+			return repaired, fmt.Errorf("stage chunk %d: %w", index, err)
 		}
-		if !k.stagedRight(ctx, goal, c, index) {
-			return mended, fmt.Errorf("stage chunk %d: it does not read back as written", index)
+		if !k.stagedMatches(ctx, goal, c, index) {
+			return repaired, fmt.Errorf("stage chunk %d: it does not read back as written", index)
 		}
 	}
-	return mended, nil
+	return repaired, nil
 }
 
-func (k *Keeper) stagedRight(ctx context.Context, goal Goal, c *swarm.Copy, index int) bool {
-	chunk, err := k.staged(ctx, goal.Model, index)
+func (k *Keeper) stagedMatches(ctx context.Context, goal Goal, c *swarm.Copy, index int) bool {
+	chunk, err := k.readChunk(ctx, goal.Model, index)
 	return err == nil && c.Matches(index, chunk)
 }
 
-func (k *Keeper) putChunk(ctx context.Context, model string, index int, chunk []byte) error {
+func (k *Keeper) writeChunk(ctx context.Context, model string, index int, chunk []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return k.Engine.Stage(ctx, k.Address, model, index, chunk)
 }
 
-// check reads back what lies beside the engine, just before an order.
-func (k *Keeper) check(ctx context.Context, goal Goal, c *swarm.Copy) bool {
+// verify verifies and repairs the staged version, and reports whether it is complete.
+func (k *Keeper) verify(ctx context.Context, goal Goal, c *swarm.Copy) bool {
 	started := clock.Now()
-	mended, err := k.stage(ctx, goal, c)
-	if mended > 0 || err != nil {
-		reason := fmt.Sprintf("%d chunks had turned bad", mended)
+	repaired, err := k.repairStaged(ctx, goal, c)
+	if repaired > 0 || err != nil {
+		reason := fmt.Sprintf("%d corrupt or missing chunks", repaired)
 		k.OnStep(Step{Name: StepCheck, Version: goal.Version, Reason: reason, Err: err, Took: clock.Since(started)})
 	}
 	return err == nil
