--- a/daemon/internal/version/swarm/held.go
+++ b/daemon/internal/version/swarm/copy.go
@@ -1,12 +1,12 @@
-// Package swarm brings a version's chunks to a host from other hosts, and from
-// the origin what no other host has.
+// Package swarm fetches the chunks of a version from peers, and from the origin those that no
+// peer has. Package loader runs one fetch per version and serves the chunks to other loaders.
 //
-// It differs from package fetch, which serves agents that are told their peers
-// by entries: here a loader knows its peers from the store's list of upstreams,
-// versions are numbered, and chunks are named by their place in a manifest of
-// SHA-256 digests. What holds for both is the choice of who asks the origin: a
-// pure function of the chunk and the hosts, so that the origin sends about one
-// copy for all of them.
+// Which host fetches a chunk from the origin is a pure function of the chunk and the list of
+// hosts, so that the origin sends about one copy for the whole fleet.
+//
+// Package fetch does the same for agents, whose peers are assigned by entries. Here a loader
+// finds its peers in the store's list of upstreams, versions are numbered, and a chunk is
+// identified by its index in a manifest of SHA-256 digests.
 package swarm
 
 import (
@@ -20,35 +20,35 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// keptVersions is how many versions are held: the one in force, for hosts that
-// are behind, and up to two to come.
+// keptVersions is the number of versions that a host holds: the current one, for hosts that
+// are stale, and up to two newer ones.
 const keptVersions = 3
 
-// errDigest says that a chunk's bytes are not those of the manifest.
-var errDigest = errors.New("the chunk does not match its digest")
+// errDigest means that a chunk does not match the manifest.
+var errDigest = errors.New("chunk does not match its digest")
 
-// Copy is a version as far as this host has it. All its chunks are verified.
+// Copy is the part of a version that this host has. All its chunks are verified.
 type Copy struct {
 	Manifest provider.Manifest
 
 	mu     sync.Mutex
 	chunks [][]byte
 	count  int
-	// completed is when the last chunk came, zero before.
-	completed time.Time
-	// seen are the chunks that some host is known to have had, and seenCount how many.
+	// completedAt is when the last chunk was added, zero before.
+	completedAt time.Time
+	// seen marks the chunks that some host has been known to have, and seenCount counts them.
 	seen      []bool
 	seenCount int
-	// changed is closed and replaced at each new chunk.
+	// changed is closed and replaced when a chunk is added.
 	changed chan struct{}
 }
 
-// NewCopy returns a copy without chunks.
+// NewCopy returns a copy without any chunks.
 func NewCopy(manifest provider.Manifest) *Copy {
 	return &Copy{Manifest: manifest, chunks: make([][]byte, len(manifest.Digests)), seen: make([]bool, len(manifest.Digests)), changed: make(chan struct{})}
 }
 
-// Put takes a chunk if its bytes are right.
+// Put verifies a chunk and adds it.
 func (c *Copy) Put(index int, chunk []byte) error {
 	if index < 0 || index >= len(c.chunks) {
 		return fmt.Errorf("chunk %d of %d: %w", index, len(c.chunks), provider.ErrNotFound)
@@ -61,9 +61,9 @@
 	if c.chunks[index] == nil {
 		c.chunks[index] = chunk
 		c.count++
-		c.see(index)
+		c.markSeen(index)
 		if c.count == len(c.chunks) {
-			c.completed = clock.Now()
+			c.completedAt = clock.Now()
 		}
 		close(c.changed)
 		c.changed = make(chan struct{})
@@ -71,37 +71,37 @@
 	return nil
 }
 
-// Note takes which chunks another host has, and returns those that were seen nowhere
-// before.
-func (c *Copy) Note(have Have) (news []int) {
+// Note marks the chunks that another host has as seen, and returns those that were not seen at
+// any host before.
+func (c *Copy) Note(have Have) (added []int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for index := range c.seen {
 		if !c.seen[index] && have.Has(index) {
-			c.see(index)
-			news = append(news, index)
+			c.markSeen(index)
+			added = append(added, index)
 		}
 	}
-	return news
+	return added
 }
 
-// see notes that a host has a chunk; the caller holds mu.
-func (c *Copy) see(index int) {
+// markSeen marks a chunk as seen at some host; the caller holds mu.
+func (c *Copy) markSeen(index int) {
 	if !c.seen[index] {
 		c.seen[index] = true
 		c.seenCount++
 	}
 }
 
-// Unseen is how many chunks no host is known to have had, so that the origin is still to
-// send them.
+// Unseen returns the number of chunks that no host has been known to have, and that the origin
+// therefore still has to send.
 func (c *Copy) Unseen() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.seen) - c.seenCount
 }
 
-// Chunk returns a chunk, or nil.
+// Chunk returns a chunk, or nil where this host does not have it.
 func (c *Copy) Chunk(index int) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -111,27 +111,28 @@
 	return c.chunks[index]
 }
 
-// Count returns how many chunks are here and a channel that closes at the next.
+// Count returns the number of chunks on this host and a channel that is closed when one is
+// added.
 func (c *Copy) Count() (int, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.count, c.changed
 }
 
-// Complete reports whether all chunks are here.
+// Complete reports whether the copy has all chunks.
 func (c *Copy) Complete() bool {
 	count, _ := c.Count()
 	return count == len(c.Manifest.Digests)
 }
 
-// Completed is when the last chunk came, zero before.
+// Completed returns when the last chunk was added, zero before.
 func (c *Copy) Completed() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.completed
+	return c.completedAt
 }
 
-// Have returns which chunks are here.
+// Have returns for each chunk whether this host has it.
 func (c *Copy) Have() []bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -142,22 +143,21 @@
 	return have
 }
 
-// Held is the copies on this host. The zero value is empty.
+// Held holds the copies on this host. The zero value is empty.
 type Held struct {
 	mu sync.Mutex
-	// copies are the newest keptVersions, by version.
+	// copies holds the newest keptVersions copies, by version.
 	copies map[int]*Copy
 }
 
-// Get returns the copy of a version, or nil.
+// Get returns the copy of a version, or nil where there is none.
 func (h *Held) Get(version int) *Copy {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.copies[version]
 }
 
-// Add takes a version's copy. Versions beyond keptVersions are dropped, oldest
-// first.
+// Add adds a copy, and drops the oldest ones beyond keptVersions.
 func (h *Held) Add(c *Copy) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -170,7 +170,7 @@
 	}
 }
 
-// Drop forgets a version, whose manifest turned out to be wrong.
+// Drop removes the copy of a version whose manifest proved wrong.
 func (h *Held) Drop(version int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -187,7 +187,7 @@
 	delete(h.copies, oldest)
 }
 
-// Matches reports whether bytes are those of a chunk.
+// Matches reports whether data is the chunk at an index of the manifest.
 func (c *Copy) Matches(index int, chunk []byte) bool {
 	return sha256.Sum256(chunk) == c.Manifest.Digests[index]
 }
--- a/daemon/internal/version/swarm/fetch.go
+++ b/daemon/internal/version/swarm/fetch.go
@@ -19,168 +19,168 @@
 )
 
 const (
-	// maxNear and maxFar are how many hosts of the own hall, and of each other
-	// one, are asked for their chunks.
-	maxNear = 16
-	maxFar  = 8
-	// parallelPeers and parallelOrigin bound the chunks under way, perPeer those
-	// from one peer.
-	parallelPeers  = 4
-	parallelOrigin = 1
-	perPeer        = 1
-	// parallelFirst is parallelPeers of the host that is to be done first.
-	parallelFirst = 6
-	// inboundQueue is how long what arrives may keep the host's link. Questions for a place
-	// and requests wait behind it: with four chunks at a time, 110 ms of a link of 7 Mbit/s,
-	// half of the questions had no answer in their 50 ms, requests went by news to engines
-	// that were full, and 35 in 100 were late for two seconds of each version; 11 with two.
-	// Where the link is not known unknownInbound chunks may arrive.
-	inboundQueue   = 60 * time.Millisecond
-	unknownInbound = 2
-	// arrivesWithin is how long a chunk that is under way is counted as arriving.
-	arrivesWithin = 250 * time.Millisecond
-	// chunkTimeout bounds one chunk.
+	// maxHallNeighbours and maxFarNeighbours bound the neighbours in the host's own hall and
+	// in each other hall.
+	maxHallNeighbours = 16
+	maxFarNeighbours  = 8
+	// maxPeerFetches and originFetches bound the chunks in flight from peers and from the
+	// origin, and maxPerPeer those from one peer.
+	maxPeerFetches = 4
+	originFetches  = 1
+	maxPerPeer     = 1
+	// maxEarlyPeerFetches is maxPeerFetches of an early host.
+	maxEarlyPeerFetches = 6
+	// inboundWindow bounds the time for which arriving chunks may occupy the host's link.
+	// Requests and place queries share the link: behind a longer queue of chunks, routers'
+	// place queries to this host would time out. defaultInbound is the number of chunks that
+	// may arrive at once where the link's rate is not known.
+	inboundWindow  = 60 * time.Millisecond
+	defaultInbound = 2
+	// arrivalWindow is how long a chunk in flight counts as arriving.
+	arrivalWindow = 250 * time.Millisecond
+	// chunkTimeout bounds the transfer of one chunk.
 	chunkTimeout = 2 * time.Second
-	// peerSilence is how long a peer may be silent before it is not counted as
-	// a host that brings its chunks.
-	peerSilence = 1200 * time.Millisecond
-	// settleTime is how long neighbours have to say what they have before chunks
-	// are brought from farther away.
+	// peerTimeout is the time without a report after which a peer is unresponsive and its
+	// chunks are assigned to other hosts.
+	peerTimeout = 1200 * time.Millisecond
+	// settleTime is the time for neighbours to report their chunks before any are fetched
+	// from other halls or from the origin.
 	settleTime = 250 * time.Millisecond
-	// askAgain is the least pause before a peer that failed is asked again, and
-	// soonAgain the pause before one that does not know the version yet.
-	askAgain  = 200 * time.Millisecond
-	soonAgain = 60 * time.Millisecond
-	// busyRest is the pause before a peer that has enough to send is asked again.
-	busyRest = 30 * time.Millisecond
-	// patienceEach is how long a chunk may be overdue before the next host in its ranking
-	// brings it, for each doubling of the hosts: what one has is heard of over a few hops,
-	// 0.2 s among 12 and up to 1 s among 200. With 0.9 s for all fleets 203 hosts asked the
-	// origin for 158 chunks of 95 after an outage, 1.8 s more of its link.
-	patienceEach = 225 * time.Millisecond
-	// fewHosts is the size of a fleet below which that shrinks no further.
-	fewHosts = 8
-	// earlyShare is the part of it for a host that is to be done first.
-	earlyShare = 0.28
-	// slowChunk and quickChunk are the times at which fewer and more chunks are
-	// fetched at the same time.
-	slowChunk  = 700 * time.Millisecond
-	quickChunk = 250 * time.Millisecond
-	// paceFloor is added to a peer's pace, so that one not yet asked is not
-	// taken for infinitely fast.
-	paceFloor = 30 * time.Millisecond
-	// idlePause is the wait of a worker that finds nothing to do.
-	idlePause = 25 * time.Millisecond
-	// maxMismatches is how often one chunk from the origin must be wrong for its
-	// manifest to be suspect: an origin spoils a chunk now and then.
+	// peerRetryDelay is the minimum delay before a peer that failed is contacted again, and
+	// unknownVersionDelay the delay for a peer that does not have the manifest yet.
+	peerRetryDelay      = 200 * time.Millisecond
+	unknownVersionDelay = 60 * time.Millisecond
+	// busyPeerDelay is the delay before a chunk is requested again from a peer whose upload
+	// queue was full.
+	busyPeerDelay = 30 * time.Millisecond
+	// takeoverStep is how long a chunk may be overdue before the next host of its ranking
+	// fetches it, per doubling of the number of hosts: reports spread over more hops in a
+	// larger fleet. A shorter delay makes hosts fetch the same chunks from the origin.
+	takeoverStep = 225 * time.Millisecond
+	// minTakeoverHosts is the number of hosts below which that delay does not shrink further.
+	minTakeoverHosts = 8
+	// earlyTakeoverShare is the share of that delay that an early host waits.
+	earlyTakeoverShare = 0.28
+	// slowChunk and fastChunk are the transfer times above and below which the number of
+	// concurrent fetches is decreased and increased.
+	slowChunk = 700 * time.Millisecond
+	fastChunk = 250 * time.Millisecond
+	// chunkTimeFloor is added to a peer's chunk time, so that a peer without a measurement
+	// does not count as infinitely fast.
+	chunkTimeFloor = 30 * time.Millisecond
+	// idleDelay is the delay of a worker that found nothing to fetch.
+	idleDelay = 25 * time.Millisecond
+	// maxMismatches is the number of times that one chunk from the origin may fail
+	// verification before the manifest is taken to be wrong. Single mismatches are
+	// transfer errors.
 	maxMismatches = 4
 )
 
-// ErrManifest says that the manifest does not fit what the origin sends.
-var ErrManifest = errors.New("the chunks of the origin do not match the manifest")
+// ErrManifest means that the manifest does not match what the origin sends.
+var ErrManifest = errors.New("chunks from the origin do not match the manifest")
 
-// FromOrigin names the origin where chunks are told by where they came from.
+// FromOrigin names the origin as the source of a chunk or manifest.
 const FromOrigin = "origin"
 
-// Host is a loader as the others see it.
+// Host is a loader as its peers address it.
 type Host struct {
 	Address netip.AddrPort
 	Hall    string
 }
 
-// Fetch brings one version to this host. The exported fields must be set.
+// Fetch fetches one version to this host. The exported fields must be set.
 //
-// For each chunk every hall has a ranking of its hosts, and the halls have one
-// too. The first host of the first hall asks the origin, the first hosts of the
-// other halls ask any hall, and everybody else asks within the hall. So a chunk
-// leaves the origin once and enters each hall once. Which hall is first differs
-// by chunk: the origin's own hall would save a crossing, but its hosts would
-// send more than others, and the whole would be as late as they are.
+// For each chunk the hosts of every hall are ranked, and so are the halls. The first host
+// of the first hall fetches the chunk from the origin, the first hosts of the other halls
+// fetch it from any hall, and all other hosts fetch it within their hall. So a chunk leaves
+// the origin once and enters each hall once. The first hall differs by chunk: always
+// choosing the origin's own hall would save a transfer between halls, but its hosts would
+// upload more than the others and delay the whole fleet.
 type Fetch struct {
 	Copy   *Copy
 	Model  string
 	Origin netip.AddrPort
 	Source provider.Origin
-	// Own is this host, and Hosts all that are to have the version, this one
-	// included or not.
+	// Own is this host, and Hosts returns all hosts that should have the version. They
+	// need not include Own.
 	Own    Host
 	Hosts  func() []Host
 	Client *http.Client
 	// OriginTime is how long the origin takes to send one copy, and ChunkTime how long a
-	// chunk takes over this host's link, 0 where that is not known.
+	// chunk takes over this host's link; 0 means that it is not known.
 	OriginTime, ChunkTime time.Duration
-	// First says that this host is to be done before all others: it takes chunks
-	// from every hall and more of them at the same time.
+	// First marks an early host, which should have the version before all others: it fetches
+	// from every hall and more chunks at once.
 	First bool
-	// AfterOthers is closed once all that costs no transfer was looked at; only
-	// then is the origin asked. Nil means at once.
+	// AfterOthers is closed once the chunks that are on this host already have been reused.
+	// The origin is not used before that. Nil means that there is nothing to wait for.
 	AfterOthers <-chan struct{}
-	// OnChunk is called with each new chunk and where it came from: a peer's address,
-	// or FromOrigin. It may be nil.
+	// OnChunk is called with each new chunk and its source: a peer's address or FromOrigin.
+	// It may be nil.
 	OnChunk func(index int, chunk []byte, from string)
 
-	// pace is this host's time line of the version; mu guards it.
+	// pace is the version's timeline at this host; mu guards it.
 	pace pace.Pace
-	// mostSeen is how many chunks were seen at any host so far.
-	mostSeen int
-	// seenAt is when a chunk was first seen at another host, since the begin.
+	// maxSeen is the highest number of chunks that were seen at any host.
+	maxSeen int
+	// seenAt is when each chunk was first seen at another host.
 	seenAt map[int]time.Time
-	around atomic.Pointer[surroundings]
+	peers  atomic.Pointer[peerSet]
 	mu     sync.Mutex
-	// known is what each neighbour has; taken are chunks under way.
-	known map[netip.AddrPort]*neighbour
-	taken map[int]bool
-	// mismatches counts wrong chunks from the origin, by chunk.
+	// neighbours holds what each neighbour reported; inFlight holds the chunks being fetched.
+	neighbours map[netip.AddrPort]*neighbour
+	inFlight   map[int]bool
+	// mismatches counts failed verifications of chunks from the origin, by chunk.
 	mismatches map[int]int
-	// allowed is how many chunks may be under way from peers, most its bound. It
-	// sinks while chunks are slow: requests and answers share the hosts' links.
-	allowed, most int
-	// begun is when each worker began the chunk that it fetches, zero while it has none.
-	begun []time.Time
-	// duties are this host's for each chunk among rankedHosts.
-	duties      []duty
-	rankedHosts []Host
+	// concurrency is the number of chunks that may be in flight from peers, up to
+	// maxConcurrency. It decreases while chunks are slow, because requests and responses
+	// share the hosts' links.
+	concurrency, maxConcurrency int
+	// workerStarted is when each worker started its current chunk, zero while it is idle.
+	workerStarted []time.Time
+	// assignments holds this host's assignment for each chunk among assignedHosts.
+	assignments   []assignment
+	assignedHosts []Host
 }
 
-// neighbour is a peer as this fetch knows it.
+// neighbour is the state of a peer as seen by this fetch.
 type neighbour struct {
-	far   bool
-	have  Have
-	heard time.Time
-	// absent says that the peer does not know the version.
-	absent bool
-	// until is when a peer that failed may be asked for chunks again.
-	until time.Time
-	busy  int
-	// pace is how long a chunk from there takes, the last ones weighed most.
-	pace time.Duration
+	far        bool
+	have       Have
+	reportedAt time.Time
+	// unknownVersion means that the peer does not have the version's manifest.
+	unknownVersion bool
+	// retryAt is when chunks may be requested again from a peer that failed.
+	retryAt  time.Time
+	inFlight int
+	// chunkTime is the moving average of the transfer times of chunks from this peer.
+	chunkTime time.Duration
 }
 
-// Run fetches until the copy is complete, the context ends, or the manifest
-// turns out to be wrong.
+// Run fetches until the copy is complete, the context ends, or the manifest proves wrong.
 func (f *Fetch) Run(ctx context.Context) error {
 	f.pace = pace.Pace{Chunks: len(f.Copy.Manifest.Digests), CopyTime: f.OriginTime}
 	f.pace.Begin(clock.Now())
-	f.known = map[netip.AddrPort]*neighbour{}
-	f.taken = map[int]bool{}
+	f.neighbours = map[netip.AddrPort]*neighbour{}
+	f.inFlight = map[int]bool{}
 	f.seenAt = map[int]time.Time{}
 	f.mismatches = map[int]int{}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	var workers sync.WaitGroup
-	workers.Go(func() { f.keepNeighbours(ctx) })
-	f.most = parallelPeers
+	workers.Go(func() { f.followNeighbours(ctx) })
+	f.maxConcurrency = maxPeerFetches
 	if f.First {
-		f.most = parallelFirst
+		f.maxConcurrency = maxEarlyPeerFetches
 	}
-	f.allowed = f.most
-	f.begun = make([]time.Time, f.most)
-	for place := range f.most {
+	f.concurrency = f.maxConcurrency
+	f.workerStarted = make([]time.Time, f.maxConcurrency)
+	for worker := range f.maxConcurrency {
 		workers.Go(func() {
-			f.work(ctx, cancel, func(ctx context.Context) (bool, error) { return f.fromPeer(ctx, place) })
+			f.work(ctx, cancel, func(ctx context.Context) (bool, error) { return f.fromPeer(ctx, worker) })
 		})
 	}
-	for range parallelOrigin {
+	for range originFetches {
 		workers.Go(func() { f.work(ctx, cancel, f.fromOrigin) })
 	}
 	f.awaitComplete(ctx)
@@ -206,86 +206,89 @@
 	}
 }
 
-// work repeats one kind of fetch until the context ends.
+// work calls fetch, which reports whether it found a chunk to fetch, until the context ends
+// or an error makes the version unusable.
 func (f *Fetch) work(ctx context.Context, cancel context.CancelCauseFunc, fetch func(context.Context) (bool, error)) {
 	for ctx.Err() == nil {
-		did, err := fetch(ctx)
+		found, err := fetch(ctx)
 		if errors.Is(err, ErrManifest) || errors.Is(err, provider.ErrSuperseded) {
 			cancel(err)
 			return
 		}
-		if !did {
-			helpers.Pause(idlePause, ctx.Done())
+		if !found {
+			helpers.Pause(idleDelay, ctx.Done())
 		}
 	}
 }
 
-// keepNeighbours asks each neighbour for news, one question under way each.
-func (f *Fetch) keepNeighbours(ctx context.Context) {
-	var asking sync.WaitGroup
-	defer asking.Wait()
-	asked := map[netip.AddrPort]bool{}
+// followNeighbours follows the reports of each neighbour, including neighbours that are
+// added later.
+func (f *Fetch) followNeighbours(ctx context.Context) {
+	var followers sync.WaitGroup
+	defer followers.Wait()
+	followed := map[netip.AddrPort]bool{}
 	for ctx.Err() == nil {
-		for _, host := range f.surroundings().neighbours {
-			if !asked[host.Address] {
-				asked[host.Address] = true
-				asking.Go(func() { f.ask(ctx, host) })
+		for _, host := range f.currentPeers().neighbours {
+			if !followed[host.Address] {
+				followed[host.Address] = true
+				followers.Go(func() { f.follow(ctx, host) })
 			}
 		}
-		helpers.Pause(askAgain, ctx.Done())
+		helpers.Pause(peerRetryDelay, ctx.Done())
 	}
 }
 
-// ask follows what one host has, again and again.
-func (f *Fetch) ask(ctx context.Context, host Host) {
+// follow follows the reports of one host, and reconnects when the stream ends.
+func (f *Fetch) follow(ctx context.Context, host Host) {
 	peer := Peer{Address: host.Address, Client: f.Client}
 	far := host.Hall != f.Own.Hall
 	for ctx.Err() == nil {
-		err := peer.Follow(ctx, f.Copy.Manifest.Version, far, func(have Have) { f.heard(host, have, false) })
-		pause := askAgain + rand.N(askAgain)
+		err := peer.Follow(ctx, f.Copy.Manifest.Version, far, func(have Have) { f.recordReport(host, have, false) })
+		pause := peerRetryDelay + rand.N(peerRetryDelay)
 		if errors.Is(err, lines.ErrNotServed) {
-			f.heard(host, "", true)
-			pause = soonAgain // it is about to learn of the version
+			f.recordReport(host, "", true)
+			pause = unknownVersionDelay // it is about to look up the manifest
 		}
 		helpers.Pause(pause, ctx.Done())
 	}
 }
 
-func (f *Fetch) heard(host Host, have Have, absent bool) {
+func (f *Fetch) recordReport(host Host, have Have, unknownVersion bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	n := f.known[host.Address]
+	n := f.neighbours[host.Address]
 	if n == nil {
 		n = &neighbour{far: host.Hall != f.Own.Hall}
-		f.known[host.Address] = n
+		f.neighbours[host.Address] = n
 	}
 	now := clock.Now()
-	n.have, n.absent, n.heard = have, absent, now
+	n.have, n.unknownVersion, n.reportedAt = have, unknownVersion, now
 	for _, index := range f.Copy.Note(have) {
 		f.seenAt[index] = now
 	}
-	f.lookAtSeen(now)
+	f.updateSeen(now)
 }
 
-// lookAtSeen takes note where more chunks were seen than before; the caller holds mu.
-func (f *Fetch) lookAtSeen(now time.Time) {
-	if seen := f.seen(); seen > f.mostSeen {
-		f.mostSeen = seen
+// updateSeen advances the timeline where more chunks were seen than before; the caller
+// holds mu.
+func (f *Fetch) updateSeen(now time.Time) {
+	if seen := f.seen(); seen > f.maxSeen {
+		f.maxSeen = seen
 		f.pace.Seen(seen, now)
 	}
 }
 
-// seen is how many chunks any host is known to have had.
+// seen returns the number of chunks that were seen at any host, including this one.
 func (f *Fetch) seen() int { return len(f.Copy.Manifest.Digests) - f.Copy.Unseen() }
 
-func (f *Fetch) tell(index int, chunk []byte, from string) {
+func (f *Fetch) recordChunk(index int, chunk []byte, from string) {
 	f.mu.Lock()
 	now := clock.Now()
 	f.pace.Came(now)
 	if from == FromOrigin {
 		f.pace.Answered(f.seen(), now)
 	}
-	f.lookAtSeen(now)
+	f.updateSeen(now)
 	f.mu.Unlock()
 	if f.OnChunk != nil {
 		f.OnChunk(index, chunk, from)
--- a/daemon/internal/version/swarm/fetch_test.go
+++ b/daemon/internal/version/swarm/fetch_test.go
@@ -22,41 +22,41 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-var errOriginDown = errors.New("the origin is down")
+var errOriginDown = errors.New("origin is down")
 
-// origin is an origin of weights that counts what it sends of each chunk.
+// origin is a fake origin that counts how often it sends each chunk.
 type origin struct {
 	data [][]byte
 	mu   sync.Mutex
 	sent map[int]int
-	// failures is how many calls fail before the first that does not, and spoil
-	// how many after that get wrong bytes.
-	failures, spoil int
-	// spoilFirst has the first sending of each chunk be wrong.
-	spoilFirst bool
-	hold       chan struct{}
-	// linkTime is how long a chunk takes on the origin's link, which is free from
-	// the moment linkFree on: one is sent at a time.
-	linkTime time.Duration
-	linkFree time.Time
+	// failures is the number of calls that fail before the first success, and corrupt the
+	// number of corrupt chunks sent after that.
+	failures, corrupt int
+	// corruptFirst makes the first transfer of each chunk corrupt.
+	corruptFirst bool
+	block        chan struct{}
+	// linkTime is how long a chunk takes on the origin's link, which sends one at a time and
+	// is free at linkFreeAt.
+	linkTime   time.Duration
+	linkFreeAt time.Time
 }
 
 func (o *origin) chunk(ctx context.Context, _ netip.AddrPort, _ string, _, index int) ([]byte, error) {
-	if o.hold != nil {
+	if o.block != nil {
 		select {
-		case <-o.hold:
+		case <-o.block:
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
 	}
-	chunk, arrives, err := o.send(index)
-	if !helpers.Pause(time.Until(arrives), ctx.Done()) {
+	chunk, arrivesAt, err := o.send(index)
+	if !helpers.Pause(time.Until(arrivesAt), ctx.Done()) {
 		return nil, ctx.Err()
 	}
 	return chunk, err
 }
 
-// send puts a chunk on the link and returns what arrives of it, and when.
+// send reserves the link for a chunk and returns the bytes that arrive, and when.
 func (o *origin) send(index int) ([]byte, time.Time, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -66,15 +66,15 @@
 		return nil, now, errOriginDown
 	}
 	o.sent[index]++
-	if o.linkFree.Before(now) {
-		o.linkFree = now
+	if o.linkFreeAt.Before(now) {
+		o.linkFreeAt = now
 	}
-	o.linkFree = o.linkFree.Add(o.linkTime)
-	if o.spoil > 0 || o.spoilFirst && o.sent[index] == 1 {
-		o.spoil--
-		return []byte("spoilt"), o.linkFree, nil
+	o.linkFreeAt = o.linkFreeAt.Add(o.linkTime)
+	if o.corrupt > 0 || o.corruptFirst && o.sent[index] == 1 {
+		o.corrupt--
+		return []byte("corrupt"), o.linkFreeAt, nil
 	}
-	return o.data[index], o.linkFree, nil
+	return o.data[index], o.linkFreeAt, nil
 }
 
 func (o *origin) total() int {
@@ -87,9 +87,9 @@
 	return total
 }
 
-// fleet runs a fetch on each of some hosts in halls of three and returns their
-// copies once all are whole. Dead hosts are listed but not there.
-func fleet(t *testing.T, o *origin, manifest provider.Manifest, hosts, dead int) []*swarm.Copy {
+// fetchOnFleet runs a fetch on each of some hosts, in halls of three, and returns their copies
+// once all are complete. Dead hosts are listed but do not accept connections.
+func fetchOnFleet(t *testing.T, o *origin, manifest provider.Manifest, hosts, dead int) []*swarm.Copy {
 	t.Helper()
 	o.sent = map[int]int{}
 	var net network
@@ -100,7 +100,7 @@
 		held := &swarm.Held{}
 		held.Add(c)
 		copies = append(copies, c)
-		listed = append(listed, swarm.Host{Address: net.serve(t, pages(held)), Hall: fmt.Sprintf("hall-%d", i/3)})
+		listed = append(listed, swarm.Host{Address: net.serve(t, handler(held)), Hall: fmt.Sprintf("hall-%d", i/3)})
 	}
 	for i := range dead {
 		listed = append(listed, swarm.Host{Address: netip.MustParseAddrPort(fmt.Sprintf("127.0.0.1:%d", i+1)), Hall: "hall-0"})
@@ -120,7 +120,7 @@
 	return copies
 }
 
-func assertWhole(t *testing.T, copies []*swarm.Copy, data [][]byte) {
+func assertComplete(t *testing.T, copies []*swarm.Copy, data [][]byte) {
 	t.Helper()
 	for _, c := range copies {
 		require.True(t, c.Complete())
@@ -130,45 +130,36 @@
 	}
 }
 
-func TestOriginSendsEachChunkOnce(t *testing.T) {
+func TestOriginSendsAboutOneCopy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		data, manifest := sample(2, 24)
 		o := &origin{data: data}
-		copies := fleet(t, o, manifest, 9, 0)
-		assertWhole(t, copies, data)
-		assert.LessOrEqual(t, o.total(), 24+6, "about one copy for nine hosts")
+		copies := fetchOnFleet(t, o, manifest, 9, 0)
+		assertComplete(t, copies, data)
+		assert.LessOrEqual(t, o.total(), 24+6, "the origin sends about one copy for nine hosts")
 	})
 }
 
-// Symptom: after an origin was down it sent 28 to 36 chunks of 24, of which it spoilt 3.
-//
-// Sequence: the origin fails for a while; nine hosts wait for chunks. Once it sends
-// again each asks for its own.
-//
-// Cause: only a part of the pause was taken off what a chunk is overdue, so all of
-// them stayed overdue by more than a host that is to be done first waits. It asked for
-// one after the other, while those who bring them did so too.
-//
-// What settled it: all chunks that were sent twice were asked for by that host, 250 to
-// 390 ms overdue.
-func TestFetchOutlivesAnOriginThatWasDown(t *testing.T) {
-	const plays, chunks, spoilt = 20, 24, 3
-	for range plays { // which chunks a host asks for is drawn
+// TestFetchSendsNoChunkTwiceAfterOriginOutage guards against an early host that fetches chunks
+// beside their assigned hosts because the outage counts towards their overdue time.
+func TestFetchSendsNoChunkTwiceAfterOriginOutage(t *testing.T) {
+	const runs, chunks, corrupt = 20, 24, 3
+	for range runs { // the choice of chunks is random
 		synctest.Test(t, func(t *testing.T) {
 			data, manifest := sample(2, chunks)
-			o := &origin{data: data, failures: 300, spoil: spoilt, linkTime: 10 * time.Millisecond}
-			copies := fleet(t, o, manifest, 9, 0)
-			assertWhole(t, copies, data)
-			assert.LessOrEqual(t, o.total(), chunks+spoilt)
+			o := &origin{data: data, failures: 300, corrupt: corrupt, linkTime: 10 * time.Millisecond}
+			copies := fetchOnFleet(t, o, manifest, 9, 0)
+			assertComplete(t, copies, data)
+			assert.LessOrEqual(t, o.total(), chunks+corrupt)
 		})
 	}
 }
 
-// TestSpoiltChunksAreNoReasonToStartAnew: an origin that spoils many chunks once
-// each is no sign of a wrong manifest.
-func TestSpoiltChunksAreNoReasonToStartAnew(t *testing.T) {
+// TestFetchRetriesCorruptChunks guards against taking the manifest to be wrong because the
+// origin sends many chunks corrupt once each.
+func TestFetchRetriesCorruptChunks(t *testing.T) {
 	data, manifest := sample(2, 24)
-	o := &origin{data: data, spoilFirst: true, sent: map[int]int{}}
+	o := &origin{data: data, corruptFirst: true, sent: map[int]int{}}
 	own := swarm.Host{Address: serve(t, &swarm.Held{}).Address, Hall: "hall"}
 	fetch := &swarm.Fetch{
 		Copy: swarm.NewCopy(manifest), Model: "m", Source: provider.Origin{Chunk: o.chunk}, Own: own,
@@ -178,54 +169,54 @@
 	assert.Equal(t, 2*24, o.total())
 }
 
-func TestDeadHostsAreStoodInFor(t *testing.T) {
+func TestLiveHostsTakeOverChunksOfDeadHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		data, manifest := sample(2, 24)
 		o := &origin{data: data}
-		copies := fleet(t, o, manifest, 4, 3)
-		assertWhole(t, copies, data)
+		copies := fetchOnFleet(t, o, manifest, 4, 3)
+		assertComplete(t, copies, data)
 		assert.LessOrEqual(t, o.total(), 2*24)
 	})
 }
 
-// serveStuck serves a host that says it has a copy and never sends a chunk of it.
+// serveStuck serves a host that reports a copy but never sends a chunk of it.
 func serveStuck(t *testing.T, c *swarm.Copy) netip.AddrPort {
 	t.Helper()
 	return serveChunks(t, c, func(r *http.Request) { <-r.Context().Done() })
 }
 
-// serveChunks serves a host that has a copy and does something before it sends a chunk.
+// serveChunks serves a host that has a copy and calls before ahead of each chunk.
 func serveChunks(t *testing.T, c *swarm.Copy, before func(r *http.Request)) netip.AddrPort {
 	t.Helper()
 	held := &swarm.Held{}
 	held.Add(c)
-	whole := pages(held)
+	complete := handler(held)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Has("index") {
 			before(r)
 		}
-		whole.ServeHTTP(w, r)
+		complete.ServeHTTP(w, r)
 	}))
 	t.Cleanup(server.Close)
 	return netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))
 }
 
-// TestStuckHolderIsPassedOver: chunks that only a host offers which does not send
-// them come from the origin, or from another hall where that one is down too.
-func TestStuckHolderIsPassedOver(t *testing.T) {
+// TestFetchBypassesStuckHolder: chunks whose only holder in the hall does not send them come
+// from the origin, or from another hall where the origin is down too.
+func TestFetchBypassesStuckHolder(t *testing.T) {
 	data, manifest := sample(2, 4)
-	whole := swarm.NewCopy(manifest)
+	complete := swarm.NewCopy(manifest)
 	for index, chunk := range data {
-		require.NoError(t, whole.Put(index, chunk))
+		require.NoError(t, complete.Put(index, chunk))
 	}
 	for name, originDown := range map[string]bool{"origin": false, "another hall": true} {
 		t.Run(name, func(t *testing.T) {
 			o := &origin{data: data, sent: map[int]int{}}
-			hosts := []swarm.Host{{Address: serveStuck(t, whole), Hall: "hall"}}
+			hosts := []swarm.Host{{Address: serveStuck(t, complete), Hall: "hall"}}
 			if originDown {
 				o.failures = math.MaxInt32
 				held := &swarm.Held{}
-				held.Add(whole)
+				held.Add(complete)
 				hosts = append(hosts, swarm.Host{Address: serve(t, held).Address, Hall: "far"})
 			}
 			fetch := &swarm.Fetch{
@@ -241,7 +232,7 @@
 	}
 }
 
-func TestWrongManifestIsNoticed(t *testing.T) {
+func TestFetchFailsOnWrongManifest(t *testing.T) {
 	data, manifest := sample(2, 4)
 	manifest.Digests[2][0] ^= 1
 	o := &origin{data: data, sent: map[int]int{}}
@@ -253,17 +244,17 @@
 	require.ErrorIs(t, fetch.Run(context.Background()), swarm.ErrManifest)
 }
 
-func TestFetchEndsWhenItIsGivenUp(t *testing.T) {
+func TestFetchEndsWithItsContext(t *testing.T) {
 	data, manifest := sample(2, 4)
-	o := &origin{data: data, sent: map[int]int{}, hold: make(chan struct{})}
+	o := &origin{data: data, sent: map[int]int{}, block: make(chan struct{})}
 	own := swarm.Host{Address: serve(t, &swarm.Held{}).Address, Hall: "hall"}
 	fetch := &swarm.Fetch{
 		Copy: swarm.NewCopy(manifest), Model: "m", Source: provider.Origin{Chunk: o.chunk}, Own: own,
 		Hosts: func() []swarm.Host { return nil }, Client: serve(t, &swarm.Held{}).Client,
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- fetch.Run(ctx) }()
+	result := make(chan error, 1)
+	go func() { result <- fetch.Run(ctx) }()
 	cancel()
-	require.ErrorIs(t, <-ended, context.Canceled)
+	require.ErrorIs(t, <-result, context.Canceled)
 }
--- a/daemon/internal/version/swarm/fromorigin.go
+++ b/daemon/internal/version/swarm/fromorigin.go
@@ -10,31 +10,32 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/helpers"
 )
 
-// This file fetches what it falls to this host to bring from the origin.
+// This file fetches from the origin the chunks that are assigned to this host.
 
-// fromOrigin fetches one chunk that it falls to this host to bring.
+// fromOrigin fetches one chunk from the origin. It reports false where none is assigned to
+// this host.
 func (f *Fetch) fromOrigin(ctx context.Context) (bool, error) {
 	index, ok := f.pickForOrigin()
 	if !ok {
 		return false, nil
 	}
-	chunk, err := f.askOrigin(ctx, index)
+	chunk, err := f.requestFromOrigin(ctx, index)
 	if err == nil {
-		f.tell(index, chunk, FromOrigin)
+		f.recordChunk(index, chunk, FromOrigin)
 		return true, nil
 	}
 	if !errors.Is(err, errDigest) {
 		f.mu.Lock()
 		f.pace.Failed(index, clock.Now())
 		f.mu.Unlock()
-		// The chunk is free for peers meanwhile: they may have it by now.
-		helpers.Pause(rand.N(askAgain), ctx.Done())
+		// The chunk is not in flight during the delay, so that it may come from a peer.
+		helpers.Pause(rand.N(peerRetryDelay), ctx.Done())
 	}
 	return true, err
 }
 
-// askOrigin has the origin send a chunk that was picked, and takes it.
-func (f *Fetch) askOrigin(ctx context.Context, index int) ([]byte, error) {
+// requestFromOrigin fetches a chunk that pickForOrigin returned and adds it to the copy.
+func (f *Fetch) requestFromOrigin(ctx context.Context, index int) ([]byte, error) {
 	defer f.release(index)
 	ctx, cancel := context.WithTimeout(ctx, chunkTimeout+f.OriginTime)
 	defer cancel()
@@ -43,12 +44,12 @@
 		return nil, err
 	}
 	if err := f.Copy.Put(index, chunk); err != nil {
-		return nil, f.mismatch(index, err)
+		return nil, f.recordMismatch(index, err)
 	}
 	return chunk, nil
 }
 
-func (f *Fetch) mismatch(index int, err error) error {
+func (f *Fetch) recordMismatch(index int, err error) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.mismatches[index]++; f.mismatches[index] >= maxMismatches {
@@ -57,32 +58,32 @@
 	return err
 }
 
-// pickForOrigin chooses a missing chunk that it falls to this host to ask the
-// origin for.
+// pickForOrigin returns a missing chunk that this host may fetch from the origin, and marks
+// it as in flight.
 func (f *Fetch) pickForOrigin() (int, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := clock.Now()
-	f.rank(f.liveHosts(now))
+	f.assign(f.liveHosts(now))
 	have := f.Copy.Have()
 	backup := -1
-	drawn := 0
+	candidates := 0
 	for index := range have[:f.pace.Due(now, f.seen())] {
-		if have[index] || f.taken[index] || !f.asksOrigin(index, now) {
+		if have[index] || f.inFlight[index] || !f.fetchesFromOrigin(index, now) {
 			continue
 		}
-		if f.duties[index].first() {
-			f.taken[index] = true
+		if f.assignments[index].isPrimary() {
+			f.inFlight[index] = true
 			return index, true
 		}
-		// Hosts that stand in for others draw, or all would ask for the same.
-		if drawn++; rand.IntN(drawn) == 0 {
+		// A backup host chooses at random: otherwise all of them would fetch the same chunk.
+		if candidates++; rand.IntN(candidates) == 0 {
 			backup = index
 		}
 	}
 	if backup < 0 {
 		return 0, false
 	}
-	f.taken[backup] = true
+	f.inFlight[backup] = true
 	return backup, true
 }
--- a/daemon/internal/version/swarm/frompeers.go
+++ b/daemon/internal/version/swarm/frompeers.go
@@ -10,17 +10,17 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/clock"
 )
 
-// This file chooses what comes from which other host, and how much at a time.
+// This file chooses which chunks are fetched from which peer, and how many at once.
 
-// fromPeer fetches one chunk that a neighbour has. Place is the worker's: those
-// beyond what the links bear do nothing.
-func (f *Fetch) fromPeer(ctx context.Context, place int) (bool, error) {
-	index, address, ok := f.pickFromPeers(place)
+// fromPeer fetches one chunk from a neighbour. It reports false where there is none to fetch
+// or the worker's number exceeds the current concurrency.
+func (f *Fetch) fromPeer(ctx context.Context, worker int) (bool, error) {
+	index, address, ok := f.pickFromPeers(worker)
 	if !ok {
 		return false, nil
 	}
 	defer f.release(index)
-	defer f.arrived(place)
+	defer f.setIdle(worker)
 	ctx, cancel := context.WithTimeout(ctx, chunkTimeout)
 	defer cancel()
 	started := clock.Now()
@@ -28,33 +28,32 @@
 	if err == nil {
 		err = f.Copy.Put(index, chunk)
 	}
-	f.settle(address, clock.Since(started), err)
+	f.recordResult(address, clock.Since(started), err)
 	if err != nil {
 		return true, err
 	}
-	f.tell(index, chunk, address.String())
+	f.recordChunk(index, chunk, address.String())
 	return true, nil
 }
 
-// pickFromPeers chooses the rarest missing chunk among two drawn at random, and
-// one of its holders. Holders in other halls count only for chunks that it
-// falls to this host to bring into its hall.
-func (f *Fetch) pickFromPeers(place int) (int, netip.AddrPort, bool) {
+// pickFromPeers returns a missing chunk and one of its holders, and marks the chunk as in
+// flight. Holders in other halls count only for chunks that this host may fetch from there.
+func (f *Fetch) pickFromPeers(worker int) (int, netip.AddrPort, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := clock.Now()
-	if place >= f.allowed || f.arriving(now) >= inbound(f.ChunkTime, f.First) {
+	if worker >= f.concurrency || f.arriving(now) >= maxInbound(f.ChunkTime, f.First) {
 		return 0, netip.AddrPort{}, false
 	}
-	f.rank(f.liveHosts(now))
+	f.assign(f.liveHosts(now))
 	have := f.Copy.Have()
 	holders := map[int][]netip.AddrPort{}
-	for address, n := range f.known {
-		if now.Before(n.until) || n.busy >= perPeer {
+	for address, n := range f.neighbours {
+		if now.Before(n.retryAt) || n.inFlight >= maxPerPeer {
 			continue
 		}
 		for index := range have {
-			if n.have.Has(index) && !have[index] && !f.taken[index] && (!n.far || f.bringsFar(index, now)) {
+			if n.have.Has(index) && !have[index] && !f.inFlight[index] && (!n.far || f.fetchesFromOtherHalls(index, now)) {
 				holders[index] = append(holders[index], address)
 			}
 		}
@@ -64,45 +63,46 @@
 		return 0, netip.AddrPort{}, false
 	}
 	address := f.pickHolder(holders[best])
-	f.taken[best] = true
-	f.begun[place] = now
-	f.known[address].busy++
+	f.inFlight[best] = true
+	f.workerStarted[worker] = now
+	f.neighbours[address].inFlight++
 	return best, address, true
 }
 
-// arriving counts the chunks from peers that take of this host's link now; one that has
-// been under way for long waits for its sender. The caller holds mu.
+// arriving counts the chunks from peers that occupy this host's link. A chunk that has been
+// in flight for longer than arrivalWindow is waiting for its sender instead. The caller
+// holds mu.
 func (f *Fetch) arriving(now time.Time) int {
 	count := 0
-	for _, begun := range f.begun {
-		if !begun.IsZero() && now.Sub(begun) < arrivesWithin {
+	for _, started := range f.workerStarted {
+		if !started.IsZero() && now.Sub(started) < arrivalWindow {
 			count++
 		}
 	}
 	return count
 }
 
-// inbound is how many chunks may arrive at a time over the host's link, by how long one
-// takes there.
-func inbound(chunkTime time.Duration, first bool) int {
-	count := unknownInbound
+// maxInbound returns the number of chunks that may arrive at once, given how long one takes
+// over the host's link.
+func maxInbound(chunkTime time.Duration, early bool) int {
+	count := defaultInbound
 	if chunkTime > 0 {
-		count = max(1, int(math.Round(float64(inboundQueue)/float64(chunkTime))))
+		count = max(1, int(math.Round(float64(inboundWindow)/float64(chunkTime))))
 	}
-	if first {
+	if early {
 		count++
 	}
 	return count
 }
 
-// pickHolder chooses the holder that is likely to be done first: the one with
-// the least under way for this host, weighed by how long its last chunks took.
+// pickHolder returns the holder with the lowest cost: the chunks in flight from it, weighted
+// by its recent chunk times and a random factor.
 func (f *Fetch) pickHolder(holders []netip.AddrPort) netip.AddrPort {
 	best := holders[0]
 	lowest := math.Inf(1)
 	for _, address := range holders {
-		n := f.known[address]
-		cost := float64(n.busy+1) * (n.pace.Seconds() + paceFloor.Seconds()) * (1 + rand.Float64())
+		n := f.neighbours[address]
+		cost := float64(n.inFlight+1) * (n.chunkTime.Seconds() + chunkTimeFloor.Seconds()) * (1 + rand.Float64())
 		if cost < lowest {
 			best, lowest = address, cost
 		}
@@ -110,52 +110,54 @@
 	return best
 }
 
-// pickIndex prefers chunks that the hall waits for this host to bring.
+// pickIndex returns a chunk that this host ranks first for in its hall, because the hall
+// waits for it, or else the rarer of two random chunks.
 func (f *Fetch) pickIndex(holders map[int][]netip.AddrPort) int {
-	best, drawn := -1, 0
-	for index := range holders { // the order of a map is random
-		if f.duties[index].place == 0 {
+	best, sampled := -1, 0
+	for index := range holders { // map iteration order is random
+		if f.assignments[index].hostRank == 0 {
 			return index
 		}
-		if drawn++; drawn <= 2 && (best < 0 || len(holders[index]) < len(holders[best])) {
+		if sampled++; sampled <= 2 && (best < 0 || len(holders[index]) < len(holders[best])) {
 			best = index
 		}
 	}
 	return best
 }
 
-func (f *Fetch) settle(address netip.AddrPort, took time.Duration, err error) {
-	const rest = 500 * time.Millisecond
+// recordResult updates a peer's chunk time and retry delay, and adapts the concurrency.
+func (f *Fetch) recordResult(address netip.AddrPort, took time.Duration, err error) {
+	const failedPeerDelay = 500 * time.Millisecond
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	n := f.known[address]
-	n.busy--
+	n := f.neighbours[address]
+	n.inFlight--
 	if IsBusy(err) {
-		n.until = clock.Now().Add(busyRest)
+		n.retryAt = clock.Now().Add(busyPeerDelay)
 		return
 	}
-	n.pace = (n.pace + took) / 2
+	n.chunkTime = (n.chunkTime + took) / 2
 	switch {
 	case err != nil:
-		n.until = clock.Now().Add(rest)
-		f.allowed = max(1, f.allowed/2)
+		n.retryAt = clock.Now().Add(failedPeerDelay)
+		f.concurrency = max(1, f.concurrency/2)
 	case took > slowChunk:
-		n.until = clock.Now().Add(took)
-		f.allowed = max(1, f.allowed-1)
-	case took < quickChunk:
-		f.allowed = min(f.most, f.allowed+1)
+		n.retryAt = clock.Now().Add(took)
+		f.concurrency = max(1, f.concurrency-1)
+	case took < fastChunk:
+		f.concurrency = min(f.maxConcurrency, f.concurrency+1)
 	}
 }
 
 func (f *Fetch) release(index int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.taken, index)
+	delete(f.inFlight, index)
 }
 
-// arrived notes that a worker has no chunk under way.
-func (f *Fetch) arrived(place int) {
+// setIdle marks a worker as idle.
+func (f *Fetch) setIdle(worker int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.begun[place] = time.Time{}
+	f.workerStarted[worker] = time.Time{}
 }
--- a/daemon/internal/version/swarm/network_test.go
+++ b/daemon/internal/version/swarm/network_test.go
@@ -10,26 +10,25 @@
 	"testing"
 )
 
-// network carries HTTP between hosts inside the test's process, so that tests of
-// time run by a clock of their own, whatever else the machine does. Addresses that
-// nobody serves refuse connections.
+// network carries HTTP between hosts inside the test process, so that tests can run on a
+// synthetic clock. Addresses without a server refuse connections.
 type network struct {
 	mu        sync.Mutex
 	listeners map[string]*listener
-	served    uint32
+	hosts     uint32
 }
 
-// firstHost is the address before the first one that a network gives.
-const firstHost = 10 << 24
+// baseAddress is the address below the first one that a network assigns.
+const baseAddress = 10 << 24
 
-// serve gives a handler an address; it is closed at the end of the test.
+// serve serves a handler at a new address until the end of the test.
 func (n *network) serve(t *testing.T, handler http.Handler) netip.AddrPort {
 	t.Helper()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.served++
+	n.hosts++
 	var host [4]byte
-	binary.BigEndian.PutUint32(host[:], firstHost+n.served)
+	binary.BigEndian.PutUint32(host[:], baseAddress+n.hosts)
 	address := netip.AddrPortFrom(netip.AddrFrom4(host), 80)
 	l := &listener{address: address, connections: make(chan net.Conn), closed: make(chan struct{})}
 	if n.listeners == nil {
@@ -49,7 +48,7 @@
 	return address
 }
 
-// client returns a client of one host of the network.
+// client returns an HTTP client on the network.
 func (n *network) client(t *testing.T) *http.Client {
 	t.Helper()
 	transport := &http.Transport{DialContext: n.dial}
@@ -64,10 +63,10 @@
 	if l == nil {
 		return nil, net.ErrClosed
 	}
-	here, there := net.Pipe()
+	client, server := net.Pipe()
 	select {
-	case l.connections <- there:
-		return here, nil
+	case l.connections <- server:
+		return client, nil
 	case <-l.closed:
 		return nil, net.ErrClosed
 	case <-ctx.Done():
@@ -75,7 +74,7 @@
 	}
 }
 
-// listener hands the connections to one address to its server.
+// listener passes connections to one address to its server.
 type listener struct {
 	address     netip.AddrPort
 	connections chan net.Conn
--- a/daemon/internal/version/swarm/outage_test.go
+++ b/daemon/internal/version/swarm/outage_test.go
@@ -18,34 +18,34 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// sharedOrigin is an origin whose link all that it sends shares, and that is gone for a
-// while.
+// sharedOrigin is a fake origin with an outage, whose link is shared by all transfers.
 type sharedOrigin struct {
 	data [][]byte
-	// linkTime is how long a chunk takes alone, and most how many may be under way.
-	linkTime time.Duration
-	most     int
-	// gone and back are when it goes and comes back.
-	gone, back time.Time
+	// linkTime is how long a chunk takes alone on the link, and maxInFlight how many chunks
+	// may be in flight.
+	linkTime    time.Duration
+	maxInFlight int
+	// outageStart and outageEnd bound the outage.
+	outageStart, outageEnd time.Time
 
 	mu             sync.Mutex
-	linkFree       time.Time
-	underWay, sent int
+	linkFreeAt     time.Time
+	inFlight, sent int
 }
 
-// slices is how many turns at the link a chunk takes.
+// slices is the number of slices in which a chunk is sent.
 const slices = 8
 
 func (o *sharedOrigin) chunk(ctx context.Context, _ netip.AddrPort, _ string, _, index int) ([]byte, error) {
-	if !o.enter() {
+	if !o.acquire() {
 		return nil, errOriginDown
 	}
-	defer o.leave()
+	defer o.release()
 	for range slices {
-		if !helpers.Pause(time.Until(o.turn()), ctx.Done()) {
+		if !helpers.Pause(time.Until(o.reserveSlice()), ctx.Done()) {
 			return nil, ctx.Err()
 		}
-		if o.away() {
+		if o.isDown() {
 			return nil, errOriginDown
 		}
 	}
@@ -55,52 +55,42 @@
 	return o.data[index], nil
 }
 
-func (o *sharedOrigin) away() bool {
+func (o *sharedOrigin) isDown() bool {
 	now := time.Now()
-	return !now.Before(o.gone) && now.Before(o.back)
+	return !now.Before(o.outageStart) && now.Before(o.outageEnd)
 }
 
-func (o *sharedOrigin) enter() bool {
+func (o *sharedOrigin) acquire() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.away() || o.underWay >= o.most {
+	if o.isDown() || o.inFlight >= o.maxInFlight {
 		return false
 	}
-	o.underWay++
+	o.inFlight++
 	return true
 }
 
-func (o *sharedOrigin) leave() {
+func (o *sharedOrigin) release() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.underWay--
+	o.inFlight--
 }
 
-// turn books the next turn at the link and returns when it is over.
-func (o *sharedOrigin) turn() time.Time {
+// reserveSlice reserves the link for one slice and returns when it has been sent.
+func (o *sharedOrigin) reserveSlice() time.Time {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if now := time.Now(); o.linkFree.Before(now) {
-		o.linkFree = now
+	if now := time.Now(); o.linkFreeAt.Before(now) {
+		o.linkFreeAt = now
 	}
-	o.linkFree = o.linkFree.Add(o.linkTime / slices)
-	return o.linkFree
+	o.linkFreeAt = o.linkFreeAt.Add(o.linkTime / slices)
+	return o.linkFreeAt
 }
 
-// Symptom: an origin that takes 2.6 s for a copy was gone for 6 s. After its return the
-// first of 202 hosts had the version whole after 5.1 s, the last after 6.9, and until
-// then no engine could serve.
-//
-// Sequence: a version is named, the origin sends a fifth of it, and goes. Every chunk
-// becomes overdue. At the return all hosts ask at once, for chunks that they draw.
-//
-// Cause: the time in which the origin was gone counted until the next chunk came. With
-// as many chunks under way as the origin takes, all of them end at the same time, late;
-// those who stand in for others ask for them again meanwhile.
-//
-// What settled it: within a hall all hosts were whole within 0.2 s, so each waited for
-// the same last chunks; the origin had sent 1.3 copies.
-func TestAFleetIsWholeSoonAfterAnOutage(t *testing.T) {
+// TestFleetCompletesSoonAfterOriginOutage guards against a burst of requests when the origin
+// recovers: if the outage counted towards overdue time, all hosts would request chunks at
+// random at once and every chunk would arrive late.
+func TestFleetCompletesSoonAfterOriginOutage(t *testing.T) {
 	const (
 		halls, perHall = 5, 16 / slowdown
 		chunks         = 96
@@ -111,20 +101,20 @@
 		data, manifest := sample(2, chunks)
 		start := time.Now()
 		o := &sharedOrigin{
-			data: data, linkTime: linkTime, most: 48,
-			gone: start.Add(copyTime / 5), back: start.Add(copyTime/5 + 6*time.Second),
+			data: data, linkTime: linkTime, maxInFlight: 48,
+			outageStart: start.Add(copyTime / 5), outageEnd: start.Add(copyTime/5 + 6*time.Second),
 		}
-		whole := runFleet(t, o, manifest, halls, perHall)
-		first, last := whole[0].Sub(o.back), whole[len(whole)-1].Sub(o.back)
-		t.Logf("first %.2f, last %.2f of a copy's time after the return, %d chunks sent", first.Seconds()/copyTime.Seconds(), last.Seconds()/copyTime.Seconds(), o.sent)
+		completed := runFleet(t, o, manifest, halls, perHall)
+		first, last := completed[0].Sub(o.outageEnd), completed[len(completed)-1].Sub(o.outageEnd)
+		t.Logf("first host after %.2f and last after %.2f of a copy time since the end of the outage, %d chunks sent", first.Seconds()/copyTime.Seconds(), last.Seconds()/copyTime.Seconds(), o.sent)
 		assert.Less(t, first, copyTime*12/10)
 		assert.Less(t, last, copyTime*16/10)
 		assert.LessOrEqual(t, o.sent, chunks*115/100)
 	})
 }
 
-// runFleet has hosts in some halls fetch a version over links as wide as the origin's,
-// and returns when they were whole, in that order.
+// runFleet runs a fetch on each host over links as fast as the origin's, and returns the times
+// at which they completed, in that order.
 func runFleet(t *testing.T, o *sharedOrigin, manifest provider.Manifest, halls, perHall int) []time.Time {
 	t.Helper()
 	var net network
@@ -145,7 +135,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	var mu sync.Mutex
-	var whole []time.Time
+	var completed []time.Time
 	var running sync.WaitGroup
 	for i, c := range copies {
 		fetch := &swarm.Fetch{
@@ -157,9 +147,9 @@
 			assert.NoError(t, fetch.Run(ctx))
 			mu.Lock()
 			defer mu.Unlock()
-			whole = append(whole, time.Now())
+			completed = append(completed, time.Now())
 		})
 	}
 	running.Wait()
-	return whole
+	return completed
 }
--- a/daemon/internal/version/swarm/peer.go
+++ b/daemon/internal/version/swarm/peer.go
@@ -13,27 +13,25 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// maxPeerAnswer bounds an answer of a peer, in bytes.
-const maxPeerAnswer = 8 << 20
+// maxPeerResponse bounds a peer's response, in bytes.
+const maxPeerResponse = 8 << 20
 
-// errBusy says that a peer has enough to send already.
-var errBusy = errors.New("the host sends enough chunks already")
+// errBusy means that a peer's upload queue is full.
+var errBusy = errors.New("upload queue of the peer is full")
 
-// IsBusy reports whether a peer turned a question away because it sends enough
-// chunks already.
+// IsBusy reports whether a peer rejected a request because its upload queue is full.
 func IsBusy(err error) bool { return errors.Is(err, errBusy) }
 
-// Peer is the calls to another loader.
+// Peer makes the calls to another loader.
 type Peer struct {
 	Address netip.AddrPort
 	Client  *http.Client
-	// Urgent asks for chunks before all others.
+	// Urgent requests chunks ahead of non-urgent uploads.
 	Urgent bool
 }
 
-// Follow calls onHave with which chunks the peer has, at each change, until the
-// peer is silent, leaves, or turns out not to know the version, which is
-// lines.ErrNotServed.
+// Follow calls onHave with the peer's chunks, at first and at each change, until the peer is
+// unresponsive, leaves, or does not have the version's manifest, which is lines.ErrNotServed.
 func (p Peer) Follow(ctx context.Context, version int, far bool, onHave func(Have)) error {
 	url := fmt.Sprintf("http://%s%s?version=%d", p.Address, havePath, version)
 	if far {
@@ -45,7 +43,7 @@
 	})
 }
 
-// Manifest asks for a version's manifest.
+// Manifest requests the manifest of a version.
 func (p Peer) Manifest(ctx context.Context, version int) (provider.Manifest, error) {
 	var manifest provider.Manifest
 	data, err := p.get(ctx, fmt.Sprintf("%s?version=%d", manifestPath, version))
@@ -55,7 +53,7 @@
 	return manifest, p.decode(data, &manifest)
 }
 
-// Chunk asks for a chunk; its bytes are not checked here.
+// Chunk requests a chunk and returns it unverified.
 func (p Peer) Chunk(ctx context.Context, version, index int) ([]byte, error) {
 	path := fmt.Sprintf("%s?version=%d&index=%d", chunkPath, version, index)
 	if p.Urgent {
@@ -65,10 +63,10 @@
 }
 
 func (p Peer) get(ctx context.Context, path string) ([]byte, error) {
-	data, err := call.Get(ctx, p.Client, fmt.Sprintf("http://%s%s", p.Address, path), maxPeerAnswer)
-	var refused *call.StatusError
-	if errors.As(err, &refused) {
-		switch refused.Status {
+	data, err := call.Get(ctx, p.Client, fmt.Sprintf("http://%s%s", p.Address, path), maxPeerResponse)
+	var statusErr *call.StatusError
+	if errors.As(err, &statusErr) {
+		switch statusErr.Status {
 		case http.StatusNotFound:
 			err = provider.ErrNotFound
 		case http.StatusServiceUnavailable:
@@ -76,14 +74,14 @@
 		}
 	}
 	if err != nil {
-		return nil, fmt.Errorf("ask peer %s: %w", p.Address, err)
+		return nil, fmt.Errorf("request to peer %s: %w", p.Address, err)
 	}
 	return data, nil
 }
 
 func (p Peer) decode(data []byte, target any) error {
 	if err := json.Unmarshal(data, target); err != nil {
-		return fmt.Errorf("decode the answer of peer %s: %w", p.Address, err)
+		return fmt.Errorf("decode response of peer %s: %w", p.Address, err)
 	}
 	return nil
 }
--- a/daemon/internal/version/swarm/surroundings.go
+++ b/daemon/internal/version/swarm/peerset.go
@@ -6,26 +6,27 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/rendezvous"
 )
 
-// surroundings are the hosts of a fetch, worked out once a list of hosts because
-// each choice of a chunk asks for them. They are read-only.
-type surroundings struct {
+// peerSet holds the hosts of a fetch. It is computed once per list of hosts, because each
+// choice of a chunk reads it, and is read-only after that.
+type peerSet struct {
 	listed []Host
-	// hosts are all hosts, this one included, in the order of their addresses.
+	// hosts holds all hosts, this one included, ordered by address.
 	hosts []Host
-	// neighbours are the hosts that this one asks, by a ranking of its own.
+	// neighbours holds the hosts whose reports this host follows. Each host chooses its own
+	// by rendezvous hashing.
 	neighbours []Host
 }
 
-// surroundings returns those of the newest list.
-func (f *Fetch) surroundings() *surroundings {
+// currentPeers returns the peer set of the current list of hosts.
+func (f *Fetch) currentPeers() *peerSet {
 	listed := f.Hosts()
-	if known := f.around.Load(); known != nil && slices.Equal(known.listed, listed) {
-		return known
+	if cached := f.peers.Load(); cached != nil && slices.Equal(cached.listed, listed) {
+		return cached
 	}
-	made := &surroundings{listed: slices.Clone(listed), hosts: allHosts(f.Own, listed)}
-	made.neighbours = neighboursOf(f.Own, made.hosts)
-	f.around.Store(made)
-	return made
+	set := &peerSet{listed: slices.Clone(listed), hosts: allHosts(f.Own, listed)}
+	set.neighbours = neighboursOf(f.Own, set.hosts)
+	f.peers.Store(set)
+	return set
 }
 
 func allHosts(own Host, others []Host) []Host {
@@ -45,9 +46,9 @@
 	counts := map[string]int{}
 	for _, name := range rendezvous.Rank("neighbours of "+own.Address.String(), names) {
 		host := byName[name]
-		limit := maxFar
+		limit := maxFarNeighbours
 		if host.Hall == own.Hall {
-			limit = maxNear
+			limit = maxHallNeighbours
 		}
 		if host.Address != own.Address && counts[host.Hall] < limit {
 			counts[host.Hall]++
--- a/daemon/internal/version/swarm/race_test.go
+++ b/daemon/internal/version/swarm/race_test.go
@@ -2,5 +2,5 @@
 
 package swarm_test
 
-// slowdown is by how much the race detector slows a test down, for the size of fleets.
+// slowdown is the factor by which the race detector slows tests down; fleets are smaller by it.
 const slowdown = 2
--- a/daemon/internal/version/swarm/serve.go
+++ b/daemon/internal/version/swarm/serve.go
@@ -12,38 +12,38 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/lines"
 )
 
-// Paths of the calls between loaders.
+// The paths of the calls between loaders.
 const (
 	havePath     = "/have"
 	manifestPath = "/manifest"
 	chunkPath    = "/chunk"
 )
 
-// urgentQuery asks for a chunk before others, for the hosts that are to have a
-// version first.
+// urgentQuery is the query parameter that moves a chunk ahead of non-urgent uploads. Early
+// hosts set it.
 const urgentQuery = "urgent"
 
 const (
-	// nearPause and farPause are the times within which new chunks are told
-	// together, to hosts of the own hall and of others.
-	nearPause = 40 * time.Millisecond
-	farPause  = 80 * time.Millisecond
+	// hallReportInterval and farReportInterval are the intervals in which new chunks are
+	// reported together, to hosts of this hall and of other halls.
+	hallReportInterval = 40 * time.Millisecond
+	farReportInterval  = 80 * time.Millisecond
 )
 
-// Have is which chunks a host has, in digits of base 16: four chunks each, the
-// first chunk in the lowest bit.
+// Have is a bitmap of the chunks that a host has, in hexadecimal digits of four chunks each. The
+// first chunk is the lowest bit of the first digit.
 type Have string
 
 const hexDigits = "0123456789abcdef"
 
-// bitsPerDigit is the number of chunks that one digit stands for.
+// bitsPerDigit is the number of chunks per digit.
 const bitsPerDigit = 4
 
-// NewHave packs which chunks there are.
+// NewHave encodes for each chunk whether a host has it.
 func NewHave(chunks []bool) Have {
 	digits := make([]byte, (len(chunks)+bitsPerDigit-1)/bitsPerDigit)
-	for index, there := range chunks {
-		if there {
+	for index, present := range chunks {
+		if present {
 			digits[index/bitsPerDigit] |= 1 << (index % bitsPerDigit)
 		}
 	}
@@ -53,7 +53,7 @@
 	return Have(digits)
 }
 
-// Has reports whether a chunk is there.
+// Has reports whether the host has a chunk.
 func (h Have) Has(index int) bool {
 	if index/bitsPerDigit >= len(h) {
 		return false
@@ -62,70 +62,70 @@
 	return digit >= 0 && digit&(1<<(index%bitsPerDigit)) != 0
 }
 
-// Server gives other loaders what this host holds.
+// Server serves the copies on this host to other loaders.
 type Server struct {
 	Held *Held
-	// Uplink sends the chunks.
+	// Uplink schedules the uploads of chunks.
 	Uplink Uplink
 }
 
-// Register adds the calls to a router.
-func (s *Server) Register(pages *bunrouter.Router) {
-	compat := pages.Compat()
+// Register adds the handlers to a router.
+func (s *Server) Register(routes *bunrouter.Router) {
+	compat := routes.Compat()
 	compat.GET(havePath, s.have)
 	compat.GET(manifestPath, s.manifest)
 	compat.GET(chunkPath, s.chunk)
 }
 
-// find returns the copy that a request names, or answers 404.
-func (s *Server) find(w http.ResponseWriter, r *http.Request) *Copy {
+// findCopy returns the copy of the requested version, or nil after it has responded with 404.
+func (s *Server) findCopy(w http.ResponseWriter, r *http.Request) *Copy {
 	version, err := strconv.Atoi(r.URL.Query().Get("version"))
 	c := s.Held.Get(version)
 	if err != nil || c == nil {
-		http.Error(w, "no such version here", http.StatusNotFound)
+		http.Error(w, "version not found on this host", http.StatusNotFound)
 		return nil
 	}
 	return c
 }
 
-// have streams which chunks there are.
+// have streams the bitmap of the copy's chunks.
 func (s *Server) have(w http.ResponseWriter, r *http.Request) {
-	c := s.find(w, r)
+	c := s.findCopy(w, r)
 	if c == nil {
 		return
 	}
-	pause := nearPause
+	interval := hallReportInterval
 	if r.URL.Query().Has("far") {
-		pause = farPause
+		interval = farReportInterval
 	}
-	lines.Serve(w, r, func() time.Duration { return pause }, func() ([]byte, <-chan struct{}) {
+	lines.Serve(w, r, func() time.Duration { return interval }, func() ([]byte, <-chan struct{}) {
 		_, changed := c.Count()
 		return []byte(NewHave(c.Have())), changed
 	})
 }
 
 func (s *Server) manifest(w http.ResponseWriter, r *http.Request) {
-	if c := s.find(w, r); c != nil {
+	if c := s.findCopy(w, r); c != nil {
 		writeJSON(w, c.Manifest)
 	}
 }
 
 func (s *Server) chunk(w http.ResponseWriter, r *http.Request) {
-	c := s.find(w, r)
+	c := s.findCopy(w, r)
 	if c == nil {
 		return
 	}
 	index, err := strconv.Atoi(r.URL.Query().Get("index"))
 	chunk := c.Chunk(index)
 	if err != nil || chunk == nil {
-		http.Error(w, "no such chunk here", http.StatusNotFound)
+		http.Error(w, "chunk not found on this host", http.StatusNotFound)
 		return
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set("Content-Length", strconv.Itoa(len(chunk)))
 	if !s.Uplink.send(r.Context(), w, chunk, r.URL.Query().Has(urgentQuery)) {
 		w.Header().Del("Content-Length")
-		http.Error(w, "too many chunks are asked for here", http.StatusServiceUnavailable)
+		http.Error(w, "upload queue is full", http.StatusServiceUnavailable)
 	}
 }
 
--- a/daemon/internal/version/swarm/serve_test.go
+++ b/daemon/internal/version/swarm/serve_test.go
@@ -30,24 +30,24 @@
 	return data, manifest
 }
 
-// pages returns what a host serves of its copies.
-func pages(held *swarm.Held) *bunrouter.Router {
-	router := bunrouter.New()
-	(&swarm.Server{Held: held}).Register(router)
-	return router
+// handler returns the handler that a host serves its copies with.
+func handler(held *swarm.Held) *bunrouter.Router {
+	routes := bunrouter.New()
+	(&swarm.Server{Held: held}).Register(routes)
+	return routes
 }
 
-// serve starts a server of copies and returns a peer that asks it.
+// serve starts a server of copies and returns a client for it.
 func serve(t *testing.T, held *swarm.Held) swarm.Peer {
 	t.Helper()
-	server := httptest.NewServer(pages(held))
+	server := httptest.NewServer(handler(held))
 	t.Cleanup(server.Close)
 	address, err := netip.ParseAddrPort(server.Listener.Addr().String())
 	require.NoError(t, err)
 	return swarm.Peer{Address: address, Client: server.Client()}
 }
 
-func TestPeerGivesWhatItHolds(t *testing.T) {
+func TestPeerServesManifestReportsAndChunks(t *testing.T) {
 	data, manifest := sample(2, 9)
 	c := swarm.NewCopy(manifest)
 	require.NoError(t, c.Put(1, data[1]))
@@ -62,19 +62,19 @@
 
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var heard []swarm.Have
+	var reports []swarm.Have
 	err = peer.Follow(ctx, 2, false, func(have swarm.Have) {
-		heard = append(heard, have)
-		if len(heard) == 1 {
+		reports = append(reports, have)
+		if len(reports) == 1 {
 			assert.NoError(t, c.Put(0, data[0]))
 			return
 		}
 		cancel()
 	})
 	require.Error(t, err)
-	assert.Equal(t, []swarm.Have{"201", "301"}, heard)
-	assert.True(t, heard[0].Has(1) && heard[0].Has(8))
-	assert.False(t, heard[0].Has(0) || heard[0].Has(7) || heard[0].Has(12))
+	assert.Equal(t, []swarm.Have{"201", "301"}, reports)
+	assert.True(t, reports[0].Has(1) && reports[0].Has(8))
+	assert.False(t, reports[0].Has(0) || reports[0].Has(7) || reports[0].Has(12))
 
 	chunk, err := peer.Chunk(context.Background(), 2, 8)
 	require.NoError(t, err)
@@ -85,11 +85,11 @@
 	require.ErrorIs(t, peer.Follow(context.Background(), 3, false, nil), lines.ErrNotServed)
 }
 
-func TestCopyTakesOnlyRightBytes(t *testing.T) {
+func TestCopyRejectsChunksThatDoNotMatch(t *testing.T) {
 	data, manifest := sample(1, 3)
 	c := swarm.NewCopy(manifest)
-	require.Error(t, c.Put(0, data[1]), "another chunk's bytes")
-	require.Error(t, c.Put(0, data[0][:10]), "a broken chunk")
+	require.Error(t, c.Put(0, data[1]), "another chunk")
+	require.Error(t, c.Put(0, data[0][:10]), "a truncated chunk")
 	require.ErrorIs(t, c.Put(3, data[0]), provider.ErrNotFound)
 	assert.Nil(t, c.Chunk(0))
 	for index := range data {
@@ -99,7 +99,7 @@
 	assert.True(t, c.Complete())
 }
 
-func TestHeldKeepsTheNewest(t *testing.T) {
+func TestOnlyNewestVersionsAreHeld(t *testing.T) {
 	held := &swarm.Held{}
 	for version := 1; version <= 5; version++ {
 		_, manifest := sample(version, 1)
@@ -110,76 +110,74 @@
 	assert.NotNil(t, held.Get(5))
 }
 
-// TestUploadsBeyondAFewAreTurnedAway: the asker hears so at once and asks another
-// host; nothing is lost when the uploads under way are done.
-func TestUploadsBeyondAFewAreTurnedAway(t *testing.T) {
+// TestServerRejectsUploadsBeyondQueue: the requesting host is told at once, so that it can use
+// another peer, and the queue has room again once the active uploads have ended.
+func TestServerRejectsUploadsBeyondQueue(t *testing.T) {
 	data, manifest := sample(2, 9)
 	c := swarm.NewCopy(manifest)
 	require.NoError(t, c.Put(1, data[1]))
 	held := &swarm.Held{}
 	held.Add(c)
-	pages := bunrouter.New()
-	// The call that looks whether all are taken may itself take the last of them, so one that
-	// was turned away for that asks again.
-	entered, goOn := make(chan struct{}, 8), make(chan struct{})
+	routes := bunrouter.New()
+	entered, unblock := make(chan struct{}, 8), make(chan struct{})
 	slow := func() float64 { // called for each slice, before it is written
 		entered <- struct{}{}
-		<-goOn
+		<-unblock
 		return 0
 	}
-	(&swarm.Server{Held: held, Uplink: swarm.Uplink{BytesPerSecond: slow}}).Register(pages)
-	server := httptest.NewServer(pages)
+	(&swarm.Server{Held: held, Uplink: swarm.Uplink{BytesPerSecond: slow}}).Register(routes)
+	server := httptest.NewServer(routes)
 	t.Cleanup(server.Close)
 	peer := swarm.Peer{Address: netip.MustParseAddrPort(server.Listener.Addr().String()), Client: server.Client()}
 
-	const taken = 3 // one that is sent, two that wait
-	results := make(chan error, taken)
-	for range taken {
+	const uploads = 3 // one active, two queued
+	results := make(chan error, uploads)
+	for range uploads {
 		go func() {
 			_, err := peer.Chunk(context.Background(), 2, 1)
-			for swarm.IsBusy(err) {
+			for swarm.IsBusy(err) { // the probe below may have occupied the last queue slot
 				_, err = peer.Chunk(context.Background(), 2, 1)
 			}
 			results <- err
 		}()
 	}
-	<-entered // one is being sent, and two wait for it or are on their way
+	<-entered // one upload is active, and two are queued or about to be
 	require.Eventually(t, func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 		defer cancel()
 		_, err := peer.Chunk(ctx, 2, 1)
 		return swarm.IsBusy(err)
 	}, 10*time.Second, time.Millisecond)
-	close(goOn)
+	close(unblock)
 	served := 0
-	for range taken {
+	for range uploads {
 		if err := <-results; err == nil {
 			served++
 		}
 	}
 	assert.Positive(t, served)
 	_, err := peer.Chunk(context.Background(), 2, 1)
-	require.NoError(t, err, "a place is free again")
+	require.NoError(t, err, "the queue has room again")
 }
 
-// TestChunksTakeAPartOfTheLink: a chunk is written in slices, none before the
-// link has sent the one before.
-func TestChunksTakeAPartOfTheLink(t *testing.T) {
+// TestUploadsKeepToTheLinkRate: a chunk is written in slices, and each only when the link has
+// sent the one before.
+func TestUploadsKeepToTheLinkRate(t *testing.T) {
 	const bytesPerSecond, chunkBytes = 400e3, 24 << 10
 	chunk := []byte(strings.Repeat("x", chunkBytes))
 	c := swarm.NewCopy(provider.Manifest{Version: 2, ChunkBytes: chunkBytes, Digests: [][32]byte{sha256.Sum256(chunk)}})
 	require.NoError(t, c.Put(0, chunk))
 	held := &swarm.Held{}
 	held.Add(c)
-	pages := bunrouter.New()
-	(&swarm.Server{Held: held, Uplink: swarm.Uplink{BytesPerSecond: func() float64 { return bytesPerSecond }}}).Register(pages)
-	server := httptest.NewServer(pages)
+	routes := bunrouter.New()
+	(&swarm.Server{Held: held, Uplink: swarm.Uplink{BytesPerSecond: func() float64 { return bytesPerSecond }}}).Register(routes)
+	server := httptest.NewServer(routes)
 	t.Cleanup(server.Close)
 	peer := swarm.Peer{Address: netip.MustParseAddrPort(server.Listener.Addr().String()), Client: server.Client()}
 	started := time.Now()
 	got, err := peer.Chunk(context.Background(), 2, 0)
 	require.NoError(t, err)
 	assert.Equal(t, chunk, got)
-	// The last third is written when the link has sent the first two.
+	// The last third is written only when the link has sent the first two.
 	assert.Greater(t, time.Since(started).Seconds(), chunkBytes*2/3/bytesPerSecond)
 }
--- a/daemon/internal/version/swarm/uplink.go
+++ b/daemon/internal/version/swarm/uplink.go
@@ -12,112 +12,112 @@
 )
 
 const (
-	// uplinkShare is the part of the host's link that chunks take: the engine's
-	// answers go out over the same link.
+	// uplinkShare is the share of the host's link that uploads may use: the engine's
+	// responses are sent over the same link.
 	uplinkShare = 0.85
-	// sliceBytes is what is written at once: an answer waits behind no more.
+	// sliceBytes is the size of a single write. A response waits behind at most one slice.
 	sliceBytes = 8 << 10
-	// maxWaiting is how many uploads may wait. Whoever is turned away asks
-	// another host.
-	maxWaiting = 2
-	// writeTimeout bounds the write of a slice to a host that does not read.
+	// maxQueued is the queue length from which non-urgent uploads are rejected. A rejected
+	// host requests the chunk from another peer.
+	maxQueued = 2
+	// writeTimeout bounds the write of a slice to a host that stops reading.
 	writeTimeout = 500 * time.Millisecond
 )
 
-// Uplink sends chunks one after the other, in slices, at a part of what the
-// host's link bears. Left to themselves several uploads fill the link's queue,
-// and the engine's answers wait behind whole chunks. The zero value sends at
-// once whatever it is given.
+// Uplink sends chunks one after the other, in slices, at a share of the rate of the host's
+// link. Concurrent uploads would fill the link's queue, and the engine's responses would wait
+// behind whole chunks. The zero value does not limit the rate.
 //
 // Lock order: mu is the only lock, and it is not held while a chunk is sent.
 type Uplink struct {
-	// BytesPerSecond is what the link bears; nil or 0 means that it is not known.
+	// BytesPerSecond returns the link's rate; nil or 0 means that it is not known.
 	BytesPerSecond func() float64
 
 	mu sync.Mutex
-	// sending is set while an upload has its turn, and waiting holds those that
-	// wait for theirs, in that order; each channel is closed when its turn comes.
+	// sending is set while an upload is active, and queue holds the waiting uploads in the
+	// order in which they are sent.
 	sending bool
-	waiting []waitingUpload
-	// free is when the link has sent all that was written so far.
-	free time.Time
+	queue   []queuedUpload
+	// freeAt is when the link will have sent everything that was written so far.
+	freeAt time.Time
 }
 
-type waitingUpload struct {
-	turn   chan struct{}
+// queuedUpload is a waiting upload; ready is closed when it may be sent.
+type queuedUpload struct {
+	ready  chan struct{}
 	urgent bool
 }
 
-// enter admits an upload and returns what is closed when its turn has come, or
-// reports false where too many wait. Urgent uploads are always admitted, and go
-// before the others.
-func (u *Uplink) enter(urgent bool) (turn chan struct{}, ok bool) {
+// enqueue admits an upload and returns a channel that is closed when it may be sent, or
+// reports false where the queue is full. Urgent uploads are always admitted and precede the
+// others.
+func (u *Uplink) enqueue(urgent bool) (ready chan struct{}, ok bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	turn = make(chan struct{})
+	ready = make(chan struct{})
 	switch {
 	case !u.sending:
 		u.sending = true
-		close(turn)
-		return turn, true
-	case !urgent && len(u.waiting) >= maxWaiting:
+		close(ready)
+		return ready, true
+	case !urgent && len(u.queue) >= maxQueued:
 		return nil, false
 	}
-	place := len(u.waiting)
+	position := len(u.queue)
 	if urgent {
-		place = slices.IndexFunc(u.waiting, func(other waitingUpload) bool { return !other.urgent })
-		if place < 0 {
-			place = len(u.waiting)
+		position = slices.IndexFunc(u.queue, func(other queuedUpload) bool { return !other.urgent })
+		if position < 0 {
+			position = len(u.queue)
 		}
 	}
-	u.waiting = slices.Insert(u.waiting, place, waitingUpload{turn: turn, urgent: urgent})
-	return turn, true
+	u.queue = slices.Insert(u.queue, position, queuedUpload{ready: ready, urgent: urgent})
+	return ready, true
 }
 
-// leave gives the turn to the next upload.
-func (u *Uplink) leave() {
+// release ends the active upload and starts the next one in the queue.
+func (u *Uplink) release() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if len(u.waiting) == 0 {
+	if len(u.queue) == 0 {
 		u.sending = false
 		return
 	}
-	close(u.waiting[0].turn)
-	u.waiting = u.waiting[1:]
+	close(u.queue[0].ready)
+	u.queue = u.queue[1:]
 }
 
-// giveUp takes back an upload whose asker left while it waited.
-func (u *Uplink) giveUp(turn chan struct{}) {
+// abandon removes an upload whose request was cancelled while it was queued.
+func (u *Uplink) abandon(ready chan struct{}) {
 	u.mu.Lock()
-	place := slices.IndexFunc(u.waiting, func(other waitingUpload) bool { return other.turn == turn })
-	if place >= 0 {
-		u.waiting = slices.Delete(u.waiting, place, place+1)
+	position := slices.IndexFunc(u.queue, func(other queuedUpload) bool { return other.ready == ready })
+	if position >= 0 {
+		u.queue = slices.Delete(u.queue, position, position+1)
 	}
 	u.mu.Unlock()
-	if place < 0 {
-		u.leave() // its turn has come meanwhile
+	if position < 0 {
+		u.release() // it became the active upload in the meantime
 	}
 }
 
-// send writes a chunk when its turn has come, and reports false where too many
-// wait: nothing is written then.
+// send writes a chunk once it may be sent. It reports false, and writes nothing, where the
+// queue is full.
 func (u *Uplink) send(ctx context.Context, w http.ResponseWriter, chunk []byte, urgent bool) bool {
-	turn, ok := u.enter(urgent)
+	ready, ok := u.enqueue(urgent)
 	if !ok {
 		return false
 	}
 	select {
-	case <-turn:
+	case <-ready:
 	case <-ctx.Done():
-		u.giveUp(turn)
+		u.abandon(ready)
 		return true
 	}
-	defer u.leave()
+	defer u.release()
 	control := http.NewResponseController(w)
 	for len(chunk) > 0 && ctx.Err() == nil {
 		slice := chunk[:min(len(chunk), sliceBytes)]
 		chunk = chunk[len(slice):]
-		u.await(ctx, len(slice))
+		u.reserve(ctx, len(slice))
 		_ = control.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if _, err := w.Write(slice); err != nil { //nolint:gosec // weights, sent as such to another loader
 			return true
@@ -127,20 +127,20 @@
 	return true
 }
 
-// await waits until the link has sent what was written before, and books the
-// time for some more bytes.
-func (u *Uplink) await(ctx context.Context, bytes int) {
+// reserve waits until the link has sent everything that was written before, and reserves the
+// link for a number of bytes.
+func (u *Uplink) reserve(ctx context.Context, bytes int) {
 	if u.BytesPerSecond == nil || u.BytesPerSecond() <= 0 {
 		return
 	}
-	takes := time.Duration(float64(bytes) / (uplinkShare * u.BytesPerSecond()) * float64(time.Second))
+	duration := time.Duration(float64(bytes) / (uplinkShare * u.BytesPerSecond()) * float64(time.Second))
 	u.mu.Lock()
 	now := clock.Now()
-	if u.free.Before(now) {
-		u.free = now
+	if u.freeAt.Before(now) {
+		u.freeAt = now
 	}
-	wait := u.free.Sub(now)
-	u.free = u.free.Add(takes)
+	wait := u.freeAt.Sub(now)
+	u.freeAt = u.freeAt.Add(duration)
 	u.mu.Unlock()
 	if wait > 0 {
 		helpers.Pause(wait, ctx.Done())
--- a/daemon/internal/version/swarm/uplink_test.go
+++ b/daemon/internal/version/swarm/uplink_test.go
@@ -7,40 +7,40 @@
 	"github.com/stretchr/testify/require"
 )
 
-// hasTurn reports whether an upload may be sent.
-func hasTurn(turn chan struct{}) bool {
+// isReady reports whether an upload may be sent.
+func isReady(ready chan struct{}) bool {
 	select {
-	case <-turn:
+	case <-ready:
 		return true
 	default:
 		return false
 	}
 }
 
-// TestUploadsHaveTheirTurns: one at a time, urgent ones first and always
-// admitted; whoever leaves while waiting holds nobody up.
-func TestUploadsHaveTheirTurns(t *testing.T) {
+// TestUplinkSendsUrgentUploadsFirst also covers that one upload is sent at a time, that urgent
+// ones are always admitted, and that an abandoned upload does not block the queue.
+func TestUplinkSendsUrgentUploadsFirst(t *testing.T) {
 	u := &Uplink{}
-	enter := func(urgent bool) chan struct{} {
-		turn, ok := u.enter(urgent)
+	enqueue := func(urgent bool) chan struct{} {
+		ready, ok := u.enqueue(urgent)
 		require.True(t, ok)
-		return turn
+		return ready
 	}
-	sent := enter(false)
-	assert.True(t, hasTurn(sent))
-	usual, second := enter(false), enter(false)
-	_, ok := u.enter(false)
-	assert.False(t, ok, "too many wait")
-	urgent, later := enter(true), enter(true)
-	u.leave()
-	assert.True(t, hasTurn(urgent))
-	assert.False(t, hasTurn(later) || hasTurn(usual) || hasTurn(second), "one at a time")
-	u.giveUp(usual)
-	u.giveUp(urgent) // it had its turn
-	assert.True(t, hasTurn(later))
-	u.leave()
-	assert.True(t, hasTurn(second))
-	assert.False(t, hasTurn(usual), "it has left")
-	u.leave()
-	assert.True(t, hasTurn(enter(false)), "nobody is being sent to")
+	active := enqueue(false)
+	assert.True(t, isReady(active))
+	first, second := enqueue(false), enqueue(false)
+	_, ok := u.enqueue(false)
+	assert.False(t, ok, "the queue is full")
+	urgent, laterUrgent := enqueue(true), enqueue(true)
+	u.release()
+	assert.True(t, isReady(urgent))
+	assert.False(t, isReady(laterUrgent) || isReady(first) || isReady(second), "one at a time")
+	u.abandon(first)
+	u.abandon(urgent) // already the active upload
+	assert.True(t, isReady(laterUrgent))
+	u.release()
+	assert.True(t, isReady(second))
+	assert.False(t, isReady(first), "an abandoned upload was started")
+	u.release()
+	assert.True(t, isReady(enqueue(false)), "no upload is active")
 }
