--- a/daemon/internal/version/pace/pace.go
+++ b/daemon/internal/version/pace/pace.go
@@ -1,75 +1,73 @@
-// Package pace says which chunks of a version are due from an origin that many hosts
-// share, and for how long a chunk is overdue.
+// Package pace computes which chunks of a version a host may request from an origin whose link
+// many hosts share, and for how long a chunk is overdue. Package swarm keeps one timeline for
+// each version that it fetches.
 //
-// The load that it answers: some hundred hosts want the same hundred chunks, the
-// origin's link takes seconds for one copy of them, and in the middle of it the origin
-// is gone for longer than that. Each chunk falls to one host, and others stand in once
-// it is overdue. If time ran on while the origin is gone, every chunk would be overdue
-// at its return, all hosts would ask for chunks at random at once, and since they share
-// the link none would be whole anywhere before nearly all are: hosts could hand on
-// nothing meanwhile, and some chunks would be sent twice. Seen with 202 hosts: the
-// first was whole 5.1 s after the return, where one copy takes 2.6 s.
+// Each chunk is assigned to one host, and others take over once it is overdue. If the timeline
+// ran on during an outage of the origin, every chunk would be overdue when the origin recovers:
+// all hosts would request chunks at random at once and share the link, so that no host would
+// have a chunk to pass on until nearly all chunks have arrived, and some would be sent twice.
 //
-// So the time line stands still while no chunk appears anywhere that nobody had, and goes
-// on from where it stood once one does, at the origin's pace and with no regard to what
-// is heard of other hosts: in a fleet of hundreds that is up to a second old, and waiting
-// for it had the origin idle for half of the time. While the line stands still a few
-// chunks are asked for, so that the return shows. What is overdue goes on for those who do
-// not find the origin gone themselves, since a host may have died; for those who do only a
-// small part counts. Who finds it gone as it stands in for another host begins to wait
-// anew, because the origin was the cause. And after the return chunks have as much more
-// time as those take that are asked for at once then.
+// Therefore the timeline is paused while no chunk appears that no host had before. It resumes
+// where it stopped, at the origin's rate, and otherwise ignores the reports of other hosts: in a
+// large fleet they are up to a second old, and waiting for them would leave the origin idle.
+// While the timeline is paused a few chunks stay due, so that the recovery is noticed.
 //
-// Rejected: a time for each chunk that hosts agree on, which an outage makes wrong for
-// all; asking the origin how busy it is, which it does not tell; a window of unseen chunks
-// at all times, which a large fleet fills with what it has not heard of yet.
+// Overdue time goes on for hosts that do not see the origin fail, because the assigned host may
+// have crashed. For a host that sees it fail only a small share of the outage counts, and a host
+// that was taking over a chunk starts to wait anew, because the origin was the cause. After the
+// recovery chunks are granted the additional time that the burst of requests takes.
+//
+// Rejected: a deadline per chunk that hosts agree on, which an outage makes wrong for all of
+// them; asking the origin for its load, which it does not report; and a fixed window of chunks
+// that no host has, which a large fleet fills with chunks that are not reported yet.
 package pace
 
 import "time"
 
 const (
-	// Standstill is the longest pause between chunks that is none.
+	// Standstill is the time without a new chunk after which the timeline is paused.
 	Standstill = 400 * time.Millisecond
-	// ahead is how many chunks are asked of the origin at the same time while it keeps
-	// its pace: as many as are under way to other hosts and halls meanwhile.
-	ahead = 12
-	// window is how many chunks that nobody has are asked for while none appears. At the
-	// return of an origin so many are asked for at once.
-	window = 2 * ahead
-	// outageShare is the part of an outage that counts as time: 6 s of it are far less than
-	// the second after which the first host stands in for another.
+	// lookahead is the number of chunks beyond the timeline's position that are due. It covers
+	// the chunks that are in flight between hosts and halls.
+	lookahead = 12
+	// stallWindow is the number of chunks that no host has which are due while the timeline is
+	// paused. As many are requested at once when the origin recovers.
+	stallWindow = 2 * lookahead
+	// outageShare is the share of an outage that counts as overdue time. It is so small that
+	// an outage of some seconds does not make hosts take over from each other.
 	outageShare = 1.0 / 16
 )
 
-// Pace is the time line of one version at one host. The zero value has not begun.
+// Pace is the timeline of one version at one host. It must be started by Begin.
 type Pace struct {
-	// Chunks is how many there are, and CopyTime how long the origin takes for all of
-	// them; 0 means that it is not known, and all are due at once.
+	// Chunks is the number of chunks, and CopyTime how long the origin takes to send all of
+	// them; 0 means that it is not known, and all chunks are due at once.
 	Chunks   int
 	CopyTime time.Duration
 
-	begun time.Time
-	// stood is the time in which no chunk appeared that nobody had.
-	stood time.Duration
-	// newsAt is when one last did.
-	newsAt time.Time
-	// progressed is when a chunk last came to this host, and slow the time in which none
-	// did although others had them.
-	progressed time.Time
-	slow       time.Duration
-	// failedAt is when the origin began to fail this host, zero where it does not.
+	startedAt time.Time
+	// paused is the total time for which the timeline was paused.
+	paused time.Duration
+	// lastNewAt is when a chunk last appeared that no host had before.
+	lastNewAt time.Time
+	// lastReceivedAt is when this host last received a chunk, and stalled the total time in
+	// which it received none although other hosts had them.
+	lastReceivedAt time.Time
+	stalled        time.Duration
+	// failedAt is when the origin started to fail requests of this host, zero while it
+	// answers them.
 	failedAt time.Time
-	// grace is how much later than due chunks may be for want of the origin.
+	// grace is the additional time that chunks are granted after failures of the origin.
 	grace time.Duration
 }
 
-// Begin starts the time line.
-func (p *Pace) Begin(now time.Time) { p.begun, p.newsAt, p.progressed = now, now, now }
+// Begin starts the timeline.
+func (p *Pace) Begin(now time.Time) { p.startedAt, p.lastNewAt, p.lastReceivedAt = now, now, now }
 
-// Since is the time since the begin.
-func (p *Pace) Since(now time.Time) time.Duration { return now.Sub(p.begun) }
+// Since returns the time since the start of the timeline.
+func (p *Pace) Since(now time.Time) time.Duration { return now.Sub(p.startedAt) }
 
-// Failed notes that the origin failed this host, which had asked it for a chunk.
+// Failed records that the origin failed a request of this host for a chunk.
 func (p *Pace) Failed(index int, now time.Time) {
 	p.grace += max(0, p.Late(index, now))
 	if p.failedAt.IsZero() {
@@ -77,85 +75,86 @@
 	}
 }
 
-// Came notes that a chunk came to this host. A pause before it does not count in what it
-// waits for, but for the part that is none.
+// Came records that this host received a chunk. Of the pause before it only the first
+// Standstill counts as overdue time of other chunks.
 func (p *Pace) Came(now time.Time) {
-	if pause := now.Sub(p.progressed); p.failedAt.IsZero() && pause > Standstill {
-		p.slow += pause - Standstill
+	if pause := now.Sub(p.lastReceivedAt); p.failedAt.IsZero() && pause > Standstill {
+		p.stalled += pause - Standstill
 	}
-	p.progressed = now
+	p.lastReceivedAt = now
 }
 
-// Seen notes that a chunk came to some host, this one or another, which none had before,
-// where some were seen until then.
+// Seen records that a chunk appeared that no host had before, and that seen chunks have now
+// been seen at any host. It resumes a paused timeline.
 func (p *Pace) Seen(seen int, now time.Time) {
-	if p.standing(now) {
-		asked := time.Duration(p.Due(now, seen) - ahead)
-		p.stood = max(p.stood, now.Sub(p.begun)-(2*asked+1)*p.CopyTime/time.Duration(2*p.Chunks))
+	if p.isPaused(now) {
+		position := time.Duration(p.Due(now, seen) - lookahead)
+		p.paused = max(p.paused, now.Sub(p.startedAt)-(2*position+1)*p.CopyTime/time.Duration(2*p.Chunks))
 	}
 	if !p.failedAt.IsZero() {
-		p.grace = max(p.grace, p.CopyTime*window/time.Duration(p.Chunks))
-		p.failedAt, p.progressed = time.Time{}, now
+		p.grace = max(p.grace, p.CopyTime*stallWindow/time.Duration(p.Chunks))
+		p.failedAt, p.lastReceivedAt = time.Time{}, now
 	}
-	p.newsAt = now
+	p.lastNewAt = now
 }
 
-// Answered notes that the origin sent this host a chunk, which others may have had.
+// Answered records that the origin sent this host a chunk, which other hosts may have already.
 func (p *Pace) Answered(seen int, now time.Time) {
 	if !p.failedAt.IsZero() {
 		p.Seen(seen, now)
 	}
 }
 
-// standing reports whether the time line stands still: the origin fails this host, or
-// nothing appeared for long.
-func (p *Pace) standing(now time.Time) bool {
-	return !p.failedAt.IsZero() || now.Sub(p.newsAt) > Standstill
+// isPaused reports whether the timeline is paused: the origin fails requests of this host, or
+// no new chunk has appeared for longer than Standstill.
+func (p *Pace) isPaused(now time.Time) bool {
+	return !p.failedAt.IsZero() || now.Sub(p.lastNewAt) > Standstill
 }
 
-// Due is how many chunks may have been asked of the origin by now, where some were seen
-// at any host. All hosts ask for chunks in the order of their places, at the pace of the
-// origin's link: if each asked for all of its chunks at once, the link would be shared
-// among all of them and even the first chunk would be late.
+// Due returns the number of chunks, in index order, that may be requested from the origin by
+// now, given how many were seen at any host. All hosts request chunks in index order at the
+// rate of the origin's link: if each requested all of its chunks at once, they would share the
+// link and even the first chunk would be late.
 func (p *Pace) Due(now time.Time, seen int) int {
 	if p.CopyTime <= 0 {
 		return p.Chunks
 	}
-	if !p.standing(now) {
+	if !p.isPaused(now) {
 		return p.dueAt(now)
 	}
-	since := p.newsAt.Add(Standstill)
-	if !p.failedAt.IsZero() && p.failedAt.Before(since) {
-		since = p.failedAt
+	pausedAt := p.lastNewAt.Add(Standstill)
+	if !p.failedAt.IsZero() && p.failedAt.Before(pausedAt) {
+		pausedAt = p.failedAt
 	}
-	return min(p.dueAt(since), seen+window)
+	return min(p.dueAt(pausedAt), seen+stallWindow)
 }
 
-// dueAt is what the time line says.
+// dueAt returns the number of chunks that are due at a time while the timeline runs.
 func (p *Pace) dueAt(now time.Time) int {
-	passed := float64(now.Sub(p.begun)-p.stood) / float64(p.CopyTime)
-	return min(p.Chunks, int(passed*float64(p.Chunks))+ahead)
+	progress := float64(now.Sub(p.startedAt)-p.paused) / float64(p.CopyTime)
+	return min(p.Chunks, int(progress*float64(p.Chunks))+lookahead)
 }
 
-// UnderWay is how long the origin takes for the chunks that are asked of it at the same time.
+// UnderWay returns how long the origin takes to send the chunks that are requested at once.
 func (p *Pace) UnderWay() time.Duration {
-	return p.CopyTime * ahead / time.Duration(max(p.Chunks, 1))
+	return p.CopyTime * lookahead / time.Duration(max(p.Chunks, 1))
 }
 
-// Late is for how long a chunk is overdue from the origin, below 0 where it is not.
+// Late returns for how long a chunk from the origin is overdue, negative if it is not due yet.
 func (p *Pace) Late(index int, now time.Time) time.Duration {
-	counts := time.Duration(outageShare * float64(p.outage(now)))
-	return p.Waited(index, now) - p.outage(now) - p.grace + counts
+	counted := time.Duration(outageShare * float64(p.outage(now)))
+	return p.Waited(index, now) - p.outage(now) - p.grace + counted
 }
 
-// Waited is for how long a chunk is overdue that some host has: the origin is not the
-// cause.
+// Waited returns for how long a chunk that another host has is overdue. Failures of the origin
+// do not reduce it, because they are not the cause.
 func (p *Pace) Waited(index int, now time.Time) time.Duration {
-	due := p.CopyTime * time.Duration(index+1) / time.Duration(p.Chunks)
-	return now.Sub(p.begun) - due - p.stood - p.slow
+	dueAfter := p.CopyTime * time.Duration(index+1) / time.Duration(p.Chunks)
+	return now.Sub(p.startedAt) - dueAfter - p.paused - p.stalled
 }
 
-// outage is for how long the origin has failed this host by now, 0 where it does not.
+// outage returns for how long the origin has failed requests of this host, 0 while it answers
+// them.
 func (p *Pace) outage(now time.Time) time.Duration {
 	if p.failedAt.IsZero() {
 		return 0
