--- a/daemon/internal/version/turn/turn.go
+++ b/daemon/internal/version/turn/turn.go
@@ -1,9 +1,10 @@
-// Package turn spreads the loads of a new version over time.
+// Package turn spreads the loads of a new version over time, because an engine serves nothing
+// while it loads. Package loader computes the scheduled load time of its engine with it.
 //
-// An engine that takes a version serves nothing while it does. Each host works
-// out its own time from what all hosts know, the declarations and the list of
-// hosts, so no one gives turns and nothing waits for a dead host. A token that
-// goes round was rejected: it stops with the host that holds it.
+// Each host computes its load time from data that all hosts share: the declared versions and
+// the list of hosts. So no coordinator is needed and no host waits for a crashed one. A token
+// that is passed from host to host was rejected, because it is lost with the host that holds
+// it.
 package turn
 
 import (
@@ -14,41 +15,40 @@
 )
 
 const (
-	// firstPart is the part of the time for a version before which no turns lie: the
-	// chunks are on their way. lastLeft is the time after the last turn, for what runs then
-	// and for the load itself, lastPart the same as a part where the whole time is short.
-	firstPart = 0.45
-	lastPart  = 0.86
-	lastLeft  = 1120 * time.Millisecond
-	// earlyPart is before any host can have the chunks: the early hosts' turn
-	// has come once they do.
-	earlyPart = 0.25
-	// earlyHosts is how many hosts are to be done with a version before the
-	// others: it shows soon whether the version loads at all. More than one,
-	// because one may be slow or gone.
+	// firstShare is the share of the apply time before the first scheduled load, in which the
+	// chunks are transferred. loadReserve is the time between the last scheduled load and the
+	// end of the apply time, for requests that are running then and for the load itself.
+	// lastShare bounds that reserve for a short apply time: it is at most 1-lastShare of it.
+	firstShare  = 0.45
+	lastShare   = 0.86
+	loadReserve = 1120 * time.Millisecond
+	// earlyShare is the share of the apply time before the early hosts may load. No host has
+	// all chunks by then, so early hosts load as soon as they have them.
+	earlyShare = 0.25
+	// earlyHosts is the number of hosts that load a version before all others, to show early
+	// whether it loads at all. There is more than one because one may be slow or crashed.
 	earlyHosts = 2
 )
 
-// Window is the time in which the turns of a version lie.
+// Window holds the scheduled load times of a version.
 type Window struct {
-	// Early is the turn of the early hosts, and the others' lie from First to
+	// Early is the load time of the early hosts. Those of the others are spread from First to
 	// Last.
 	Early, First, Last time.Time
 }
 
-// IsEarly reports whether the host at a place is one of the early ones.
-func IsEarly(place int) bool { return place < earlyHosts }
+// IsEarly reports whether the host of a rank is an early host.
+func IsEarly(rank int) bool { return rank < earlyHosts }
 
-// NewWindow returns the window of a version declared at some time that must
-// serve everywhere within apply. Due is when an older version that engines have
-// not reached must serve, zero if there is none: reaching the newer one by then
-// saves a load.
+// NewWindow returns the window of a version that was declared at some time and must serve
+// everywhere within the apply time. Due is when an older version that the engine has not
+// loaded must serve, or zero: an engine that loads the newer version by then saves one load.
 func NewWindow(declared time.Time, apply time.Duration, due time.Time) Window {
 	w := Window{
-		Early: declared.Add(part(earlyPart, apply)),
-		First: declared.Add(part(firstPart, apply)), Last: declared.Add(apply - left(apply)),
+		Early: declared.Add(fraction(earlyShare, apply)),
+		First: declared.Add(fraction(firstShare, apply)), Last: declared.Add(apply - reserve(apply)),
 	}
-	if earlier := due.Add(-left(apply)); !due.IsZero() && earlier.Before(w.Last) {
+	if earlier := due.Add(-reserve(apply)); !due.IsZero() && earlier.Before(w.Last) {
 		w.Last = earlier
 	}
 	if w.Last.Before(w.First) {
@@ -57,19 +57,20 @@
 	return w
 }
 
-// left is the time after the last turn.
-func left(apply time.Duration) time.Duration { return min(part(1-lastPart, apply), lastLeft) }
+// reserve returns the time between the last scheduled load and the end of the apply time.
+func reserve(apply time.Duration) time.Duration {
+	return min(fraction(1-lastShare, apply), loadReserve)
+}
 
-// After returns the window of a host whose copy was whole at some time. Hosts that have it
-// late, because the origin was away, take the rest of the time one after the other. As all
-// turns had passed 69 engines of 76 were ordered within 0.7 s, and half of the worth of the
-// two seconds after that was lost.
-func (w Window) After(whole time.Time) Window {
-	if whole.After(w.First) {
-		w.First = whole
+// After returns the window of a host whose copy was complete at some time. Hosts whose copies
+// are late, for example after an outage of the origin, are spread over the rest of the window:
+// otherwise all of their load times would have passed and their engines would load at once.
+func (w Window) After(completed time.Time) Window {
+	if completed.After(w.First) {
+		w.First = completed
 	}
-	if whole.After(w.Early) {
-		w.Early = whole
+	if completed.After(w.Early) {
+		w.Early = completed
 	}
 	if w.Last.Before(w.First) {
 		w.Last = w.First
@@ -77,20 +78,21 @@
 	return w
 }
 
-// Of returns the turn of the host at a place among some hosts.
-func (w Window) Of(place, hosts int) time.Time {
-	if IsEarly(place) {
+// Of returns the scheduled load time of the host of a rank among some hosts.
+func (w Window) Of(rank, hosts int) time.Time {
+	if IsEarly(rank) {
 		return w.Early
 	}
 	steps := max(hosts-1-earlyHosts, 1)
-	return w.First.Add(w.Last.Sub(w.First) * time.Duration(place-earlyHosts) / time.Duration(steps))
+	return w.First.Add(w.Last.Sub(w.First) * time.Duration(rank-earlyHosts) / time.Duration(steps))
 }
 
-// Place returns a host's place among all hosts in the order of their turns.
+// Place returns the rank of a host in the order in which all hosts load the version that key
+// names.
 func Place(key, own string, hosts []string) int {
 	return max(slices.Index(rendezvous.Rank("turn of "+key, hosts), own), 0)
 }
 
-func part(share float64, whole time.Duration) time.Duration {
-	return time.Duration(share * float64(whole))
+func fraction(share float64, of time.Duration) time.Duration {
+	return time.Duration(share * float64(of))
 }
