--- a/daemon/loader/look_test.go
+++ b/daemon/loader/engineconfig_test.go
@@ -21,9 +21,9 @@
 	"github.com/wheelcleat/wheelcleat/daemon/settings"
 )
 
-// sharedLink sends to all who read at the same time, each its part of the rate.
+// sharedLink is a link whose rate is shared equally by all concurrent reads.
 type sharedLink struct {
-	// alone is how long one read takes while nobody else reads.
+	// alone is how long a single read takes.
 	alone   time.Duration
 	readers atomic.Int64
 }
@@ -41,12 +41,13 @@
 	return nil
 }
 
-// startLooking starts a loader without routers that reads the configuration by some call.
-func startLooking(read func(context.Context) error) *Process {
+// startPolling starts the polling of a loader without routers; read stands for a read of the
+// configuration from the store.
+func startPolling(read func(context.Context) error) *Process {
 	configuration := &provider.Configuration{Services: []provider.Service{
 		{Name: "s", Engine: &provider.EngineSpec{Model: "m"}, Origin: netip.MustParseAddrPort("10.0.0.1:80")},
 	}}
-	p := &Process{began: clock.Now(), log: log.NewEntry(&log.Logger{Handler: discard.New()}), provider: provider.Provider{
+	p := &Process{createdAt: clock.Now(), log: log.NewEntry(&log.Logger{Handler: discard.New()}), provider: provider.Provider{
 		Store: provider.Store{GetStale: func(ctx context.Context, _ string) (provider.Entry, error) {
 			return provider.Entry{}, read(ctx)
 		}},
@@ -55,46 +56,37 @@
 		},
 	}}
 	p.current.Store(&settings.Loader{Service: "s"})
-	p.neighbours = &peering.Neighbours{Choose: p.neighbour}
+	p.neighbours = &peering.Neighbours{Choose: p.chooseRouter}
 	p.compiler = &mirror.Compiler{}
-	p.tomb.Go(p.lookForNeeds)
+	p.tomb.Go(p.pollEngineConfig)
 	return p
 }
 
-// Symptom: while the store turns the routers of a hall away, the link to its region is
-// full, and what the others need is late.
-//
-// Sequence: routers that have not heard the store for 5 s do not answer loaders; each
-// loader reads the whole configuration from the store instead, each 1.2 to 2.4 s.
-//
-// Cause: a look that failed was made up for at the store even where what it would say
-// had been known for long.
-//
-// What settled it: all loaders of three halls log that they left each router, "it has not
-// heard the store for too long", within half a second; 76 of them read 300 KB each.
-func TestKnownNeedsAreNotReadAnew(t *testing.T) {
+// TestKnownEngineConfigIsNotReadAgain guards against all loaders of a hall reading the whole
+// configuration from the store, over a link that is full then, whenever their routers are
+// disconnected from the store for a while.
+func TestKnownEngineConfigIsNotReadAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var reads atomic.Int64
-		p := startLooking(func(context.Context) error {
+		p := startPolling(func(context.Context) error {
 			reads.Add(1)
 			return nil
 		})
-		helpers.Pause(storeAfter+lookLate, nil)
-		assert.NotNil(t, p.needs.Load())
+		helpers.Pause(startupPeriod+maxBackoff, nil)
+		assert.NotNil(t, p.engineConfig.Load())
 		assert.Equal(t, int64(1), reads.Load())
 		helpers.Pause(15*time.Second, nil)
-		assert.Equal(t, int64(1), reads.Load(), "what is known suffices for a while")
+		assert.Equal(t, int64(1), reads.Load(), "the known configuration is used until its TTL")
 		helpers.Pause(15*time.Second, nil)
-		assert.Equal(t, int64(2), reads.Load(), "but not for ever")
+		assert.Equal(t, int64(2), reads.Load(), "it is read again after its TTL")
 		p.tomb.Kill(io.EOF)
 		<-p.tomb.Dead()
 	})
 }
 
-// TestAllLoadersReadOverOneLink: loaders that start together have the configuration
-// in little more than the link takes for all of them. Giving up sooner than that
-// they would fill the link with halves of it.
-func TestAllLoadersReadOverOneLink(t *testing.T) {
+// TestLoadersReadConfigurationOverSharedLink guards against timeouts that are too short for
+// loaders that start together: they would fill the link with partial reads and never complete.
+func TestLoadersReadConfigurationOverSharedLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
 			loaders = 30
@@ -103,13 +95,13 @@
 		link := &sharedLink{alone: alone}
 		var started []*Process
 		for range loaders {
-			started = append(started, startLooking(link.read))
+			started = append(started, startPolling(link.read))
 		}
-		// Routers come first, and the pause before the next look may be as long as lookLate.
-		helpers.Pause(storeAfter+lookLate, nil)
+		// Routers are queried first, and the delay before the next poll may be maxBackoff.
+		helpers.Pause(startupPeriod+maxBackoff, nil)
 		helpers.Pause(loaders*alone*3/2, nil)
 		for _, p := range started {
-			assert.NotNil(t, p.needs.Load())
+			assert.NotNil(t, p.engineConfig.Load())
 			p.tomb.Kill(io.EOF)
 			<-p.tomb.Dead()
 		}
--- a/daemon/loader/notes.go
+++ b/daemon/loader/events.go
@@ -15,12 +15,12 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// fieldDecision names the kind of decision that a line tells.
+// fieldDecision is the log field for the kind of a decision.
 const fieldDecision = "decision"
 
-// noteBelief writes one line for a change of the declared version; changes of
-// other hosts' engines are the routers' to log.
-func (p *Process) noteBelief(belief mirror.Belief) {
+// logBelief logs a change of the declared version. Changes of other hosts' engines are logged
+// by the routers.
+func (p *Process) logBelief(belief mirror.Belief) {
 	fields := log.Fields{fieldDecision: "believe", "key": belief.Entry.Key, "revision": belief.Entry.Revision}
 	switch target := belief.Record.Target; {
 	case belief.Err != nil:
@@ -32,8 +32,8 @@
 	}
 }
 
-// noteReport publishes what the engine says of itself.
-func (p *Process) noteReport(report provider.EngineReport, err error) {
+// publishReport publishes the engine's report to the routers and to the ledger of places.
+func (p *Process) publishReport(report provider.EngineReport, err error) {
 	if err != nil {
 		p.feed.Publish(loadfeed.Line{Loading: true})
 		p.ledger.Observe(places.Load{}, false)
@@ -41,17 +41,17 @@
 		return
 	}
 	p.telemetry.SetReady()
-	// An engine that holds nothing refuses all: a place there would be a send in vain.
-	loading, closes := report.Loading || p.keeper.Clearing() || len(report.Models) == 0, p.keeper.Closes()
+	// An engine without a loaded version refuses every request, so it grants no place either.
+	loading, closesAt := report.Loading || p.keeper.Clearing() || len(report.Models) == 0, p.keeper.Closes()
 	p.feed.Publish(loadfeed.Line{
-		Running: report.Running, Waiting: report.Waiting, Loading: loading, ClosesIn: loadfeed.ClosesIn(closes, clock.Now()), Models: report.Models,
+		Running: report.Running, Waiting: report.Waiting, Loading: loading, ClosesIn: loadfeed.ClosesIn(closesAt, clock.Now()), Models: report.Models,
 	})
-	p.ledger.Close(closes)
+	p.ledger.Close(closesAt)
 	p.ledger.Observe(places.Load{Running: report.Running, Waiting: report.Waiting, Loading: loading}, true)
 }
 
-// noteAnswer counts an answer to a router that asked for a place.
-func (p *Process) noteAnswer(answer places.Answer) {
+// countAnswer counts an answer to a router's place query.
+func (p *Process) countAnswer(answer places.Answer) {
 	name := "places_given"
 	switch {
 	case answer.Wait > 0:
@@ -62,13 +62,14 @@
 	p.telemetry.Scope.Counter(name).Inc(1)
 }
 
-// limitLines bounds the lines a second about limits: one may change with each answer.
-const limitLines = 5
+// limitLogRate is the maximum number of log lines per second about limits, which may change
+// with each response.
+const limitLogRate = 5
 
-// noteLimit writes one line when the engine's limit changes, by which all routers are counted.
-func (p *Process) noteLimit(engine ratelimit.Upstream, change ratelimit.Change) {
+// logLimit logs a change of the engine's limit, which applies to all routers together.
+func (p *Process) logLimit(engine ratelimit.Upstream, change ratelimit.Change) {
 	p.telemetry.Scope.Counter("limits_changed").Inc(1)
-	if !p.limitLines.Allow() {
+	if !p.limitLog.Allow() {
 		return
 	}
 	p.log.WithFields(log.Fields{
@@ -76,12 +77,12 @@
 	}).Info("limit of an upstream changed")
 }
 
-// noteStep writes one line for a decision about weights.
-func (p *Process) noteStep(step keep.Step) {
+// logStep logs a step towards a version and counts it.
+func (p *Process) logStep(step keep.Step) {
 	fields := log.Fields{fieldDecision: step.Name, "version": step.Version, "took": step.Took.String()}
 	switch step.Name {
 	case keep.StepFetch:
-		fields["bytes"] = p.received.fields()
+		fields["bytes"] = p.received.takeCounts()
 	case keep.StepOrder:
 		fields["engine"], fields["running"] = p.current.Load().Engine, step.Running
 	}
@@ -98,18 +99,18 @@
 	p.log.WithFields(fields).Info("weights")
 }
 
-// Where a chunk came from, as metrics and logs name it.
+// The sources of chunks in metrics and logs.
 const (
 	fromOrigin     = "origin"
 	fromHall       = "hall"
 	fromOtherHalls = "otherHalls"
 )
 
-// received counts the bytes of chunks since the last version was fetched. Those of
-// the origin and of other halls took a part of the links that a whole region shares.
+// received counts the bytes of chunks by source since the last fetch ended. Those from the
+// origin and from other halls use links that a whole region shares.
 type received struct{ origin, hall, otherHalls atomic.Int64 }
 
-func (r *received) of(source string) *atomic.Int64 {
+func (r *received) counter(source string) *atomic.Int64 {
 	switch source {
 	case fromOrigin:
 		return &r.origin
@@ -120,17 +121,17 @@
 	}
 }
 
-// fields returns the counts for a log line and begins anew.
-func (r *received) fields() map[string]int64 {
+// takeCounts returns the counts for a log line and resets them.
+func (r *received) takeCounts() map[string]int64 {
 	counts := map[string]int64{}
 	for _, source := range []string{fromOrigin, fromHall, fromOtherHalls} {
-		counts[source] = r.of(source).Swap(0)
+		counts[source] = r.counter(source).Swap(0)
 	}
 	return counts
 }
 
-// noteChunk counts a chunk by where it came from.
-func (p *Process) noteChunk(_ int, chunk []byte, from string) {
+// countChunk counts the bytes of a chunk by its source.
+func (p *Process) countChunk(_ int, chunk []byte, from string) {
 	source := fromOtherHalls
 	switch {
 	case from == swarm.FromOrigin:
@@ -138,6 +139,6 @@
 	case p.roster().inHall(from, p.current.Load().Hall):
 		source = fromHall
 	}
-	p.received.of(source).Add(int64(len(chunk)))
+	p.received.counter(source).Add(int64(len(chunk)))
 	p.telemetry.Scope.Tagged(map[string]string{"from": source}).Counter("chunk_bytes").Inc(int64(len(chunk)))
 }
--- /dev/null
+++ b/daemon/loader/events_test.go
@@ -0,0 +1,43 @@
+package loader
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/loadfeed"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/places"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/telemetry"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/version/keep"
+	"github.com/wheelcleat/wheelcleat/daemon/provider"
+	"github.com/wheelcleat/wheelcleat/daemon/settings"
+)
+
+// TestEngineWithoutVersionGrantsNoPlace: an engine that has just started refuses every request.
+func TestEngineWithoutVersionGrantsNoPlace(t *testing.T) {
+	events, output, err := telemetry.NewWithBounded(telemetry.Options{Role: "loader", Name: "l", Level: "error"})
+	require.NoError(t, err)
+	t.Cleanup(output.Close)
+	p := &Process{telemetry: events, feed: loadfeed.NewFeed(), ledger: &places.Ledger{}, keeper: &keep.Keeper{}}
+	query := places.Question{Limit: places.Limit{Waiting: 9, Taken: 9}}
+
+	p.publishReport(provider.EngineReport{}, nil)
+	_, given := p.ledger.Take(query)
+	assert.False(t, given)
+	p.publishReport(provider.EngineReport{Models: []provider.Loaded{{Model: "m", Version: 1}}}, nil)
+	_, given = p.ledger.Take(query)
+	assert.True(t, given)
+}
+
+// TestOriginTimeFollowsOriginRate also covers the fallback to the rate of this host's link.
+func TestOriginTimeFollowsOriginRate(t *testing.T) {
+	p := &Process{}
+	p.current.Store(&settings.Loader{Bounds: settings.LoaderBounds{LinkMbps: 8}})
+	config := &mirror.EngineNeeds{Engine: provider.EngineSpec{Chunks: 100, ChunkBytes: 20000}}
+	assert.Equal(t, 2*time.Second, p.originTime(config))
+	config.OriginRate = 5e5
+	assert.Equal(t, 4*time.Second, p.originTime(config))
+}
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -1,8 +1,9 @@
-// Package loader assembles the process beside an engine that brings it the
-// declared version of its model, gives chunks to other loaders, and tells
-// routers how loaded the engine is.
+// Package loader assembles the loader, the process that runs beside an engine. It brings the
+// engine to the declared version of its model, serves chunks of weights to other loaders, and
+// reports the engine's load to routers and grants them places there. A place is one of the
+// engine's execution slots.
 //
-// It differs from an agent in that requests do not pass through it.
+// Unlike an agent it is not on the path of requests.
 package loader
 
 import (
@@ -40,52 +41,53 @@
 )
 
 const (
-	// versionsLook is how often the versions are read from an answer of the store that may be
-	// old, at a tenth of a call's price: the routers that tell of versions may be turned away
-	// by the store, and a store that was silent may never answer the watches of that time.
-	versionsLook = 4 * time.Second
-	// versionsWait is how long one watch for declared versions waits. A cut in
-	// silence is noticed sooner, by the connection; versions seldom change, so nearly
-	// every shorter wait would be a call for nothing, from each loader. A longer one
-	// would outlast the history of some stores.
-	versionsWait = 15 * time.Second
-	// hostsEvery is the interval in which the list of hosts is read from the store where
-	// no router tells it, and routersSoon the one for the hall's routers then. The list grows
-	// with the fleet, and all loaders of a hall share the link to the store.
-	hostsEvery  = 8 * time.Second
-	routersSoon = 400 * time.Millisecond
-	// routersEvery is the interval of the list of routers otherwise. One that is not known
-	// yet is only not asked.
-	routersEvery = 20 * time.Second
-	// nearTries is how many routers may give no answer, one after the other, until the list
-	// of hosts is read from the store.
-	nearTries = 8
-	// storeAfter is how long after the start only routers are asked for the list of hosts
-	// and the needs: they have it within seconds after a loss of all power.
-	storeAfter = 8 * time.Second
-	// hostIdle is how long connections to the store and other loaders rest.
-	hostIdle = 30 * time.Second
-	// originIdle is the same for the origin, which takes few connections from
-	// all hosts together and counts those whose host has lost its power.
-	originIdle = 300 * time.Millisecond
-	// firstVersion is what an engine should hold while no version is declared.
-	firstVersion = 1
+	// versionsPollInterval is the interval of stale reads of the declared versions from the
+	// store, which are far cheaper than watches. They cover routers that the store rejects,
+	// and watches that never return after an outage of the store.
+	versionsPollInterval = 4 * time.Second
+	// versionsWatchWait is how long one watch for declared versions waits. Dead connections
+	// are detected sooner. With a shorter wait nearly every watch would return without a
+	// change, and a longer one would exceed the revision history of some stores.
+	versionsWatchWait = 15 * time.Second
+	// hostsInterval is the interval in which the list of hosts is read from the store while
+	// no router answers. The list grows with the fleet, and all loaders of a hall share the
+	// link to the store. routersRetryInterval is the interval in which the hall's routers are
+	// listed while none is known.
+	hostsInterval        = 8 * time.Second
+	routersRetryInterval = 400 * time.Millisecond
+	// routersInterval is the interval in which the hall's routers are listed otherwise. Until
+	// then a new router is merely not queried.
+	routersInterval = 20 * time.Second
+	// maxRouterFailures is the number of consecutive failed queries to routers after which
+	// the list of hosts is read from the store.
+	maxRouterFailures = 8
+	// startupPeriod is the time after the start in which the store is not read for the list
+	// of hosts and the engine's configuration: all loaders may start at once after a power
+	// loss, and routers have both within seconds.
+	startupPeriod = 8 * time.Second
+	// hostIdleTimeout closes idle connections to the store and to other loaders.
+	hostIdleTimeout = 30 * time.Second
+	// originIdleTimeout closes idle connections to the origin, which accepts few connections
+	// from all hosts together and also counts those of hosts that have lost power.
+	originIdleTimeout = 300 * time.Millisecond
+	// initialVersion is the version that an engine loads while none is declared.
+	initialVersion = 1
 )
 
-// Options vary a loader. Provider must be set; the rest has working defaults.
+// Options configure a loader. Provider must be set.
 type Options struct {
-	// Provider makes the surroundings from the store's address and the clients
+	// Provider returns the platform's calls, given the store's address and the HTTP clients
 	// for calls to the store and to hosts.
 	Provider func(store netip.AddrPort, storeClient, hostClient *http.Client) provider.Provider
-	// LogOutput takes the log lines; nil means none.
+	// LogOutput receives the log lines; nil discards them.
 	LogOutput io.Writer
-	// Dial makes the connections to other hosts; nil means over the network.
+	// Dial opens the connections to other hosts; nil selects the network.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Process is one loader.
+// Process is a running loader.
 type Process struct {
-	// current are the settings in force.
+	// current holds the settings in force.
 	current   atomic.Pointer[settings.Loader]
 	provider  provider.Provider
 	telemetry *telemetry.Telemetry
@@ -94,33 +96,32 @@
 
 	table    *mirror.Table
 	compiler *mirror.Compiler
-	// versions follows the declared versions, hosts the upstreams' records, and
-	// routers those of the routers.
+	// versions follows the declared versions, hosts the records of the upstreams, and
+	// routers the records of the hall's routers.
 	versions, hosts, routers *mirror.Follower
 	held                     *swarm.Held
 	keeper                   *keep.Keeper
 	feed                     *loadfeed.Feed
 	ledger                   *places.Ledger
-	limitLines               *rate.Limiter
+	limitLog                 *rate.Limiter
 	client                   *http.Client
 
-	// needs is what the configuration says of the engine's service.
-	needs atomic.Pointer[mirror.EngineNeeds]
-	// neighbours are the routers of this hall.
+	// engineConfig is the part of the configuration for the engine's service.
+	engineConfig atomic.Pointer[mirror.EngineNeeds]
+	// neighbours queries the routers of this hall.
 	neighbours *peering.Neighbours
-	// received counts chunks by where they came from.
+	// received counts chunk bytes by source.
 	received received
-	// listed is the roster of the newest view.
-	listed atomic.Pointer[roster]
+	// cachedRoster is the roster of the newest view.
+	cachedRoster atomic.Pointer[roster]
 
 	peers, metrics *server.Server
-	// began is when this process was made.
-	began time.Time
-	tomb  tomb.Tomb
-	done  chan struct{}
+	createdAt      time.Time
+	tomb           tomb.Tomb
+	done           chan struct{}
 }
 
-// New prepares a loader; Start runs it.
+// New returns a loader, which Start runs.
 func New(s settings.Loader, options Options) (*Process, error) {
 	if options.Provider == nil {
 		return nil, errors.New("loader: no provider")
@@ -137,30 +138,30 @@
 	}
 	p := &Process{
 		telemetry: t, output: output, log: t.Log,
-		table: &mirror.Table{}, held: &swarm.Held{}, feed: loadfeed.NewFeed(), ledger: &places.Ledger{}, limitLines: rate.NewLimiter(limitLines, limitLines), done: make(chan struct{}),
-		client: &http.Client{Transport: dial.NewHostTransport(options.Dial, hostIdle)},
-		began:  clock.Now(),
+		table: &mirror.Table{}, held: &swarm.Held{}, feed: loadfeed.NewFeed(), ledger: &places.Ledger{}, limitLog: rate.NewLimiter(limitLogRate, limitLogRate), done: make(chan struct{}),
+		client:    &http.Client{Transport: dial.NewHostTransport(options.Dial, hostIdleTimeout)},
+		createdAt: clock.Now(),
 	}
 	p.current.Store(&s)
-	p.ledger.OnLimit = p.noteLimit
-	calls := &http.Client{Transport: dial.NewHostTransport(options.Dial, originIdle)}
+	p.ledger.OnLimit = p.logLimit
+	calls := &http.Client{Transport: dial.NewHostTransport(options.Dial, originIdleTimeout)}
 	p.provider = options.Provider(s.Store, p.client, calls)
-	p.compiler = &mirror.Compiler{Decode: p.provider.Decode, OnBelief: p.noteBelief}
+	p.compiler = &mirror.Compiler{Decode: p.provider.Decode, OnBelief: p.logBelief}
 	p.table.OnChange = p.compiler.Take
 	p.neighbours = p.newNeighbours()
 	p.neighbours.Hold = p.starting
 	p.addFollowers()
 	p.keeper = &keep.Keeper{
 		Engine: p.provider.Engine, Origin: p.provider.Origin, Address: s.Engine, Held: p.held,
-		Own: s.Listen.Peers, Ranked: p.rankedFor, Plan: p.plan, NewFetch: p.newFetch, AskPeer: p.askPeer,
-		OnReport: p.noteReport, OnStep: p.noteStep,
+		Own: s.Listen.Peers, Ranked: p.manifestRanking, Plan: p.plan, NewFetch: p.newFetch, AskPeer: p.peerManifest,
+		OnReport: p.publishReport, OnStep: p.logStep,
 	}
 	return p, nil
 }
 
-// addFollowers prepares what is followed. Declared versions and the list of hosts come from
-// a router of this hall while one answers: watches of the store by each loader are most calls
-// of a calm fleet. The versions are read from the store as well, first and now and then.
+// addFollowers configures the followers. Declared versions and the list of hosts come from a
+// router of this hall while one answers: with watches by each loader, these would be most of
+// the calls to the store. The versions are also read from the store, at first and at intervals.
 func (p *Process) addFollowers() {
 	outage := &mirror.Outage{}
 	follower := func(prefix string) *mirror.Follower {
@@ -171,56 +172,57 @@
 	}
 	p.versions = follower(p.provider.Prefixes.Versions)
 	p.versions.FirstStale = true
-	p.versions.Wait = func() time.Duration { return versionsWait }
-	p.versions.LookEvery = versionsLook
+	p.versions.Wait = func() time.Duration { return versionsWatchWait }
+	p.versions.LookEvery = versionsPollInterval
 	p.versions.Near = p.newNeighbours().News
 	hall := p.current.Load().Hall
 	p.hosts = follower(p.provider.Prefixes.Upstreams)
-	p.hosts.ListEvery = func() time.Duration { return hostsEvery/2 + rand.N(hostsEvery/2) }
-	p.hosts.Near, p.hosts.NearTries = p.neighbours.News, nearTries
+	p.hosts.ListEvery = func() time.Duration { return hostsInterval/2 + rand.N(hostsInterval/2) }
+	p.hosts.Near, p.hosts.NearTries = p.neighbours.News, maxRouterFailures
 	p.routers = follower(p.provider.Prefixes.OfHall(hall, ""))
-	p.routers.ListEvery = p.routersPause
+	p.routers.ListEvery = p.routersDelay
 	p.routers.Near = p.newNeighbours().News
 	p.routers.Before = []string{p.provider.Prefixes.OfHall(hall, readers.Shard(p.current.Load().Name)), p.routers.Prefix}
 	p.routers.Enough = p.knowsRouter
 }
 
-// knowsRouter reports whether a router of this hall is known, whether it answers or not.
+// knowsRouter reports whether a router of this hall is known, responsive or not.
 func (p *Process) knowsRouter() bool {
-	_, known := p.neighbour(func(netip.AddrPort) bool { return true })
+	_, known := p.chooseRouter(func(netip.AddrPort) bool { return true })
 	return known
 }
 
-// newNeighbours returns what asks the routers of this hall for one follower.
+// newNeighbours returns a client of this hall's routers for one follower.
 func (p *Process) newNeighbours() *peering.Neighbours {
-	return &peering.Neighbours{Client: p.client, Choose: p.neighbour, OnMute: p.telemetry.NeighbourMuted}
+	return &peering.Neighbours{Client: p.client, Choose: p.chooseRouter, OnMute: p.telemetry.NeighbourMuted}
 }
 
-// routersPause is the pause before the hall's routers are listed again: short while none of
-// them is known.
-func (p *Process) routersPause() time.Duration {
-	pause := routersEvery
+// routersDelay returns the delay before the hall's routers are listed again, which is short
+// while none is known.
+func (p *Process) routersDelay() time.Duration {
+	delay := routersInterval
 	if !p.knowsRouter() {
-		pause = routersSoon
+		delay = routersRetryInterval
 	}
-	return pause/2 + rand.N(pause/2)
+	return delay/2 + rand.N(delay/2)
 }
 
-// starting reports whether the store is to be left to the routers.
-func (p *Process) starting() bool { return clock.Since(p.began) < storeAfter }
+// starting reports whether this process started so recently that it leaves the store to the
+// routers.
+func (p *Process) starting() bool { return clock.Since(p.createdAt) < startupPeriod }
 
 func (p *Process) followers() []*mirror.Follower {
 	return []*mirror.Follower{p.versions, p.hosts, p.routers}
 }
 
-// Start opens the ports and begins to keep the engine.
+// Start listens on the ports and starts the followers and the engine's reconciliation.
 func (p *Process) Start() error {
-	pages := bunrouter.New()
-	(&swarm.Server{Held: p.held, Uplink: swarm.Uplink{BytesPerSecond: p.linkBytes}}).Register(pages)
-	pages.Compat().GET(loadfeed.Path, p.feed.ServeHTTP)
-	pages.Compat().GET(places.Path, places.Handler(p.ledger, p.noteAnswer))
+	routes := bunrouter.New()
+	(&swarm.Server{Held: p.held, Uplink: swarm.Uplink{BytesPerSecond: p.linkRate}}).Register(routes)
+	routes.Compat().GET(loadfeed.Path, p.feed.ServeHTTP)
+	routes.Compat().GET(places.Path, places.Handler(p.ledger, p.countAnswer))
 	var err error
-	p.peers, err = server.Listen(server.Options{Name: "peers", Address: p.current.Load().Listen.Peers, Handler: pages})
+	p.peers, err = server.Listen(server.Options{Name: "peers", Address: p.current.Load().Listen.Peers, Handler: routes})
 	if err != nil {
 		return fmt.Errorf("loader %s: %w", p.current.Load().Name, err)
 	}
@@ -234,97 +236,99 @@
 	for _, follower := range p.followers() {
 		follower.Start()
 	}
-	p.tomb.Go(p.lookForNeeds)
+	p.tomb.Go(p.pollEngineConfig)
 	p.keeper.Start()
 	p.log.WithFields(log.Fields{"peers": p.current.Load().Listen.Peers, "engine": p.current.Load().Engine, "store": p.current.Load().Store}).Info("started")
 	return nil
 }
 
-// plan says what an engine that holds some version should hold.
-func (p *Process) plan(held int) (keep.Plan, bool) {
-	known := p.needs.Load()
-	if known == nil || !p.versions.Known() {
+// plan returns the plan for an engine that serves the given version, or false while the
+// engine's configuration or the declared versions are not known.
+func (p *Process) plan(loaded int) (keep.Plan, bool) {
+	config := p.engineConfig.Load()
+	if config == nil || !p.versions.Known() {
 		return keep.Plan{}, false
 	}
-	model := known.Engine.Model
+	model := config.Engine.Model
 	plan := keep.Plan{
-		Goal:   keep.Goal{Model: model, Version: firstVersion, Fence: p.table.Newest()},
-		Origin: known.Origin, Places: known.Engine.Places,
-		Chunks: known.Engine.Chunks, ChunkBytes: known.Engine.ChunkBytes,
-		OriginTime: p.originTime(known),
+		Goal:   keep.Goal{Model: model, Version: initialVersion, Fence: p.table.Newest()},
+		Origin: config.Origin, Places: config.Engine.Places,
+		Chunks: config.Engine.Chunks, ChunkBytes: config.Engine.ChunkBytes,
+		OriginTime: p.originTime(config),
 	}
 	if declared, ok := p.compiler.View().Targets[model]; ok {
-		plan.Goal = p.goal(&declared, held)
-		for before := declared.Before; before != nil; before = before.Before {
-			plan.Earlier = append(plan.Earlier, p.goal(before, held))
+		plan.Goal = p.goal(&declared, loaded)
+		for earlier := declared.Before; earlier != nil; earlier = earlier.Before {
+			plan.Earlier = append(plan.Earlier, p.goal(earlier, loaded))
 		}
 	}
 	return plan, true
 }
 
-// goal works out when this host's engine may take a declared version.
-func (p *Process) goal(declared *mirror.Declared, held int) keep.Goal {
+// goal returns a declared version with the time at which this host's engine may load it.
+func (p *Process) goal(declared *mirror.Declared, loaded int) keep.Goal {
 	apply := p.current.Load().Bounds.VersionApply.Std()
 	due := time.Time{}
-	for before := declared.Before; before != nil && before.Version > held; before = before.Before {
-		due = before.Since(apply).Add(apply)
+	for earlier := declared.Before; earlier != nil && earlier.Version > loaded; earlier = earlier.Before {
+		due = earlier.Since(apply).Add(apply)
 	}
 	window := turn.NewWindow(declared.Since(apply), apply, due)
 	if c := p.held.Get(declared.Version); c != nil {
 		window = window.After(c.Completed())
 	}
-	place, hosts := p.place(declared.Model, declared.Version)
-	return keep.Goal{Model: declared.Model, Version: declared.Version, Fence: p.table.Newest(), Turn: window.Of(place, hosts)}
+	rank, hosts := p.rank(declared.Model, declared.Version)
+	return keep.Goal{Model: declared.Model, Version: declared.Version, Fence: p.table.Newest(), Turn: window.Of(rank, hosts)}
 }
 
-// place is this host's place among some hosts in the order of their turns.
-func (p *Process) place(model string, version int) (place, hosts int) {
+// rank returns this host's rank in the order in which hosts load a version, and their number.
+func (p *Process) rank(model string, version int) (rank, hosts int) {
 	r := p.roster()
-	return r.place(fmt.Sprintf("%s/%d", model, version)), len(r.names)
+	return r.rank(fmt.Sprintf("%s/%d", model, version)), len(r.names)
 }
 
-// originTime is how long the origin takes for one copy: by its own link where that is
-// declared. Taken for as fast as this host's, which carries 7.3 Mbit/s, an origin of 4.38 was
-// asked for each chunk long before it could send it.
-func (p *Process) originTime(known *mirror.EngineNeeds) time.Duration {
-	bytes := known.Engine.Chunks * known.Engine.ChunkBytes
-	if known.OriginRate <= 0 {
+// originTime returns how long the origin takes to send one copy. It follows from the declared
+// rate of the origin's link, or from this host's link where none is declared. With an estimate
+// that is too short, hosts would request each chunk long before the origin could send it.
+func (p *Process) originTime(config *mirror.EngineNeeds) time.Duration {
+	bytes := config.Engine.Chunks * config.Engine.ChunkBytes
+	if config.OriginRate <= 0 {
 		return p.linkTime(bytes)
 	}
-	return transferTime(bytes, known.OriginRate)
+	return transferTime(bytes, config.OriginRate)
 }
 
-// linkTime is how long a link like this host's takes for some bytes.
+// linkTime returns how long a number of bytes takes over a link as fast as this host's, 0
+// where its rate is not known.
 func (p *Process) linkTime(bytes int) time.Duration {
-	rate := p.linkBytes()
+	rate := p.linkRate()
 	if rate <= 0 {
 		return 0
 	}
 	return transferTime(bytes, rate)
 }
 
-// transferTime is how long some bytes take at a rate in bytes a second.
+// transferTime returns how long a number of bytes takes at a rate in bytes per second.
 func transferTime(bytes int, rate float64) time.Duration {
 	return time.Duration(float64(bytes) / rate * float64(time.Second))
 }
 
-// linkBytes is what this host's link bears in a second, 0 where not known.
-func (p *Process) linkBytes() float64 {
+// linkRate returns the rate of this host's link in bytes per second, 0 where it is not known.
+func (p *Process) linkRate() float64 {
 	const bytesPerMegabit = 1e6 / 8
 	return p.current.Load().Bounds.LinkMbps * bytesPerMegabit
 }
 
-// own is this loader; all loaders listen on the same port.
+// own returns this loader as a host.
 func (p *Process) own() swarm.Host {
 	return swarm.Host{Address: p.current.Load().Listen.Peers, Hall: p.current.Load().Hall}
 }
 
-// loaders are those of all engines of this service.
+// loaders returns the loaders of all engines of this service.
 func (p *Process) loaders() []swarm.Host { return p.roster().hosts }
 
-// rankedFor are the loaders in the order in which it falls to them to ask the origin
-// for a version's manifest.
-func (p *Process) rankedFor(goal keep.Goal) []netip.AddrPort {
+// manifestRanking returns the loaders in the order in which they query the origin for a
+// version's manifest.
+func (p *Process) manifestRanking(goal keep.Goal) []netip.AddrPort {
 	key := fmt.Sprintf("manifest of %s/%d", goal.Model, goal.Version)
 	var ranked []netip.AddrPort
 	for _, name := range rendezvous.Rank(key, p.roster().names) {
@@ -334,20 +338,20 @@
 }
 
 func (p *Process) newFetch(plan keep.Plan, c *swarm.Copy) *swarm.Fetch {
-	place, _ := p.place(plan.Goal.Model, plan.Goal.Version)
+	rank, _ := p.rank(plan.Goal.Model, plan.Goal.Version)
 	return &swarm.Fetch{
-		First: turn.IsEarly(place),
+		First: turn.IsEarly(rank),
 		Copy:  c, Model: plan.Goal.Model, Origin: plan.Origin, Source: p.provider.Origin,
 		Own: p.own(), Hosts: p.loaders, Client: p.client, OriginTime: plan.OriginTime,
-		ChunkTime: p.linkTime(plan.ChunkBytes), OnChunk: p.noteChunk,
+		ChunkTime: p.linkTime(plan.ChunkBytes), OnChunk: p.countChunk,
 	}
 }
 
-func (p *Process) askPeer(ctx context.Context, peer netip.AddrPort, version int) (provider.Manifest, error) {
+func (p *Process) peerManifest(ctx context.Context, peer netip.AddrPort, version int) (provider.Manifest, error) {
 	return swarm.Peer{Address: peer, Client: p.client}.Manifest(ctx, version)
 }
 
-// Stop ends the loader. The engine goes on serving what it holds.
+// Stop stops the loader. The engine continues to serve the version that it has loaded.
 func (p *Process) Stop(_ context.Context) error {
 	p.log.Info("stopping")
 	p.telemetry.SetNotReady("stopping")
@@ -366,16 +370,16 @@
 	return nil
 }
 
-// Done is closed when the loader has ended.
+// Done returns a channel that is closed when the loader has stopped.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Reload takes changed settings. Bounds apply at once; a changed name or address
-// needs a new start and is reported.
+// Reload applies changed settings. Bounds apply at once; a changed role, name or address is
+// rejected because it requires a restart.
 func (p *Process) Reload(file settings.File) {
 	current := p.current.Load()
 	if file.Loader == nil || file.Loader.Listen != current.Listen || file.Loader.Engine != current.Engine ||
 		file.Loader.Store != current.Store || file.Loader.Name != current.Name {
-		p.log.WithField("reason", "a role, name or address has changed, which needs a new start").Error("changed settings not taken, the last good ones stay")
+		p.log.WithField("reason", "a changed role, name or address requires a restart").Error("changed settings not taken, the last good ones stay")
 		return
 	}
 	p.current.Store(file.Loader)
--- a/daemon/loader/loader_test.go
+++ b/daemon/loader/loader_test.go
@@ -18,10 +18,9 @@
 	"github.com/wheelcleat/wheelcleat/daemon/settings"
 )
 
-// TestConnectionsToTheOriginAreNotKept: the origin takes few connections. When
-// all hosts lose power at once it goes on counting those that rested, and takes
-// no others.
-func TestConnectionsToTheOriginAreNotKept(t *testing.T) {
+// TestIdleConnectionsToOriginAreClosed: the origin accepts few connections. After a power loss of
+// all hosts it would go on counting idle ones, and accept no others.
+func TestIdleConnectionsToOriginAreClosed(t *testing.T) {
 	closed := make(chan struct{}, 1)
 	origin := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "chunk") }))
 	origin.Config.ConnState = func(_ net.Conn, state http.ConnState) {
@@ -31,27 +30,27 @@
 	}
 	origin.Start()
 	defer origin.Close()
-	var calls *http.Client
+	var client *http.Client
 	_, err := loader.New(settings.ExampleLoader(), loader.Options{
 		Provider: func(_ netip.AddrPort, _, hosts *http.Client) provider.Provider {
-			calls = hosts
+			client = hosts
 			return provider.Provider{}
 		},
 	})
 	require.NoError(t, err)
-	response, err := calls.Get(origin.URL)
+	response, err := client.Get(origin.URL)
 	require.NoError(t, err)
 	_, _ = io.Copy(io.Discard, response.Body)
 	require.NoError(t, response.Body.Close())
 	select {
 	case <-closed:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the connection is kept")
+		t.Fatal("the idle connection was not closed")
 	}
 }
 
-// TestReloadTakesBounds and refuses what needs a new start.
-func TestReloadTakesBounds(t *testing.T) {
+// TestReloadAppliesBounds also covers that changes which require a restart are rejected.
+func TestReloadAppliesBounds(t *testing.T) {
 	var lines lockedBuffer
 	p, err := loader.New(settings.ExampleLoader(), loader.Options{
 		LogOutput: &lines,
@@ -65,10 +64,10 @@
 	moved := changed
 	moved.Engine = netip.MustParseAddrPort("127.0.0.1:1")
 	p.Reload(settings.File{Loader: &moved})
-	require.Eventually(t, func() bool { return lines.contains("needs a new start") }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return lines.contains("requires a restart") }, 5*time.Second, time.Millisecond)
 }
 
-// lockedBuffer is a buffer that is written and read at the same time.
+// lockedBuffer is a buffer for concurrent writers and readers.
 type lockedBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
--- a/daemon/loader/roster.go
+++ b/daemon/loader/roster.go
@@ -11,36 +11,36 @@
 	"github.com/wheelcleat/wheelcleat/daemon/settings"
 )
 
-// roster is the loaders of one view. It is worked out once a view, because each
-// look at the engine asks for it.
+// roster lists the loaders of one view. It is computed once per view, because each round of
+// the reconciliation reads it.
 type roster struct {
-	// view and settings are what the roster was worked out from.
+	// view and settings are the inputs that the roster was computed from.
 	view     *mirror.View
 	settings *settings.Loader
-	// hosts are the loaders of all engines of the service, by the hosts' addresses.
+	// hosts holds the loaders of all engines of the service.
 	hosts []swarm.Host
-	// names are the loaders' addresses as text, the own first.
+	// names holds the loaders' addresses as text, with this loader's first.
 	names []string
 
 	mu sync.Mutex
-	// places are this loader's among the names, by key.
-	places map[string]int
+	// ranks caches this loader's rank among the names, by key.
+	ranks map[string]int
 }
 
-// roster returns the one of the newest view.
+// roster returns the roster of the newest view.
 func (p *Process) roster() *roster {
 	view, current := p.compiler.View(), p.current.Load()
-	if known := p.listed.Load(); known != nil && known.view == view && known.settings == current {
-		return known
+	if cached := p.cachedRoster.Load(); cached != nil && cached.view == view && cached.settings == current {
+		return cached
 	}
-	made := newRoster(view, current)
-	p.listed.Store(made)
-	return made
+	r := newRoster(view, current)
+	p.cachedRoster.Store(r)
+	return r
 }
 
 func newRoster(view *mirror.View, current *settings.Loader) *roster {
 	own := current.Listen.Peers
-	r := &roster{view: view, settings: current, names: []string{own.String()}, places: map[string]int{}}
+	r := &roster{view: view, settings: current, names: []string{own.String()}, ranks: map[string]int{}}
 	for _, upstream := range view.Upstreams[current.Service] {
 		// All loaders listen on the same port.
 		host := swarm.Host{Address: netip.AddrPortFrom(upstream.Address.Addr(), own.Port()), Hall: upstream.Hall}
@@ -55,21 +55,21 @@
 	return r
 }
 
-// inHall reports whether a loader, by its address as text, stands in a hall.
+// inHall reports whether the loader with an address, as text, is in a hall.
 func (r *roster) inHall(loader, hall string) bool {
 	return slices.ContainsFunc(r.hosts, func(host swarm.Host) bool {
 		return host.Hall == hall && host.Address.String() == loader
 	})
 }
 
-// place is this loader's place in the order of turns of a key.
-func (r *roster) place(key string) int {
+// rank returns this loader's rank in the order in which hosts load the version that key names.
+func (r *roster) rank(key string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	place, ok := r.places[key]
+	rank, ok := r.ranks[key]
 	if !ok {
-		place = turn.Place(key, r.names[0], r.names)
-		r.places[key] = place
+		rank = turn.Place(key, r.names[0], r.names)
+		r.ranks[key] = rank
 	}
-	return place
+	return rank
 }
--- a/daemon/loader/start_test.go
+++ b/daemon/loader/start_test.go
@@ -14,18 +14,10 @@
 	"github.com/wheelcleat/wheelcleat/daemon/settings"
 )
 
-// Symptom: after a start of a fleet of 440 loaders in 5 halls calls to the store from four of
-// the halls time out for a minute, connections to it too.
-//
-// Sequence: loaders list the routers before any has announced itself, and again 10 s later. Until
-// then each lists all upstreams from the store each 2 s.
-//
-// Cause: a loader that knows no router takes the store for the only source. 88 lists of 150 KB
-// each 2 s ask 70 Mbit/s of a link that has 26.
-//
-// What settled it: each loader's lines name a call for upstreams that timed out 2.7 s after its
-// start, and one for routers 10 s after.
-func TestStartingLoaderLeavesTheStoreToRouters(t *testing.T) {
+// TestStartingLoaderLeavesStoreToRouters guards against a start of a whole fleet in which every
+// loader lists all upstreams from the store, because no router has registered yet, and overloads
+// the link to the store.
+func TestStartingLoaderLeavesStoreToRouters(t *testing.T) {
 	p, err := New(settings.ExampleLoader(), Options{
 		Provider: func(netip.AddrPort, *http.Client, *http.Client) provider.Provider { return provider.Provider{} },
 	})
@@ -33,17 +25,17 @@
 	_, err = p.hosts.Near(t.Context(), "u/", 0)
 	require.ErrorIs(t, err, mirror.ErrHold)
 	for range 100 {
-		assert.LessOrEqual(t, p.routersPause(), routersSoon, "the hall's routers are looked for")
+		assert.LessOrEqual(t, p.routersDelay(), routersRetryInterval, "the hall's routers are not listed often enough")
 	}
 
-	p.began = clock.Now().Add(-storeAfter)
+	p.createdAt = clock.Now().Add(-startupPeriod)
 	_, err = p.hosts.Near(t.Context(), "u/", 0)
-	require.ErrorIs(t, err, mirror.ErrNoneNear, "no router has come up, so the store is read")
+	require.ErrorIs(t, err, mirror.ErrNoneNear, "the store is read where no router has registered")
 
 	member := &provider.Member{Name: "r", Hall: p.current.Load().Hall, Peers: netip.MustParseAddrPort("127.0.0.1:1")}
 	p.compiler.Decode = func(provider.Entry) (provider.Record, error) { return provider.Record{Member: member}, nil }
 	p.compiler.Take([]provider.Entry{{Key: "m/r", Revision: 1}})
 	for range 100 {
-		assert.Greater(t, p.routersPause(), routersSoon, "once one is known, they are not")
+		assert.Greater(t, p.routersDelay(), routersRetryInterval, "the routers are listed too often once one is known")
 	}
 }
