--- a/daemon/internal/version/keep/manifest_test.go
+++ b/daemon/internal/version/reconcile/manifest_test.go
@@ -1,4 +1,4 @@
-package keep_test
+package reconcile_test
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/assert"
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/helpers"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/version/keep"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/version/reconcile"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
@@ -24,7 +24,7 @@
 	// frozen is the number of unresponsive hosts, from the top of the ranking.
 	frozen  int
 	ranked  []netip.AddrPort
-	keepers map[netip.AddrPort]*keep.Keeper
+	keepers map[netip.AddrPort]*reconcile.Keeper
 	// calls counts the origin's calls for the manifest and open those under way. The origin
 	// resets connections beyond maxOpen.
 	calls, open atomic.Int64
@@ -34,15 +34,15 @@
 // start runs a loop on each host that is not frozen.
 func (f *manifestFleet) start(t *testing.T, hosts int) {
 	t.Helper()
-	f.keepers = map[netip.AddrPort]*keep.Keeper{}
+	f.keepers = map[netip.AddrPort]*reconcile.Keeper{}
 	for index := range hosts {
 		f.ranked = append(f.ranked, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(index)}), 80))
 	}
 	for _, address := range f.ranked[f.frozen:] {
 		e := &engine{t: t, staged: map[int][]byte{}, loaded: 1}
-		k := newKeeper(e, func() keep.Plan { return planOf(goal(2, time.Now().Add(time.Hour))) })
+		k := newKeeper(e, func() reconcile.Plan { return planOf(goal(2, time.Now().Add(time.Hour))) })
 		k.Own = address
-		k.Ranked = func(keep.Goal) []netip.AddrPort { return f.ranked }
+		k.Ranked = func(reconcile.Goal) []netip.AddrPort { return f.ranked }
 		k.AskPeer = f.queryPeer
 		k.Origin.Manifest = f.queryOrigin
 		f.keepers[address] = k
--- a/daemon/internal/version/keep/keep.go
+++ b/daemon/internal/version/reconcile/reconcile.go
@@ -1,4 +1,4 @@
-// Package keep brings an engine to the declared version of its model. It fetches the
+// Package reconcile brings an engine to the declared version of its model. It fetches the
 // version, writes it to the engine's staging area, verifies it there, and orders the
 // engine to load it at its scheduled load time. Package loader runs one instance for
 // the engine on its host.
@@ -7,7 +7,7 @@
 // and compares it with the declared versions. Nothing depends on the reply to an order,
 // so a lost reply, a restarted engine and a restarted loader need no handling of their
 // own.
-package keep
+package reconcile
 
 import (
 	"context"
--- a/daemon/internal/version/keep/keep_test.go
+++ b/daemon/internal/version/reconcile/reconcile_test.go
@@ -1,4 +1,4 @@
-package keep_test
+package reconcile_test
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"github.com/wheelcleat/wheelcleat/daemon/internal/version/keep"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/version/reconcile"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/version/swarm"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
@@ -139,7 +139,7 @@
 }
 
 // start runs a loop for an engine; plan may return other plans as the test goes on.
-func start(t *testing.T, e *engine, plan func() keep.Plan) *keep.Keeper {
+func start(t *testing.T, e *engine, plan func() reconcile.Plan) *reconcile.Keeper {
 	t.Helper()
 	k := newKeeper(e, plan)
 	k.Start()
@@ -148,8 +148,8 @@
 }
 
 // newKeeper returns a loop for an engine without peers; its origin has every version.
-func newKeeper(e *engine, plan func() keep.Plan) *keep.Keeper {
-	k := &keep.Keeper{
+func newKeeper(e *engine, plan func() reconcile.Plan) *reconcile.Keeper {
+	k := &reconcile.Keeper{
 		Engine: e.provider(), Address: host, Held: &swarm.Held{}, Own: host,
 		Origin: provider.Origin{
 			Manifest: func(_ context.Context, _ netip.AddrPort, _ string, version int) (provider.Manifest, error) {
@@ -159,16 +159,16 @@
 				return chunkOf(version, index), nil
 			},
 		},
-		Ranked: func(keep.Goal) []netip.AddrPort { return []netip.AddrPort{host} },
-		Plan:   func(int) (keep.Plan, bool) { return plan(), true },
-		OnStep: func(keep.Step) {},
+		Ranked: func(reconcile.Goal) []netip.AddrPort { return []netip.AddrPort{host} },
+		Plan:   func(int) (reconcile.Plan, bool) { return plan(), true },
+		OnStep: func(reconcile.Step) {},
 	}
 	k.Now = e.now
 	k.OnReport = func(provider.EngineReport, error) {
 		e.draining.Store(k.Clearing())
 		e.rounds.Add(1)
 	}
-	k.NewFetch = func(_ keep.Plan, c *swarm.Copy) *swarm.Fetch {
+	k.NewFetch = func(_ reconcile.Plan, c *swarm.Copy) *swarm.Fetch {
 		return &swarm.Fetch{
 			Copy: c, Model: "m", Source: k.Origin, Own: swarm.Host{Address: host, Hall: "h"},
 			Hosts: func() []swarm.Host { return nil },
@@ -177,12 +177,12 @@
 	return k
 }
 
-func goal(version int, loadTime time.Time) keep.Goal {
-	return keep.Goal{Model: "m", Version: version, Turn: loadTime, Fence: provider.Revision(version)}
+func goal(version int, loadTime time.Time) reconcile.Goal {
+	return reconcile.Goal{Model: "m", Version: version, Turn: loadTime, Fence: provider.Revision(version)}
 }
 
-func planOf(goals ...keep.Goal) keep.Plan {
-	return keep.Plan{Goal: goals[0], Earlier: goals[1:], Chunks: chunks, ChunkBytes: 1}
+func planOf(goals ...reconcile.Goal) reconcile.Plan {
+	return reconcile.Plan{Goal: goals[0], Earlier: goals[1:], Chunks: chunks, ChunkBytes: 1}
 }
 
 func await(t *testing.T, what string, condition func() bool) {
@@ -192,7 +192,7 @@
 
 func TestEmptyEngineLoadsWithoutWaitingForItsLoadTime(t *testing.T) {
 	e := &engine{t: t, staged: map[int][]byte{}}
-	start(t, e, func() keep.Plan { return planOf(goal(3, time.Now().Add(time.Hour))) })
+	start(t, e, func() reconcile.Plan { return planOf(goal(3, time.Now().Add(time.Hour))) })
 	await(t, "version 3", func() bool { return e.version() == 3 })
 }
 
@@ -200,7 +200,7 @@
 	e := &engine{t: t, staged: map[int][]byte{}, loaded: 1, running: 1}
 	var mu sync.Mutex
 	loadTime := time.Now().Add(time.Hour)
-	k := start(t, e, func() keep.Plan {
+	k := start(t, e, func() reconcile.Plan {
 		mu.Lock()
 		defer mu.Unlock()
 		return planOf(goal(2, loadTime))
@@ -218,7 +218,7 @@
 func TestOrderWaitsForQueuedRequests(t *testing.T) {
 	e := &engine{t: t, staged: map[int][]byte{}, loaded: 1, waiting: 2}
 	e.clock.Store(time.Hour.Nanoseconds())
-	start(t, e, func() keep.Plan { return planOf(goal(2, time.Unix(0, 0))) })
+	start(t, e, func() reconcile.Plan { return planOf(goal(2, time.Unix(0, 0))) })
 	await(t, "engine is draining", e.draining.Load)
 	e.advance(time.Second)
 	assert.Equal(t, 1, e.version())
@@ -234,7 +234,7 @@
 	for _, running := range []int{1, 2, 12} {
 		e := &engine{t: t, staged: map[int][]byte{}, loaded: 1, running: running}
 		e.clock.Store(time.Hour.Nanoseconds())
-		start(t, e, func() keep.Plan { return planOf(goal(2, time.Unix(0, 0))) })
+		start(t, e, func() reconcile.Plan { return planOf(goal(2, time.Unix(0, 0))) })
 		await(t, "engine is draining", e.draining.Load)
 		assert.Equal(t, 1, e.version(), "ordered before routers learned of the drain")
 		e.advance(300 * time.Millisecond)
@@ -250,7 +250,7 @@
 	e.clock.Store(startTime.UnixNano())
 	loadTime := startTime.Add(10 * time.Second)
 	var closesAt atomic.Value
-	k := newKeeper(e, func() keep.Plan {
+	k := newKeeper(e, func() reconcile.Plan {
 		return planOf(goal(3, loadTime.Add(time.Hour)), goal(2, loadTime), goal(1, startTime.Add(time.Second)))
 	})
 	onReport := k.OnReport
@@ -271,14 +271,14 @@
 // TestIdleEngineIsOrderedWithoutDraining: an engine without requests has nothing to drain.
 func TestIdleEngineIsOrderedWithoutDraining(t *testing.T) {
 	e := &engine{t: t, staged: map[int][]byte{}, loaded: 1}
-	start(t, e, func() keep.Plan { return planOf(goal(2, time.Now().Add(-time.Second))) })
+	start(t, e, func() reconcile.Plan { return planOf(goal(2, time.Now().Add(-time.Second))) })
 	await(t, "version 2", func() bool { return e.version() == 2 })
 	assert.False(t, e.draining.Load(), "an idle engine was drained")
 }
 
 func TestLostReplyCausesNoSecondLoad(t *testing.T) {
 	e := &engine{t: t, staged: map[int][]byte{}, lostReplies: 1}
-	k := start(t, e, func() keep.Plan { return planOf(goal(2, time.Time{})) })
+	k := start(t, e, func() reconcile.Plan { return planOf(goal(2, time.Time{})) })
 	await(t, "version 2", func() bool { return e.version() == 2 })
 	k.Stop()
 	assert.Equal(t, 1, e.orders)
@@ -290,7 +290,7 @@
 	e := &engine{t: t, staged: map[int][]byte{}, fence: 9}
 	var fence atomic.Uint64
 	fence.Store(3)
-	start(t, e, func() keep.Plan {
+	start(t, e, func() reconcile.Plan {
 		next := goal(2, time.Time{})
 		next.Fence = provider.Revision(fence.Load())
 		return planOf(next)
@@ -307,7 +307,7 @@
 
 func TestRestartedEngineLoadsAgain(t *testing.T) {
 	e := &engine{t: t, staged: map[int][]byte{}}
-	start(t, e, func() keep.Plan { return planOf(goal(2, time.Time{})) })
+	start(t, e, func() reconcile.Plan { return planOf(goal(2, time.Time{})) })
 	await(t, "version 2", func() bool { return e.version() == 2 })
 	e.mu.Lock()
 	e.loaded, e.sequence = 0, 0
@@ -322,14 +322,14 @@
 func TestNewerVersionSupersedesRunningFetch(t *testing.T) {
 	e := &engine{t: t, staged: map[int][]byte{}, loaded: 1}
 	var mu sync.Mutex
-	goals := []keep.Goal{goal(2, time.Now())}
-	start(t, e, func() keep.Plan {
+	goals := []reconcile.Goal{goal(2, time.Now())}
+	start(t, e, func() reconcile.Plan {
 		mu.Lock()
 		defer mu.Unlock()
 		return planOf(goals...)
 	})
 	mu.Lock()
-	goals = []keep.Goal{goal(3, time.Now().Add(300*time.Millisecond)), goals[0]}
+	goals = []reconcile.Goal{goal(3, time.Now().Add(300*time.Millisecond)), goals[0]}
 	mu.Unlock()
 	await(t, "version 3", func() bool { return e.version() == 3 })
 }
--- a/daemon/internal/version/keep/stage.go
+++ b/daemon/internal/version/reconcile/stage.go
@@ -1,4 +1,4 @@
-package keep
+package reconcile
 
 import (
 	"context"
--- a/daemon/lab/engine.go
+++ b/daemon/lab/engine.go
@@ -7,7 +7,7 @@
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/places"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/ratelimit"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/version/keep"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/version/reconcile"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
@@ -38,7 +38,7 @@
 const (
 	// lookEvery is how often a loader looks at its engine, as one does at a busy one, tellEvery
 	// how often a router hears of a load, and travel what a message takes one way.
-	lookEvery = keep.BusyEvery
+	lookEvery = reconcile.BusyEvery
 	tellEvery = 50 * time.Millisecond
 	travel    = 2 * time.Millisecond
 )
@@ -93,7 +93,7 @@
 
 // closes is the engine's turn if that is soon.
 func (e *engine) closes() time.Time {
-	if e.turn == 0 || e.taken || e.turn-e.play.events.now > keep.CloseAhead {
+	if e.turn == 0 || e.taken || e.turn-e.play.events.now > reconcile.CloseAhead {
 		return time.Time{}
 	}
 	return start.Add(e.turn)
--- a/daemon/loader/events.go
+++ b/daemon/loader/events.go
@@ -10,7 +10,7 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/places"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/ratelimit"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/version/keep"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/version/reconcile"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/version/swarm"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
@@ -78,12 +78,12 @@
 }
 
 // logStep logs a step towards a version and counts it.
-func (p *Process) logStep(step keep.Step) {
+func (p *Process) logStep(step reconcile.Step) {
 	fields := log.Fields{fieldDecision: step.Name, "version": step.Version, "took": step.Took.String()}
 	switch step.Name {
-	case keep.StepFetch:
+	case reconcile.StepFetch:
 		fields["bytes"] = p.received.takeCounts()
-	case keep.StepOrder:
+	case reconcile.StepOrder:
 		fields["engine"], fields["running"] = p.current.Load().Engine, step.Running
 	}
 	if step.Reason != "" {
--- a/daemon/loader/events_test.go
+++ b/daemon/loader/events_test.go
@@ -11,7 +11,7 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/places"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/telemetry"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/version/keep"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/version/reconcile"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 	"github.com/wheelcleat/wheelcleat/daemon/settings"
 )
@@ -21,7 +21,7 @@
 	events, output, err := telemetry.NewWithBounded(telemetry.Options{Role: "loader", Name: "l", Level: "error"})
 	require.NoError(t, err)
 	t.Cleanup(output.Close)
-	p := &Process{telemetry: events, feed: loadfeed.NewFeed(), ledger: &places.Ledger{}, keeper: &keep.Keeper{}}
+	p := &Process{telemetry: events, feed: loadfeed.NewFeed(), ledger: &places.Ledger{}, keeper: &reconcile.Keeper{}}
 	query := places.Question{Limit: places.Limit{Waiting: 9, Taken: 9}}
 
 	p.publishReport(provider.EngineReport{}, nil)
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -33,7 +33,7 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/server"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/telemetry"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/rendezvous"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/version/keep"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/version/reconcile"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/version/swarm"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/version/turn"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
@@ -100,7 +100,7 @@
 	// routers the records of the hall's routers.
 	versions, hosts, routers *mirror.Follower
 	held                     *swarm.Held
-	keeper                   *keep.Keeper
+	keeper                   *reconcile.Keeper
 	feed                     *loadfeed.Feed
 	ledger                   *places.Ledger
 	limitLog                 *rate.Limiter
@@ -151,7 +151,7 @@
 	p.neighbours = p.newNeighbours()
 	p.neighbours.Hold = p.starting
 	p.addFollowers()
-	p.keeper = &keep.Keeper{
+	p.keeper = &reconcile.Keeper{
 		Engine: p.provider.Engine, Origin: p.provider.Origin, Address: s.Engine, Held: p.held,
 		Own: s.Listen.Peers, Ranked: p.manifestRanking, Plan: p.plan, NewFetch: p.newFetch, AskPeer: p.peerManifest,
 		OnReport: p.publishReport, OnStep: p.logStep,
@@ -244,14 +244,14 @@
 
 // plan returns the plan for an engine that serves the given version, or false while the
 // engine's configuration or the declared versions are not known.
-func (p *Process) plan(loaded int) (keep.Plan, bool) {
+func (p *Process) plan(loaded int) (reconcile.Plan, bool) {
 	config := p.engineConfig.Load()
 	if config == nil || !p.versions.Known() {
-		return keep.Plan{}, false
+		return reconcile.Plan{}, false
 	}
 	model := config.Engine.Model
-	plan := keep.Plan{
-		Goal:   keep.Goal{Model: model, Version: initialVersion, Fence: p.table.Newest()},
+	plan := reconcile.Plan{
+		Goal:   reconcile.Goal{Model: model, Version: initialVersion, Fence: p.table.Newest()},
 		Origin: config.Origin, Places: config.Engine.Places,
 		Chunks: config.Engine.Chunks, ChunkBytes: config.Engine.ChunkBytes,
 		OriginTime: p.originTime(config),
@@ -266,7 +266,7 @@
 }
 
 // goal returns a declared version with the time at which this host's engine may load it.
-func (p *Process) goal(declared *mirror.Declared, loaded int) keep.Goal {
+func (p *Process) goal(declared *mirror.Declared, loaded int) reconcile.Goal {
 	apply := p.current.Load().Bounds.VersionApply.Std()
 	due := time.Time{}
 	for earlier := declared.Before; earlier != nil && earlier.Version > loaded; earlier = earlier.Before {
@@ -277,7 +277,7 @@
 		window = window.After(c.Completed())
 	}
 	rank, hosts := p.rank(declared.Model, declared.Version)
-	return keep.Goal{Model: declared.Model, Version: declared.Version, Fence: p.table.Newest(), Turn: window.Of(rank, hosts)}
+	return reconcile.Goal{Model: declared.Model, Version: declared.Version, Fence: p.table.Newest(), Turn: window.Of(rank, hosts)}
 }
 
 // rank returns this host's rank in the order in which hosts load a version, and their number.
@@ -328,7 +328,7 @@
 
 // manifestRanking returns the loaders in the order in which they query the origin for a
 // version's manifest.
-func (p *Process) manifestRanking(goal keep.Goal) []netip.AddrPort {
+func (p *Process) manifestRanking(goal reconcile.Goal) []netip.AddrPort {
 	key := fmt.Sprintf("manifest of %s/%d", goal.Model, goal.Version)
 	var ranked []netip.AddrPort
 	for _, name := range rendezvous.Rank(key, p.roster().names) {
@@ -337,7 +337,7 @@
 	return ranked
 }
 
-func (p *Process) newFetch(plan keep.Plan, c *swarm.Copy) *swarm.Fetch {
+func (p *Process) newFetch(plan reconcile.Plan, c *swarm.Copy) *swarm.Fetch {
 	rank, _ := p.rank(plan.Goal.Model, plan.Goal.Version)
 	return &swarm.Fetch{
 		First: turn.IsEarly(rank),
