--- a/daemon/internal/version/turn/turn.go
+++ b/daemon/internal/version/schedule/schedule.go
@@ -1,11 +1,11 @@
-// Package turn spreads the loads of a new version over time, because an engine serves nothing
+// Package schedule spreads the loads of a new version over time, because an engine serves nothing
 // while it loads. Package loader computes the scheduled load time of its engine with it.
 //
 // Each host computes its load time from data that all hosts share: the declared versions and
 // the list of hosts. So no coordinator is needed and no host waits for a crashed one. A token
 // that is passed from host to host was rejected, because it is lost with the host that holds
 // it.
-package turn
+package schedule
 
 import (
 	"slices"
--- a/daemon/internal/version/turn/turn_test.go
+++ b/daemon/internal/version/schedule/schedule_test.go
@@ -1,4 +1,4 @@
-package turn_test
+package schedule_test
 
 import (
 	"fmt"
@@ -8,20 +8,20 @@
 	"github.com/stretchr/testify/assert"
 	"pgregory.net/rapid"
 
-	"github.com/wheelcleat/wheelcleat/daemon/internal/version/turn"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/version/schedule"
 )
 
 var declared = time.Unix(1000, 0)
 
 func TestLoadTimesSpreadWithinApplyTime(t *testing.T) {
 	const apply = 8 * time.Second
-	w := turn.NewWindow(declared, apply, time.Time{})
+	w := schedule.NewWindow(declared, apply, time.Time{})
 	assert.True(t, w.First.After(declared))
 	assert.True(t, w.Last.Before(declared.Add(apply)))
 	assert.True(t, w.Early.Before(w.First))
 	for rank := range 10 {
 		switch at := w.Of(rank, 10); {
-		case turn.IsEarly(rank):
+		case schedule.IsEarly(rank):
 			assert.Equal(t, w.Early, at, "as soon as the chunks have arrived")
 		default:
 			assert.True(t, at.After(w.Of(rank-1, 10)), "rank %d", rank)
@@ -37,10 +37,10 @@
 // newer one by the time at which the older one must serve.
 func TestPendingOlderVersionShortensWindow(t *testing.T) {
 	const apply = 8 * time.Second
-	unbounded := turn.NewWindow(declared, apply, time.Time{})
-	due := turn.NewWindow(declared, apply, declared.Add(6*time.Second))
+	unbounded := schedule.NewWindow(declared, apply, time.Time{})
+	due := schedule.NewWindow(declared, apply, declared.Add(6*time.Second))
 	assert.True(t, due.Last.Before(unbounded.Last))
-	late := turn.NewWindow(declared, apply, declared.Add(time.Second))
+	late := schedule.NewWindow(declared, apply, declared.Add(time.Second))
 	assert.Equal(t, late.First, late.Last, "at once when the time has passed")
 }
 
@@ -48,7 +48,7 @@
 // copies were complete only after their load times.
 func TestLateCopiesSpreadOverRestOfWindow(t *testing.T) {
 	const apply, hosts = 13400 * time.Millisecond, 76
-	w := turn.NewWindow(declared, apply, time.Time{})
+	w := schedule.NewWindow(declared, apply, time.Time{})
 	assert.Equal(t, w, w.After(declared.Add(time.Second)), "in time")
 	assert.Equal(t, w, w.After(time.Time{}), "not complete yet")
 	for _, completed := range []time.Duration{8 * time.Second, 11600 * time.Millisecond} {
@@ -66,7 +66,7 @@
 // time beyond what a load takes.
 func TestLoadReserveIsBounded(t *testing.T) {
 	reserve := func(apply time.Duration) time.Duration {
-		return declared.Add(apply).Sub(turn.NewWindow(declared, apply, time.Time{}).Last)
+		return declared.Add(apply).Sub(schedule.NewWindow(declared, apply, time.Time{}).Last)
 	}
 	assert.Equal(t, reserve(8*time.Second), reserve(20*time.Second))
 	assert.Less(t, reserve(2*time.Second), reserve(8*time.Second))
@@ -85,8 +85,8 @@
 		shuffled := rapid.Permutation(hosts).Draw(t, "shuffled")
 		seen := map[int]bool{}
 		for _, host := range hosts {
-			rank := turn.Place(key, host, hosts)
-			assert.Equal(t, rank, turn.Place(key, host, shuffled))
+			rank := schedule.Place(key, host, hosts)
+			assert.Equal(t, rank, schedule.Place(key, host, shuffled))
 			assert.False(t, seen[rank])
 			seen[rank] = true
 		}
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -34,8 +34,8 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/telemetry"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/rendezvous"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/version/reconcile"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/version/schedule"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/version/swarm"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/version/turn"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 	"github.com/wheelcleat/wheelcleat/daemon/settings"
 )
@@ -272,7 +272,7 @@
 	for earlier := declared.Before; earlier != nil && earlier.Version > loaded; earlier = earlier.Before {
 		due = earlier.Since(apply).Add(apply)
 	}
-	window := turn.NewWindow(declared.Since(apply), apply, due)
+	window := schedule.NewWindow(declared.Since(apply), apply, due)
 	if c := p.held.Get(declared.Version); c != nil {
 		window = window.After(c.Completed())
 	}
@@ -340,7 +340,7 @@
 func (p *Process) newFetch(plan reconcile.Plan, c *swarm.Copy) *swarm.Fetch {
 	rank, _ := p.rank(plan.Goal.Model, plan.Goal.Version)
 	return &swarm.Fetch{
-		First: turn.IsEarly(rank),
+		First: schedule.IsEarly(rank),
 		Copy:  c, Model: plan.Goal.Model, Origin: plan.Origin, Source: p.provider.Origin,
 		Own: p.own(), Hosts: p.loaders, Client: p.client, OriginTime: plan.OriginTime,
 		ChunkTime: p.linkTime(plan.ChunkBytes), OnChunk: p.countChunk,
--- a/daemon/loader/roster.go
+++ b/daemon/loader/roster.go
@@ -6,8 +6,8 @@
 	"sync"
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/version/schedule"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/version/swarm"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/version/turn"
 	"github.com/wheelcleat/wheelcleat/daemon/settings"
 )
 
@@ -68,7 +68,7 @@
 	defer r.mu.Unlock()
 	rank, ok := r.ranks[key]
 	if !ok {
-		rank = turn.Place(key, r.names[0], r.names)
+		rank = schedule.Place(key, r.names[0], r.names)
 		r.ranks[key] = rank
 	}
 	return rank
