--- a/daemon/internal/version/pace/pace.go
+++ b/daemon/internal/version/pace/pace.go
@@ -38,8 +38,8 @@
 	outageShare = 1.0 / 16
 )
 
-// Pace is the timeline of one version at one host. It must be started by Begin.
-type Pace struct {
+// Timeline is the timeline of one version at one host. It must be started by Begin.
+type Timeline struct {
 	// Chunks is the number of chunks, and CopyTime how long the origin takes to send all of
 	// them; 0 means that it is not known, and all chunks are due at once.
 	Chunks   int
@@ -62,102 +62,102 @@
 }
 
 // Begin starts the timeline.
-func (p *Pace) Begin(now time.Time) { p.startedAt, p.lastNewAt, p.lastReceivedAt = now, now, now }
+func (t *Timeline) Begin(now time.Time) { t.startedAt, t.lastNewAt, t.lastReceivedAt = now, now, now }
 
 // Since returns the time since the start of the timeline.
-func (p *Pace) Since(now time.Time) time.Duration { return now.Sub(p.startedAt) }
+func (t *Timeline) Since(now time.Time) time.Duration { return now.Sub(t.startedAt) }
 
 // Failed records that the origin failed a request of this host for a chunk.
-func (p *Pace) Failed(index int, now time.Time) {
-	p.grace += max(0, p.Late(index, now))
-	if p.failedAt.IsZero() {
-		p.failedAt = now
+func (t *Timeline) Failed(index int, now time.Time) {
+	t.grace += max(0, t.Late(index, now))
+	if t.failedAt.IsZero() {
+		t.failedAt = now
 	}
 }
 
 // Came records that this host received a chunk. Of the pause before it only the first
 // Standstill counts as overdue time of other chunks.
-func (p *Pace) Came(now time.Time) {
-	if pause := now.Sub(p.lastReceivedAt); p.failedAt.IsZero() && pause > Standstill {
-		p.stalled += pause - Standstill
+func (t *Timeline) Came(now time.Time) {
+	if pause := now.Sub(t.lastReceivedAt); t.failedAt.IsZero() && pause > Standstill {
+		t.stalled += pause - Standstill
 	}
-	p.lastReceivedAt = now
+	t.lastReceivedAt = now
 }
 
 // Seen records that a chunk appeared that no host had before, and that seen chunks have now
 // been seen at any host. It resumes a paused timeline.
-func (p *Pace) Seen(seen int, now time.Time) {
-	if p.isPaused(now) {
-		position := time.Duration(p.Due(now, seen) - lookahead)
-		p.paused = max(p.paused, now.Sub(p.startedAt)-(2*position+1)*p.CopyTime/time.Duration(2*p.Chunks))
+func (t *Timeline) Seen(seen int, now time.Time) {
+	if t.isPaused(now) {
+		position := time.Duration(t.Due(now, seen) - lookahead)
+		t.paused = max(t.paused, now.Sub(t.startedAt)-(2*position+1)*t.CopyTime/time.Duration(2*t.Chunks))
 	}
-	if !p.failedAt.IsZero() {
-		p.grace = max(p.grace, p.CopyTime*stallWindow/time.Duration(p.Chunks))
-		p.failedAt, p.lastReceivedAt = time.Time{}, now
+	if !t.failedAt.IsZero() {
+		t.grace = max(t.grace, t.CopyTime*stallWindow/time.Duration(t.Chunks))
+		t.failedAt, t.lastReceivedAt = time.Time{}, now
 	}
-	p.lastNewAt = now
+	t.lastNewAt = now
 }
 
 // Answered records that the origin sent this host a chunk, which other hosts may have already.
-func (p *Pace) Answered(seen int, now time.Time) {
-	if !p.failedAt.IsZero() {
-		p.Seen(seen, now)
+func (t *Timeline) Answered(seen int, now time.Time) {
+	if !t.failedAt.IsZero() {
+		t.Seen(seen, now)
 	}
 }
 
 // isPaused reports whether the timeline is paused: the origin fails requests of this host, or
 // no new chunk has appeared for longer than Standstill.
-func (p *Pace) isPaused(now time.Time) bool {
-	return !p.failedAt.IsZero() || now.Sub(p.lastNewAt) > Standstill
+func (t *Timeline) isPaused(now time.Time) bool {
+	return !t.failedAt.IsZero() || now.Sub(t.lastNewAt) > Standstill
 }
 
 // Due returns the number of chunks, in index order, that may be requested from the origin by
 // now, given how many were seen at any host. All hosts request chunks in index order at the
 // rate of the origin's link: if each requested all of its chunks at once, they would share the
 // link and even the first chunk would be late.
-func (p *Pace) Due(now time.Time, seen int) int {
-	if p.CopyTime <= 0 {
-		return p.Chunks
+func (t *Timeline) Due(now time.Time, seen int) int {
+	if t.CopyTime <= 0 {
+		return t.Chunks
 	}
-	if !p.isPaused(now) {
-		return p.dueAt(now)
+	if !t.isPaused(now) {
+		return t.dueAt(now)
 	}
-	pausedAt := p.lastNewAt.Add(Standstill)
-	if !p.failedAt.IsZero() && p.failedAt.Before(pausedAt) {
-		pausedAt = p.failedAt
+	pausedAt := t.lastNewAt.Add(Standstill)
+	if !t.failedAt.IsZero() && t.failedAt.Before(pausedAt) {
+		pausedAt = t.failedAt
 	}
-	return min(p.dueAt(pausedAt), seen+stallWindow)
+	return min(t.dueAt(pausedAt), seen+stallWindow)
 }
 
 // dueAt returns the number of chunks that are due at a time while the timeline runs.
-func (p *Pace) dueAt(now time.Time) int {
-	progress := float64(now.Sub(p.startedAt)-p.paused) / float64(p.CopyTime)
-	return min(p.Chunks, int(progress*float64(p.Chunks))+lookahead)
+func (t *Timeline) dueAt(now time.Time) int {
+	progress := float64(now.Sub(t.startedAt)-t.paused) / float64(t.CopyTime)
+	return min(t.Chunks, int(progress*float64(t.Chunks))+lookahead)
 }
 
 // UnderWay returns how long the origin takes to send the chunks that are requested at once.
-func (p *Pace) UnderWay() time.Duration {
-	return p.CopyTime * lookahead / time.Duration(max(p.Chunks, 1))
+func (t *Timeline) UnderWay() time.Duration {
+	return t.CopyTime * lookahead / time.Duration(max(t.Chunks, 1))
 }
 
 // Late returns for how long a chunk from the origin is overdue, negative if it is not due yet.
-func (p *Pace) Late(index int, now time.Time) time.Duration {
-	counted := time.Duration(outageShare * float64(p.outage(now)))
-	return p.Waited(index, now) - p.outage(now) - p.grace + counted
+func (t *Timeline) Late(index int, now time.Time) time.Duration {
+	counted := time.Duration(outageShare * float64(t.outage(now)))
+	return t.Waited(index, now) - t.outage(now) - t.grace + counted
 }
 
 // Waited returns for how long a chunk that another host has is overdue. Failures of the origin
 // do not reduce it, because they are not the cause.
-func (p *Pace) Waited(index int, now time.Time) time.Duration {
-	dueAfter := p.CopyTime * time.Duration(index+1) / time.Duration(p.Chunks)
-	return now.Sub(p.startedAt) - dueAfter - p.paused - p.stalled
+func (t *Timeline) Waited(index int, now time.Time) time.Duration {
+	dueAfter := t.CopyTime * time.Duration(index+1) / time.Duration(t.Chunks)
+	return now.Sub(t.startedAt) - dueAfter - t.paused - t.stalled
 }
 
 // outage returns for how long the origin has failed requests of this host, 0 while it answers
 // them.
-func (p *Pace) outage(now time.Time) time.Duration {
-	if p.failedAt.IsZero() {
+func (t *Timeline) outage(now time.Time) time.Duration {
+	if t.failedAt.IsZero() {
 		return 0
 	}
-	return now.Sub(p.failedAt)
+	return now.Sub(t.failedAt)
 }
--- a/daemon/internal/version/pace/pace_test.go
+++ b/daemon/internal/version/pace/pace_test.go
@@ -23,25 +23,25 @@
 // it, and none is so overdue that other hosts take over.
 func TestTimelineResumesWhereAnOutageStoppedIt(t *testing.T) {
 	start := time.Unix(1000, 0)
-	p := &pace.Pace{Chunks: chunks, CopyTime: copyTime}
-	p.Begin(start)
+	timeline := &pace.Timeline{Chunks: chunks, CopyTime: copyTime}
+	timeline.Begin(start)
 	now := start
 	for range 20 {
 		now = now.Add(chunkGap)
-		p.Came(now)
-		p.Seen(20, now)
+		timeline.Came(now)
+		timeline.Seen(20, now)
 	}
-	dueBefore := p.Due(now, 20)
-	p.Failed(20, now)
+	dueBefore := timeline.Due(now, 20)
+	timeline.Failed(20, now)
 	now = now.Add(6 * time.Second)
-	assert.LessOrEqual(t, p.Due(now, 20), dueBefore)
-	assert.Less(t, p.Late(20, now), takeover)
+	assert.LessOrEqual(t, timeline.Due(now, 20), dueBefore)
+	assert.Less(t, timeline.Late(20, now), takeover)
 
-	p.Seen(21, now) // another host reports a new chunk
-	assert.Equal(t, dueBefore, p.Due(now, 21))
-	assert.LessOrEqual(t, p.Late(20, now), time.Duration(0))
+	timeline.Seen(21, now) // another host reports a new chunk
+	assert.Equal(t, dueBefore, timeline.Due(now, 21))
+	assert.LessOrEqual(t, timeline.Late(20, now), time.Duration(0))
 	now = now.Add(10 * chunkGap)
-	assert.Equal(t, dueBefore+10, p.Due(now, 21), "the timeline runs at the origin's rate without further reports")
+	assert.Equal(t, dueBefore+10, timeline.Due(now, 21), "the timeline runs at the origin's rate without further reports")
 }
 
 // TestChunkOfCrashedHostBecomesOverdueDuringOutage guards against a chunk that no host ever
@@ -49,12 +49,12 @@
 // within 5 s and any other within 16 s, although the origin keeps failing.
 func TestChunkOfCrashedHostBecomesOverdueDuringOutage(t *testing.T) {
 	start := time.Unix(1000, 0)
-	p := &pace.Pace{Chunks: chunks, CopyTime: copyTime}
-	p.Begin(start)
-	p.Failed(0, start)
-	assert.Less(t, p.Late(0, start.Add(3*time.Second)), earlyTakeover)
-	assert.Greater(t, p.Late(0, start.Add(5*time.Second)), earlyTakeover)
-	assert.Greater(t, p.Late(0, start.Add(16*time.Second)), takeover)
+	timeline := &pace.Timeline{Chunks: chunks, CopyTime: copyTime}
+	timeline.Begin(start)
+	timeline.Failed(0, start)
+	assert.Less(t, timeline.Late(0, start.Add(3*time.Second)), earlyTakeover)
+	assert.Greater(t, timeline.Late(0, start.Add(5*time.Second)), earlyTakeover)
+	assert.Greater(t, timeline.Late(0, start.Add(16*time.Second)), takeover)
 }
 
 // TestTakeoverWaitsAnewAfterOriginFailure: a host whose takeover fails knows that the origin and
@@ -62,62 +62,62 @@
 // origin recovers.
 func TestTakeoverWaitsAnewAfterOriginFailure(t *testing.T) {
 	start := time.Unix(1000, 0)
-	p := &pace.Pace{Chunks: chunks, CopyTime: copyTime}
-	p.Begin(start)
+	timeline := &pace.Timeline{Chunks: chunks, CopyTime: copyTime}
+	timeline.Begin(start)
 	now := start.Add(2 * time.Second)
-	assert.Greater(t, p.Late(0, now), takeover)
-	p.Failed(0, now)
-	assert.LessOrEqual(t, p.Late(0, now.Add(6*time.Second)), takeover/2)
-	assert.Greater(t, p.Waited(0, now.Add(6*time.Second)), 7*time.Second, "a chunk that a peer has stays overdue")
-	p.Answered(5, now.Add(6*time.Second))
-	assert.LessOrEqual(t, p.Late(0, now.Add(6*time.Second)), time.Duration(0))
+	assert.Greater(t, timeline.Late(0, now), takeover)
+	timeline.Failed(0, now)
+	assert.LessOrEqual(t, timeline.Late(0, now.Add(6*time.Second)), takeover/2)
+	assert.Greater(t, timeline.Waited(0, now.Add(6*time.Second)), 7*time.Second, "a chunk that a peer has stays overdue")
+	timeline.Answered(5, now.Add(6*time.Second))
+	assert.LessOrEqual(t, timeline.Late(0, now.Add(6*time.Second)), time.Duration(0))
 }
 
 // TestLocalStallCountsUntilNextChunk: while other hosts have the chunks, the whole stall of this
 // host counts as overdue time; once a chunk arrives only the first Standstill of it does.
 func TestLocalStallCountsUntilNextChunk(t *testing.T) {
 	start := time.Unix(1000, 0)
-	p := &pace.Pace{Chunks: chunks, CopyTime: copyTime}
-	p.Begin(start)
+	timeline := &pace.Timeline{Chunks: chunks, CopyTime: copyTime}
+	timeline.Begin(start)
 	now := start
 	for i := range chunks {
 		now = now.Add(chunkGap)
-		p.Seen(i+1, now)
+		timeline.Seen(i+1, now)
 	}
-	assert.Equal(t, chunks, p.Due(now, chunks))
-	assert.Equal(t, now.Sub(start)-chunkGap, p.Late(0, now))
-	p.Came(now)
-	assert.Equal(t, pace.Standstill-chunkGap, p.Late(0, now))
+	assert.Equal(t, chunks, timeline.Due(now, chunks))
+	assert.Equal(t, now.Sub(start)-chunkGap, timeline.Late(0, now))
+	timeline.Came(now)
+	assert.Equal(t, pace.Standstill-chunkGap, timeline.Late(0, now))
 }
 
 // TestPausedTimelineBoundsChunksDue: a host that sees no new chunk, and no failure of the origin
 // either, requests a few more chunks and no more than these however long the pause is.
 func TestPausedTimelineBoundsChunksDue(t *testing.T) {
 	start := time.Unix(1000, 0)
-	p := &pace.Pace{Chunks: chunks, CopyTime: copyTime}
-	p.Begin(start)
+	timeline := &pace.Timeline{Chunks: chunks, CopyTime: copyTime}
+	timeline.Begin(start)
 	now := start.Add(copyTime / 4)
-	p.Seen(10, now)
-	assert.LessOrEqual(t, p.Due(now.Add(6*time.Second), 10), 10+24)
-	assert.Greater(t, p.Late(0, now.Add(6*time.Second)), 6*time.Second, "the assigned host may have crashed")
+	timeline.Seen(10, now)
+	assert.LessOrEqual(t, timeline.Due(now.Add(6*time.Second), 10), 10+24)
+	assert.Greater(t, timeline.Late(0, now.Add(6*time.Second)), 6*time.Second, "the assigned host may have crashed")
 	now = now.Add(6 * time.Second)
-	p.Seen(11, now)
-	due := p.Due(now, 11)
+	timeline.Seen(11, now)
+	due := timeline.Due(now, 11)
 	assert.LessOrEqual(t, due, 11+24)
-	assert.Equal(t, due+8, p.Due(now.Add(8*chunkGap), 11), "the timeline has resumed")
+	assert.Equal(t, due+8, timeline.Due(now.Add(8*chunkGap), 11), "the timeline has resumed")
 }
 
 func TestAllChunksAreDueWhereCopyTimeIsUnknown(t *testing.T) {
-	p := &pace.Pace{Chunks: chunks}
-	p.Begin(time.Unix(1000, 0))
-	assert.Equal(t, chunks, p.Due(time.Unix(1000, 0), 0))
+	timeline := &pace.Timeline{Chunks: chunks}
+	timeline.Begin(time.Unix(1000, 0))
+	assert.Equal(t, chunks, timeline.Due(time.Unix(1000, 0), 0))
 }
 
 // TestInFlightTimeFollowsCopyTime also covers an unknown copy time, which gives 0.
 func TestInFlightTimeFollowsCopyTime(t *testing.T) {
-	fast := &pace.Pace{Chunks: 96, CopyTime: 2580 * time.Millisecond}
-	slow := &pace.Pace{Chunks: 96, CopyTime: 4310 * time.Millisecond}
+	fast := &pace.Timeline{Chunks: 96, CopyTime: 2580 * time.Millisecond}
+	slow := &pace.Timeline{Chunks: 96, CopyTime: 4310 * time.Millisecond}
 	assert.InDelta(t, 0.32, fast.UnderWay().Seconds(), 0.01)
 	assert.InDelta(t, 0.54, slow.UnderWay().Seconds(), 0.01)
-	assert.Zero(t, (&pace.Pace{}).UnderWay())
+	assert.Zero(t, (&pace.Timeline{}).UnderWay())
 }
--- a/daemon/internal/version/swarm/assignment.go
+++ b/daemon/internal/version/swarm/assignment.go
@@ -30,7 +30,7 @@
 // count as live.
 func (f *Fetch) liveHosts(now time.Time) []Host {
 	peers := f.currentPeers()
-	if f.pace.Since(now) < peerTimeout {
+	if f.timeline.Since(now) < peerTimeout {
 		return peers.hosts
 	}
 	return slices.DeleteFunc(slices.Clone(peers.hosts), func(host Host) bool {
@@ -118,7 +118,7 @@
 
 // peersReported reports whether the neighbours have had time to report their chunks.
 func (f *Fetch) peersReported(now time.Time) bool {
-	return f.pace.Since(now) > settleTime || len(f.neighbours) >= len(f.currentPeers().neighbours)
+	return f.timeline.Since(now) > settleTime || len(f.neighbours) >= len(f.currentPeers().neighbours)
 }
 
 // offeredInHall reports whether a responsive neighbour in this hall has the chunk.
@@ -149,7 +149,7 @@
 	if f.offered(index) {
 		return f.peerOverdue(index, now) > wait+delay
 	}
-	return a.isPrimary() || f.pace.Late(index, now) > wait
+	return a.isPrimary() || f.timeline.Late(index, now) > wait
 }
 
 // minEarlyWait returns how long an early host waits at least for an overdue chunk: the time
@@ -157,7 +157,7 @@
 // the hop through another host. A shorter wait would fetch chunks twice from a slow origin.
 func (f *Fetch) minEarlyWait() time.Duration {
 	const margin = 1.2
-	return time.Duration(margin * float64(f.pace.UnderWay()))
+	return time.Duration(margin * float64(f.timeline.UnderWay()))
 }
 
 func (f *Fetch) scanDone() bool {
@@ -175,7 +175,7 @@
 // peerOverdue returns how long this host has been waiting for a chunk that another host has:
 // the time since the chunk was due or was first seen there, whichever is later.
 func (f *Fetch) peerOverdue(index int, now time.Time) time.Duration {
-	overdue := f.pace.Waited(index, now)
+	overdue := f.timeline.Waited(index, now)
 	if seen, ok := f.seenAt[index]; ok {
 		overdue = min(overdue, now.Sub(seen))
 	}
--- a/daemon/internal/version/swarm/fetch.go
+++ b/daemon/internal/version/swarm/fetch.go
@@ -119,8 +119,8 @@
 	// It may be nil.
 	OnChunk func(index int, chunk []byte, from string)
 
-	// pace is the version's timeline at this host; mu guards it.
-	pace pace.Pace
+	// timeline is the schedule of this fetch; mu guards it.
+	timeline pace.Timeline
 	// maxSeen is the highest number of chunks that were seen at any host.
 	maxSeen int
 	// seenAt is when each chunk was first seen at another host.
@@ -159,8 +159,8 @@
 
 // Run fetches until the copy is complete, the context ends, or the manifest proves wrong.
 func (f *Fetch) Run(ctx context.Context) error {
-	f.pace = pace.Pace{Chunks: len(f.Copy.Manifest.Digests), CopyTime: f.OriginTime}
-	f.pace.Begin(clock.Now())
+	f.timeline = pace.Timeline{Chunks: len(f.Copy.Manifest.Digests), CopyTime: f.OriginTime}
+	f.timeline.Begin(clock.Now())
 	f.neighbours = map[netip.AddrPort]*neighbour{}
 	f.inFlight = map[int]bool{}
 	f.seenAt = map[int]time.Time{}
@@ -274,7 +274,7 @@
 func (f *Fetch) updateSeen(now time.Time) {
 	if seen := f.seen(); seen > f.maxSeen {
 		f.maxSeen = seen
-		f.pace.Seen(seen, now)
+		f.timeline.Seen(seen, now)
 	}
 }
 
@@ -284,9 +284,9 @@
 func (f *Fetch) recordChunk(index int, chunk []byte, from string) {
 	f.mu.Lock()
 	now := clock.Now()
-	f.pace.Came(now)
+	f.timeline.Came(now)
 	if from == FromOrigin {
-		f.pace.Answered(f.seen(), now)
+		f.timeline.Answered(f.seen(), now)
 	}
 	f.updateSeen(now)
 	f.mu.Unlock()
--- a/daemon/internal/version/swarm/fromorigin.go
+++ b/daemon/internal/version/swarm/fromorigin.go
@@ -26,7 +26,7 @@
 	}
 	if !errors.Is(err, errDigest) {
 		f.mu.Lock()
-		f.pace.Failed(index, clock.Now())
+		f.timeline.Failed(index, clock.Now())
 		f.mu.Unlock()
 		// The chunk is not in flight during the delay, so that it may come from a peer.
 		helpers.Pause(rand.N(peerRetryDelay), ctx.Done())
@@ -68,7 +68,7 @@
 	have := f.Copy.Have()
 	backup := -1
 	candidates := 0
-	for index := range have[:f.pace.Due(now, f.seen())] {
+	for index := range have[:f.timeline.Due(now, f.seen())] {
 		if have[index] || f.inFlight[index] || !f.fetchesFromOrigin(index, now) {
 			continue
 		}
