--- a/daemon/internal/version/pace/pace.go
+++ b/daemon/internal/version/pace/pace.go
@@ -38,7 +38,7 @@
 	outageShare = 1.0 / 16
 )
 
-// Timeline is the timeline of one version at one host. It must be started by Begin.
+// Timeline is the timeline of one version at one host. It must be started by Start.
 type Timeline struct {
 	// Chunks is the number of chunks, and CopyTime how long the origin takes to send all of
 	// them; 0 means that it is not known, and all chunks are due at once.
@@ -61,8 +61,8 @@
 	grace time.Duration
 }
 
-// Begin starts the timeline.
-func (t *Timeline) Begin(now time.Time) { t.startedAt, t.lastNewAt, t.lastReceivedAt = now, now, now }
+// Start starts the timeline.
+func (t *Timeline) Start(now time.Time) { t.startedAt, t.lastNewAt, t.lastReceivedAt = now, now, now }
 
 // Since returns the time since the start of the timeline.
 func (t *Timeline) Since(now time.Time) time.Duration { return now.Sub(t.startedAt) }
--- a/daemon/internal/version/pace/pace_test.go
+++ b/daemon/internal/version/pace/pace_test.go
@@ -24,7 +24,7 @@
 func TestTimelineResumesWhereAnOutageStoppedIt(t *testing.T) {
 	start := time.Unix(1000, 0)
 	timeline := &pace.Timeline{Chunks: chunks, CopyTime: copyTime}
-	timeline.Begin(start)
+	timeline.Start(start)
 	now := start
 	for range 20 {
 		now = now.Add(chunkGap)
@@ -50,7 +50,7 @@
 func TestChunkOfCrashedHostBecomesOverdueDuringOutage(t *testing.T) {
 	start := time.Unix(1000, 0)
 	timeline := &pace.Timeline{Chunks: chunks, CopyTime: copyTime}
-	timeline.Begin(start)
+	timeline.Start(start)
 	timeline.Failed(0, start)
 	assert.Less(t, timeline.Late(0, start.Add(3*time.Second)), earlyTakeover)
 	assert.Greater(t, timeline.Late(0, start.Add(5*time.Second)), earlyTakeover)
@@ -63,7 +63,7 @@
 func TestTakeoverWaitsAnewAfterOriginFailure(t *testing.T) {
 	start := time.Unix(1000, 0)
 	timeline := &pace.Timeline{Chunks: chunks, CopyTime: copyTime}
-	timeline.Begin(start)
+	timeline.Start(start)
 	now := start.Add(2 * time.Second)
 	assert.Greater(t, timeline.Late(0, now), takeover)
 	timeline.Failed(0, now)
@@ -78,7 +78,7 @@
 func TestLocalStallCountsUntilNextChunk(t *testing.T) {
 	start := time.Unix(1000, 0)
 	timeline := &pace.Timeline{Chunks: chunks, CopyTime: copyTime}
-	timeline.Begin(start)
+	timeline.Start(start)
 	now := start
 	for i := range chunks {
 		now = now.Add(chunkGap)
@@ -95,7 +95,7 @@
 func TestPausedTimelineBoundsChunksDue(t *testing.T) {
 	start := time.Unix(1000, 0)
 	timeline := &pace.Timeline{Chunks: chunks, CopyTime: copyTime}
-	timeline.Begin(start)
+	timeline.Start(start)
 	now := start.Add(copyTime / 4)
 	timeline.Seen(10, now)
 	assert.LessOrEqual(t, timeline.Due(now.Add(6*time.Second), 10), 10+24)
@@ -109,7 +109,7 @@
 
 func TestAllChunksAreDueWhereCopyTimeIsUnknown(t *testing.T) {
 	timeline := &pace.Timeline{Chunks: chunks}
-	timeline.Begin(time.Unix(1000, 0))
+	timeline.Start(time.Unix(1000, 0))
 	assert.Equal(t, chunks, timeline.Due(time.Unix(1000, 0), 0))
 }
 
--- a/daemon/internal/version/swarm/fetch.go
+++ b/daemon/internal/version/swarm/fetch.go
@@ -160,7 +160,7 @@
 // Run fetches until the copy is complete, the context ends, or the manifest proves wrong.
 func (f *Fetch) Run(ctx context.Context) error {
 	f.timeline = pace.Timeline{Chunks: len(f.Copy.Manifest.Digests), CopyTime: f.OriginTime}
-	f.timeline.Begin(clock.Now())
+	f.timeline.Start(clock.Now())
 	f.neighbours = map[netip.AddrPort]*neighbour{}
 	f.inFlight = map[int]bool{}
 	f.seenAt = map[int]time.Time{}
