--- a/daemon/internal/version/pace/pace.go
+++ b/daemon/internal/version/pace/pace.go
@@ -64,8 +64,8 @@
 // Start starts the timeline.
 func (t *Timeline) Start(now time.Time) { t.startedAt, t.lastNewAt, t.lastReceivedAt = now, now, now }
 
-// Since returns the time since the start of the timeline.
-func (t *Timeline) Since(now time.Time) time.Duration { return now.Sub(t.startedAt) }
+// Elapsed returns the time since the start of the timeline.
+func (t *Timeline) Elapsed(now time.Time) time.Duration { return now.Sub(t.startedAt) }
 
 // Failed records that the origin failed a request of this host for a chunk.
 func (t *Timeline) Failed(index int, now time.Time) {
--- a/daemon/internal/version/swarm/assignment.go
+++ b/daemon/internal/version/swarm/assignment.go
@@ -30,7 +30,7 @@
 // count as live.
 func (f *Fetch) liveHosts(now time.Time) []Host {
 	peers := f.currentPeers()
-	if f.timeline.Since(now) < peerTimeout {
+	if f.timeline.Elapsed(now) < peerTimeout {
 		return peers.hosts
 	}
 	return slices.DeleteFunc(slices.Clone(peers.hosts), func(host Host) bool {
@@ -118,7 +118,7 @@
 
 // peersReported reports whether the neighbours have had time to report their chunks.
 func (f *Fetch) peersReported(now time.Time) bool {
-	return f.timeline.Since(now) > settleTime || len(f.neighbours) >= len(f.currentPeers().neighbours)
+	return f.timeline.Elapsed(now) > settleTime || len(f.neighbours) >= len(f.currentPeers().neighbours)
 }
 
 // offeredInHall reports whether a responsive neighbour in this hall has the chunk.
