--- a/daemon/internal/version/pace/pace.go
+++ b/daemon/internal/version/pace/pace.go
@@ -67,8 +67,8 @@
 // Elapsed returns the time since the start of the timeline.
 func (t *Timeline) Elapsed(now time.Time) time.Duration { return now.Sub(t.startedAt) }
 
-// Failed records that the origin failed a request of this host for a chunk.
-func (t *Timeline) Failed(index int, now time.Time) {
+// OriginFailed records that the origin failed a request of this host for a chunk.
+func (t *Timeline) OriginFailed(index int, now time.Time) {
 	t.grace += max(0, t.Late(index, now))
 	if t.failedAt.IsZero() {
 		t.failedAt = now
--- a/daemon/internal/version/pace/pace_test.go
+++ b/daemon/internal/version/pace/pace_test.go
@@ -32,7 +32,7 @@
 		timeline.Seen(20, now)
 	}
 	dueBefore := timeline.Due(now, 20)
-	timeline.Failed(20, now)
+	timeline.OriginFailed(20, now)
 	now = now.Add(6 * time.Second)
 	assert.LessOrEqual(t, timeline.Due(now, 20), dueBefore)
 	assert.Less(t, timeline.Late(20, now), takeover)
@@ -51,7 +51,7 @@
 	start := time.Unix(1000, 0)
 	timeline := &pace.Timeline{Chunks: chunks, CopyTime: copyTime}
 	timeline.Start(start)
-	timeline.Failed(0, start)
+	timeline.OriginFailed(0, start)
 	assert.Less(t, timeline.Late(0, start.Add(3*time.Second)), earlyTakeover)
 	assert.Greater(t, timeline.Late(0, start.Add(5*time.Second)), earlyTakeover)
 	assert.Greater(t, timeline.Late(0, start.Add(16*time.Second)), takeover)
@@ -66,7 +66,7 @@
 	timeline.Start(start)
 	now := start.Add(2 * time.Second)
 	assert.Greater(t, timeline.Late(0, now), takeover)
-	timeline.Failed(0, now)
+	timeline.OriginFailed(0, now)
 	assert.LessOrEqual(t, timeline.Late(0, now.Add(6*time.Second)), takeover/2)
 	assert.Greater(t, timeline.Waited(0, now.Add(6*time.Second)), 7*time.Second, "a chunk that a peer has stays overdue")
 	timeline.Answered(5, now.Add(6*time.Second))
--- a/daemon/internal/version/swarm/fromorigin.go
+++ b/daemon/internal/version/swarm/fromorigin.go
@@ -26,7 +26,7 @@
 	}
 	if !errors.Is(err, errDigest) {
 		f.mu.Lock()
-		f.timeline.Failed(index, clock.Now())
+		f.timeline.OriginFailed(index, clock.Now())
 		f.mu.Unlock()
 		// The chunk is not in flight during the delay, so that it may come from a peer.
 		helpers.Pause(rand.N(peerRetryDelay), ctx.Done())
