--- a/daemon/internal/version/pace/pace.go
+++ b/daemon/internal/version/pace/pace.go
@@ -75,9 +75,9 @@
 	}
 }
 
-// Came records that this host received a chunk. Of the pause before it only the first
+// ChunkReceived records that this host received a chunk. Of the pause before it only the first
 // Standstill counts as overdue time of other chunks.
-func (t *Timeline) Came(now time.Time) {
+func (t *Timeline) ChunkReceived(now time.Time) {
 	if pause := now.Sub(t.lastReceivedAt); t.failedAt.IsZero() && pause > Standstill {
 		t.stalled += pause - Standstill
 	}
--- a/daemon/internal/version/pace/pace_test.go
+++ b/daemon/internal/version/pace/pace_test.go
@@ -28,7 +28,7 @@
 	now := start
 	for range 20 {
 		now = now.Add(chunkGap)
-		timeline.Came(now)
+		timeline.ChunkReceived(now)
 		timeline.Seen(20, now)
 	}
 	dueBefore := timeline.Due(now, 20)
@@ -86,7 +86,7 @@
 	}
 	assert.Equal(t, chunks, timeline.Due(now, chunks))
 	assert.Equal(t, now.Sub(start)-chunkGap, timeline.Late(0, now))
-	timeline.Came(now)
+	timeline.ChunkReceived(now)
 	assert.Equal(t, pace.Standstill-chunkGap, timeline.Late(0, now))
 }
 
--- a/daemon/internal/version/swarm/fetch.go
+++ b/daemon/internal/version/swarm/fetch.go
@@ -284,7 +284,7 @@
 func (f *Fetch) recordChunk(index int, chunk []byte, from string) {
 	f.mu.Lock()
 	now := clock.Now()
-	f.timeline.Came(now)
+	f.timeline.ChunkReceived(now)
 	if from == FromOrigin {
 		f.timeline.Answered(f.seen(), now)
 	}
