--- a/daemon/internal/version/pace/pace.go
+++ b/daemon/internal/version/pace/pace.go
@@ -84,9 +84,9 @@
 	t.lastReceivedAt = now
 }
 
-// Seen records that a chunk appeared that no host had before, and that seen chunks have now
+// NewChunkSeen records that a chunk appeared that no host had before, and that seen chunks have now
 // been seen at any host. It resumes a paused timeline.
-func (t *Timeline) Seen(seen int, now time.Time) {
+func (t *Timeline) NewChunkSeen(seen int, now time.Time) {
 	if t.isPaused(now) {
 		position := time.Duration(t.Due(now, seen) - lookahead)
 		t.paused = max(t.paused, now.Sub(t.startedAt)-(2*position+1)*t.CopyTime/time.Duration(2*t.Chunks))
@@ -101,7 +101,7 @@
 // Answered records that the origin sent this host a chunk, which other hosts may have already.
 func (t *Timeline) Answered(seen int, now time.Time) {
 	if !t.failedAt.IsZero() {
-		t.Seen(seen, now)
+		t.NewChunkSeen(seen, now)
 	}
 }
 
--- a/daemon/internal/version/pace/pace_test.go
+++ b/daemon/internal/version/pace/pace_test.go
@@ -29,7 +29,7 @@
 	for range 20 {
 		now = now.Add(chunkGap)
 		timeline.ChunkReceived(now)
-		timeline.Seen(20, now)
+		timeline.NewChunkSeen(20, now)
 	}
 	dueBefore := timeline.Due(now, 20)
 	timeline.OriginFailed(20, now)
@@ -37,7 +37,7 @@
 	assert.LessOrEqual(t, timeline.Due(now, 20), dueBefore)
 	assert.Less(t, timeline.Late(20, now), takeover)
 
-	timeline.Seen(21, now) // another host reports a new chunk
+	timeline.NewChunkSeen(21, now) // another host reports a new chunk
 	assert.Equal(t, dueBefore, timeline.Due(now, 21))
 	assert.LessOrEqual(t, timeline.Late(20, now), time.Duration(0))
 	now = now.Add(10 * chunkGap)
@@ -82,7 +82,7 @@
 	now := start
 	for i := range chunks {
 		now = now.Add(chunkGap)
-		timeline.Seen(i+1, now)
+		timeline.NewChunkSeen(i+1, now)
 	}
 	assert.Equal(t, chunks, timeline.Due(now, chunks))
 	assert.Equal(t, now.Sub(start)-chunkGap, timeline.Late(0, now))
@@ -97,11 +97,11 @@
 	timeline := &pace.Timeline{Chunks: chunks, CopyTime: copyTime}
 	timeline.Start(start)
 	now := start.Add(copyTime / 4)
-	timeline.Seen(10, now)
+	timeline.NewChunkSeen(10, now)
 	assert.LessOrEqual(t, timeline.Due(now.Add(6*time.Second), 10), 10+24)
 	assert.Greater(t, timeline.Late(0, now.Add(6*time.Second)), 6*time.Second, "the assigned host may have crashed")
 	now = now.Add(6 * time.Second)
-	timeline.Seen(11, now)
+	timeline.NewChunkSeen(11, now)
 	due := timeline.Due(now, 11)
 	assert.LessOrEqual(t, due, 11+24)
 	assert.Equal(t, due+8, timeline.Due(now.Add(8*chunkGap), 11), "the timeline has resumed")
--- a/daemon/internal/version/swarm/fetch.go
+++ b/daemon/internal/version/swarm/fetch.go
@@ -274,7 +274,7 @@
 func (f *Fetch) updateSeen(now time.Time) {
 	if seen := f.seen(); seen > f.maxSeen {
 		f.maxSeen = seen
-		f.timeline.Seen(seen, now)
+		f.timeline.NewChunkSeen(seen, now)
 	}
 }
 
