--- a/daemon/internal/version/pace/pace.go
+++ b/daemon/internal/version/pace/pace.go
@@ -98,8 +98,8 @@
 	t.lastNewAt = now
 }
 
-// Answered records that the origin sent this host a chunk, which other hosts may have already.
-func (t *Timeline) Answered(seen int, now time.Time) {
+// OriginAnswered records that the origin sent this host a chunk, which other hosts may have already.
+func (t *Timeline) OriginAnswered(seen int, now time.Time) {
 	if !t.failedAt.IsZero() {
 		t.NewChunkSeen(seen, now)
 	}
--- a/daemon/internal/version/pace/pace_test.go
+++ b/daemon/internal/version/pace/pace_test.go
@@ -69,7 +69,7 @@
 	timeline.OriginFailed(0, now)
 	assert.LessOrEqual(t, timeline.Late(0, now.Add(6*time.Second)), takeover/2)
 	assert.Greater(t, timeline.Waited(0, now.Add(6*time.Second)), 7*time.Second, "a chunk that a peer has stays overdue")
-	timeline.Answered(5, now.Add(6*time.Second))
+	timeline.OriginAnswered(5, now.Add(6*time.Second))
 	assert.LessOrEqual(t, timeline.Late(0, now.Add(6*time.Second)), time.Duration(0))
 }
 
--- a/daemon/internal/version/swarm/fetch.go
+++ b/daemon/internal/version/swarm/fetch.go
@@ -286,7 +286,7 @@
 	now := clock.Now()
 	f.timeline.ChunkReceived(now)
 	if from == FromOrigin {
-		f.timeline.Answered(f.seen(), now)
+		f.timeline.OriginAnswered(f.seen(), now)
 	}
 	f.updateSeen(now)
 	f.mu.Unlock()
