--- a/daemon/internal/version/pace/pace.go
+++ b/daemon/internal/version/pace/pace.go
@@ -88,7 +88,7 @@
 // been seen at any host. It resumes a paused timeline.
 func (t *Timeline) NewChunkSeen(seen int, now time.Time) {
 	if t.isPaused(now) {
-		position := time.Duration(t.Due(now, seen) - lookahead)
+		position := time.Duration(t.DueChunks(now, seen) - lookahead)
 		t.paused = max(t.paused, now.Sub(t.startedAt)-(2*position+1)*t.CopyTime/time.Duration(2*t.Chunks))
 	}
 	if !t.failedAt.IsZero() {
@@ -111,11 +111,11 @@
 	return !t.failedAt.IsZero() || now.Sub(t.lastNewAt) > Standstill
 }
 
-// Due returns the number of chunks, in index order, that may be requested from the origin by
+// DueChunks returns the number of chunks, in index order, that may be requested from the origin by
 // now, given how many were seen at any host. All hosts request chunks in index order at the
 // rate of the origin's link: if each requested all of its chunks at once, they would share the
 // link and even the first chunk would be late.
-func (t *Timeline) Due(now time.Time, seen int) int {
+func (t *Timeline) DueChunks(now time.Time, seen int) int {
 	if t.CopyTime <= 0 {
 		return t.Chunks
 	}
--- a/daemon/internal/version/pace/pace_test.go
+++ b/daemon/internal/version/pace/pace_test.go
@@ -31,17 +31,17 @@
 		timeline.ChunkReceived(now)
 		timeline.NewChunkSeen(20, now)
 	}
-	dueBefore := timeline.Due(now, 20)
+	dueBefore := timeline.DueChunks(now, 20)
 	timeline.OriginFailed(20, now)
 	now = now.Add(6 * time.Second)
-	assert.LessOrEqual(t, timeline.Due(now, 20), dueBefore)
+	assert.LessOrEqual(t, timeline.DueChunks(now, 20), dueBefore)
 	assert.Less(t, timeline.Late(20, now), takeover)
 
 	timeline.NewChunkSeen(21, now) // another host reports a new chunk
-	assert.Equal(t, dueBefore, timeline.Due(now, 21))
+	assert.Equal(t, dueBefore, timeline.DueChunks(now, 21))
 	assert.LessOrEqual(t, timeline.Late(20, now), time.Duration(0))
 	now = now.Add(10 * chunkGap)
-	assert.Equal(t, dueBefore+10, timeline.Due(now, 21), "the timeline runs at the origin's rate without further reports")
+	assert.Equal(t, dueBefore+10, timeline.DueChunks(now, 21), "the timeline runs at the origin's rate without further reports")
 }
 
 // TestChunkOfCrashedHostBecomesOverdueDuringOutage guards against a chunk that no host ever
@@ -84,7 +84,7 @@
 		now = now.Add(chunkGap)
 		timeline.NewChunkSeen(i+1, now)
 	}
-	assert.Equal(t, chunks, timeline.Due(now, chunks))
+	assert.Equal(t, chunks, timeline.DueChunks(now, chunks))
 	assert.Equal(t, now.Sub(start)-chunkGap, timeline.Late(0, now))
 	timeline.ChunkReceived(now)
 	assert.Equal(t, pace.Standstill-chunkGap, timeline.Late(0, now))
@@ -98,19 +98,19 @@
 	timeline.Start(start)
 	now := start.Add(copyTime / 4)
 	timeline.NewChunkSeen(10, now)
-	assert.LessOrEqual(t, timeline.Due(now.Add(6*time.Second), 10), 10+24)
+	assert.LessOrEqual(t, timeline.DueChunks(now.Add(6*time.Second), 10), 10+24)
 	assert.Greater(t, timeline.Late(0, now.Add(6*time.Second)), 6*time.Second, "the assigned host may have crashed")
 	now = now.Add(6 * time.Second)
 	timeline.NewChunkSeen(11, now)
-	due := timeline.Due(now, 11)
+	due := timeline.DueChunks(now, 11)
 	assert.LessOrEqual(t, due, 11+24)
-	assert.Equal(t, due+8, timeline.Due(now.Add(8*chunkGap), 11), "the timeline has resumed")
+	assert.Equal(t, due+8, timeline.DueChunks(now.Add(8*chunkGap), 11), "the timeline has resumed")
 }
 
 func TestAllChunksAreDueWhereCopyTimeIsUnknown(t *testing.T) {
 	timeline := &pace.Timeline{Chunks: chunks}
 	timeline.Start(time.Unix(1000, 0))
-	assert.Equal(t, chunks, timeline.Due(time.Unix(1000, 0), 0))
+	assert.Equal(t, chunks, timeline.DueChunks(time.Unix(1000, 0), 0))
 }
 
 // TestInFlightTimeFollowsCopyTime also covers an unknown copy time, which gives 0.
--- a/daemon/internal/version/swarm/fromorigin.go
+++ b/daemon/internal/version/swarm/fromorigin.go
@@ -68,7 +68,7 @@
 	have := f.Copy.Have()
 	backup := -1
 	candidates := 0
-	for index := range have[:f.timeline.Due(now, f.seen())] {
+	for index := range have[:f.timeline.DueChunks(now, f.seen())] {
 		if have[index] || f.inFlight[index] || !f.fetchesFromOrigin(index, now) {
 			continue
 		}
