--- a/daemon/internal/version/pace/pace.go
+++ b/daemon/internal/version/pace/pace.go
@@ -135,8 +135,8 @@
 	return min(t.Chunks, int(progress*float64(t.Chunks))+lookahead)
 }
 
-// UnderWay returns how long the origin takes to send the chunks that are requested at once.
-func (t *Timeline) UnderWay() time.Duration {
+// InFlightTime returns how long the origin takes to send the chunks that are requested at once.
+func (t *Timeline) InFlightTime() time.Duration {
 	return t.CopyTime * lookahead / time.Duration(max(t.Chunks, 1))
 }
 
--- a/daemon/internal/version/pace/pace_test.go
+++ b/daemon/internal/version/pace/pace_test.go
@@ -117,7 +117,7 @@
 func TestInFlightTimeFollowsCopyTime(t *testing.T) {
 	fast := &pace.Timeline{Chunks: 96, CopyTime: 2580 * time.Millisecond}
 	slow := &pace.Timeline{Chunks: 96, CopyTime: 4310 * time.Millisecond}
-	assert.InDelta(t, 0.32, fast.UnderWay().Seconds(), 0.01)
-	assert.InDelta(t, 0.54, slow.UnderWay().Seconds(), 0.01)
-	assert.Zero(t, (&pace.Timeline{}).UnderWay())
+	assert.InDelta(t, 0.32, fast.InFlightTime().Seconds(), 0.01)
+	assert.InDelta(t, 0.54, slow.InFlightTime().Seconds(), 0.01)
+	assert.Zero(t, (&pace.Timeline{}).InFlightTime())
 }
--- a/daemon/internal/version/swarm/assignment.go
+++ b/daemon/internal/version/swarm/assignment.go
@@ -157,7 +157,7 @@
 // the hop through another host. A shorter wait would fetch chunks twice from a slow origin.
 func (f *Fetch) minEarlyWait() time.Duration {
 	const margin = 1.2
-	return time.Duration(margin * float64(f.timeline.UnderWay()))
+	return time.Duration(margin * float64(f.timeline.InFlightTime()))
 }
 
 func (f *Fetch) scanDone() bool {
