--- a/daemon/internal/version/pace/pace.go
+++ b/daemon/internal/version/pace/pace.go
@@ -69,7 +69,7 @@
 
 // OriginFailed records that the origin failed a request of this host for a chunk.
 func (t *Timeline) OriginFailed(index int, now time.Time) {
-	t.grace += max(0, t.Late(index, now))
+	t.grace += max(0, t.OriginOverdue(index, now))
 	if t.failedAt.IsZero() {
 		t.failedAt = now
 	}
@@ -140,8 +140,8 @@
 	return t.CopyTime * lookahead / time.Duration(max(t.Chunks, 1))
 }
 
-// Late returns for how long a chunk from the origin is overdue, negative if it is not due yet.
-func (t *Timeline) Late(index int, now time.Time) time.Duration {
+// OriginOverdue returns for how long a chunk from the origin is overdue, negative if it is not due yet.
+func (t *Timeline) OriginOverdue(index int, now time.Time) time.Duration {
 	counted := time.Duration(outageShare * float64(t.outage(now)))
 	return t.Waited(index, now) - t.outage(now) - t.grace + counted
 }
--- a/daemon/internal/version/pace/pace_test.go
+++ b/daemon/internal/version/pace/pace_test.go
@@ -35,11 +35,11 @@
 	timeline.OriginFailed(20, now)
 	now = now.Add(6 * time.Second)
 	assert.LessOrEqual(t, timeline.DueChunks(now, 20), dueBefore)
-	assert.Less(t, timeline.Late(20, now), takeover)
+	assert.Less(t, timeline.OriginOverdue(20, now), takeover)
 
 	timeline.NewChunkSeen(21, now) // another host reports a new chunk
 	assert.Equal(t, dueBefore, timeline.DueChunks(now, 21))
-	assert.LessOrEqual(t, timeline.Late(20, now), time.Duration(0))
+	assert.LessOrEqual(t, timeline.OriginOverdue(20, now), time.Duration(0))
 	now = now.Add(10 * chunkGap)
 	assert.Equal(t, dueBefore+10, timeline.DueChunks(now, 21), "the timeline runs at the origin's rate without further reports")
 }
@@ -52,9 +52,9 @@
 	timeline := &pace.Timeline{Chunks: chunks, CopyTime: copyTime}
 	timeline.Start(start)
 	timeline.OriginFailed(0, start)
-	assert.Less(t, timeline.Late(0, start.Add(3*time.Second)), earlyTakeover)
-	assert.Greater(t, timeline.Late(0, start.Add(5*time.Second)), earlyTakeover)
-	assert.Greater(t, timeline.Late(0, start.Add(16*time.Second)), takeover)
+	assert.Less(t, timeline.OriginOverdue(0, start.Add(3*time.Second)), earlyTakeover)
+	assert.Greater(t, timeline.OriginOverdue(0, start.Add(5*time.Second)), earlyTakeover)
+	assert.Greater(t, timeline.OriginOverdue(0, start.Add(16*time.Second)), takeover)
 }
 
 // TestTakeoverWaitsAnewAfterOriginFailure: a host whose takeover fails knows that the origin and
@@ -65,12 +65,12 @@
 	timeline := &pace.Timeline{Chunks: chunks, CopyTime: copyTime}
 	timeline.Start(start)
 	now := start.Add(2 * time.Second)
-	assert.Greater(t, timeline.Late(0, now), takeover)
+	assert.Greater(t, timeline.OriginOverdue(0, now), takeover)
 	timeline.OriginFailed(0, now)
-	assert.LessOrEqual(t, timeline.Late(0, now.Add(6*time.Second)), takeover/2)
+	assert.LessOrEqual(t, timeline.OriginOverdue(0, now.Add(6*time.Second)), takeover/2)
 	assert.Greater(t, timeline.Waited(0, now.Add(6*time.Second)), 7*time.Second, "a chunk that a peer has stays overdue")
 	timeline.OriginAnswered(5, now.Add(6*time.Second))
-	assert.LessOrEqual(t, timeline.Late(0, now.Add(6*time.Second)), time.Duration(0))
+	assert.LessOrEqual(t, timeline.OriginOverdue(0, now.Add(6*time.Second)), time.Duration(0))
 }
 
 // TestLocalStallCountsUntilNextChunk: while other hosts have the chunks, the whole stall of this
@@ -85,9 +85,9 @@
 		timeline.NewChunkSeen(i+1, now)
 	}
 	assert.Equal(t, chunks, timeline.DueChunks(now, chunks))
-	assert.Equal(t, now.Sub(start)-chunkGap, timeline.Late(0, now))
+	assert.Equal(t, now.Sub(start)-chunkGap, timeline.OriginOverdue(0, now))
 	timeline.ChunkReceived(now)
-	assert.Equal(t, pace.Standstill-chunkGap, timeline.Late(0, now))
+	assert.Equal(t, pace.Standstill-chunkGap, timeline.OriginOverdue(0, now))
 }
 
 // TestPausedTimelineBoundsChunksDue: a host that sees no new chunk, and no failure of the origin
@@ -99,7 +99,7 @@
 	now := start.Add(copyTime / 4)
 	timeline.NewChunkSeen(10, now)
 	assert.LessOrEqual(t, timeline.DueChunks(now.Add(6*time.Second), 10), 10+24)
-	assert.Greater(t, timeline.Late(0, now.Add(6*time.Second)), 6*time.Second, "the assigned host may have crashed")
+	assert.Greater(t, timeline.OriginOverdue(0, now.Add(6*time.Second)), 6*time.Second, "the assigned host may have crashed")
 	now = now.Add(6 * time.Second)
 	timeline.NewChunkSeen(11, now)
 	due := timeline.DueChunks(now, 11)
--- a/daemon/internal/version/swarm/assignment.go
+++ b/daemon/internal/version/swarm/assignment.go
@@ -149,7 +149,7 @@
 	if f.offered(index) {
 		return f.peerOverdue(index, now) > wait+delay
 	}
-	return a.isPrimary() || f.timeline.Late(index, now) > wait
+	return a.isPrimary() || f.timeline.OriginOverdue(index, now) > wait
 }
 
 // minEarlyWait returns how long an early host waits at least for an overdue chunk: the time
