--- a/daemon/internal/version/pace/pace.go
+++ b/daemon/internal/version/pace/pace.go
@@ -143,12 +143,12 @@
 // OriginOverdue returns for how long a chunk from the origin is overdue, negative if it is not due yet.
 func (t *Timeline) OriginOverdue(index int, now time.Time) time.Duration {
 	counted := time.Duration(outageShare * float64(t.outage(now)))
-	return t.Waited(index, now) - t.outage(now) - t.grace + counted
+	return t.PeerOverdue(index, now) - t.outage(now) - t.grace + counted
 }
 
-// Waited returns for how long a chunk that another host has is overdue. Failures of the origin
+// PeerOverdue returns for how long a chunk that another host has is overdue. Failures of the origin
 // do not reduce it, because they are not the cause.
-func (t *Timeline) Waited(index int, now time.Time) time.Duration {
+func (t *Timeline) PeerOverdue(index int, now time.Time) time.Duration {
 	dueAfter := t.CopyTime * time.Duration(index+1) / time.Duration(t.Chunks)
 	return now.Sub(t.startedAt) - dueAfter - t.paused - t.stalled
 }
--- a/daemon/internal/version/pace/pace_test.go
+++ b/daemon/internal/version/pace/pace_test.go
@@ -68,7 +68,7 @@
 	assert.Greater(t, timeline.OriginOverdue(0, now), takeover)
 	timeline.OriginFailed(0, now)
 	assert.LessOrEqual(t, timeline.OriginOverdue(0, now.Add(6*time.Second)), takeover/2)
-	assert.Greater(t, timeline.Waited(0, now.Add(6*time.Second)), 7*time.Second, "a chunk that a peer has stays overdue")
+	assert.Greater(t, timeline.PeerOverdue(0, now.Add(6*time.Second)), 7*time.Second, "a chunk that a peer has stays overdue")
 	timeline.OriginAnswered(5, now.Add(6*time.Second))
 	assert.LessOrEqual(t, timeline.OriginOverdue(0, now.Add(6*time.Second)), time.Duration(0))
 }
--- a/daemon/internal/version/swarm/assignment.go
+++ b/daemon/internal/version/swarm/assignment.go
@@ -175,7 +175,7 @@
 // peerOverdue returns how long this host has been waiting for a chunk that another host has:
 // the time since the chunk was due or was first seen there, whichever is later.
 func (f *Fetch) peerOverdue(index int, now time.Time) time.Duration {
-	overdue := f.timeline.Waited(index, now)
+	overdue := f.timeline.PeerOverdue(index, now)
 	if seen, ok := f.seenAt[index]; ok {
 		overdue = min(overdue, now.Sub(seen))
 	}
