--- a/daemon/internal/version/pace/pace.go
+++ b/daemon/internal/version/pace/pace.go
@@ -25,8 +25,8 @@
 import "time"
 
 const (
-	// Standstill is the time without a new chunk after which the timeline is paused.
-	Standstill = 400 * time.Millisecond
+	// StallThreshold is the time without a new chunk after which the timeline is paused.
+	StallThreshold = 400 * time.Millisecond
 	// lookahead is the number of chunks beyond the timeline's position that are due. It covers
 	// the chunks that are in flight between hosts and halls.
 	lookahead = 12
@@ -76,10 +76,10 @@
 }
 
 // ChunkReceived records that this host received a chunk. Of the pause before it only the first
-// Standstill counts as overdue time of other chunks.
+// StallThreshold counts as overdue time of other chunks.
 func (t *Timeline) ChunkReceived(now time.Time) {
-	if pause := now.Sub(t.lastReceivedAt); t.failedAt.IsZero() && pause > Standstill {
-		t.stalled += pause - Standstill
+	if pause := now.Sub(t.lastReceivedAt); t.failedAt.IsZero() && pause > StallThreshold {
+		t.stalled += pause - StallThreshold
 	}
 	t.lastReceivedAt = now
 }
@@ -106,9 +106,9 @@
 }
 
 // isPaused reports whether the timeline is paused: the origin fails requests of this host, or
-// no new chunk has appeared for longer than Standstill.
+// no new chunk has appeared for longer than StallThreshold.
 func (t *Timeline) isPaused(now time.Time) bool {
-	return !t.failedAt.IsZero() || now.Sub(t.lastNewAt) > Standstill
+	return !t.failedAt.IsZero() || now.Sub(t.lastNewAt) > StallThreshold
 }
 
 // DueChunks returns the number of chunks, in index order, that may be requested from the origin by
@@ -122,7 +122,7 @@
 	if !t.isPaused(now) {
 		return t.dueAt(now)
 	}
-	pausedAt := t.lastNewAt.Add(Standstill)
+	pausedAt := t.lastNewAt.Add(StallThreshold)
 	if !t.failedAt.IsZero() && t.failedAt.Before(pausedAt) {
 		pausedAt = t.failedAt
 	}
--- a/daemon/internal/version/pace/pace_test.go
+++ b/daemon/internal/version/pace/pace_test.go
@@ -74,7 +74,7 @@
 }
 
 // TestLocalStallCountsUntilNextChunk: while other hosts have the chunks, the whole stall of this
-// host counts as overdue time; once a chunk arrives only the first Standstill of it does.
+// host counts as overdue time; once a chunk arrives only the first StallThreshold of it does.
 func TestLocalStallCountsUntilNextChunk(t *testing.T) {
 	start := time.Unix(1000, 0)
 	timeline := &pace.Timeline{Chunks: chunks, CopyTime: copyTime}
@@ -87,7 +87,7 @@
 	assert.Equal(t, chunks, timeline.DueChunks(now, chunks))
 	assert.Equal(t, now.Sub(start)-chunkGap, timeline.OriginOverdue(0, now))
 	timeline.ChunkReceived(now)
-	assert.Equal(t, pace.Standstill-chunkGap, timeline.OriginOverdue(0, now))
+	assert.Equal(t, pace.StallThreshold-chunkGap, timeline.OriginOverdue(0, now))
 }
 
 // TestPausedTimelineBoundsChunksDue: a host that sees no new chunk, and no failure of the origin
