--- a/daemon/internal/version/swarm/copy.go
+++ b/daemon/internal/version/swarm/copy.go
@@ -73,7 +73,7 @@
 
 // Note marks the chunks that another host has as seen, and returns those that were not seen at
 // any host before.
-func (c *Copy) Note(have Have) (added []int) {
+func (c *Copy) Note(have Bitmap) (added []int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for index := range c.seen {
@@ -132,7 +132,7 @@
 	return c.completedAt
 }
 
-// Have returns for each chunk whether this host has it.
+// Bitmap returns for each chunk whether this host has it.
 func (c *Copy) Have() []bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/daemon/internal/version/swarm/fetch.go
+++ b/daemon/internal/version/swarm/fetch.go
@@ -146,7 +146,7 @@
 // neighbour is the state of a peer as seen by this fetch.
 type neighbour struct {
 	far        bool
-	have       Have
+	have       Bitmap
 	reportedAt time.Time
 	// unknownVersion means that the peer does not have the version's manifest.
 	unknownVersion bool
@@ -243,7 +243,7 @@
 	peer := Peer{Address: host.Address, Client: f.Client}
 	far := host.Hall != f.Own.Hall
 	for ctx.Err() == nil {
-		err := peer.Follow(ctx, f.Copy.Manifest.Version, far, func(have Have) { f.recordReport(host, have, false) })
+		err := peer.Follow(ctx, f.Copy.Manifest.Version, far, func(have Bitmap) { f.recordReport(host, have, false) })
 		pause := peerRetryDelay + rand.N(peerRetryDelay)
 		if errors.Is(err, lines.ErrNotServed) {
 			f.recordReport(host, "", true)
@@ -253,7 +253,7 @@
 	}
 }
 
-func (f *Fetch) recordReport(host Host, have Have, unknownVersion bool) {
+func (f *Fetch) recordReport(host Host, have Bitmap, unknownVersion bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := f.neighbours[host.Address]
--- a/daemon/internal/version/swarm/peer.go
+++ b/daemon/internal/version/swarm/peer.go
@@ -32,13 +32,13 @@
 
 // Follow calls onHave with the peer's chunks, at first and at each change, until the peer is
 // unresponsive, leaves, or does not have the version's manifest, which is lines.ErrNotServed.
-func (p Peer) Follow(ctx context.Context, version int, far bool, onHave func(Have)) error {
+func (p Peer) Follow(ctx context.Context, version int, far bool, onHave func(Bitmap)) error {
 	url := fmt.Sprintf("http://%s%s?version=%d", p.Address, havePath, version)
 	if far {
 		url += "&far"
 	}
 	return lines.Read(ctx, p.Client, url, func(line []byte) error {
-		onHave(Have(line))
+		onHave(Bitmap(line))
 		return nil
 	})
 }
--- a/daemon/internal/version/swarm/serve.go
+++ b/daemon/internal/version/swarm/serve.go
@@ -30,9 +30,9 @@
 	farReportInterval  = 80 * time.Millisecond
 )
 
-// Have is a bitmap of the chunks that a host has, in hexadecimal digits of four chunks each. The
+// Bitmap marks the chunks that a host has, in hexadecimal digits of four chunks each. The
 // first chunk is the lowest bit of the first digit.
-type Have string
+type Bitmap string
 
 const hexDigits = "0123456789abcdef"
 
@@ -40,7 +40,7 @@
 const bitsPerDigit = 4
 
 // NewHave encodes for each chunk whether a host has it.
-func NewHave(chunks []bool) Have {
+func NewHave(chunks []bool) Bitmap {
 	digits := make([]byte, (len(chunks)+bitsPerDigit-1)/bitsPerDigit)
 	for index, present := range chunks {
 		if present {
@@ -50,11 +50,11 @@
 	for i, digit := range digits {
 		digits[i] = hexDigits[digit]
 	}
-	return Have(digits)
+	return Bitmap(digits)
 }
 
 // Has reports whether the host has a chunk.
-func (h Have) Has(index int) bool {
+func (h Bitmap) Has(index int) bool {
 	if index/bitsPerDigit >= len(h) {
 		return false
 	}
--- a/daemon/internal/version/swarm/serve_test.go
+++ b/daemon/internal/version/swarm/serve_test.go
@@ -62,8 +62,8 @@
 
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var reports []swarm.Have
-	err = peer.Follow(ctx, 2, false, func(have swarm.Have) {
+	var reports []swarm.Bitmap
+	err = peer.Follow(ctx, 2, false, func(have swarm.Bitmap) {
 		reports = append(reports, have)
 		if len(reports) == 1 {
 			assert.NoError(t, c.Put(0, data[0]))
@@ -72,7 +72,7 @@
 		cancel()
 	})
 	require.Error(t, err)
-	assert.Equal(t, []swarm.Have{"201", "301"}, reports)
+	assert.Equal(t, []swarm.Bitmap{"201", "301"}, reports)
 	assert.True(t, reports[0].Has(1) && reports[0].Has(8))
 	assert.False(t, reports[0].Has(0) || reports[0].Has(7) || reports[0].Has(12))
 
