--- a/daemon/internal/version/swarm/serve.go
+++ b/daemon/internal/version/swarm/serve.go
@@ -39,8 +39,8 @@
 // bitsPerDigit is the number of chunks per digit.
 const bitsPerDigit = 4
 
-// NewHave encodes for each chunk whether a host has it.
-func NewHave(chunks []bool) Bitmap {
+// NewBitmap encodes for each chunk whether a host has it.
+func NewBitmap(chunks []bool) Bitmap {
 	digits := make([]byte, (len(chunks)+bitsPerDigit-1)/bitsPerDigit)
 	for index, present := range chunks {
 		if present {
@@ -100,7 +100,7 @@
 	}
 	lines.Serve(w, r, func() time.Duration { return interval }, func() ([]byte, <-chan struct{}) {
 		_, changed := c.Count()
-		return []byte(NewHave(c.Have())), changed
+		return []byte(NewBitmap(c.Have())), changed
 	})
 }
 
