--- a/daemon/internal/version/swarm/copy.go
+++ b/daemon/internal/version/swarm/copy.go
@@ -133,7 +133,7 @@
 }
 
 // Bitmap returns for each chunk whether this host has it.
-func (c *Copy) Have() []bool {
+func (c *Copy) Present() []bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	have := make([]bool, len(c.chunks))
--- a/daemon/internal/version/swarm/fromorigin.go
+++ b/daemon/internal/version/swarm/fromorigin.go
@@ -65,7 +65,7 @@
 	defer f.mu.Unlock()
 	now := clock.Now()
 	f.assign(f.liveHosts(now))
-	have := f.Copy.Have()
+	have := f.Copy.Present()
 	backup := -1
 	candidates := 0
 	for index := range have[:f.timeline.DueChunks(now, f.seen())] {
--- a/daemon/internal/version/swarm/frompeers.go
+++ b/daemon/internal/version/swarm/frompeers.go
@@ -46,7 +46,7 @@
 		return 0, netip.AddrPort{}, false
 	}
 	f.assign(f.liveHosts(now))
-	have := f.Copy.Have()
+	have := f.Copy.Present()
 	holders := map[int][]netip.AddrPort{}
 	for address, n := range f.neighbours {
 		if now.Before(n.retryAt) || n.inFlight >= maxPerPeer {
--- a/daemon/internal/version/swarm/serve.go
+++ b/daemon/internal/version/swarm/serve.go
@@ -100,7 +100,7 @@
 	}
 	lines.Serve(w, r, func() time.Duration { return interval }, func() ([]byte, <-chan struct{}) {
 		_, changed := c.Count()
-		return []byte(NewBitmap(c.Have())), changed
+		return []byte(NewBitmap(c.Present())), changed
 	})
 }
 
