--- a/daemon/internal/version/swarm/copy.go
+++ b/daemon/internal/version/swarm/copy.go
@@ -71,9 +71,9 @@
 	return nil
 }
 
-// Note marks the chunks that another host has as seen, and returns those that were not seen at
+// MergeSeen marks the chunks that another host has as seen, and returns those that were not seen at
 // any host before.
-func (c *Copy) Note(have Bitmap) (added []int) {
+func (c *Copy) MergeSeen(have Bitmap) (added []int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for index := range c.seen {
--- a/daemon/internal/version/swarm/fetch.go
+++ b/daemon/internal/version/swarm/fetch.go
@@ -263,7 +263,7 @@
 	}
 	now := clock.Now()
 	n.have, n.unknownVersion, n.reportedAt = have, unknownVersion, now
-	for _, index := range f.Copy.Note(have) {
+	for _, index := range f.Copy.MergeSeen(have) {
 		f.seenAt[index] = now
 	}
 	f.updateSeen(now)
