--- a/daemon/internal/version/swarm/copy.go
+++ b/daemon/internal/version/swarm/copy.go
@@ -125,8 +125,8 @@
 	return count == len(c.Manifest.Digests)
 }
 
-// Completed returns when the last chunk was added, zero before.
-func (c *Copy) Completed() time.Time {
+// CompletedAt returns when the last chunk was added, zero before.
+func (c *Copy) CompletedAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.completedAt
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -274,7 +274,7 @@
 	}
 	window := schedule.NewWindow(declared.Since(apply), apply, due)
 	if c := p.held.Get(declared.Version); c != nil {
-		window = window.After(c.Completed())
+		window = window.After(c.CompletedAt())
 	}
 	rank, hosts := p.rank(declared.Model, declared.Version)
 	return reconcile.Goal{Model: declared.Model, Version: declared.Version, Fence: p.table.Newest(), Turn: window.Of(rank, hosts)}
