--- a/daemon/internal/version/reconcile/reconcile.go
+++ b/daemon/internal/version/reconcile/reconcile.go
@@ -87,7 +87,7 @@
 	Engine  provider.Engine
 	Origin  provider.Origin
 	Address netip.AddrPort // of the engine
-	Held    *swarm.Held
+	Held    *swarm.Copies
 	// Plan returns the plan for an engine that serves the given version, 0 for none. It
 	// reports false while the configuration or the declared versions are not known.
 	Plan func(held int) (Plan, bool)
--- a/daemon/internal/version/swarm/copy.go
+++ b/daemon/internal/version/swarm/copy.go
@@ -143,51 +143,51 @@
 	return have
 }
 
-// Held holds the copies on this host. The zero value is empty.
-type Held struct {
+// Copies holds the copies on this host. The zero value is empty.
+type Copies struct {
 	mu sync.Mutex
-	// copies holds the newest keptVersions copies, by version.
-	copies map[int]*Copy
+	// byVersion holds the newest keptVersions copies.
+	byVersion map[int]*Copy
 }
 
 // Get returns the copy of a version, or nil where there is none.
-func (h *Held) Get(version int) *Copy {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.copies[version]
+func (s *Copies) Get(version int) *Copy {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.byVersion[version]
 }
 
 // Add adds a copy, and drops the oldest ones beyond keptVersions.
-func (h *Held) Add(c *Copy) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.copies == nil {
-		h.copies = map[int]*Copy{}
+func (s *Copies) Add(c *Copy) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.byVersion == nil {
+		s.byVersion = map[int]*Copy{}
 	}
-	h.copies[c.Manifest.Version] = c
-	for len(h.copies) > keptVersions {
-		h.dropOldest()
+	s.byVersion[c.Manifest.Version] = c
+	for len(s.byVersion) > keptVersions {
+		s.dropOldest()
 	}
 }
 
 // Drop removes the copy of a version whose manifest proved wrong.
-func (h *Held) Drop(version int) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	delete(h.copies, version)
+func (s *Copies) Drop(version int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.byVersion, version)
 }
 
-func (h *Held) dropOldest() {
+func (s *Copies) dropOldest() {
 	oldest := -1
-	for version := range h.copies {
+	for version := range s.byVersion {
 		if oldest < 0 || version < oldest {
 			oldest = version
 		}
 	}
-	delete(h.copies, oldest)
+	delete(s.byVersion, oldest)
 }
 
-// Matches reports whether data is the chunk at an index of the manifest.
+// Matches reports whether a chunk is the one at an index of the manifest.
 func (c *Copy) Matches(index int, chunk []byte) bool {
 	return sha256.Sum256(chunk) == c.Manifest.Digests[index]
 }
--- a/daemon/internal/version/swarm/fetch.go
+++ b/daemon/internal/version/swarm/fetch.go
@@ -71,8 +71,8 @@
 	// idleDelay is the delay of a worker that found nothing to fetch.
 	idleDelay = 25 * time.Millisecond
 	// maxMismatches is the number of times that one chunk from the origin may fail
-	// verification before the manifest is taken to be wrong. Single mismatches are
-	// transfer errors.
+	// verification before the manifest is taken to be wrong. The origin sends a corrupt
+	// chunk now and then.
 	maxMismatches = 4
 )
 
--- a/daemon/internal/version/swarm/fetch_test.go
+++ b/daemon/internal/version/swarm/fetch_test.go
@@ -97,7 +97,7 @@
 	var copies []*swarm.Copy
 	for i := range hosts {
 		c := swarm.NewCopy(manifest)
-		held := &swarm.Held{}
+		held := &swarm.Copies{}
 		held.Add(c)
 		copies = append(copies, c)
 		listed = append(listed, swarm.Host{Address: net.serve(t, handler(held)), Hall: fmt.Sprintf("hall-%d", i/3)})
@@ -160,10 +160,10 @@
 func TestFetchRetriesCorruptChunks(t *testing.T) {
 	data, manifest := sample(2, 24)
 	o := &origin{data: data, corruptFirst: true, sent: map[int]int{}}
-	own := swarm.Host{Address: serve(t, &swarm.Held{}).Address, Hall: "hall"}
+	own := swarm.Host{Address: serve(t, &swarm.Copies{}).Address, Hall: "hall"}
 	fetch := &swarm.Fetch{
 		Copy: swarm.NewCopy(manifest), Model: "m", Source: provider.Origin{Chunk: o.chunk}, Own: own,
-		Hosts: func() []swarm.Host { return nil }, Client: serve(t, &swarm.Held{}).Client,
+		Hosts: func() []swarm.Host { return nil }, Client: serve(t, &swarm.Copies{}).Client,
 	}
 	require.NoError(t, fetch.Run(context.Background()))
 	assert.Equal(t, 2*24, o.total())
@@ -188,7 +188,7 @@
 // serveChunks serves a host that has a copy and calls before ahead of each chunk.
 func serveChunks(t *testing.T, c *swarm.Copy, before func(r *http.Request)) netip.AddrPort {
 	t.Helper()
-	held := &swarm.Held{}
+	held := &swarm.Copies{}
 	held.Add(c)
 	complete := handler(held)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -215,14 +215,14 @@
 			hosts := []swarm.Host{{Address: serveStuck(t, complete), Hall: "hall"}}
 			if originDown {
 				o.failures = math.MaxInt32
-				held := &swarm.Held{}
+				held := &swarm.Copies{}
 				held.Add(complete)
 				hosts = append(hosts, swarm.Host{Address: serve(t, held).Address, Hall: "far"})
 			}
 			fetch := &swarm.Fetch{
 				Copy: swarm.NewCopy(manifest), Model: "m", Source: provider.Origin{Chunk: o.chunk},
-				Own:   swarm.Host{Address: serve(t, &swarm.Held{}).Address, Hall: "hall"},
-				Hosts: func() []swarm.Host { return hosts }, Client: serve(t, &swarm.Held{}).Client,
+				Own:   swarm.Host{Address: serve(t, &swarm.Copies{}).Address, Hall: "hall"},
+				Hosts: func() []swarm.Host { return hosts }, Client: serve(t, &swarm.Copies{}).Client,
 				OriginTime: 50 * time.Millisecond,
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
@@ -236,10 +236,10 @@
 	data, manifest := sample(2, 4)
 	manifest.Digests[2][0] ^= 1
 	o := &origin{data: data, sent: map[int]int{}}
-	own := swarm.Host{Address: serve(t, &swarm.Held{}).Address, Hall: "hall"}
+	own := swarm.Host{Address: serve(t, &swarm.Copies{}).Address, Hall: "hall"}
 	fetch := &swarm.Fetch{
 		Copy: swarm.NewCopy(manifest), Model: "m", Source: provider.Origin{Chunk: o.chunk}, Own: own,
-		Hosts: func() []swarm.Host { return nil }, Client: serve(t, &swarm.Held{}).Client,
+		Hosts: func() []swarm.Host { return nil }, Client: serve(t, &swarm.Copies{}).Client,
 	}
 	require.ErrorIs(t, fetch.Run(context.Background()), swarm.ErrManifest)
 }
@@ -247,10 +247,10 @@
 func TestFetchEndsWithItsContext(t *testing.T) {
 	data, manifest := sample(2, 4)
 	o := &origin{data: data, sent: map[int]int{}, block: make(chan struct{})}
-	own := swarm.Host{Address: serve(t, &swarm.Held{}).Address, Hall: "hall"}
+	own := swarm.Host{Address: serve(t, &swarm.Copies{}).Address, Hall: "hall"}
 	fetch := &swarm.Fetch{
 		Copy: swarm.NewCopy(manifest), Model: "m", Source: provider.Origin{Chunk: o.chunk}, Own: own,
-		Hosts: func() []swarm.Host { return nil }, Client: serve(t, &swarm.Held{}).Client,
+		Hosts: func() []swarm.Host { return nil }, Client: serve(t, &swarm.Copies{}).Client,
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	result := make(chan error, 1)
--- a/daemon/internal/version/swarm/outage_test.go
+++ b/daemon/internal/version/swarm/outage_test.go
@@ -123,7 +123,7 @@
 	chunkBytes := float64(len(o.data[0]))
 	for i := range halls * perHall {
 		c := swarm.NewCopy(manifest)
-		held := &swarm.Held{}
+		held := &swarm.Copies{}
 		held.Add(c)
 		copies = append(copies, c)
 		routes := bunrouter.New()
--- a/daemon/internal/version/swarm/serve.go
+++ b/daemon/internal/version/swarm/serve.go
@@ -64,7 +64,7 @@
 
 // Server serves the copies on this host to other loaders.
 type Server struct {
-	Held *Held
+	Held *Copies
 	// Uplink schedules the uploads of chunks.
 	Uplink Uplink
 }
--- a/daemon/internal/version/swarm/serve_test.go
+++ b/daemon/internal/version/swarm/serve_test.go
@@ -31,16 +31,16 @@
 }
 
 // handler returns the handler that a host serves its copies with.
-func handler(held *swarm.Held) *bunrouter.Router {
+func handler(copies *swarm.Copies) *bunrouter.Router {
 	routes := bunrouter.New()
-	(&swarm.Server{Held: held}).Register(routes)
+	(&swarm.Server{Held: copies}).Register(routes)
 	return routes
 }
 
 // serve starts a server of copies and returns a client for it.
-func serve(t *testing.T, held *swarm.Held) swarm.Peer {
+func serve(t *testing.T, copies *swarm.Copies) swarm.Peer {
 	t.Helper()
-	server := httptest.NewServer(handler(held))
+	server := httptest.NewServer(handler(copies))
 	t.Cleanup(server.Close)
 	address, err := netip.ParseAddrPort(server.Listener.Addr().String())
 	require.NoError(t, err)
@@ -52,7 +52,7 @@
 	c := swarm.NewCopy(manifest)
 	require.NoError(t, c.Put(1, data[1]))
 	require.NoError(t, c.Put(8, data[8]))
-	held := &swarm.Held{}
+	held := &swarm.Copies{}
 	held.Add(c)
 	peer := serve(t, held)
 
@@ -100,7 +100,7 @@
 }
 
 func TestOnlyNewestVersionsAreHeld(t *testing.T) {
-	held := &swarm.Held{}
+	held := &swarm.Copies{}
 	for version := 1; version <= 5; version++ {
 		_, manifest := sample(version, 1)
 		held.Add(swarm.NewCopy(manifest))
@@ -116,7 +116,7 @@
 	data, manifest := sample(2, 9)
 	c := swarm.NewCopy(manifest)
 	require.NoError(t, c.Put(1, data[1]))
-	held := &swarm.Held{}
+	held := &swarm.Copies{}
 	held.Add(c)
 	routes := bunrouter.New()
 	entered, unblock := make(chan struct{}, 8), make(chan struct{})
@@ -167,7 +167,7 @@
 	chunk := []byte(strings.Repeat("x", chunkBytes))
 	c := swarm.NewCopy(provider.Manifest{Version: 2, ChunkBytes: chunkBytes, Digests: [][32]byte{sha256.Sum256(chunk)}})
 	require.NoError(t, c.Put(0, chunk))
-	held := &swarm.Held{}
+	held := &swarm.Copies{}
 	held.Add(c)
 	routes := bunrouter.New()
 	(&swarm.Server{Held: held, Uplink: swarm.Uplink{BytesPerSecond: func() float64 { return bytesPerSecond }}}).Register(routes)
--- a/daemon/loader/events.go
+++ b/daemon/loader/events.go
@@ -18,9 +18,9 @@
 // fieldDecision is the log field for the kind of a decision.
 const fieldDecision = "decision"
 
-// logBelief logs a change of the declared version. Changes of other hosts' engines are logged
+// logDeclaration logs a change of the declared version. Changes of other hosts' engines are logged
 // by the routers.
-func (p *Process) logBelief(belief mirror.Belief) {
+func (p *Process) logDeclaration(belief mirror.Belief) {
 	fields := log.Fields{fieldDecision: "believe", "key": belief.Entry.Key, "revision": belief.Entry.Revision}
 	switch target := belief.Record.Target; {
 	case belief.Err != nil:
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -99,7 +99,7 @@
 	// versions follows the declared versions, hosts the records of the upstreams, and
 	// routers the records of the hall's routers.
 	versions, hosts, routers *mirror.Follower
-	held                     *swarm.Held
+	copies                   *swarm.Copies
 	keeper                   *reconcile.Keeper
 	feed                     *loadfeed.Feed
 	ledger                   *places.Ledger
@@ -138,7 +138,7 @@
 	}
 	p := &Process{
 		telemetry: t, output: output, log: t.Log,
-		table: &mirror.Table{}, held: &swarm.Held{}, feed: loadfeed.NewFeed(), ledger: &places.Ledger{}, limitLog: rate.NewLimiter(limitLogRate, limitLogRate), done: make(chan struct{}),
+		table: &mirror.Table{}, copies: &swarm.Copies{}, feed: loadfeed.NewFeed(), ledger: &places.Ledger{}, limitLog: rate.NewLimiter(limitLogRate, limitLogRate), done: make(chan struct{}),
 		client:    &http.Client{Transport: dial.NewHostTransport(options.Dial, hostIdleTimeout)},
 		createdAt: clock.Now(),
 	}
@@ -146,13 +146,13 @@
 	p.ledger.OnLimit = p.logLimit
 	calls := &http.Client{Transport: dial.NewHostTransport(options.Dial, originIdleTimeout)}
 	p.provider = options.Provider(s.Store, p.client, calls)
-	p.compiler = &mirror.Compiler{Decode: p.provider.Decode, OnBelief: p.logBelief}
+	p.compiler = &mirror.Compiler{Decode: p.provider.Decode, OnBelief: p.logDeclaration}
 	p.table.OnChange = p.compiler.Take
 	p.neighbours = p.newNeighbours()
 	p.neighbours.Hold = p.starting
 	p.addFollowers()
 	p.keeper = &reconcile.Keeper{
-		Engine: p.provider.Engine, Origin: p.provider.Origin, Address: s.Engine, Held: p.held,
+		Engine: p.provider.Engine, Origin: p.provider.Origin, Address: s.Engine, Held: p.copies,
 		Own: s.Listen.Peers, Ranked: p.manifestRanking, Plan: p.plan, NewFetch: p.newFetch, AskPeer: p.peerManifest,
 		OnReport: p.publishReport, OnStep: p.logStep,
 	}
@@ -218,7 +218,7 @@
 // Start listens on the ports and starts the followers and the engine's reconciliation.
 func (p *Process) Start() error {
 	routes := bunrouter.New()
-	(&swarm.Server{Held: p.held, Uplink: swarm.Uplink{BytesPerSecond: p.linkRate}}).Register(routes)
+	(&swarm.Server{Held: p.copies, Uplink: swarm.Uplink{BytesPerSecond: p.linkRate}}).Register(routes)
 	routes.Compat().GET(loadfeed.Path, p.feed.ServeHTTP)
 	routes.Compat().GET(places.Path, places.Handler(p.ledger, p.countAnswer))
 	var err error
@@ -273,7 +273,7 @@
 		due = earlier.Since(apply).Add(apply)
 	}
 	window := schedule.NewWindow(declared.Since(apply), apply, due)
-	if c := p.held.Get(declared.Version); c != nil {
+	if c := p.copies.Get(declared.Version); c != nil {
 		window = window.After(c.CompletedAt())
 	}
 	rank, hosts := p.rank(declared.Model, declared.Version)
