--- a/daemon/internal/version/swarm/outage_test.go
+++ b/daemon/internal/version/swarm/outage_test.go
@@ -127,7 +127,7 @@
 		held.Add(c)
 		copies = append(copies, c)
 		routes := bunrouter.New()
-		(&swarm.Server{Held: held, Uplink: swarm.Uplink{
+		(&swarm.Server{Copies: held, Uplink: swarm.Uplink{
 			BytesPerSecond: func() float64 { return chunkBytes / o.linkTime.Seconds() },
 		}}).Register(routes)
 		listed = append(listed, swarm.Host{Address: net.serve(t, routes), Hall: fmt.Sprintf("hall-%d", i%halls)})
--- a/daemon/internal/version/swarm/serve.go
+++ b/daemon/internal/version/swarm/serve.go
@@ -64,7 +64,7 @@
 
 // Server serves the copies on this host to other loaders.
 type Server struct {
-	Held *Copies
+	Copies *Copies
 	// Uplink schedules the uploads of chunks.
 	Uplink Uplink
 }
@@ -80,7 +80,7 @@
 // findCopy returns the copy of the requested version, or nil after it has responded with 404.
 func (s *Server) findCopy(w http.ResponseWriter, r *http.Request) *Copy {
 	version, err := strconv.Atoi(r.URL.Query().Get("version"))
-	c := s.Held.Get(version)
+	c := s.Copies.Get(version)
 	if err != nil || c == nil {
 		http.Error(w, "version not found on this host", http.StatusNotFound)
 		return nil
--- a/daemon/internal/version/swarm/serve_test.go
+++ b/daemon/internal/version/swarm/serve_test.go
@@ -33,7 +33,7 @@
 // handler returns the handler that a host serves its copies with.
 func handler(copies *swarm.Copies) *bunrouter.Router {
 	routes := bunrouter.New()
-	(&swarm.Server{Held: copies}).Register(routes)
+	(&swarm.Server{Copies: copies}).Register(routes)
 	return routes
 }
 
@@ -125,7 +125,7 @@
 		<-unblock
 		return 0
 	}
-	(&swarm.Server{Held: held, Uplink: swarm.Uplink{BytesPerSecond: slow}}).Register(routes)
+	(&swarm.Server{Copies: held, Uplink: swarm.Uplink{BytesPerSecond: slow}}).Register(routes)
 	server := httptest.NewServer(routes)
 	t.Cleanup(server.Close)
 	peer := swarm.Peer{Address: netip.MustParseAddrPort(server.Listener.Addr().String()), Client: server.Client()}
@@ -170,7 +170,7 @@
 	held := &swarm.Copies{}
 	held.Add(c)
 	routes := bunrouter.New()
-	(&swarm.Server{Held: held, Uplink: swarm.Uplink{BytesPerSecond: func() float64 { return bytesPerSecond }}}).Register(routes)
+	(&swarm.Server{Copies: held, Uplink: swarm.Uplink{BytesPerSecond: func() float64 { return bytesPerSecond }}}).Register(routes)
 	server := httptest.NewServer(routes)
 	t.Cleanup(server.Close)
 	peer := swarm.Peer{Address: netip.MustParseAddrPort(server.Listener.Addr().String()), Client: server.Client()}
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -218,7 +218,7 @@
 // Start listens on the ports and starts the followers and the engine's reconciliation.
 func (p *Process) Start() error {
 	routes := bunrouter.New()
-	(&swarm.Server{Held: p.copies, Uplink: swarm.Uplink{BytesPerSecond: p.linkRate}}).Register(routes)
+	(&swarm.Server{Copies: p.copies, Uplink: swarm.Uplink{BytesPerSecond: p.linkRate}}).Register(routes)
 	routes.Compat().GET(loadfeed.Path, p.feed.ServeHTTP)
 	routes.Compat().GET(places.Path, places.Handler(p.ledger, p.countAnswer))
 	var err error
