--- a/daemon/internal/version/reconcile/fetch.go
+++ b/daemon/internal/version/reconcile/fetch.go
@@ -37,7 +37,7 @@
 // declared: engines have to reach its version earlier than the newer one.
 func (k *Keeper) nearlyComplete() bool {
 	const minShare = 0.6
-	c := k.Held.Get(k.fetchVersion)
+	c := k.Copies.Get(k.fetchVersion)
 	if c == nil || c.Complete() {
 		return false
 	}
@@ -67,7 +67,7 @@
 			return
 		}
 		if errors.Is(err, swarm.ErrManifest) {
-			k.Held.Drop(plan.Goal.Version)
+			k.Copies.Drop(plan.Goal.Version)
 		}
 		helpers.Pause(rand.N(maxRetryDelay), ctx.Done())
 		if newer, ok := k.Plan(0); ok && newer.Goal.Version == plan.Goal.Version {
@@ -77,14 +77,14 @@
 }
 
 func (k *Keeper) tryFetch(ctx context.Context, plan Plan) error {
-	c := k.Held.Get(plan.Goal.Version)
+	c := k.Copies.Get(plan.Goal.Version)
 	if c == nil {
 		manifest, err := k.manifest(ctx, plan)
 		if err != nil {
 			return err
 		}
 		c = swarm.NewCopy(manifest)
-		k.Held.Add(c)
+		k.Copies.Add(c)
 	}
 	if c.Complete() {
 		return nil
--- a/daemon/internal/version/reconcile/manifest_test.go
+++ b/daemon/internal/version/reconcile/manifest_test.go
@@ -76,7 +76,7 @@
 	if !helpers.Pause(responseTime, ctx.Done()) {
 		return provider.Manifest{}, ctx.Err()
 	}
-	if c := k.Held.Get(version); c != nil {
+	if c := k.Copies.Get(version); c != nil {
 		return c.Manifest, nil
 	}
 	return provider.Manifest{}, provider.ErrNotFound
@@ -86,7 +86,7 @@
 func (f *manifestFleet) informed() int {
 	count := 0
 	for _, k := range f.keepers {
-		if k.Held.Get(2) != nil {
+		if k.Copies.Get(2) != nil {
 			count++
 		}
 	}
--- a/daemon/internal/version/reconcile/reconcile.go
+++ b/daemon/internal/version/reconcile/reconcile.go
@@ -87,7 +87,7 @@
 	Engine  provider.Engine
 	Origin  provider.Origin
 	Address netip.AddrPort // of the engine
-	Held    *swarm.Copies
+	Copies  *swarm.Copies
 	// Plan returns the plan for an engine that serves the given version, 0 for none. It
 	// reports false while the configuration or the declared versions are not known.
 	Plan func(held int) (Plan, bool)
@@ -279,7 +279,7 @@
 	var best Goal
 	var bestCopy *swarm.Copy
 	for _, goal := range plan.goals() {
-		c := k.Held.Get(goal.Version)
+		c := k.Copies.Get(goal.Version)
 		if goal.Version <= loaded || c == nil || !c.Complete() {
 			continue
 		}
--- a/daemon/internal/version/reconcile/reconcile_test.go
+++ b/daemon/internal/version/reconcile/reconcile_test.go
@@ -150,7 +150,7 @@
 // newKeeper returns a loop for an engine without peers; its origin has every version.
 func newKeeper(e *engine, plan func() reconcile.Plan) *reconcile.Keeper {
 	k := &reconcile.Keeper{
-		Engine: e.provider(), Address: host, Held: &swarm.Copies{}, Own: host,
+		Engine: e.provider(), Address: host, Copies: &swarm.Copies{}, Own: host,
 		Origin: provider.Origin{
 			Manifest: func(_ context.Context, _ netip.AddrPort, _ string, version int) (provider.Manifest, error) {
 				return manifestOf(version), nil
@@ -205,7 +205,7 @@
 		defer mu.Unlock()
 		return planOf(goal(2, loadTime))
 	})
-	await(t, "the copy is complete", func() bool { c := k.Held.Get(2); return c != nil && c.Complete() })
+	await(t, "the copy is complete", func() bool { c := k.Copies.Get(2); return c != nil && c.Complete() })
 	assert.Equal(t, 1, e.version())
 	mu.Lock()
 	loadTime = time.Now()
