--- a/daemon/internal/version/swarm/assignment.go
+++ b/daemon/internal/version/swarm/assignment.go
@@ -106,7 +106,7 @@
 	if f.offeredInHall(index) {
 		return f.peerOverdue(index, now) > time.Duration(rank+1)*f.takeoverDelay()
 	}
-	return rank == 0 || f.First || f.peerOverdue(index, now) > time.Duration(rank)*f.takeoverDelay()
+	return rank == 0 || f.Early || f.peerOverdue(index, now) > time.Duration(rank)*f.takeoverDelay()
 }
 
 // takeoverDelay returns how long a chunk may be overdue before the next host of the ranking
@@ -143,7 +143,7 @@
 	a := f.assignments[index]
 	delay := f.takeoverDelay()
 	wait := time.Duration(a.hostRank+2*a.hallRank) * delay
-	if f.First {
+	if f.Early {
 		wait = min(wait, max(time.Duration(earlyTakeoverShare*float64(delay)), f.minEarlyWait()))
 	}
 	if f.offered(index) {
--- a/daemon/internal/version/swarm/fetch.go
+++ b/daemon/internal/version/swarm/fetch.go
@@ -109,9 +109,9 @@
 	// OriginTime is how long the origin takes to send one copy, and ChunkTime how long a
 	// chunk takes over this host's link; 0 means that it is not known.
 	OriginTime, ChunkTime time.Duration
-	// First marks an early host, which should have the version before all others: it fetches
+	// Early marks an early host, which should have the version before all others: it fetches
 	// from every hall and more chunks at once.
-	First bool
+	Early bool
 	// AfterOthers is closed once the chunks that are on this host already have been reused.
 	// The origin is not used before that. Nil means that there is nothing to wait for.
 	AfterOthers <-chan struct{}
@@ -170,7 +170,7 @@
 	var workers sync.WaitGroup
 	workers.Go(func() { f.followNeighbours(ctx) })
 	f.maxConcurrency = maxPeerFetches
-	if f.First {
+	if f.Early {
 		f.maxConcurrency = maxEarlyPeerFetches
 	}
 	f.concurrency = f.maxConcurrency
--- a/daemon/internal/version/swarm/fetch_test.go
+++ b/daemon/internal/version/swarm/fetch_test.go
@@ -112,7 +112,7 @@
 		fetch := &swarm.Fetch{
 			Copy: c, Model: "m", Source: provider.Origin{Chunk: o.chunk}, Own: listed[i],
 			Hosts: func() []swarm.Host { return listed }, Client: net.client(t),
-			OriginTime: max(50*time.Millisecond, o.linkTime*time.Duration(len(manifest.Digests))), First: i == 0,
+			OriginTime: max(50*time.Millisecond, o.linkTime*time.Duration(len(manifest.Digests))), Early: i == 0,
 		}
 		running.Go(func() { assert.NoError(t, fetch.Run(ctx)) })
 	}
--- a/daemon/internal/version/swarm/frompeers.go
+++ b/daemon/internal/version/swarm/frompeers.go
@@ -24,7 +24,7 @@
 	ctx, cancel := context.WithTimeout(ctx, chunkTimeout)
 	defer cancel()
 	started := clock.Now()
-	chunk, err := Peer{Address: address, Client: f.Client, Urgent: f.First}.Chunk(ctx, f.Copy.Manifest.Version, index)
+	chunk, err := Peer{Address: address, Client: f.Client, Urgent: f.Early}.Chunk(ctx, f.Copy.Manifest.Version, index)
 	if err == nil {
 		err = f.Copy.Put(index, chunk)
 	}
@@ -42,7 +42,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := clock.Now()
-	if worker >= f.concurrency || f.arriving(now) >= maxInbound(f.ChunkTime, f.First) {
+	if worker >= f.concurrency || f.arriving(now) >= maxInbound(f.ChunkTime, f.Early) {
 		return 0, netip.AddrPort{}, false
 	}
 	f.assign(f.liveHosts(now))
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -340,7 +340,7 @@
 func (p *Process) newFetch(plan reconcile.Plan, c *swarm.Copy) *swarm.Fetch {
 	rank, _ := p.rank(plan.Goal.Model, plan.Goal.Version)
 	return &swarm.Fetch{
-		First: schedule.IsEarly(rank),
+		Early: schedule.IsEarly(rank),
 		Copy:  c, Model: plan.Goal.Model, Origin: plan.Origin, Source: p.provider.Origin,
 		Own: p.own(), Hosts: p.loaders, Client: p.client, OriginTime: plan.OriginTime,
 		ChunkTime: p.linkTime(plan.ChunkBytes), OnChunk: p.countChunk,
