--- a/daemon/internal/version/reconcile/fetch.go
+++ b/daemon/internal/version/reconcile/fetch.go
@@ -99,7 +99,7 @@
 		k.reuseStaged(ctx, plan, c)
 		close(scanned)
 	})
-	fetch.AfterOthers = scanned
+	fetch.LocalScanDone = scanned
 	defer cancel()
 	return fetch.Run(ctx)
 }
--- a/daemon/internal/version/swarm/assignment.go
+++ b/daemon/internal/version/swarm/assignment.go
@@ -161,11 +161,11 @@
 }
 
 func (f *Fetch) scanDone() bool {
-	if f.AfterOthers == nil {
+	if f.LocalScanDone == nil {
 		return true
 	}
 	select {
-	case <-f.AfterOthers:
+	case <-f.LocalScanDone:
 		return true
 	default:
 		return false
--- a/daemon/internal/version/swarm/fetch.go
+++ b/daemon/internal/version/swarm/fetch.go
@@ -112,9 +112,9 @@
 	// Early marks an early host, which should have the version before all others: it fetches
 	// from every hall and more chunks at once.
 	Early bool
-	// AfterOthers is closed once the chunks that are on this host already have been reused.
+	// LocalScanDone is closed once the chunks that are on this host already have been reused.
 	// The origin is not used before that. Nil means that there is nothing to wait for.
-	AfterOthers <-chan struct{}
+	LocalScanDone <-chan struct{}
 	// OnChunk is called with each new chunk and its source: a peer's address or FromOrigin.
 	// It may be nil.
 	OnChunk func(index int, chunk []byte, from string)
