--- a/daemon/internal/version/swarm/fetch.go
+++ b/daemon/internal/version/swarm/fetch.go
@@ -106,9 +106,9 @@
 	Own    Host
 	Hosts  func() []Host
 	Client *http.Client
-	// OriginTime is how long the origin takes to send one copy, and ChunkTime how long a
+	// CopyTime is how long the origin takes to send one copy, and ChunkTime how long a
 	// chunk takes over this host's link; 0 means that it is not known.
-	OriginTime, ChunkTime time.Duration
+	CopyTime, ChunkTime time.Duration
 	// Early marks an early host, which should have the version before all others: it fetches
 	// from every hall and more chunks at once.
 	Early bool
@@ -159,7 +159,7 @@
 
 // Run fetches until the copy is complete, the context ends, or the manifest proves wrong.
 func (f *Fetch) Run(ctx context.Context) error {
-	f.timeline = pace.Timeline{Chunks: len(f.Copy.Manifest.Digests), CopyTime: f.OriginTime}
+	f.timeline = pace.Timeline{Chunks: len(f.Copy.Manifest.Digests), CopyTime: f.CopyTime}
 	f.timeline.Start(clock.Now())
 	f.neighbours = map[netip.AddrPort]*neighbour{}
 	f.inFlight = map[int]bool{}
--- a/daemon/internal/version/swarm/fetch_test.go
+++ b/daemon/internal/version/swarm/fetch_test.go
@@ -112,7 +112,7 @@
 		fetch := &swarm.Fetch{
 			Copy: c, Model: "m", Source: provider.Origin{Chunk: o.chunk}, Own: listed[i],
 			Hosts: func() []swarm.Host { return listed }, Client: net.client(t),
-			OriginTime: max(50*time.Millisecond, o.linkTime*time.Duration(len(manifest.Digests))), Early: i == 0,
+			CopyTime: max(50*time.Millisecond, o.linkTime*time.Duration(len(manifest.Digests))), Early: i == 0,
 		}
 		running.Go(func() { assert.NoError(t, fetch.Run(ctx)) })
 	}
@@ -223,7 +223,7 @@
 				Copy: swarm.NewCopy(manifest), Model: "m", Source: provider.Origin{Chunk: o.chunk},
 				Own:   swarm.Host{Address: serve(t, &swarm.Copies{}).Address, Hall: "hall"},
 				Hosts: func() []swarm.Host { return hosts }, Client: serve(t, &swarm.Copies{}).Client,
-				OriginTime: 50 * time.Millisecond,
+				CopyTime: 50 * time.Millisecond,
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 			defer cancel()
--- a/daemon/internal/version/swarm/fromorigin.go
+++ b/daemon/internal/version/swarm/fromorigin.go
@@ -37,7 +37,7 @@
 // requestFromOrigin fetches a chunk that pickForOrigin returned and adds it to the copy.
 func (f *Fetch) requestFromOrigin(ctx context.Context, index int) ([]byte, error) {
 	defer f.release(index)
-	ctx, cancel := context.WithTimeout(ctx, chunkTimeout+f.OriginTime)
+	ctx, cancel := context.WithTimeout(ctx, chunkTimeout+f.CopyTime)
 	defer cancel()
 	chunk, err := f.Source.Chunk(ctx, f.Origin, f.Model, f.Copy.Manifest.Version, index)
 	if err != nil {
--- a/daemon/internal/version/swarm/inbound_test.go
+++ b/daemon/internal/version/swarm/inbound_test.go
@@ -72,7 +72,7 @@
 				Copy: swarm.NewCopy(manifest), Model: "m", Source: provider.Origin{Chunk: o.chunk},
 				Own:   swarm.Host{Address: serve(t, &swarm.Copies{}).Address, Hall: "hall"},
 				Hosts: func() []swarm.Host { return listed }, Client: serve(t, &swarm.Copies{}).Client,
-				OriginTime: 50 * time.Millisecond, ChunkTime: test.chunkTime, Early: test.early,
+				CopyTime: 50 * time.Millisecond, ChunkTime: test.chunkTime, Early: test.early,
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 			defer cancel()
--- a/daemon/internal/version/swarm/outage_test.go
+++ b/daemon/internal/version/swarm/outage_test.go
@@ -141,7 +141,7 @@
 		fetch := &swarm.Fetch{
 			Copy: c, Model: "m", Source: provider.Origin{Chunk: o.chunk}, Own: listed[i],
 			Hosts: func() []swarm.Host { return listed }, Client: net.client(t),
-			OriginTime: o.linkTime * time.Duration(len(manifest.Digests)), Early: i < 2,
+			CopyTime: o.linkTime * time.Duration(len(manifest.Digests)), Early: i < 2,
 		}
 		running.Go(func() {
 			assert.NoError(t, fetch.Run(ctx))
