--- a/daemon/internal/version/reconcile/reconcile.go
+++ b/daemon/internal/version/reconcile/reconcile.go
@@ -75,8 +75,8 @@
 	Places int
 	// Chunks and ChunkBytes are the declared sizes of a version.
 	Chunks, ChunkBytes int
-	// OriginTime is how long the origin takes to send one copy.
-	OriginTime time.Duration
+	// CopyTime is how long the origin takes to send one copy.
+	CopyTime time.Duration
 }
 
 // goals returns all declared versions, newest first.
--- a/daemon/loader/events_test.go
+++ b/daemon/loader/events_test.go
@@ -32,12 +32,12 @@
 	assert.True(t, given)
 }
 
-// TestOriginTimeFollowsOriginRate also covers the fallback to the rate of this host's link.
-func TestOriginTimeFollowsOriginRate(t *testing.T) {
+// TestCopyTimeFollowsOriginRate also covers the fallback to the rate of this host's link.
+func TestCopyTimeFollowsOriginRate(t *testing.T) {
 	p := &Process{}
 	p.current.Store(&settings.Loader{Bounds: settings.LoaderBounds{LinkMbps: 8}})
 	config := &mirror.EngineNeeds{Engine: provider.EngineSpec{Chunks: 100, ChunkBytes: 20000}}
-	assert.Equal(t, 2*time.Second, p.originTime(config))
+	assert.Equal(t, 2*time.Second, p.copyTime(config))
 	config.OriginRate = 5e5
-	assert.Equal(t, 4*time.Second, p.originTime(config))
+	assert.Equal(t, 4*time.Second, p.copyTime(config))
 }
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -254,7 +254,7 @@
 		Goal:   reconcile.Goal{Model: model, Version: initialVersion, Fence: p.table.Newest()},
 		Origin: config.Origin, Places: config.Engine.Places,
 		Chunks: config.Engine.Chunks, ChunkBytes: config.Engine.ChunkBytes,
-		OriginTime: p.originTime(config),
+		CopyTime: p.copyTime(config),
 	}
 	if declared, ok := p.compiler.View().Targets[model]; ok {
 		plan.Goal = p.goal(&declared, loaded)
@@ -286,10 +286,10 @@
 	return r.rank(fmt.Sprintf("%s/%d", model, version)), len(r.names)
 }
 
-// originTime returns how long the origin takes to send one copy. It follows from the declared
+// copyTime returns how long the origin takes to send one copy. It follows from the declared
 // rate of the origin's link, or from this host's link where none is declared. With an estimate
 // that is too short, hosts would request each chunk long before the origin could send it.
-func (p *Process) originTime(config *mirror.EngineNeeds) time.Duration {
+func (p *Process) copyTime(config *mirror.EngineNeeds) time.Duration {
 	bytes := config.Engine.Chunks * config.Engine.ChunkBytes
 	if config.OriginRate <= 0 {
 		return p.linkTime(bytes)
@@ -342,7 +342,7 @@
 	return &swarm.Fetch{
 		Early: schedule.IsEarly(rank),
 		Copy:  c, Model: plan.Goal.Model, Origin: plan.Origin, Source: p.provider.Origin,
-		Own: p.own(), Hosts: p.loaders, Client: p.client, CopyTime: plan.OriginTime,
+		Own: p.own(), Hosts: p.loaders, Client: p.client, CopyTime: plan.CopyTime,
 		ChunkTime: p.linkTime(plan.ChunkBytes), OnChunk: p.countChunk,
 	}
 }
