--- a/daemon/internal/version/reconcile/reconcile_test.go
+++ b/daemon/internal/version/reconcile/reconcile_test.go
@@ -170,7 +170,7 @@
 	}
 	k.NewFetch = func(_ reconcile.Plan, c *swarm.Copy) *swarm.Fetch {
 		return &swarm.Fetch{
-			Copy: c, Model: "m", Source: k.Origin, Own: swarm.Host{Address: host, Hall: "h"},
+			Copy: c, Model: "m", Source: k.Origin, Self: swarm.Host{Address: host, Hall: "h"},
 			Hosts: func() []swarm.Host { return nil },
 		}
 	}
--- a/daemon/internal/version/swarm/assignment.go
+++ b/daemon/internal/version/swarm/assignment.go
@@ -65,10 +65,10 @@
 		halls = append(halls, hall)
 	}
 	f.assignments = make([]assignment, len(f.Copy.Manifest.Digests))
-	ranks := f.hostRanks(byHall[f.Own.Hall])
+	ranks := f.hostRanks(byHall[f.Self.Hall])
 	for index := range f.assignments {
 		ranked := rendezvous.Rank("halls of "+f.key(index), halls)
-		f.assignments[index] = assignment{hostRank: ranks[index], hallRank: slices.Index(ranked, f.Own.Hall)}
+		f.assignments[index] = assignment{hostRank: ranks[index], hallRank: slices.Index(ranked, f.Self.Hall)}
 	}
 }
 
@@ -85,7 +85,7 @@
 		name := ranked[first]
 		firsts[name]++
 		ranked = slices.Insert(slices.Delete(ranked, first, first+1), 0, name)
-		ranks[index] = slices.Index(ranked, f.Own.Address.String())
+		ranks[index] = slices.Index(ranked, f.Self.Address.String())
 	}
 	return ranks
 }
--- a/daemon/internal/version/swarm/fetch.go
+++ b/daemon/internal/version/swarm/fetch.go
@@ -101,9 +101,9 @@
 	Model  string
 	Origin netip.AddrPort
 	Source provider.Origin
-	// Own is this host, and Hosts returns all hosts that should have the version. They
-	// need not include Own.
-	Own    Host
+	// Self is this host, and Hosts returns all hosts that should have the version. They
+	// need not include Self.
+	Self   Host
 	Hosts  func() []Host
 	Client *http.Client
 	// CopyTime is how long the origin takes to send one copy, and ChunkTime how long a
@@ -241,7 +241,7 @@
 // follow follows the reports of one host, and reconnects when the stream ends.
 func (f *Fetch) follow(ctx context.Context, host Host) {
 	peer := Peer{Address: host.Address, Client: f.Client}
-	far := host.Hall != f.Own.Hall
+	far := host.Hall != f.Self.Hall
 	for ctx.Err() == nil {
 		err := peer.Follow(ctx, f.Copy.Manifest.Version, far, func(have Bitmap) { f.recordReport(host, have, false) })
 		pause := peerRetryDelay + rand.N(peerRetryDelay)
@@ -258,7 +258,7 @@
 	defer f.mu.Unlock()
 	n := f.neighbours[host.Address]
 	if n == nil {
-		n = &neighbour{far: host.Hall != f.Own.Hall}
+		n = &neighbour{far: host.Hall != f.Self.Hall}
 		f.neighbours[host.Address] = n
 	}
 	now := clock.Now()
--- a/daemon/internal/version/swarm/fetch_test.go
+++ b/daemon/internal/version/swarm/fetch_test.go
@@ -110,7 +110,7 @@
 	var running sync.WaitGroup
 	for i, c := range copies {
 		fetch := &swarm.Fetch{
-			Copy: c, Model: "m", Source: provider.Origin{Chunk: o.chunk}, Own: listed[i],
+			Copy: c, Model: "m", Source: provider.Origin{Chunk: o.chunk}, Self: listed[i],
 			Hosts: func() []swarm.Host { return listed }, Client: net.client(t),
 			CopyTime: max(50*time.Millisecond, o.linkTime*time.Duration(len(manifest.Digests))), Early: i == 0,
 		}
@@ -162,7 +162,7 @@
 	o := &origin{data: data, corruptFirst: true, sent: map[int]int{}}
 	own := swarm.Host{Address: serve(t, &swarm.Copies{}).Address, Hall: "hall"}
 	fetch := &swarm.Fetch{
-		Copy: swarm.NewCopy(manifest), Model: "m", Source: provider.Origin{Chunk: o.chunk}, Own: own,
+		Copy: swarm.NewCopy(manifest), Model: "m", Source: provider.Origin{Chunk: o.chunk}, Self: own,
 		Hosts: func() []swarm.Host { return nil }, Client: serve(t, &swarm.Copies{}).Client,
 	}
 	require.NoError(t, fetch.Run(context.Background()))
@@ -221,7 +221,7 @@
 			}
 			fetch := &swarm.Fetch{
 				Copy: swarm.NewCopy(manifest), Model: "m", Source: provider.Origin{Chunk: o.chunk},
-				Own:   swarm.Host{Address: serve(t, &swarm.Copies{}).Address, Hall: "hall"},
+				Self:  swarm.Host{Address: serve(t, &swarm.Copies{}).Address, Hall: "hall"},
 				Hosts: func() []swarm.Host { return hosts }, Client: serve(t, &swarm.Copies{}).Client,
 				CopyTime: 50 * time.Millisecond,
 			}
@@ -238,7 +238,7 @@
 	o := &origin{data: data, sent: map[int]int{}}
 	own := swarm.Host{Address: serve(t, &swarm.Copies{}).Address, Hall: "hall"}
 	fetch := &swarm.Fetch{
-		Copy: swarm.NewCopy(manifest), Model: "m", Source: provider.Origin{Chunk: o.chunk}, Own: own,
+		Copy: swarm.NewCopy(manifest), Model: "m", Source: provider.Origin{Chunk: o.chunk}, Self: own,
 		Hosts: func() []swarm.Host { return nil }, Client: serve(t, &swarm.Copies{}).Client,
 	}
 	require.ErrorIs(t, fetch.Run(context.Background()), swarm.ErrManifest)
@@ -249,7 +249,7 @@
 	o := &origin{data: data, sent: map[int]int{}, block: make(chan struct{})}
 	own := swarm.Host{Address: serve(t, &swarm.Copies{}).Address, Hall: "hall"}
 	fetch := &swarm.Fetch{
-		Copy: swarm.NewCopy(manifest), Model: "m", Source: provider.Origin{Chunk: o.chunk}, Own: own,
+		Copy: swarm.NewCopy(manifest), Model: "m", Source: provider.Origin{Chunk: o.chunk}, Self: own,
 		Hosts: func() []swarm.Host { return nil }, Client: serve(t, &swarm.Copies{}).Client,
 	}
 	ctx, cancel := context.WithCancel(context.Background())
--- a/daemon/internal/version/swarm/inbound_test.go
+++ b/daemon/internal/version/swarm/inbound_test.go
@@ -70,7 +70,7 @@
 			o := &origin{data: data, failures: 1 << 30, sent: map[int]int{}}
 			fetch := &swarm.Fetch{
 				Copy: swarm.NewCopy(manifest), Model: "m", Source: provider.Origin{Chunk: o.chunk},
-				Own:   swarm.Host{Address: serve(t, &swarm.Copies{}).Address, Hall: "hall"},
+				Self:  swarm.Host{Address: serve(t, &swarm.Copies{}).Address, Hall: "hall"},
 				Hosts: func() []swarm.Host { return listed }, Client: serve(t, &swarm.Copies{}).Client,
 				CopyTime: 50 * time.Millisecond, ChunkTime: test.chunkTime, Early: test.early,
 			}
--- a/daemon/internal/version/swarm/outage_test.go
+++ b/daemon/internal/version/swarm/outage_test.go
@@ -139,7 +139,7 @@
 	var running sync.WaitGroup
 	for i, c := range copies {
 		fetch := &swarm.Fetch{
-			Copy: c, Model: "m", Source: provider.Origin{Chunk: o.chunk}, Own: listed[i],
+			Copy: c, Model: "m", Source: provider.Origin{Chunk: o.chunk}, Self: listed[i],
 			Hosts: func() []swarm.Host { return listed }, Client: net.client(t),
 			CopyTime: o.linkTime * time.Duration(len(manifest.Digests)), Early: i < 2,
 		}
--- a/daemon/internal/version/swarm/peerset.go
+++ b/daemon/internal/version/swarm/peerset.go
@@ -23,8 +23,8 @@
 	if cached := f.peers.Load(); cached != nil && slices.Equal(cached.listed, listed) {
 		return cached
 	}
-	set := &peerSet{listed: slices.Clone(listed), hosts: allHosts(f.Own, listed)}
-	set.neighbours = neighboursOf(f.Own, set.hosts)
+	set := &peerSet{listed: slices.Clone(listed), hosts: allHosts(f.Self, listed)}
+	set.neighbours = neighboursOf(f.Self, set.hosts)
 	f.peers.Store(set)
 	return set
 }
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -342,7 +342,7 @@
 	return &swarm.Fetch{
 		Early: schedule.IsEarly(rank),
 		Copy:  c, Model: plan.Goal.Model, Origin: plan.Origin, Source: p.provider.Origin,
-		Own: p.own(), Hosts: p.loaders, Client: p.client, CopyTime: plan.CopyTime,
+		Self: p.own(), Hosts: p.loaders, Client: p.client, CopyTime: plan.CopyTime,
 		ChunkTime: p.linkTime(plan.ChunkBytes), OnChunk: p.countChunk,
 	}
 }
