--- a/daemon/internal/version/reconcile/manifest_test.go
+++ b/daemon/internal/version/reconcile/manifest_test.go
@@ -41,7 +41,7 @@
 	for _, address := range f.ranked[f.frozen:] {
 		e := &engine{t: t, staged: map[int][]byte{}, loaded: 1}
 		k := newKeeper(e, func() reconcile.Plan { return planOf(goal(2, time.Now().Add(time.Hour))) })
-		k.Own = address
+		k.Self = address
 		k.Ranked = func(reconcile.Goal) []netip.AddrPort { return f.ranked }
 		k.AskPeer = f.queryPeer
 		k.Origin.Manifest = f.queryOrigin
--- a/daemon/internal/version/reconcile/reconcile.go
+++ b/daemon/internal/version/reconcile/reconcile.go
@@ -91,9 +91,9 @@
 	// Plan returns the plan for an engine that serves the given version, 0 for none. It
 	// reports false while the configuration or the declared versions are not known.
 	Plan func(held int) (Plan, bool)
-	// Own is the address of this loader, and Ranked returns all loaders of the service in
+	// Self is the address of this loader, and Ranked returns all loaders of the service in
 	// the order in which they query the origin for a version's manifest.
-	Own    netip.AddrPort
+	Self   netip.AddrPort
 	Ranked func(Goal) []netip.AddrPort
 	// NewFetch prepares the fetch of a copy without running it.
 	NewFetch func(plan Plan, c *swarm.Copy) *swarm.Fetch
--- a/daemon/internal/version/reconcile/reconcile_test.go
+++ b/daemon/internal/version/reconcile/reconcile_test.go
@@ -150,7 +150,7 @@
 // newKeeper returns a loop for an engine without peers; its origin has every version.
 func newKeeper(e *engine, plan func() reconcile.Plan) *reconcile.Keeper {
 	k := &reconcile.Keeper{
-		Engine: e.provider(), Address: host, Copies: &swarm.Copies{}, Own: host,
+		Engine: e.provider(), Address: host, Copies: &swarm.Copies{}, Self: host,
 		Origin: provider.Origin{
 			Manifest: func(_ context.Context, _ netip.AddrPort, _ string, version int) (provider.Manifest, error) {
 				return manifestOf(version), nil
