--- a/daemon/internal/version/reconcile/fetch.go
+++ b/daemon/internal/version/reconcile/fetch.go
@@ -109,7 +109,7 @@
 	started := clock.Now()
 	goal := plan.Goal
 	lookup := &Inquiry{
-		Own: k.Self, Ranked: k.Ranked(goal),
+		Own: k.Self, Ranked: k.RankLoaders(goal),
 		AskPeer: func(ctx context.Context, peer netip.AddrPort) (provider.Manifest, error) {
 			return k.AskPeer(ctx, peer, goal.Version)
 		},
--- a/daemon/internal/version/reconcile/manifest_test.go
+++ b/daemon/internal/version/reconcile/manifest_test.go
@@ -42,7 +42,7 @@
 		e := &engine{t: t, staged: map[int][]byte{}, loaded: 1}
 		k := newKeeper(e, func() reconcile.Plan { return planOf(goal(2, time.Now().Add(time.Hour))) })
 		k.Self = address
-		k.Ranked = func(reconcile.Goal) []netip.AddrPort { return f.ranked }
+		k.RankLoaders = func(reconcile.Goal) []netip.AddrPort { return f.ranked }
 		k.AskPeer = f.queryPeer
 		k.Origin.Manifest = f.queryOrigin
 		f.keepers[address] = k
--- a/daemon/internal/version/reconcile/reconcile.go
+++ b/daemon/internal/version/reconcile/reconcile.go
@@ -91,10 +91,10 @@
 	// Plan returns the plan for an engine that serves the given version, 0 for none. It
 	// reports false while the configuration or the declared versions are not known.
 	Plan func(held int) (Plan, bool)
-	// Self is the address of this loader, and Ranked returns all loaders of the service in
+	// Self is the address of this loader, and RankLoaders returns all loaders of the service in
 	// the order in which they query the origin for a version's manifest.
-	Self   netip.AddrPort
-	Ranked func(Goal) []netip.AddrPort
+	Self        netip.AddrPort
+	RankLoaders func(Goal) []netip.AddrPort
 	// NewFetch prepares the fetch of a copy without running it.
 	NewFetch func(plan Plan, c *swarm.Copy) *swarm.Fetch
 	// AskPeer requests a manifest from one peer.
--- a/daemon/internal/version/reconcile/reconcile_test.go
+++ b/daemon/internal/version/reconcile/reconcile_test.go
@@ -159,9 +159,9 @@
 				return chunkOf(version, index), nil
 			},
 		},
-		Ranked: func(reconcile.Goal) []netip.AddrPort { return []netip.AddrPort{host} },
-		Plan:   func(int) (reconcile.Plan, bool) { return plan(), true },
-		OnStep: func(reconcile.Step) {},
+		RankLoaders: func(reconcile.Goal) []netip.AddrPort { return []netip.AddrPort{host} },
+		Plan:        func(int) (reconcile.Plan, bool) { return plan(), true },
+		OnStep:      func(reconcile.Step) {},
 	}
 	k.Now = e.now
 	k.OnReport = func(provider.EngineReport, error) {
