--- a/daemon/internal/version/reconcile/fetch.go
+++ b/daemon/internal/version/reconcile/fetch.go
@@ -111,7 +111,7 @@
 	lookup := &Inquiry{
 		Own: k.Self, Ranked: k.RankLoaders(goal),
 		AskPeer: func(ctx context.Context, peer netip.AddrPort) (provider.Manifest, error) {
-			return k.AskPeer(ctx, peer, goal.Version)
+			return k.PeerManifest(ctx, peer, goal.Version)
 		},
 		AskOrigin: func(ctx context.Context) (provider.Manifest, error) {
 			return k.Origin.Manifest(ctx, plan.Origin, goal.Model, goal.Version)
--- a/daemon/internal/version/reconcile/manifest_test.go
+++ b/daemon/internal/version/reconcile/manifest_test.go
@@ -43,7 +43,7 @@
 		k := newKeeper(e, func() reconcile.Plan { return planOf(goal(2, time.Now().Add(time.Hour))) })
 		k.Self = address
 		k.RankLoaders = func(reconcile.Goal) []netip.AddrPort { return f.ranked }
-		k.AskPeer = f.queryPeer
+		k.PeerManifest = f.queryPeer
 		k.Origin.Manifest = f.queryOrigin
 		f.keepers[address] = k
 	}
--- a/daemon/internal/version/reconcile/reconcile.go
+++ b/daemon/internal/version/reconcile/reconcile.go
@@ -97,8 +97,8 @@
 	RankLoaders func(Goal) []netip.AddrPort
 	// NewFetch prepares the fetch of a copy without running it.
 	NewFetch func(plan Plan, c *swarm.Copy) *swarm.Fetch
-	// AskPeer requests a manifest from one peer.
-	AskPeer func(ctx context.Context, peer netip.AddrPort, version int) (provider.Manifest, error)
+	// PeerManifest requests a manifest from one peer.
+	PeerManifest func(ctx context.Context, peer netip.AddrPort, version int) (provider.Manifest, error)
 	// Now is the clock that orders are scheduled by; nil means clock.Now.
 	Now func() time.Time
 	// OnReport is called with each report of the engine.
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -153,7 +153,7 @@
 	p.addFollowers()
 	p.keeper = &reconcile.Keeper{
 		Engine: p.provider.Engine, Origin: p.provider.Origin, Address: s.Engine, Copies: p.copies,
-		Self: s.Listen.Peers, RankLoaders: p.manifestRanking, Plan: p.plan, NewFetch: p.newFetch, AskPeer: p.peerManifest,
+		Self: s.Listen.Peers, RankLoaders: p.manifestRanking, Plan: p.plan, NewFetch: p.newFetch, PeerManifest: p.peerManifest,
 		OnReport: p.publishReport, OnStep: p.logStep,
 	}
 	return p, nil
