--- a/daemon/internal/version/reconcile/reconcile.go
+++ b/daemon/internal/version/reconcile/reconcile.go
@@ -59,8 +59,8 @@
 	Version int
 	// Fence is the fencing token of the order: an engine refuses one lower than it has seen.
 	Fence provider.Revision
-	// Turn is the earliest time to order an engine that serves an older version.
-	Turn time.Time
+	// LoadAt is the earliest time to order an engine that serves an older version.
+	LoadAt time.Time
 }
 
 // Plan is the desired state of one engine, with what is needed to reach it.
@@ -229,7 +229,7 @@
 // accepts nothing new, lets them end, and then loads.
 func (k *Keeper) drained(ctx context.Context, goal Goal, c *swarm.Copy, report provider.EngineReport) bool {
 	now := k.now()
-	if now.Before(goal.Turn) {
+	if now.Before(goal.LoadAt) {
 		k.drainStarted = time.Time{}
 		return false
 	}
@@ -263,9 +263,9 @@
 func closeTime(plan Plan, loaded int, now time.Time) time.Time {
 	var next time.Time
 	for _, goal := range plan.goals() {
-		soon := now.Before(goal.Turn) && !now.Before(goal.Turn.Add(-CloseAhead))
-		if loaded > 0 && goal.Version > loaded && soon && (next.IsZero() || goal.Turn.Before(next)) {
-			next = goal.Turn
+		soon := now.Before(goal.LoadAt) && !now.Before(goal.LoadAt.Add(-CloseAhead))
+		if loaded > 0 && goal.Version > loaded && soon && (next.IsZero() || goal.LoadAt.Before(next)) {
+			next = goal.LoadAt
 		}
 	}
 	return next
@@ -283,7 +283,7 @@
 		if goal.Version <= loaded || c == nil || !c.Complete() {
 			continue
 		}
-		if bestCopy == nil || k.now().Before(best.Turn) {
+		if bestCopy == nil || k.now().Before(best.LoadAt) {
 			best, bestCopy = goal, c
 		}
 		if loaded == 0 {
--- a/daemon/internal/version/reconcile/reconcile_test.go
+++ b/daemon/internal/version/reconcile/reconcile_test.go
@@ -178,7 +178,7 @@
 }
 
 func goal(version int, loadTime time.Time) reconcile.Goal {
-	return reconcile.Goal{Model: "m", Version: version, Turn: loadTime, Fence: provider.Revision(version)}
+	return reconcile.Goal{Model: "m", Version: version, LoadAt: loadTime, Fence: provider.Revision(version)}
 }
 
 func planOf(goals ...reconcile.Goal) reconcile.Plan {
