--- a/daemon/internal/version/reconcile/reconcile.go
+++ b/daemon/internal/version/reconcile/reconcile.go
@@ -249,9 +249,9 @@
 
 func (k *Keeper) now() time.Time { return helpers.Now(k.Now) }
 
-// Clearing reports whether the engine is draining: it accepts no new requests because an
+// Draining reports whether the engine is draining: it accepts no new requests because an
 // order is imminent. Only OnReport may call it.
-func (k *Keeper) Clearing() bool { return !k.drainStarted.IsZero() }
+func (k *Keeper) Draining() bool { return !k.drainStarted.IsZero() }
 
 // Closes returns the scheduled load time if it is less than CloseAhead away, otherwise
 // zero. Only OnReport may call it.
--- a/daemon/internal/version/reconcile/reconcile_test.go
+++ b/daemon/internal/version/reconcile/reconcile_test.go
@@ -165,7 +165,7 @@
 	}
 	k.Now = e.now
 	k.OnReport = func(provider.EngineReport, error) {
-		e.draining.Store(k.Clearing())
+		e.draining.Store(k.Draining())
 		e.rounds.Add(1)
 	}
 	k.NewFetch = func(_ reconcile.Plan, c *swarm.Copy) *swarm.Fetch {
