--- a/daemon/internal/version/reconcile/reconcile.go
+++ b/daemon/internal/version/reconcile/reconcile.go
@@ -253,9 +253,9 @@
 // order is imminent. Only OnReport may call it.
 func (k *Keeper) Draining() bool { return !k.drainStarted.IsZero() }
 
-// Closes returns the scheduled load time if it is less than CloseAhead away, otherwise
+// ClosesAt returns the scheduled load time if it is less than CloseAhead away, otherwise
 // zero. Only OnReport may call it.
-func (k *Keeper) Closes() time.Time { return k.closesAt }
+func (k *Keeper) ClosesAt() time.Time { return k.closesAt }
 
 // closeTime returns the scheduled load time of an engine if it is less than CloseAhead
 // away, otherwise zero. It applies whether or not the copy is complete: that is known only
--- a/daemon/internal/version/reconcile/reconcile_test.go
+++ b/daemon/internal/version/reconcile/reconcile_test.go
@@ -255,7 +255,7 @@
 	})
 	onReport := k.OnReport
 	k.OnReport = func(report provider.EngineReport, err error) {
-		closesAt.Store(k.Closes())
+		closesAt.Store(k.ClosesAt())
 		onReport(report, err)
 	}
 	k.Start()
