--- a/daemon/internal/version/schedule/schedule.go
+++ b/daemon/internal/version/schedule/schedule.go
@@ -78,8 +78,8 @@
 	return w
 }
 
-// Of returns the scheduled load time of the host of a rank among some hosts.
-func (w Window) Of(rank, hosts int) time.Time {
+// LoadTime returns the scheduled load time of the host of a rank among some hosts.
+func (w Window) LoadTime(rank, hosts int) time.Time {
 	if IsEarly(rank) {
 		return w.Early
 	}
--- a/daemon/internal/version/schedule/schedule_test.go
+++ b/daemon/internal/version/schedule/schedule_test.go
@@ -20,17 +20,17 @@
 	assert.True(t, w.Last.Before(declared.Add(apply)))
 	assert.True(t, w.Early.Before(w.First))
 	for rank := range 10 {
-		switch at := w.Of(rank, 10); {
+		switch at := w.LoadTime(rank, 10); {
 		case schedule.IsEarly(rank):
 			assert.Equal(t, w.Early, at, "as soon as the chunks have arrived")
 		default:
-			assert.True(t, at.After(w.Of(rank-1, 10)), "rank %d", rank)
+			assert.True(t, at.After(w.LoadTime(rank-1, 10)), "rank %d", rank)
 		}
 	}
-	assert.Equal(t, w.First, w.Of(2, 10))
-	assert.Equal(t, w.Last, w.Of(9, 10))
-	assert.Equal(t, w.Early, w.Of(0, 1))
-	assert.Equal(t, w.First, w.Of(2, 3))
+	assert.Equal(t, w.First, w.LoadTime(2, 10))
+	assert.Equal(t, w.Last, w.LoadTime(9, 10))
+	assert.Equal(t, w.Early, w.LoadTime(0, 1))
+	assert.Equal(t, w.First, w.LoadTime(2, 3))
 }
 
 // TestPendingOlderVersionShortensWindow: engines that have not loaded an older version load the
@@ -53,13 +53,13 @@
 	assert.Equal(t, w, w.After(time.Time{}), "not complete yet")
 	for _, completed := range []time.Duration{8 * time.Second, 11600 * time.Millisecond} {
 		late := w.After(declared.Add(completed))
-		assert.Equal(t, declared.Add(completed), late.Of(0, hosts))
-		assert.Equal(t, declared.Add(completed), late.Of(2, hosts))
-		assert.Equal(t, w.Last, late.Of(hosts-1, hosts))
-		assert.True(t, late.Of(hosts/2, hosts).After(declared.Add(completed)))
+		assert.Equal(t, declared.Add(completed), late.LoadTime(0, hosts))
+		assert.Equal(t, declared.Add(completed), late.LoadTime(2, hosts))
+		assert.Equal(t, w.Last, late.LoadTime(hosts-1, hosts))
+		assert.True(t, late.LoadTime(hosts/2, hosts).After(declared.Add(completed)))
 	}
 	over := w.After(declared.Add(apply))
-	assert.Equal(t, declared.Add(apply), over.Of(hosts-1, hosts), "at once when the time has passed")
+	assert.Equal(t, declared.Add(apply), over.LoadTime(hosts-1, hosts), "at once when the time has passed")
 }
 
 // TestLoadReserveIsBounded: the time after the last scheduled load does not grow with the apply
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -277,7 +277,7 @@
 		window = window.After(c.CompletedAt())
 	}
 	rank, hosts := p.rank(declared.Model, declared.Version)
-	return reconcile.Goal{Model: declared.Model, Version: declared.Version, Fence: p.table.Newest(), LoadAt: window.Of(rank, hosts)}
+	return reconcile.Goal{Model: declared.Model, Version: declared.Version, Fence: p.table.Newest(), LoadAt: window.LoadTime(rank, hosts)}
 }
 
 // rank returns this host's rank in the order in which hosts load a version, and their number.
