--- a/daemon/internal/version/schedule/schedule.go
+++ b/daemon/internal/version/schedule/schedule.go
@@ -62,10 +62,10 @@
 	return min(fraction(1-lastShare, apply), loadReserve)
 }
 
-// After returns the window of a host whose copy was complete at some time. Hosts whose copies
+// Delayed returns the window of a host whose copy was complete at some time. Hosts whose copies
 // are late, for example after an outage of the origin, are spread over the rest of the window:
 // otherwise all of their load times would have passed and their engines would load at once.
-func (w Window) After(completed time.Time) Window {
+func (w Window) Delayed(completed time.Time) Window {
 	if completed.After(w.First) {
 		w.First = completed
 	}
--- a/daemon/internal/version/schedule/schedule_test.go
+++ b/daemon/internal/version/schedule/schedule_test.go
@@ -49,16 +49,16 @@
 func TestLateCopiesSpreadOverRestOfWindow(t *testing.T) {
 	const apply, hosts = 13400 * time.Millisecond, 76
 	w := schedule.NewWindow(declared, apply, time.Time{})
-	assert.Equal(t, w, w.After(declared.Add(time.Second)), "in time")
-	assert.Equal(t, w, w.After(time.Time{}), "not complete yet")
+	assert.Equal(t, w, w.Delayed(declared.Add(time.Second)), "in time")
+	assert.Equal(t, w, w.Delayed(time.Time{}), "not complete yet")
 	for _, completed := range []time.Duration{8 * time.Second, 11600 * time.Millisecond} {
-		late := w.After(declared.Add(completed))
+		late := w.Delayed(declared.Add(completed))
 		assert.Equal(t, declared.Add(completed), late.LoadTime(0, hosts))
 		assert.Equal(t, declared.Add(completed), late.LoadTime(2, hosts))
 		assert.Equal(t, w.Last, late.LoadTime(hosts-1, hosts))
 		assert.True(t, late.LoadTime(hosts/2, hosts).After(declared.Add(completed)))
 	}
-	over := w.After(declared.Add(apply))
+	over := w.Delayed(declared.Add(apply))
 	assert.Equal(t, declared.Add(apply), over.LoadTime(hosts-1, hosts), "at once when the time has passed")
 }
 
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -274,7 +274,7 @@
 	}
 	window := schedule.NewWindow(declared.Since(apply), apply, due)
 	if c := p.copies.Get(declared.Version); c != nil {
-		window = window.After(c.CompletedAt())
+		window = window.Delayed(c.CompletedAt())
 	}
 	rank, hosts := p.rank(declared.Model, declared.Version)
 	return reconcile.Goal{Model: declared.Model, Version: declared.Version, Fence: p.table.Newest(), LoadAt: window.LoadTime(rank, hosts)}
