--- a/daemon/internal/version/schedule/schedule.go
+++ b/daemon/internal/version/schedule/schedule.go
@@ -87,9 +87,9 @@
 	return w.First.Add(w.Last.Sub(w.First) * time.Duration(rank-earlyHosts) / time.Duration(steps))
 }
 
-// Place returns the rank of a host in the order in which all hosts load the version that key
+// Rank returns the rank of a host in the order in which all hosts load the version that key
 // names.
-func Place(key, own string, hosts []string) int {
+func Rank(key, own string, hosts []string) int {
 	return max(slices.Index(rendezvous.Rank("turn of "+key, hosts), own), 0)
 }
 
--- a/daemon/internal/version/schedule/schedule_test.go
+++ b/daemon/internal/version/schedule/schedule_test.go
@@ -85,8 +85,8 @@
 		shuffled := rapid.Permutation(hosts).Draw(t, "shuffled")
 		seen := map[int]bool{}
 		for _, host := range hosts {
-			rank := schedule.Place(key, host, hosts)
-			assert.Equal(t, rank, schedule.Place(key, host, shuffled))
+			rank := schedule.Rank(key, host, hosts)
+			assert.Equal(t, rank, schedule.Rank(key, host, shuffled))
 			assert.False(t, seen[rank])
 			seen[rank] = true
 		}
--- a/daemon/loader/roster.go
+++ b/daemon/loader/roster.go
@@ -68,7 +68,7 @@
 	defer r.mu.Unlock()
 	rank, ok := r.ranks[key]
 	if !ok {
-		rank = schedule.Place(key, r.names[0], r.names)
+		rank = schedule.Rank(key, r.names[0], r.names)
 		r.ranks[key] = rank
 	}
 	return rank
