--- a/daemon/internal/version/reconcile/fetch.go
+++ b/daemon/internal/version/reconcile/fetch.go
@@ -108,12 +108,12 @@
 func (k *Keeper) manifest(ctx context.Context, plan Plan) (provider.Manifest, error) {
 	started := clock.Now()
 	goal := plan.Goal
-	lookup := &Inquiry{
-		Own: k.Self, Ranked: k.RankLoaders(goal),
-		AskPeer: func(ctx context.Context, peer netip.AddrPort) (provider.Manifest, error) {
+	lookup := &ManifestLookup{
+		Self: k.Self, Ranking: k.RankLoaders(goal),
+		QueryPeer: func(ctx context.Context, peer netip.AddrPort) (provider.Manifest, error) {
 			return k.PeerManifest(ctx, peer, goal.Version)
 		},
-		AskOrigin: func(ctx context.Context) (provider.Manifest, error) {
+		QueryOrigin: func(ctx context.Context) (provider.Manifest, error) {
 			return k.Origin.Manifest(ctx, plan.Origin, goal.Model, goal.Version)
 		},
 		Check: func(manifest provider.Manifest) error { return checkManifest(manifest, plan) },
@@ -124,7 +124,7 @@
 	}
 	k.OnStep(Step{
 		Name: StepManifest, Version: goal.Version, Took: clock.Since(started),
-		Reason: fmt.Sprintf("from %s after %d queries to peers", found.From, found.Asked),
+		Reason: fmt.Sprintf("from %s after %d queries to peers", found.From, found.PeerQueries),
 	})
 	return found.Manifest, nil
 }
--- a/daemon/internal/version/reconcile/manifest.go
+++ b/daemon/internal/version/reconcile/manifest.go
@@ -29,19 +29,19 @@
 	leadHosts     = 4
 )
 
-// Inquiry looks up the manifest of a version. All hosts compute the same ranking for a
+// ManifestLookup looks up the manifest of a version. All hosts compute the same ranking for a
 // version. The first host queries the origin at once and each following one a while later,
 // so that the origin is queried about once and never by all hosts together. Until its delay
 // has passed a host queries its peers: the first hosts of the ranking, and between them
 // random hosts, through which the manifest spreads. The exported fields must be set.
-type Inquiry struct {
-	// Own is this host, and Ranked all hosts that should have the version, best first. It
-	// need not include Own.
-	Own    netip.AddrPort
-	Ranked []netip.AddrPort
-	// AskPeer and AskOrigin make one call each and return the manifest unverified.
-	AskPeer   func(ctx context.Context, peer netip.AddrPort) (provider.Manifest, error)
-	AskOrigin func(ctx context.Context) (provider.Manifest, error)
+type ManifestLookup struct {
+	// Self is this host, and Ranking all hosts that should have the version, best first. It
+	// need not include Self.
+	Self    netip.AddrPort
+	Ranking []netip.AddrPort
+	// QueryPeer and QueryOrigin make one call each and return the manifest unverified.
+	QueryPeer   func(ctx context.Context, peer netip.AddrPort) (provider.Manifest, error)
+	QueryOrigin func(ctx context.Context) (provider.Manifest, error)
 	// Check validates a manifest against the declared version.
 	Check func(provider.Manifest) error
 
@@ -51,13 +51,13 @@
 	pending map[netip.AddrPort]bool
 }
 
-// Found is the result of a lookup.
-type Found struct {
+// LookupResult is the result of a lookup.
+type LookupResult struct {
 	Manifest provider.Manifest
 	// From is the address of the host that sent it, or swarm.FromOrigin.
 	From string
-	// Asked is the number of queries to peers.
-	Asked int
+	// PeerQueries is the number of queries to peers.
+	PeerQueries int
 }
 
 // reply is the result of one query. Its peer is invalid where the origin was queried.
@@ -76,53 +76,53 @@
 
 // Find returns the first valid manifest. It fails where the origin fails or the context
 // ends.
-func (q *Inquiry) Find(ctx context.Context) (Found, error) {
+func (l *ManifestLookup) Find(ctx context.Context) (LookupResult, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	q.pending = map[netip.AddrPort]bool{}
+	l.pending = map[netip.AddrPort]bool{}
 	replies := make(chan reply)
-	originTimer := time.NewTimer(q.originDelay())
+	originTimer := time.NewTimer(l.originDelay())
 	defer originTimer.Stop()
 	peerTimer := time.NewTimer(0)
 	defer peerTimer.Stop()
 	for {
 		select {
 		case <-originTimer.C:
-			go q.query(ctx, replies, netip.AddrPort{})
+			go l.query(ctx, replies, netip.AddrPort{})
 		case <-peerTimer.C:
-			if peer, ok := q.nextPeer(); ok {
-				q.pending[peer] = true
-				go q.query(ctx, replies, peer)
+			if peer, ok := l.nextPeer(); ok {
+				l.pending[peer] = true
+				go l.query(ctx, replies, peer)
 			}
 			peerTimer.Reset(peerHedgeDelay)
 		case r := <-replies:
 			if r.err == nil {
-				return Found{Manifest: r.manifest, From: r.source(), Asked: q.queries}, nil
+				return LookupResult{Manifest: r.manifest, From: r.source(), PeerQueries: l.queries}, nil
 			}
 			if !r.peer.IsValid() {
-				return Found{}, r.err
+				return LookupResult{}, r.err
 			}
-			delete(q.pending, r.peer)
+			delete(l.pending, r.peer)
 			peerTimer.Reset(peerRetryDelay)
 		case <-ctx.Done():
-			return Found{}, fmt.Errorf("look up manifest: %w", ctx.Err())
+			return LookupResult{}, fmt.Errorf("look up manifest: %w", ctx.Err())
 		}
 	}
 }
 
 // query makes one call, to the origin where the peer is invalid, and sends the reply unless
 // the lookup has ended.
-func (q *Inquiry) query(ctx context.Context, replies chan<- reply, peer netip.AddrPort) {
+func (l *ManifestLookup) query(ctx context.Context, replies chan<- reply, peer netip.AddrPort) {
 	callCtx, cancel := context.WithTimeout(ctx, manifestTimeout)
 	defer cancel()
 	r := reply{peer: peer}
 	if peer.IsValid() {
-		r.manifest, r.err = q.AskPeer(callCtx, peer)
+		r.manifest, r.err = l.QueryPeer(callCtx, peer)
 	} else {
-		r.manifest, r.err = q.AskOrigin(callCtx)
+		r.manifest, r.err = l.QueryOrigin(callCtx)
 	}
 	if r.err == nil {
-		r.err = q.Check(r.manifest)
+		r.err = l.Check(r.manifest)
 	}
 	select {
 	case replies <- r:
@@ -131,10 +131,10 @@
 }
 
 // originDelay returns how long this host waits before it queries the origin.
-func (q *Inquiry) originDelay() time.Duration {
-	rank := slices.Index(q.Ranked, q.Own)
+func (l *ManifestLookup) originDelay() time.Duration {
+	rank := slices.Index(l.Ranking, l.Self)
 	if rank < 0 {
-		rank = len(q.Ranked)
+		rank = len(l.Ranking)
 	}
 	leads := min(rank, leadHosts)
 	return time.Duration(leads)*leadStagger + time.Duration(rank-leads)*backupStagger
@@ -143,24 +143,24 @@
 // nextPeer returns the next peer to query, or false where every candidate is still pending.
 // A lead host cycles through the other lead hosts, so that it learns of the manifest before
 // it queries the origin itself. Other hosts alternate between a lead host and a random one.
-func (q *Inquiry) nextPeer() (netip.AddrPort, bool) {
-	leads := q.Ranked[:min(leadHosts, len(q.Ranked))]
-	round, anyHost := q.queries, false
-	if !slices.Contains(leads, q.Own) {
-		round, anyHost = q.queries/2, q.queries%2 == 1
+func (l *ManifestLookup) nextPeer() (netip.AddrPort, bool) {
+	leads := l.Ranking[:min(leadHosts, len(l.Ranking))]
+	round, anyHost := l.queries, false
+	if !slices.Contains(leads, l.Self) {
+		round, anyHost = l.queries/2, l.queries%2 == 1
 	}
-	q.queries++
+	l.queries++
 	if anyHost {
-		return q.pick(q.Ranked, rand.Int())
+		return l.pick(l.Ranking, rand.Int())
 	}
-	return q.pick(leads, round)
+	return l.pick(leads, round)
 }
 
 // pick returns the host at an index, modulo their number, among the hosts without a pending
 // query.
-func (q *Inquiry) pick(hosts []netip.AddrPort, index int) (netip.AddrPort, bool) {
+func (l *ManifestLookup) pick(hosts []netip.AddrPort, index int) (netip.AddrPort, bool) {
 	idle := slices.DeleteFunc(slices.Clone(hosts), func(host netip.AddrPort) bool {
-		return host == q.Own || q.pending[host]
+		return host == l.Self || l.pending[host]
 	})
 	if len(idle) == 0 {
 		return netip.AddrPort{}, false
