--- a/daemon/internal/version/reconcile/reconcile.go
+++ b/daemon/internal/version/reconcile/reconcile.go
@@ -26,10 +26,10 @@
 const (
 	// roundInterval is the interval between rounds.
 	roundInterval = 50 * time.Millisecond
-	// BusyEvery is the interval between rounds while the engine is busy. Routers need
+	// BusyInterval is the interval between rounds while the engine is busy. Routers need
 	// fresher load reports then; an idle engine is polled less often because each report
 	// costs processor time on this host and on the routers.
-	BusyEvery = 20 * time.Millisecond
+	BusyInterval = 20 * time.Millisecond
 	// busyThreshold is the share of an engine's places in use from which it counts as busy.
 	busyThreshold = 0.6
 	// callTimeout bounds a call to the engine on this host.
@@ -161,7 +161,7 @@
 	for helpers.Pause(pause, k.tomb.Dying()) {
 		pause = roundInterval
 		if k.round(ctx) {
-			pause = BusyEvery
+			pause = BusyInterval
 		}
 	}
 	k.stopFetch()
--- a/daemon/lab/engine.go
+++ b/daemon/lab/engine.go
@@ -38,7 +38,7 @@
 const (
 	// lookEvery is how often a loader looks at its engine, as one does at a busy one, tellEvery
 	// how often a router hears of a load, and travel what a message takes one way.
-	lookEvery = reconcile.BusyEvery
+	lookEvery = reconcile.BusyInterval
 	tellEvery = 50 * time.Millisecond
 	travel    = 2 * time.Millisecond
 )
