--- a/daemon/internal/version/reconcile/reconcile.go
+++ b/daemon/internal/version/reconcile/reconcile.go
@@ -40,11 +40,11 @@
 	// the longest that an order waits for queued requests.
 	minDrain = 200 * time.Millisecond
 	maxDrain = 2 * time.Second
-	// CloseAhead is how long before its scheduled load an engine accepts only requests that
+	// CloseLeadTime is how long before its scheduled load an engine accepts only requests that
 	// are likely to end by then, about the duration of most streams. An order cuts no
 	// request, and the engine serves nothing new until the longest running one has ended,
 	// so a long request accepted shortly before the order leaves the other places idle.
-	CloseAhead = 1600 * time.Millisecond
+	CloseLeadTime = 1600 * time.Millisecond
 	// maxSupersededFetch is how long a nearly complete fetch may continue after a newer
 	// version was declared, counted from its start.
 	maxSupersededFetch = 6 * time.Second
@@ -120,7 +120,7 @@
 	drainStarted time.Time
 	// engineStarted is the start time in the engine's last report.
 	engineStarted time.Time
-	// closesAt is the scheduled load time if it is less than CloseAhead away, otherwise zero.
+	// closesAt is the scheduled load time if it is less than CloseLeadTime away, otherwise zero.
 	closesAt time.Time
 	tomb     tomb.Tomb
 }
@@ -253,17 +253,17 @@
 // order is imminent. Only OnReport may call it.
 func (k *Keeper) Draining() bool { return !k.drainStarted.IsZero() }
 
-// ClosesAt returns the scheduled load time if it is less than CloseAhead away, otherwise
+// ClosesAt returns the scheduled load time if it is less than CloseLeadTime away, otherwise
 // zero. Only OnReport may call it.
 func (k *Keeper) ClosesAt() time.Time { return k.closesAt }
 
-// closeTime returns the scheduled load time of an engine if it is less than CloseAhead
+// closeTime returns the scheduled load time of an engine if it is less than CloseLeadTime
 // away, otherwise zero. It applies whether or not the copy is complete: that is known only
 // at the load time, too late for the requests that are running then.
 func closeTime(plan Plan, loaded int, now time.Time) time.Time {
 	var next time.Time
 	for _, goal := range plan.goals() {
-		soon := now.Before(goal.LoadAt) && !now.Before(goal.LoadAt.Add(-CloseAhead))
+		soon := now.Before(goal.LoadAt) && !now.Before(goal.LoadAt.Add(-CloseLeadTime))
 		if loaded > 0 && goal.Version > loaded && soon && (next.IsZero() || goal.LoadAt.Before(next)) {
 			next = goal.LoadAt
 		}
--- a/daemon/lab/engine.go
+++ b/daemon/lab/engine.go
@@ -93,7 +93,7 @@
 
 // closes is the engine's turn if that is soon.
 func (e *engine) closes() time.Time {
-	if e.turn == 0 || e.taken || e.turn-e.play.events.now > reconcile.CloseAhead {
+	if e.turn == 0 || e.taken || e.turn-e.play.events.now > reconcile.CloseLeadTime {
 		return time.Time{}
 	}
 	return start.Add(e.turn)
