--- a/daemon/internal/version/reconcile/fetch.go
+++ b/daemon/internal/version/reconcile/fetch.go
@@ -18,85 +18,85 @@
 
 // ensureFetch starts the fetch of the newest declared version and cancels that of any other,
 // unless that one is nearly complete.
-func (k *Keeper) ensureFetch(ctx context.Context, plan Plan) {
-	if k.fetchVersion == plan.Goal.Version || k.nearlyComplete() {
+func (r *Reconciler) ensureFetch(ctx context.Context, plan Plan) {
+	if r.fetchVersion == plan.Goal.Version || r.nearlyComplete() {
 		return
 	}
-	k.stopFetch()
-	k.fetchVersion, k.fetchStarted = plan.Goal.Version, clock.Now()
+	r.stopFetch()
+	r.fetchVersion, r.fetchStarted = plan.Goal.Version, clock.Now()
 	fetchCtx, cancel := context.WithCancel(ctx)
-	k.cancel = cancel
-	k.fetchDone = make(chan struct{})
+	r.cancel = cancel
+	r.fetchDone = make(chan struct{})
 	go func(done chan<- struct{}) {
 		defer close(done)
-		k.fetch(fetchCtx, plan)
-	}(k.fetchDone)
+		r.fetch(fetchCtx, plan)
+	}(r.fetchDone)
 }
 
 // nearlyComplete reports whether the running fetch should end although a newer version was
 // declared: engines have to reach its version earlier than the newer one.
-func (k *Keeper) nearlyComplete() bool {
+func (r *Reconciler) nearlyComplete() bool {
 	const minShare = 0.6
-	c := k.Copies.Get(k.fetchVersion)
+	c := r.Copies.Get(r.fetchVersion)
 	if c == nil || c.Complete() {
 		return false
 	}
 	count, _ := c.Count()
-	return float64(count) >= minShare*float64(len(c.Manifest.Digests)) && clock.Since(k.fetchStarted) < maxSupersededFetch
+	return float64(count) >= minShare*float64(len(c.Manifest.Digests)) && clock.Since(r.fetchStarted) < maxSupersededFetch
 }
 
-func (k *Keeper) stopFetch() {
-	if k.cancel != nil {
-		k.cancel()
-		<-k.fetchDone
-		k.cancel = nil
+func (r *Reconciler) stopFetch() {
+	if r.cancel != nil {
+		r.cancel()
+		<-r.fetchDone
+		r.cancel = nil
 	}
 }
 
 // fetch fetches a version, with retries until it succeeds, is superseded, or the context
 // ends.
-func (k *Keeper) fetch(ctx context.Context, plan Plan) {
+func (r *Reconciler) fetch(ctx context.Context, plan Plan) {
 	started := clock.Now()
 	for ctx.Err() == nil {
-		err := k.tryFetch(ctx, plan)
+		err := r.tryFetch(ctx, plan)
 		if ctx.Err() != nil {
 			return
 		}
-		k.OnStep(Step{Name: StepFetch, Version: plan.Goal.Version, Err: err, Took: clock.Since(started)})
+		r.OnStep(Step{Name: StepFetch, Version: plan.Goal.Version, Err: err, Took: clock.Since(started)})
 		if err == nil || errors.Is(err, provider.ErrSuperseded) {
 			return
 		}
 		if errors.Is(err, swarm.ErrManifest) {
-			k.Copies.Drop(plan.Goal.Version)
+			r.Copies.Drop(plan.Goal.Version)
 		}
 		helpers.Pause(rand.N(maxRetryDelay), ctx.Done())
-		if newer, ok := k.Plan(0); ok && newer.Goal.Version == plan.Goal.Version {
+		if newer, ok := r.Plan(0); ok && newer.Goal.Version == plan.Goal.Version {
 			plan = newer
 		}
 	}
 }
 
-func (k *Keeper) tryFetch(ctx context.Context, plan Plan) error {
-	c := k.Copies.Get(plan.Goal.Version)
+func (r *Reconciler) tryFetch(ctx context.Context, plan Plan) error {
+	c := r.Copies.Get(plan.Goal.Version)
 	if c == nil {
-		manifest, err := k.manifest(ctx, plan)
+		manifest, err := r.manifest(ctx, plan)
 		if err != nil {
 			return err
 		}
 		c = swarm.NewCopy(manifest)
-		k.Copies.Add(c)
+		r.Copies.Add(c)
 	}
 	if c.Complete() {
 		return nil
 	}
-	fetch := k.NewFetch(plan, c)
+	fetch := r.NewFetch(plan, c)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var scan sync.WaitGroup
 	defer scan.Wait()
 	scanned := make(chan struct{})
 	scan.Go(func() {
-		k.reuseStaged(ctx, plan, c)
+		r.reuseStaged(ctx, plan, c)
 		close(scanned)
 	})
 	fetch.LocalScanDone = scanned
@@ -105,16 +105,16 @@
 }
 
 // manifest looks up the manifest of the newest declared version.
-func (k *Keeper) manifest(ctx context.Context, plan Plan) (provider.Manifest, error) {
+func (r *Reconciler) manifest(ctx context.Context, plan Plan) (provider.Manifest, error) {
 	started := clock.Now()
 	goal := plan.Goal
 	lookup := &ManifestLookup{
-		Self: k.Self, Ranking: k.RankLoaders(goal),
+		Self: r.Self, Ranking: r.RankLoaders(goal),
 		QueryPeer: func(ctx context.Context, peer netip.AddrPort) (provider.Manifest, error) {
-			return k.PeerManifest(ctx, peer, goal.Version)
+			return r.PeerManifest(ctx, peer, goal.Version)
 		},
 		QueryOrigin: func(ctx context.Context) (provider.Manifest, error) {
-			return k.Origin.Manifest(ctx, plan.Origin, goal.Model, goal.Version)
+			return r.Origin.Manifest(ctx, plan.Origin, goal.Model, goal.Version)
 		},
 		Check: func(manifest provider.Manifest) error { return checkManifest(manifest, plan) },
 	}
@@ -122,7 +122,7 @@
 	if err != nil {
 		return provider.Manifest{}, fmt.Errorf("manifest of version %d: %w", goal.Version, err)
 	}
-	k.OnStep(Step{
+	r.OnStep(Step{
 		Name: StepManifest, Version: goal.Version, Took: clock.Since(started),
 		Reason: fmt.Sprintf("from %s after %d queries to peers", found.From, found.PeerQueries),
 	})
--- a/daemon/internal/version/reconcile/manifest_test.go
+++ b/daemon/internal/version/reconcile/manifest_test.go
@@ -22,9 +22,9 @@
 // manifestFleet is a fleet of loops that query each other and one origin for a manifest.
 type manifestFleet struct {
 	// frozen is the number of unresponsive hosts, from the top of the ranking.
-	frozen  int
-	ranked  []netip.AddrPort
-	keepers map[netip.AddrPort]*reconcile.Keeper
+	frozen      int
+	ranked      []netip.AddrPort
+	reconcilers map[netip.AddrPort]*reconcile.Reconciler
 	// calls counts the origin's calls for the manifest and open those under way. The origin
 	// resets connections beyond maxOpen.
 	calls, open atomic.Int64
@@ -34,22 +34,22 @@
 // start runs a loop on each host that is not frozen.
 func (f *manifestFleet) start(t *testing.T, hosts int) {
 	t.Helper()
-	f.keepers = map[netip.AddrPort]*reconcile.Keeper{}
+	f.reconcilers = map[netip.AddrPort]*reconcile.Reconciler{}
 	for index := range hosts {
 		f.ranked = append(f.ranked, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(index)}), 80))
 	}
 	for _, address := range f.ranked[f.frozen:] {
 		e := &engine{t: t, staged: map[int][]byte{}, loaded: 1}
-		k := newKeeper(e, func() reconcile.Plan { return planOf(goal(2, time.Now().Add(time.Hour))) })
-		k.Self = address
-		k.RankLoaders = func(reconcile.Goal) []netip.AddrPort { return f.ranked }
-		k.PeerManifest = f.queryPeer
-		k.Origin.Manifest = f.queryOrigin
-		f.keepers[address] = k
+		r := newReconciler(e, func() reconcile.Plan { return planOf(goal(2, time.Now().Add(time.Hour))) })
+		r.Self = address
+		r.RankLoaders = func(reconcile.Goal) []netip.AddrPort { return f.ranked }
+		r.PeerManifest = f.queryPeer
+		r.Origin.Manifest = f.queryOrigin
+		f.reconcilers[address] = r
 	}
-	for _, k := range f.keepers {
-		k.Start()
-		t.Cleanup(k.Stop)
+	for _, r := range f.reconcilers {
+		r.Start()
+		t.Cleanup(r.Stop)
 	}
 }
 
@@ -68,15 +68,15 @@
 
 func (f *manifestFleet) queryPeer(ctx context.Context, peer netip.AddrPort, version int) (provider.Manifest, error) {
 	const responseTime = 2 * time.Millisecond
-	k := f.keepers[peer]
-	if k == nil {
+	r := f.reconcilers[peer]
+	if r == nil {
 		<-ctx.Done()
 		return provider.Manifest{}, errUnresponsive
 	}
 	if !helpers.Pause(responseTime, ctx.Done()) {
 		return provider.Manifest{}, ctx.Err()
 	}
-	if c := k.Copies.Get(version); c != nil {
+	if c := r.Copies.Get(version); c != nil {
 		return c.Manifest, nil
 	}
 	return provider.Manifest{}, provider.ErrNotFound
@@ -85,8 +85,8 @@
 // informed returns the number of hosts that have the manifest.
 func (f *manifestFleet) informed() int {
 	count := 0
-	for _, k := range f.keepers {
-		if k.Copies.Get(2) != nil {
+	for _, r := range f.reconcilers {
+		if r.Copies.Get(2) != nil {
 			count++
 		}
 	}
--- a/daemon/internal/version/reconcile/reconcile.go
+++ b/daemon/internal/version/reconcile/reconcile.go
@@ -82,8 +82,8 @@
 // goals returns all declared versions, newest first.
 func (p Plan) goals() []Goal { return append([]Goal{p.Goal}, p.Earlier...) }
 
-// Keeper reconciles one engine with its plan. The exported fields must be set, except Now.
-type Keeper struct {
+// Reconciler reconciles one engine with its plan. The exported fields must be set, except Now.
+type Reconciler struct {
 	Engine  provider.Engine
 	Origin  provider.Origin
 	Address netip.AddrPort // of the engine
@@ -147,53 +147,53 @@
 }
 
 // Start runs the reconciliation loop until Stop.
-func (k *Keeper) Start() { k.tomb.Go(k.run) }
+func (r *Reconciler) Start() { r.tomb.Go(r.run) }
 
 // Stop ends the loop and waits for it.
-func (k *Keeper) Stop() {
-	k.tomb.Kill(nil)
-	_ = k.tomb.Wait()
+func (r *Reconciler) Stop() {
+	r.tomb.Kill(nil)
+	_ = r.tomb.Wait()
 }
 
-func (k *Keeper) run() error {
-	ctx := k.tomb.Context(nil) //nolint:staticcheck // nil asks the tomb for its own context
+func (r *Reconciler) run() error {
+	ctx := r.tomb.Context(nil) //nolint:staticcheck // nil asks the tomb for its own context
 	pause := roundInterval
-	for helpers.Pause(pause, k.tomb.Dying()) {
+	for helpers.Pause(pause, r.tomb.Dying()) {
 		pause = roundInterval
-		if k.round(ctx) {
+		if r.round(ctx) {
 			pause = BusyInterval
 		}
 	}
-	k.stopFetch()
+	r.stopFetch()
 	return nil
 }
 
 // round reads the engine's report, takes the steps that are due, and reports whether the
 // engine is busy.
-func (k *Keeper) round(ctx context.Context) (busy bool) {
-	report, err := k.report(ctx)
-	k.OnReport(report, err)
-	plan, ok := k.Plan(loadedVersion(report))
+func (r *Reconciler) round(ctx context.Context) (busy bool) {
+	report, err := r.report(ctx)
+	r.OnReport(report, err)
+	plan, ok := r.Plan(loadedVersion(report))
 	if !ok {
 		return false
 	}
-	k.ensureFetch(ctx, plan)
+	r.ensureFetch(ctx, plan)
 	if err != nil {
 		return false
 	}
-	k.resetOnRestart(report.Started)
-	k.advance(ctx, plan, report)
+	r.resetOnRestart(report.Started)
+	r.advance(ctx, plan, report)
 	return isBusy(report, plan.Places)
 }
 
 // resetOnRestart clears the state of orders to an earlier engine process: the new process
 // has received none of them, and an empty engine must not wait for one to take effect.
-func (k *Keeper) resetOnRestart(started time.Time) {
-	if started.Equal(k.engineStarted) {
+func (r *Reconciler) resetOnRestart(started time.Time) {
+	if started.Equal(r.engineStarted) {
 		return
 	}
-	k.engineStarted = started
-	k.orderedAt, k.drainStarted = time.Time{}, time.Time{}
+	r.engineStarted = started
+	r.orderedAt, r.drainStarted = time.Time{}, time.Time{}
 }
 
 // isBusy reports whether so many of an engine's places are in use that routers need
@@ -203,22 +203,22 @@
 }
 
 // advance takes the next step towards the version that the engine should load.
-func (k *Keeper) advance(ctx context.Context, plan Plan, report provider.EngineReport) {
-	k.closesAt = closeTime(plan, loadedVersion(report), k.now())
-	goal, c := k.next(plan, report)
+func (r *Reconciler) advance(ctx context.Context, plan Plan, report provider.EngineReport) {
+	r.closesAt = closeTime(plan, loadedVersion(report), r.now())
+	goal, c := r.next(plan, report)
 	if c == nil || report.Loading {
-		k.drainStarted = time.Time{}
+		r.drainStarted = time.Time{}
 		return
 	}
-	if k.stagedVersion != goal.Version {
-		k.stage(ctx, goal, c)
+	if r.stagedVersion != goal.Version {
+		r.stage(ctx, goal, c)
 	}
 	loaded := loadedVersion(report)
-	if k.now().Sub(k.orderedAt) < orderRetryInterval {
+	if r.now().Sub(r.orderedAt) < orderRetryInterval {
 		return
 	}
-	if loaded == 0 && k.verify(ctx, goal, c) || loaded > 0 && k.drained(ctx, goal, c, report) {
-		k.order(ctx, goal, report)
+	if loaded == 0 && r.verify(ctx, goal, c) || loaded > 0 && r.drained(ctx, goal, c, report) {
+		r.order(ctx, goal, report)
 	}
 }
 
@@ -227,35 +227,35 @@
 // engine's queue is empty. A request that is queued at the order may start on the old version
 // much later if the engine stalls in between. Running requests are not waited for: the engine
 // accepts nothing new, lets them end, and then loads.
-func (k *Keeper) drained(ctx context.Context, goal Goal, c *swarm.Copy, report provider.EngineReport) bool {
-	now := k.now()
+func (r *Reconciler) drained(ctx context.Context, goal Goal, c *swarm.Copy, report provider.EngineReport) bool {
+	now := r.now()
 	if now.Before(goal.LoadAt) {
-		k.drainStarted = time.Time{}
+		r.drainStarted = time.Time{}
 		return false
 	}
-	if k.drainStarted.IsZero() {
-		if !k.verify(ctx, goal, c) {
+	if r.drainStarted.IsZero() {
+		if !r.verify(ctx, goal, c) {
 			return false
 		}
 		if report.Running+report.Waiting == 0 {
 			return true // for example once routers send nothing to old versions
 		}
-		k.drainStarted = now
+		r.drainStarted = now
 		return false
 	}
-	waited := now.Sub(k.drainStarted)
+	waited := now.Sub(r.drainStarted)
 	return waited > maxDrain || waited > minDrain && report.Waiting == 0
 }
 
-func (k *Keeper) now() time.Time { return helpers.Now(k.Now) }
+func (r *Reconciler) now() time.Time { return helpers.Now(r.Now) }
 
 // Draining reports whether the engine is draining: it accepts no new requests because an
 // order is imminent. Only OnReport may call it.
-func (k *Keeper) Draining() bool { return !k.drainStarted.IsZero() }
+func (r *Reconciler) Draining() bool { return !r.drainStarted.IsZero() }
 
 // ClosesAt returns the scheduled load time if it is less than CloseLeadTime away, otherwise
 // zero. Only OnReport may call it.
-func (k *Keeper) ClosesAt() time.Time { return k.closesAt }
+func (r *Reconciler) ClosesAt() time.Time { return r.closesAt }
 
 // closeTime returns the scheduled load time of an engine if it is less than CloseLeadTime
 // away, otherwise zero. It applies whether or not the copy is complete: that is known only
@@ -274,16 +274,16 @@
 // next returns the version to load and its copy: the newest complete one whose load time
 // has come, otherwise the one that is scheduled first. The copy is nil where there is
 // nothing to load.
-func (k *Keeper) next(plan Plan, report provider.EngineReport) (Goal, *swarm.Copy) {
+func (r *Reconciler) next(plan Plan, report provider.EngineReport) (Goal, *swarm.Copy) {
 	loaded := loadedVersion(report)
 	var best Goal
 	var bestCopy *swarm.Copy
 	for _, goal := range plan.goals() {
-		c := k.Copies.Get(goal.Version)
+		c := r.Copies.Get(goal.Version)
 		if goal.Version <= loaded || c == nil || !c.Complete() {
 			continue
 		}
-		if bestCopy == nil || k.now().Before(best.LoadAt) {
+		if bestCopy == nil || r.now().Before(best.LoadAt) {
 			best, bestCopy = goal, c
 		}
 		if loaded == 0 {
@@ -293,10 +293,10 @@
 	return best, bestCopy
 }
 
-func (k *Keeper) report(ctx context.Context) (provider.EngineReport, error) {
+func (r *Reconciler) report(ctx context.Context) (provider.EngineReport, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return k.Engine.Report(ctx, k.Address)
+	return r.Engine.Report(ctx, r.Address)
 }
 
 // loadedVersion returns the version that an engine has loaded, or 0. An engine serves one
@@ -309,15 +309,15 @@
 }
 
 // order sends the engine the order to load the staged version.
-func (k *Keeper) order(ctx context.Context, goal Goal, report provider.EngineReport) {
+func (r *Reconciler) order(ctx context.Context, goal Goal, report provider.EngineReport) {
 	started := clock.Now()
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	result, err := k.Engine.Start(ctx, k.Address, provider.Order{
+	result, err := r.Engine.Start(ctx, r.Address, provider.Order{
 		Model: goal.Model, Version: goal.Version, Fence: goal.Fence, Sequence: report.Sequence,
 	})
-	k.orderedAt = k.now()
-	k.drainStarted = time.Time{}
+	r.orderedAt = r.now()
+	r.drainStarted = time.Time{}
 	reason := fmt.Sprintf("version %d loaded, %d requests running, order %s", loadedVersion(report), report.Running, result)
-	k.OnStep(Step{Name: StepOrder, Version: goal.Version, Reason: reason, Err: err, Took: clock.Since(started), Running: report.Running})
+	r.OnStep(Step{Name: StepOrder, Version: goal.Version, Reason: reason, Err: err, Took: clock.Since(started), Running: report.Running})
 }
--- a/daemon/internal/version/reconcile/reconcile_test.go
+++ b/daemon/internal/version/reconcile/reconcile_test.go
@@ -139,17 +139,17 @@
 }
 
 // start runs a loop for an engine; plan may return other plans as the test goes on.
-func start(t *testing.T, e *engine, plan func() reconcile.Plan) *reconcile.Keeper {
+func start(t *testing.T, e *engine, plan func() reconcile.Plan) *reconcile.Reconciler {
 	t.Helper()
-	k := newKeeper(e, plan)
-	k.Start()
-	t.Cleanup(k.Stop)
-	return k
+	r := newReconciler(e, plan)
+	r.Start()
+	t.Cleanup(r.Stop)
+	return r
 }
 
-// newKeeper returns a loop for an engine without peers; its origin has every version.
-func newKeeper(e *engine, plan func() reconcile.Plan) *reconcile.Keeper {
-	k := &reconcile.Keeper{
+// newReconciler returns a loop for an engine without peers; its origin has every version.
+func newReconciler(e *engine, plan func() reconcile.Plan) *reconcile.Reconciler {
+	r := &reconcile.Reconciler{
 		Engine: e.provider(), Address: host, Copies: &swarm.Copies{}, Self: host,
 		Origin: provider.Origin{
 			Manifest: func(_ context.Context, _ netip.AddrPort, _ string, version int) (provider.Manifest, error) {
@@ -163,18 +163,18 @@
 		Plan:        func(int) (reconcile.Plan, bool) { return plan(), true },
 		OnStep:      func(reconcile.Step) {},
 	}
-	k.Now = e.now
-	k.OnReport = func(provider.EngineReport, error) {
-		e.draining.Store(k.Draining())
+	r.Now = e.now
+	r.OnReport = func(provider.EngineReport, error) {
+		e.draining.Store(r.Draining())
 		e.rounds.Add(1)
 	}
-	k.NewFetch = func(_ reconcile.Plan, c *swarm.Copy) *swarm.Fetch {
+	r.NewFetch = func(_ reconcile.Plan, c *swarm.Copy) *swarm.Fetch {
 		return &swarm.Fetch{
-			Copy: c, Model: "m", Source: k.Origin, Self: swarm.Host{Address: host, Hall: "h"},
+			Copy: c, Model: "m", Source: r.Origin, Self: swarm.Host{Address: host, Hall: "h"},
 			Hosts: func() []swarm.Host { return nil },
 		}
 	}
-	return k
+	return r
 }
 
 func goal(version int, loadTime time.Time) reconcile.Goal {
@@ -200,12 +200,12 @@
 	e := &engine{t: t, staged: map[int][]byte{}, loaded: 1, running: 1}
 	var mu sync.Mutex
 	loadTime := time.Now().Add(time.Hour)
-	k := start(t, e, func() reconcile.Plan {
+	r := start(t, e, func() reconcile.Plan {
 		mu.Lock()
 		defer mu.Unlock()
 		return planOf(goal(2, loadTime))
 	})
-	await(t, "the copy is complete", func() bool { c := k.Copies.Get(2); return c != nil && c.Complete() })
+	await(t, "the copy is complete", func() bool { c := r.Copies.Get(2); return c != nil && c.Complete() })
 	assert.Equal(t, 1, e.version())
 	mu.Lock()
 	loadTime = time.Now()
@@ -250,16 +250,16 @@
 	e.clock.Store(startTime.UnixNano())
 	loadTime := startTime.Add(10 * time.Second)
 	var closesAt atomic.Value
-	k := newKeeper(e, func() reconcile.Plan {
+	r := newReconciler(e, func() reconcile.Plan {
 		return planOf(goal(3, loadTime.Add(time.Hour)), goal(2, loadTime), goal(1, startTime.Add(time.Second)))
 	})
-	onReport := k.OnReport
-	k.OnReport = func(report provider.EngineReport, err error) {
-		closesAt.Store(k.ClosesAt())
+	onReport := r.OnReport
+	r.OnReport = func(report provider.EngineReport, err error) {
+		closesAt.Store(r.ClosesAt())
 		onReport(report, err)
 	}
-	k.Start()
-	t.Cleanup(k.Stop)
+	r.Start()
+	t.Cleanup(r.Stop)
 	e.advance(8 * time.Second)
 	assert.Zero(t, closesAt.Load())
 	e.advance(time.Second)
@@ -278,9 +278,9 @@
 
 func TestLostReplyCausesNoSecondLoad(t *testing.T) {
 	e := &engine{t: t, staged: map[int][]byte{}, lostReplies: 1}
-	k := start(t, e, func() reconcile.Plan { return planOf(goal(2, time.Time{})) })
+	r := start(t, e, func() reconcile.Plan { return planOf(goal(2, time.Time{})) })
 	await(t, "version 2", func() bool { return e.version() == 2 })
-	k.Stop()
+	r.Stop()
 	assert.Equal(t, 1, e.orders)
 }
 
--- a/daemon/internal/version/reconcile/stage.go
+++ b/daemon/internal/version/reconcile/stage.go
@@ -16,16 +16,16 @@
 // reuseStaged adds to a copy the chunks of its version that are in the engine's staging area
 // already, from before a restart of this loader or of the engine. It retries until the
 // engine answers.
-func (k *Keeper) reuseStaged(ctx context.Context, plan Plan, c *swarm.Copy) {
-	for ctx.Err() == nil && k.tryReuseStaged(ctx, plan, c) != nil {
+func (r *Reconciler) reuseStaged(ctx context.Context, plan Plan, c *swarm.Copy) {
+	for ctx.Err() == nil && r.tryReuseStaged(ctx, plan, c) != nil {
 		helpers.Pause(roundInterval, ctx.Done())
 	}
 }
 
-func (k *Keeper) tryReuseStaged(ctx context.Context, plan Plan, c *swarm.Copy) error {
+func (r *Reconciler) tryReuseStaged(ctx context.Context, plan Plan, c *swarm.Copy) error {
 	const maxMisses = 3 // an empty staging area has no chunk at all, so a few misses suffice
 	for index, misses := 0, 0; index < len(c.Manifest.Digests) && misses < maxMisses; index++ {
-		chunk, err := k.readChunk(ctx, plan.Goal.Model, index)
+		chunk, err := r.readChunk(ctx, plan.Goal.Model, index)
 		switch {
 		case err == nil && c.Put(index, chunk) == nil:
 		case err == nil || errors.Is(err, provider.ErrNotFound):
@@ -37,62 +37,62 @@
 	return nil
 }
 
-func (k *Keeper) readChunk(ctx context.Context, model string, index int) ([]byte, error) {
+func (r *Reconciler) readChunk(ctx context.Context, model string, index int) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return k.Engine.Staged(ctx, k.Address, model, index)
+	return r.Engine.Staged(ctx, r.Address, model, index)
 }
 
 // stage writes a version to the engine's staging area ahead of its load time. It is verified
 // only right before the order, because staged chunks may become corrupt in between.
-func (k *Keeper) stage(ctx context.Context, goal Goal, c *swarm.Copy) {
+func (r *Reconciler) stage(ctx context.Context, goal Goal, c *swarm.Copy) {
 	started := clock.Now()
 	var err error
 	for index := 0; index < len(c.Manifest.Digests) && err == nil; index++ {
-		err = k.writeChunk(ctx, goal.Model, index, c.Chunk(index))
+		err = r.writeChunk(ctx, goal.Model, index, c.Chunk(index))
 	}
 	if err == nil {
-		k.stagedVersion = goal.Version
+		r.stagedVersion = goal.Version
 	}
-	k.OnStep(Step{Name: StepStage, Version: goal.Version, Err: err, Took: clock.Since(started)})
+	r.OnStep(Step{Name: StepStage, Version: goal.Version, Err: err, Took: clock.Since(started)})
 }
 
 // repairStaged reads back every staged chunk, writes those that do not match again, and
 // returns how many these were.
-func (k *Keeper) repairStaged(ctx context.Context, goal Goal, c *swarm.Copy) (repaired int, err error) {
+func (r *Reconciler) repairStaged(ctx context.Context, goal Goal, c *swarm.Copy) (repaired int, err error) {
 	for index := range c.Manifest.Digests {
-		if k.stagedMatches(ctx, goal, c, index) {
+		if r.stagedMatches(ctx, goal, c, index) {
 			continue
 		}
 		repaired++
-		if err := k.writeChunk(ctx, goal.Model, index, c.Chunk(index)); err != nil {
+		if err := r.writeChunk(ctx, goal.Model, index, c.Chunk(index)); err != nil {
 			return repaired, fmt.Errorf("stage chunk %d: %w", index, err)
 		}
-		if !k.stagedMatches(ctx, goal, c, index) {
+		if !r.stagedMatches(ctx, goal, c, index) {
 			return repaired, fmt.Errorf("stage chunk %d: it does not read back as written", index)
 		}
 	}
 	return repaired, nil
 }
 
-func (k *Keeper) stagedMatches(ctx context.Context, goal Goal, c *swarm.Copy, index int) bool {
-	chunk, err := k.readChunk(ctx, goal.Model, index)
+func (r *Reconciler) stagedMatches(ctx context.Context, goal Goal, c *swarm.Copy, index int) bool {
+	chunk, err := r.readChunk(ctx, goal.Model, index)
 	return err == nil && c.Matches(index, chunk)
 }
 
-func (k *Keeper) writeChunk(ctx context.Context, model string, index int, chunk []byte) error {
+func (r *Reconciler) writeChunk(ctx context.Context, model string, index int, chunk []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return k.Engine.Stage(ctx, k.Address, model, index, chunk)
+	return r.Engine.Stage(ctx, r.Address, model, index, chunk)
 }
 
 // verify verifies and repairs the staged version, and reports whether it is complete.
-func (k *Keeper) verify(ctx context.Context, goal Goal, c *swarm.Copy) bool {
+func (r *Reconciler) verify(ctx context.Context, goal Goal, c *swarm.Copy) bool {
 	started := clock.Now()
-	repaired, err := k.repairStaged(ctx, goal, c)
+	repaired, err := r.repairStaged(ctx, goal, c)
 	if repaired > 0 || err != nil {
 		reason := fmt.Sprintf("%d corrupt or missing chunks", repaired)
-		k.OnStep(Step{Name: StepCheck, Version: goal.Version, Reason: reason, Err: err, Took: clock.Since(started)})
+		r.OnStep(Step{Name: StepCheck, Version: goal.Version, Reason: reason, Err: err, Took: clock.Since(started)})
 	}
 	return err == nil
 }
--- a/daemon/loader/events.go
+++ b/daemon/loader/events.go
@@ -42,7 +42,7 @@
 	}
 	p.telemetry.SetReady()
 	// An engine without a loaded version refuses every request, so it grants no place either.
-	loading, closesAt := report.Loading || p.keeper.Draining() || len(report.Models) == 0, p.keeper.ClosesAt()
+	loading, closesAt := report.Loading || p.reconciler.Draining() || len(report.Models) == 0, p.reconciler.ClosesAt()
 	p.feed.Publish(loadfeed.Line{
 		Running: report.Running, Waiting: report.Waiting, Loading: loading, ClosesIn: loadfeed.ClosesIn(closesAt, clock.Now()), Models: report.Models,
 	})
--- a/daemon/loader/events_test.go
+++ b/daemon/loader/events_test.go
@@ -21,7 +21,7 @@
 	events, output, err := telemetry.NewWithBounded(telemetry.Options{Role: "loader", Name: "l", Level: "error"})
 	require.NoError(t, err)
 	t.Cleanup(output.Close)
-	p := &Process{telemetry: events, feed: loadfeed.NewFeed(), ledger: &places.Ledger{}, keeper: &reconcile.Keeper{}}
+	p := &Process{telemetry: events, feed: loadfeed.NewFeed(), ledger: &places.Ledger{}, reconciler: &reconcile.Reconciler{}}
 	query := places.Question{Limit: places.Limit{Waiting: 9, Taken: 9}}
 
 	p.publishReport(provider.EngineReport{}, nil)
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -100,7 +100,7 @@
 	// routers the records of the hall's routers.
 	versions, hosts, routers *mirror.Follower
 	copies                   *swarm.Copies
-	keeper                   *reconcile.Keeper
+	reconciler               *reconcile.Reconciler
 	feed                     *loadfeed.Feed
 	ledger                   *places.Ledger
 	limitLog                 *rate.Limiter
@@ -151,7 +151,7 @@
 	p.neighbours = p.newNeighbours()
 	p.neighbours.Hold = p.starting
 	p.addFollowers()
-	p.keeper = &reconcile.Keeper{
+	p.reconciler = &reconcile.Reconciler{
 		Engine: p.provider.Engine, Origin: p.provider.Origin, Address: s.Engine, Copies: p.copies,
 		Self: s.Listen.Peers, RankLoaders: p.manifestRanking, Plan: p.plan, NewFetch: p.newFetch, PeerManifest: p.peerManifest,
 		OnReport: p.publishReport, OnStep: p.logStep,
@@ -237,7 +237,7 @@
 		follower.Start()
 	}
 	p.tomb.Go(p.pollEngineConfig)
-	p.keeper.Start()
+	p.reconciler.Start()
 	p.log.WithFields(log.Fields{"peers": p.current.Load().Listen.Peers, "engine": p.current.Load().Engine, "store": p.current.Load().Store}).Info("started")
 	return nil
 }
@@ -355,7 +355,7 @@
 func (p *Process) Stop(_ context.Context) error {
 	p.log.Info("stopping")
 	p.telemetry.SetNotReady("stopping")
-	p.keeper.Stop()
+	p.reconciler.Stop()
 	p.tomb.Kill(nil)
 	_ = p.tomb.Wait()
 	for _, follower := range p.followers() {
