--- a/daemon/internal/connection/peering/peering.go
+++ b/daemon/internal/connection/peering/peering.go
@@ -31,7 +31,7 @@
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/call"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/patience"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
@@ -74,9 +74,9 @@
 }
 
 // standing returns that of the daemon that answered.
-func (m *message) standing() mirror.Standing {
-	return mirror.Standing{
-		At: m.At, Answered: m.Answered, Heard: m.Heard, Lost: m.Lost, Generation: m.Generation, Hops: m.Hops,
+func (m *message) standing() replica.Status {
+	return replica.Status{
+		Revision: m.At, SinceAnswer: m.Answered, SinceData: m.Heard, Disconnected: m.Lost, Generation: m.Generation, Hops: m.Hops,
 	}
 }
 
@@ -99,8 +99,8 @@
 
 // Source is the copy that a daemon hands out.
 type Source struct {
-	Table    *mirror.Table
-	Standing func() mirror.Standing
+	Table    *replica.Table
+	Standing func() replica.Status
 
 	packer   packer
 	listings listings
@@ -138,13 +138,13 @@
 		changed := s.Table.Changed()
 		answer := s.answer(asked)
 		known := answer.At > 0
-		news := len(answer.Entries) > 0 || answer.standing().Behind()
+		news := len(answer.Entries) > 0 || answer.standing().Stale()
 		if asked.wait == 0 || known && news {
 			return answer, true
 		}
 		again := standingEvery
 		if known {
-			again = max(answer.standing().FreshFor()-answer.Heard, standingEvery)
+			again = max(answer.standing().MaxStaleness()-answer.Heard, standingEvery)
 		}
 		select {
 		case <-changed:
@@ -162,11 +162,11 @@
 	standing := s.Standing()
 	listed := s.listings.of(s.Table, asked.prefix, asked.after)
 	answer := message{
-		Listing:  provider.Listing{Entries: listed.entries, At: standing.At},
-		Answered: standing.Answered, Heard: standing.Heard, Lost: standing.Lost, Generation: standing.Generation,
+		Listing:  provider.Listing{Entries: listed.entries, At: standing.Revision},
+		Answered: standing.SinceAnswer, Heard: standing.SinceData, Lost: standing.Disconnected, Generation: standing.Generation,
 		Hops: standing.Hops,
 	}
-	if asked.wait > 0 && standing.Behind() {
+	if asked.wait > 0 && standing.Stale() {
 		answer.Entries = nil // who follows this daemon leaves it, and would drop them
 	}
 	return answer
@@ -214,7 +214,7 @@
 }
 
 // ask makes one call to a peer.
-func ask(ctx context.Context, client *http.Client, peer netip.AddrPort, asked question) (mirror.News, error) {
+func ask(ctx context.Context, client *http.Client, peer netip.AddrPort, asked question) (replica.Update, error) {
 	limit := patience.Limit{First: asked.wait + answerBegins, Stall: answerStalls, Whole: longestAnswer}
 	if asked.after == 0 {
 		limit.First = asked.wait + wholeBegins
@@ -223,11 +223,11 @@
 	defer end()
 	var answer packedMessage
 	if err := call.JSON(ctx, client, asked.url(peer), maxCopy, &answer); err != nil {
-		return mirror.News{}, fmt.Errorf("ask peer %s for its copy: %w", peer, patience.Explain(ctx, err))
+		return replica.Update{}, fmt.Errorf("ask peer %s for its copy: %w", peer, patience.Explain(ctx, err))
 	}
 	entries, err := answer.unpacked()
 	if err != nil {
-		return mirror.News{}, fmt.Errorf("ask peer %s for its copy: %w", peer, err)
+		return replica.Update{}, fmt.Errorf("ask peer %s for its copy: %w", peer, err)
 	}
-	return mirror.News{Entries: entries, After: asked.after, Standing: answer.standing()}, nil
+	return replica.Update{Entries: entries, After: asked.after, Status: answer.standing()}, nil
 }
--- a/daemon/internal/connection/peering/puller.go
+++ b/daemon/internal/connection/peering/puller.go
@@ -10,7 +10,7 @@
 	"gopkg.in/tomb.v2"
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/helpers"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 )
 
 const (
@@ -25,7 +25,7 @@
 type Puller struct {
 	Client *http.Client
 	// Follower is the one whose copy is kept up; the store is silent to it.
-	Follower *mirror.Follower
+	Follower *replica.Follower
 	// Peer returns the peer to ask now; false for none.
 	Peer func() (netip.AddrPort, bool)
 	// First is the prefix that is asked for before all else while nothing is known: that of
@@ -62,7 +62,7 @@
 		if !ok {
 			continue
 		}
-		if err := p.ask(ctx, peer); err != nil && p.Follower.At() == 0 {
+		if err := p.ask(ctx, peer); err != nil && p.Follower.Revision() == 0 {
 			pause += rand.N(pullSlowest)
 		}
 	}
@@ -71,7 +71,7 @@
 
 // ask asks one peer for what is to be known next.
 func (p *Puller) ask(ctx context.Context, peer netip.AddrPort) error {
-	if p.First != "" && !p.hasFirst && p.Follower.At() == 0 {
+	if p.First != "" && !p.hasFirst && p.Follower.Revision() == 0 {
 		return p.pullFirst(ctx, peer)
 	}
 	return p.pull(ctx, peer)
@@ -84,7 +84,7 @@
 	fresh := 0
 	if err == nil {
 		fresh = p.Follower.Table.Apply(news.Entries)
-		p.hasFirst = news.At > 0
+		p.hasFirst = news.Revision > 0
 	}
 	p.tell(peer, fresh, err)
 	return err
@@ -94,10 +94,10 @@
 // complete. The highest revision that is known would not do: a copy that has it may
 // lack older ones.
 func (p *Puller) pull(ctx context.Context, peer netip.AddrPort) error {
-	news, err := ask(ctx, p.Client, peer, question{prefix: p.Follower.Prefix, after: p.Follower.At(), packed: true})
+	news, err := ask(ctx, p.Client, peer, question{prefix: p.Follower.Prefix, after: p.Follower.Revision(), packed: true})
 	fresh := 0
 	if err == nil {
-		fresh = p.Follower.Adopt(news)
+		fresh = p.Follower.ApplyUpdate(news)
 	}
 	p.tell(peer, fresh, err)
 	return err
--- /dev/null
+++ b/daemon/internal/process/replica/view.go
@@ -0,0 +1,352 @@
+package replica
+
+import (
+	"net/netip"
+	"slices"
+	"strings"
+	"sync/atomic"
+	"time"
+
+	"github.com/wheelcleat/wheelcleat/daemon/internal/helpers"
+
+	"github.com/wheelcleat/wheelcleat/daemon/provider"
+)
+
+// View is the immutable state by which requests are decided, compiled from one state of
+// the table.
+type View struct {
+	// Configuration is nil until one was received.
+	Configuration *provider.Configuration
+	// ConfigurationRevision is the revision of the configuration's entry.
+	ConfigurationRevision provider.Revision
+	// Upstreams holds the upstreams of each service, including those that are leaving,
+	// without those of evacuated halls.
+	Upstreams map[string][]*provider.Upstream
+	// Targets holds the declared version of each model.
+	Targets map[string]Declaration
+	// Members holds the routers by name.
+	Members map[string]*provider.Member
+
+	routesByHost  map[string][]*provider.Route
+	accountsByKey map[string]*provider.Account
+	services      map[string]*provider.Service // by name
+	// priorities holds the priorities of each service's requests, most urgent first.
+	priorities map[string][]int
+	// objectives holds the shortest objective of each service's routes.
+	objectives map[string]time.Duration
+}
+
+// Declaration is a declared version of a model and when this daemon received it.
+type Declaration struct {
+	provider.Target
+	Revision provider.Revision
+	// ReceivedAt is when this daemon received the declaration.
+	ReceivedAt time.Time
+	// Initial says that the declaration was part of the first state this daemon received,
+	// so it may be much older than ReceivedAt.
+	Initial bool
+	// Previous is the declaration that this one replaced, if it was received. At most
+	// maxDeclarations are linked.
+	Previous *Declaration
+}
+
+// maxDeclarations is the number of declarations that are kept of a model.
+const maxDeclarations = 4
+
+// DeclaredAt returns when the version was declared, as far as this daemon can tell. A
+// declaration that preceded this daemon counts as being partway through its apply timeout.
+func (d *Declaration) DeclaredAt(applyTimeout time.Duration) time.Time {
+	const elapsedPart = 0.6
+	if d.Initial {
+		return d.ReceivedAt.Add(-time.Duration(elapsedPart * float64(applyTimeout)))
+	}
+	return d.ReceivedAt
+}
+
+// MinVersion returns the lowest version that may serve now: the newest that was declared
+// longer than grace ago, or 0.
+func (d *Declaration) MinVersion(now time.Time, grace, applyTimeout time.Duration) int {
+	if declared := d.olderThan(grace, now, applyTimeout); declared != nil {
+		return declared.Version
+	}
+	return 0
+}
+
+// olderThan returns the newest declaration that is older than age, or nil.
+func (d *Declaration) olderThan(age time.Duration, now time.Time, applyTimeout time.Duration) *Declaration {
+	for declared := d; declared != nil; declared = declared.Previous {
+		if now.Sub(declared.DeclaredAt(applyTimeout)) > age {
+			return declared
+		}
+	}
+	return nil
+}
+
+// Route returns the route of a host with the longest prefix of the path, or nil.
+func (v *View) Route(host, path string) *provider.Route {
+	var best *provider.Route
+	for _, route := range v.routesByHost[host] {
+		if strings.HasPrefix(path, route.Prefix) && (best == nil || len(route.Prefix) > len(best.Prefix)) {
+			best = route
+		}
+	}
+	return best
+}
+
+// Account returns the account of a key, or nil.
+func (v *View) Account(key string) *provider.Account { return v.accountsByKey[key] }
+
+// HasAccounts reports whether requests need a key.
+func (v *View) HasAccounts() bool { return len(v.Configuration.Accounts) > 0 }
+
+// Service returns a declared service, or nil.
+func (v *View) Service(name string) *provider.Service { return v.services[name] }
+
+// Compiler compiles changes of a table into views. The zero value has an empty view;
+// Decode must be set.
+type Compiler struct {
+	Decode func(provider.Entry) (provider.Record, error)
+	// OnEntryChange is called for each changed entry. It may be nil.
+	OnEntryChange func(EntryChange)
+	// OnSuspect takes the routers' notes on quarantined contents. It may be nil.
+	OnSuspect func(note []byte) error
+	// MayHaveExpired reports whether an entry that is removed now may have expired only
+	// because its upstream could not reach the store. Nil means never. Such an upstream stays
+	// in use for expiryGrace, after which the owner of the compiler must call Apply.
+	MayHaveExpired func() bool
+	// Now is the clock; nil means clock.Now.
+	Now func() time.Time
+
+	view atomic.Pointer[View]
+	// upstreams, targets and members are decoded entries by key. Only Apply accesses them.
+	upstreams map[string]listed
+	targets   map[string]Declaration
+	members   map[string]*provider.Member
+	// evacuated holds the evacuated halls, which get no requests, by key.
+	evacuated map[string]string
+	// expired holds upstreams whose entry expired recently, by key.
+	expired map[string]expired
+	// synced is set once any entry other than a router's was taken. Routers' records are
+	// read first and do not mark the start of the replica.
+	synced bool
+}
+
+// expiryGrace is how long an upstream stays in use after its entry expired. A running
+// upstream registers again within two seconds of the store's recovery, and one that
+// leaves keeps serving for as long after its entry is removed.
+const expiryGrace = 1500 * time.Millisecond
+
+// listed is an upstream and the revision that created its entry.
+type listed struct {
+	*provider.Upstream
+	created provider.Revision
+}
+
+// expired is an upstream whose entry expired, and until when it stays in use.
+type expired struct {
+	listed
+	until time.Time
+}
+
+// EntryChange is a changed entry, its decoded record, and the error if it was rejected.
+type EntryChange struct {
+	Entry  provider.Entry
+	Record provider.Record
+	Err    error
+	// Dropped says that what the entry named before is no longer in use.
+	Dropped bool
+}
+
+// View returns the newest view; it is never nil.
+func (c *Compiler) View() *View {
+	if view := c.view.Load(); view != nil {
+		return view
+	}
+	return &View{}
+}
+
+// Apply compiles changed entries into a new view. A value that cannot be decoded is
+// reported to OnEntryChange. The last valid declaration of an operator stays in force
+// then, while an upstream is dropped.
+func (c *Compiler) Apply(changed []provider.Entry) {
+	if c.upstreams == nil {
+		c.upstreams = map[string]listed{}
+		c.targets = map[string]Declaration{}
+		c.members = map[string]*provider.Member{}
+		c.expired = map[string]expired{}
+		c.evacuated = map[string]string{}
+	}
+	next := *c.View()
+	for _, entry := range changed {
+		c.applyEntry(&next, entry)
+	}
+	c.synced = c.synced || slices.ContainsFunc(changed, c.isNotMember)
+	c.pruneExpired()
+	evacuated := map[string]bool{}
+	for _, hall := range c.evacuated {
+		evacuated[hall] = true
+	}
+	next.Upstreams = map[string][]*provider.Upstream{}
+	for _, upstream := range c.upstreamsByAddress() {
+		if evacuated[upstream.Hall] {
+			continue
+		}
+		next.Upstreams[upstream.Service] = append(next.Upstreams[upstream.Service], upstream.Upstream)
+	}
+	next.Targets = map[string]Declaration{}
+	for _, target := range c.targets {
+		next.Targets[target.Model] = target
+	}
+	next.Members = map[string]*provider.Member{}
+	for _, member := range c.members {
+		next.Members[member.Name] = member
+	}
+	c.view.Store(&next)
+}
+
+func (c *Compiler) isNotMember(entry provider.Entry) bool { return c.members[entry.Key] == nil }
+
+// pruneExpired drops the expired upstreams that registered again or whose grace is over.
+func (c *Compiler) pruneExpired() {
+	for key, upstream := range c.expired {
+		if _, registered := c.upstreams[key]; registered || !c.now().Before(upstream.until) {
+			delete(c.expired, key)
+		}
+	}
+}
+
+// upstreamsByAddress returns the upstream at each address. Of several entries for one
+// address the one created last wins: after a power failure the entry of the previous
+// upstream stays for some heartbeats while its successor is already running.
+func (c *Compiler) upstreamsByAddress() map[netip.AddrPort]listed {
+	byAddress := make(map[netip.AddrPort]listed, len(c.upstreams))
+	add := func(upstream listed) {
+		known, ok := byAddress[upstream.Address]
+		if !ok || upstream.created > known.created {
+			byAddress[upstream.Address] = upstream
+		}
+	}
+	for _, upstream := range c.upstreams {
+		add(upstream)
+	}
+	for _, upstream := range c.expired {
+		add(upstream.listed)
+	}
+	return byAddress
+}
+
+// applyEntry takes one changed entry.
+func (c *Compiler) applyEntry(next *View, entry provider.Entry) {
+	if entry.Gone {
+		c.keepExpired(entry.Key)
+		delete(c.upstreams, entry.Key)
+		delete(c.members, entry.Key)
+		delete(c.evacuated, entry.Key)
+		c.report(EntryChange{Entry: entry})
+		return
+	}
+	record, err := c.Decode(entry)
+	dropped := err != nil && c.drop(entry.Key)
+	c.report(EntryChange{Entry: entry, Record: record, Err: err, Dropped: dropped})
+	if err != nil {
+		return
+	}
+	switch {
+	case record.Configuration != nil:
+		next.ConfigurationRevision = entry.Revision
+		next.setConfiguration(record.Configuration)
+	case record.Evacuated != "":
+		c.evacuated[entry.Key] = record.Evacuated
+	case record.Upstream != nil:
+		if record.Upstream.ColdFor > 0 {
+			record.Upstream.ColdUntil = c.now().Add(record.Upstream.ColdFor)
+		}
+		c.upstreams[entry.Key] = listed{record.Upstream, helpers.OrDefault(entry.Created, entry.Revision)}
+	case record.Target != nil:
+		c.targets[entry.Key] = c.declare(entry, *record.Target)
+	case record.Member != nil:
+		c.members[entry.Key] = record.Member
+	case record.Suspect != nil && c.OnSuspect != nil:
+		if err := c.OnSuspect(record.Suspect); err != nil {
+			c.report(EntryChange{Entry: entry, Err: err})
+		}
+	}
+}
+
+// drop removes the upstream or router of an entry that can no longer be decoded, and
+// reports whether there was one. The address of the last valid record must not be used:
+// it may belong to another upstream by now.
+func (c *Compiler) drop(key string) bool {
+	_, upstream := c.upstreams[key]
+	_, member := c.members[key]
+	delete(c.upstreams, key)
+	delete(c.expired, key)
+	delete(c.members, key)
+	return upstream || member
+}
+
+// keepExpired keeps an upstream whose entry is removed, if the entry may only have
+// expired.
+func (c *Compiler) keepExpired(key string) {
+	upstream, ok := c.upstreams[key]
+	if ok && !upstream.Leaving && c.MayHaveExpired != nil && c.MayHaveExpired() {
+		c.expired[key] = expired{listed: upstream, until: c.now().Add(expiryGrace)}
+	}
+}
+
+func (c *Compiler) now() time.Time { return helpers.Now(c.Now) }
+
+// HasExpired reports whether upstreams whose entries expired are in use. It must not be
+// called concurrently with Apply.
+func (c *Compiler) HasExpired() bool { return len(c.expired) > 0 }
+
+// declare links a declaration to the earlier ones, whose deadlines still apply: an engine
+// may be loading one of them.
+func (c *Compiler) declare(entry provider.Entry, target provider.Target) Declaration {
+	declared := Declaration{Target: target, Revision: entry.Revision, ReceivedAt: c.now(), Initial: !c.synced}
+	previous, ok := c.targets[entry.Key]
+	if !ok {
+		return declared
+	}
+	declared.Previous = &previous
+	last := &declared
+	for range maxDeclarations - 1 {
+		if last.Previous == nil {
+			return declared
+		}
+		copied := *last.Previous
+		last.Previous = &copied
+		last = &copied
+	}
+	last.Previous = nil
+	return declared
+}
+
+func (c *Compiler) report(change EntryChange) {
+	if c.OnEntryChange != nil {
+		c.OnEntryChange(change)
+	}
+}
+
+// setConfiguration sets the configuration and what is derived from it.
+func (v *View) setConfiguration(configuration *provider.Configuration) {
+	v.Configuration = configuration
+	v.routesByHost = map[string][]*provider.Route{}
+	for i := range configuration.Routes {
+		route := &configuration.Routes[i]
+		v.routesByHost[route.Host] = append(v.routesByHost[route.Host], route)
+	}
+	v.accountsByKey = map[string]*provider.Account{}
+	for i := range configuration.Accounts {
+		account := &configuration.Accounts[i]
+		for _, key := range account.Keys {
+			v.accountsByKey[key] = account
+		}
+	}
+	v.priorities = servicePriorities(configuration)
+	v.objectives = serviceObjectives(configuration)
+	v.services = map[string]*provider.Service{}
+	for i := range configuration.Services {
+		v.services[configuration.Services[i].Name] = &configuration.Services[i]
+	}
+}
--- /dev/null
+++ b/daemon/internal/request/dispatch/response.go
@@ -0,0 +1,238 @@
+package dispatch
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net/http"
+	"strconv"
+
+	"github.com/wheelcleat/wheelcleat/daemon/internal/clock"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/balance"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/request/admission"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/request/exchange"
+	"github.com/wheelcleat/wheelcleat/daemon/provider"
+)
+
+// maxBuffered bounds a response, in bytes, that is buffered completely before it is
+// forwarded. Longer ones are streamed, so that slow callers hold little memory.
+const maxBuffered = 64 << 10
+
+// forward writes an upstream's response to the caller. It returns false if nothing was
+// written and the budget was charged for a retry.
+func (q *request) forward(ctx context.Context, choice balance.Choice, response *http.Response) bool {
+	if q.route.Mode == provider.ModeStream && response.StatusCode/100 == 2 {
+		return q.forwardStream(ctx, choice, response)
+	}
+	return q.forwardWhole(choice, response)
+}
+
+// forwardWhole reads a response completely before it writes any of it, so that the request
+// can be retried if the response is truncated. Long responses are streamed instead.
+func (q *request) forwardWhole(choice balance.Choice, response *http.Response) bool {
+	defer func() { _ = response.Body.Close() }()
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxBuffered))
+	if err == nil && len(body) == maxBuffered {
+		q.forwardLong(choice, response, body)
+		return true
+	}
+	if err != nil {
+		choice.Done(q.balanceOutcome(exchange.Unknown))
+		q.amendAttempt(choice, q.answeredAttempt, fmt.Errorf("response truncated: %w", err))
+		if q.Context().Err() == nil && q.mayRetry(exchange.Unknown) {
+			return false
+		}
+		q.giveUp(exchange.Result{Fate: exchange.Unknown, Err: err})
+		return true
+	}
+	buffered := bufferedResponse{response, body}
+	if response.StatusCode < http.StatusInternalServerError {
+		choice.Done(balance.Served)
+		q.writeBuffered(buffered)
+		return true
+	}
+	choice.Done(balance.Failed)
+	if q.mayRetry(exchange.Unknown) {
+		q.amendAttempt(choice, q.answeredAttempt, fmt.Errorf("status %d", response.StatusCode))
+		q.errorResponse = &buffered
+		return false
+	}
+	q.writeBuffered(buffered)
+	return true
+}
+
+// forwardLong writes the first part of a long response and streams the rest. If the rest is
+// truncated, it closes the connection, so that the response does not look complete.
+func (q *request) forwardLong(choice balance.Choice, response *http.Response, first []byte) {
+	q.copyHeader(response)
+	if response.ContentLength >= 0 {
+		q.writer.Header().Set("Content-Length", strconv.FormatInt(response.ContentLength, 10))
+	}
+	q.writer.WriteHeader(response.StatusCode)
+	_, err := q.writer.Write(first)
+	if err == nil {
+		_, err = io.Copy(q.writer, response.Body)
+	}
+	if err != nil {
+		choice.Done(q.balanceOutcome(exchange.Unknown))
+		q.amendAttempt(choice, q.answeredAttempt, fmt.Errorf("response truncated: %w", err))
+		q.abort(err)
+	}
+	outcome := balance.Served
+	if response.StatusCode >= http.StatusInternalServerError {
+		outcome = balance.Failed
+	}
+	choice.Done(outcome)
+	q.complete(response.StatusCode)
+}
+
+// abort closes the caller's connection, so that a response that has begun does not look
+// complete.
+func (q *request) abort(cause error) {
+	if q.Context().Err() != nil {
+		q.setOutcome(OutcomeDisconnected, 0, "caller disconnected")
+	} else {
+		q.setOutcome(OutcomeTruncated, 0, cause.Error())
+	}
+	panic(http.ErrAbortHandler)
+}
+
+// bufferedResponse is an upstream's response with its complete body.
+type bufferedResponse struct {
+	*http.Response
+	body []byte
+}
+
+func (q *request) writeBuffered(buffered bufferedResponse) {
+	q.copyHeader(buffered.Response)
+	q.writer.Header().Set("Content-Length", strconv.Itoa(len(buffered.body)))
+	q.writer.WriteHeader(buffered.StatusCode)
+	_, _ = q.writer.Write(buffered.body)
+	q.complete(buffered.StatusCode)
+}
+
+// complete ends a request with a complete response. An error response does not clear the
+// content: the upstream may have sent it without running the request.
+func (q *request) complete(status int) {
+	if q.OnServed != nil && status/100 == 2 {
+		q.OnServed(q.trace.Content)
+	}
+	ending := OutcomeServed
+	if status >= http.StatusBadRequest {
+		ending = OutcomeFailed
+	}
+	q.setOutcome(ending, status, "")
+}
+
+func (q *request) copyHeader(response *http.Response) {
+	header := q.writer.Header()
+	exchange.CutConnectionHeaders(response.Header)
+	for name, values := range response.Header {
+		header[name] = values
+	}
+	if _, ok := header["Date"]; !ok {
+		header["Date"] = nil
+	}
+	if _, ok := header["Content-Type"]; !ok {
+		header["Content-Type"] = nil
+	}
+	q.trace.FirstByte = clock.Now()
+}
+
+// giveUp ends a request that is not retried.
+func (q *request) giveUp(result exchange.Result) {
+	cause := "unknown cause"
+	if result.Err != nil {
+		cause = result.Err.Error()
+	}
+	if result.Fate.NotRun() && q.neverRan() {
+		q.refuse(notRunReason(result.Fate), cause)
+		return
+	}
+	q.fail(http.StatusBadGateway, OutcomeUnknown, cause)
+}
+
+// neverRan reports whether no send so far can have run.
+func (q *request) neverRan() bool {
+	for _, attempt := range q.trace.Attempts {
+		if attempt.Result == exchange.Unknown.String() || attempt.Result == exchange.Answered.String() {
+			return false
+		}
+	}
+	return true
+}
+
+// timeOut ends a request whose deadline has expired.
+func (q *request) timeOut(result exchange.Result) {
+	cause := "deadline expired"
+	if result.Err != nil {
+		cause += ": " + result.Err.Error()
+	}
+	if q.neverRan() {
+		q.refuse(admission.EnginesFull, cause)
+		return
+	}
+	q.fail(http.StatusGatewayTimeout, OutcomeTimedOut, cause)
+}
+
+// notRunReason returns why a request that an upstream did not run is refused.
+func notRunReason(fate exchange.Fate) admission.Why {
+	if fate == exchange.Refused {
+		return admission.EnginesFull
+	}
+	return admission.NotReady
+}
+
+// refuse answers a request that has not run, and sends the backoff for its retry.
+func (q *request) refuse(why admission.Why, cause string) {
+	if !q.neverRan() {
+		q.fail(http.StatusBadGateway, OutcomeUnknown, cause)
+		return
+	}
+	q.Callers.Refused()
+	wait := admission.Back(why, rand.Float64())
+	q.trace.RetryAfter = wait
+	q.writer.Header().Set("Retry-After", strconv.FormatFloat(wait.Seconds(), 'f', 3, 64))
+	q.fail(http.StatusServiceUnavailable, OutcomeRefused, cause)
+}
+
+// reject answers an invalid request.
+func (q *request) reject(status int, cause string) {
+	q.fail(status, OutcomeRejected, cause)
+}
+
+// fail writes a response of the router's own, which never carries a signature. If a retry
+// followed an upstream's failure, it forwards that failure instead.
+func (q *request) fail(status int, ending Outcome, cause string) {
+	if q.errorResponse != nil {
+		q.writeBuffered(*q.errorResponse)
+		q.trace.Cause = "no other upstream responded after the failure: " + cause
+		return
+	}
+	header := q.writer.Header()
+	if q.trace.ID != "" {
+		header.Set(q.Headers.RequestID, q.trace.ID)
+	}
+	header.Set("Content-Type", "text/plain; charset=utf-8")
+	body := string(ending) + "\n"
+	header.Set("Content-Length", strconv.Itoa(len(body)))
+	q.writer.WriteHeader(status)
+	_, _ = io.WriteString(q.writer, body)
+	q.setOutcome(ending, status, cause)
+}
+
+func (q *request) setOutcome(ending Outcome, status int, cause string) {
+	q.trace.Outcome, q.trace.Status, q.trace.Cause = ending, status, cause
+}
+
+// amendAttempt records why the response of an attempt was not forwarded.
+func (q *request) amendAttempt(choice balance.Choice, number int, err error) {
+	if errors.Is(err, io.EOF) {
+		return
+	}
+	attempt := &q.trace.Attempts[number]
+	q.recordInterrupt(attempt, err)
+	q.reportDisconnect(choice, *attempt, err)
+}
--- a/daemon/internal/version/reconcile/reconcile.go
+++ b/daemon/internal/version/reconcile/reconcile.go
@@ -90,7 +90,7 @@
 	Copies  *swarm.Copies
 	// Plan returns the plan for an engine that serves the given version, 0 for none. It
 	// reports false while the configuration or the declared versions are not known.
-	Plan func(held int) (Plan, bool)
+	Plan func(loaded int) (Plan, bool)
 	// Self is the address of this loader, and RankLoaders returns all loaders of the service in
 	// the order in which they query the origin for a version's manifest.
 	Self        netip.AddrPort
--- a/daemon/lab/router.go
+++ b/daemon/lab/router.go
@@ -16,14 +16,14 @@
 type router struct {
 	play    *play
 	pool    balance.Pool
-	pace    dispatch.Pace
+	pace    dispatch.LoadTracker
 	callers admission.Callers
 	list    []*provider.Upstream
 }
 
 func newRouter(p *play, number int) *router {
 	r := &router{play: p}
-	r.pool.Hall, r.pool.Now, r.pool.Draw = hallOf(number, p.Halls), p.now, p.draw.Float64
+	r.pool.Hall, r.pool.Now, r.pool.Rand = hallOf(number, p.Halls), p.now, p.draw.Float64
 	r.pace.Now, r.callers.Now = p.now, p.now
 	for _, e := range p.engines {
 		r.list = append(r.list, e.record)
@@ -59,12 +59,12 @@
 		return // a lost one says nothing
 	}
 	load := e.load()
-	told := balance.Told{Running: load.Running, Waiting: load.Waiting, Loading: load.Loading, Models: e.record.Models}
+	told := balance.LoadReport{Running: load.Running, Waiting: load.Waiting, Loading: load.Loading, Models: e.record.Models}
 	if closes := e.closes(); !closes.IsZero() {
 		told.ClosesIn = max(closes.Sub(p.now()), time.Millisecond)
 	}
 	for _, r := range p.routers {
-		r.pool.Tell(e.record.ID, told)
+		r.pool.Report(e.record.ID, told)
 	}
 }
 
@@ -83,7 +83,7 @@
 	c.done = func(outcome balance.Outcome) {
 		choice.Done(outcome)
 		if outcome == balance.Served {
-			r.pace.Ended(service, c.lastByte-c.firstByte)
+			r.pace.RecordServed(service, c.lastByte-c.firstByte)
 		}
 	}
 	r.play.events.after(travel, func() { e.add(c) })
@@ -97,7 +97,7 @@
 	spec := r.play.Engine
 	return admission.Service{
 		Places: spec.Places, ReadTime: r.play.readTime(), Objective: r.play.objective(),
-		PlaceEvery: r.pace.Occupied(service) / time.Duration(spec.Places), Full: r.pace.Share(service),
+		PlaceEvery: r.pace.HoldTime(service) / time.Duration(spec.Places), Full: r.pace.FullShare(service),
 	}
 }
 
@@ -108,8 +108,8 @@
 	if r.play.policy.Ways != nil {
 		search.Ways = *r.play.policy.Ways
 	}
-	lasts := admission.Lasts(known, r.pace.Occupied(service), c.hint, r.play.usualAnswer())
-	query := balance.Query{Model: model, Lasts: lasts}
+	lasts := admission.Lasts(known, r.pace.HoldTime(service), c.hint, r.play.usualAnswer())
+	query := balance.Query{Model: model, Duration: lasts}
 	for !search.Over() {
 		choice, ok := r.pool.Choose(r.list, query)
 		if !ok {
@@ -121,20 +121,20 @@
 		}
 		e := r.engine(choice)
 		load, given := e.ledger.Take(places.Question{Limit: limit, Engine: ratelimit.Upstream{ID: e.record.ID}, Known: e.known()})
-		r.pool.TellLoad(choice.Upstream.ID, load.Running, load.Waiting, load.Loading)
+		r.pool.ReportLoad(choice.Upstream.ID, load.Running, load.Waiting, load.Loading)
 		if given {
-			r.pace.Full(service, load.Running+load.Waiting >= choice.Upstream.Places)
+			r.pace.RecordFull(service, load.Running+load.Waiting >= choice.Upstream.Places)
 			return e, choice, true
 		}
 		if load.Wait > 0 {
-			r.pool.Hold(choice.Upstream.ID, load.Wait)
+			r.pool.Throttle(choice.Upstream.ID, load.Wait)
 		} else {
 			search.Denied(load)
 		}
-		choice.Done(balance.Abandoned)
-		query.Tried = append(query.Tried, choice.Upstream.ID)
+		choice.Done(balance.Canceled)
+		query.Exclude = append(query.Exclude, choice.Upstream.ID)
 	}
-	r.pace.Full(service, search.AllFull())
+	r.pace.RecordFull(service, search.AllFull())
 	return nil, balance.Choice{}, false
 }
 
--- a/daemon/loader/engineconfig.go
+++ b/daemon/loader/engineconfig.go
@@ -13,7 +13,7 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/peering"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/helpers"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/patience"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/rendezvous"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
@@ -79,7 +79,7 @@
 	if err != nil {
 		return err
 	}
-	if old := p.engineConfig.Swap(&update.EngineNeeds); old == nil || *old != update.EngineNeeds {
+	if old := p.engineConfig.Swap(&update.EngineConfig); old == nil || *old != update.EngineConfig {
 		p.log.WithFields(log.Fields{
 			fieldDecision: "believe", "model": update.Engine.Model, "origin": update.Origin, "revision": update.Revision,
 		}).Info("belief changed")
@@ -97,14 +97,14 @@
 	}
 	record, err := p.provider.Decode(entry)
 	if err == nil && record.Configuration == nil {
-		err = mirror.ErrNoEngine
+		err = replica.ErrNoEngine
 	}
 	if err != nil {
 		p.log.WithField("reason", err.Error()).Error("configuration rejected, the last good one stays in force")
 		return peering.EngineNews{}, fmt.Errorf("decode the configuration: %w", err)
 	}
-	config, err := mirror.NeedsOf(record.Configuration, p.current.Load().Service)
-	return peering.EngineNews{EngineNeeds: config, Revision: entry.Revision}, err
+	config, err := replica.EngineConfigFor(record.Configuration, p.current.Load().Service)
+	return peering.EngineNews{EngineConfig: config, Revision: entry.Revision}, err
 }
 
 // chooseRouter returns the router of this hall to query, or false where none is usable. The
--- a/daemon/loader/engineconfig_test.go
+++ b/daemon/loader/engineconfig_test.go
@@ -16,7 +16,7 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/clock"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/peering"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/helpers"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 	"github.com/wheelcleat/wheelcleat/daemon/settings"
 )
@@ -57,7 +57,7 @@
 	}}
 	p.current.Store(&settings.Loader{Service: "s"})
 	p.neighbours = &peering.Neighbours{Choose: p.chooseRouter}
-	p.compiler = &mirror.Compiler{}
+	p.compiler = &replica.Compiler{}
 	p.tomb.Go(p.pollEngineConfig)
 	return p
 }
--- a/daemon/loader/events.go
+++ b/daemon/loader/events.go
@@ -8,7 +8,7 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/clock"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/loadfeed"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/places"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/ratelimit"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/version/reconcile"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/version/swarm"
@@ -20,11 +20,11 @@
 
 // logDeclaration logs a change of the declared version. Changes of other hosts' engines are logged
 // by the routers.
-func (p *Process) logDeclaration(belief mirror.Belief) {
-	fields := log.Fields{fieldDecision: "believe", "key": belief.Entry.Key, "revision": belief.Entry.Revision}
-	switch target := belief.Record.Target; {
-	case belief.Err != nil:
-		fields["reason"] = belief.Err.Error()
+func (p *Process) logDeclaration(change replica.EntryChange) {
+	fields := log.Fields{fieldDecision: "believe", "key": change.Entry.Key, "revision": change.Entry.Revision}
+	switch target := change.Record.Target; {
+	case change.Err != nil:
+		fields["reason"] = change.Err.Error()
 		p.log.WithFields(fields).Error("entry not taken, the last good one stays")
 	case target != nil:
 		fields["model"], fields["version"] = target.Model, target.Version
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -28,8 +28,8 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/loadfeed"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/peering"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/places"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/readers"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/server"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/telemetry"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/rendezvous"
@@ -94,11 +94,11 @@
 	output    *telemetry.Bounded
 	log       *log.Entry
 
-	table    *mirror.Table
-	compiler *mirror.Compiler
+	table    *replica.Table
+	compiler *replica.Compiler
 	// versions follows the declared versions, hosts the records of the upstreams, and
 	// routers the records of the hall's routers.
-	versions, hosts, routers *mirror.Follower
+	versions, hosts, routers *replica.Follower
 	copies                   *swarm.Copies
 	reconciler               *reconcile.Reconciler
 	feed                     *loadfeed.Feed
@@ -107,7 +107,7 @@
 	client                   *http.Client
 
 	// engineConfig is the part of the configuration for the engine's service.
-	engineConfig atomic.Pointer[mirror.EngineNeeds]
+	engineConfig atomic.Pointer[replica.EngineConfig]
 	// neighbours queries the routers of this hall.
 	neighbours *peering.Neighbours
 	// received counts chunk bytes by source.
@@ -138,7 +138,7 @@
 	}
 	p := &Process{
 		telemetry: t, output: output, log: t.Log,
-		table: &mirror.Table{}, copies: &swarm.Copies{}, feed: loadfeed.NewFeed(), ledger: &places.Ledger{}, limitLog: rate.NewLimiter(limitLogRate, limitLogRate), done: make(chan struct{}),
+		table: &replica.Table{}, copies: &swarm.Copies{}, feed: loadfeed.NewFeed(), ledger: &places.Ledger{}, limitLog: rate.NewLimiter(limitLogRate, limitLogRate), done: make(chan struct{}),
 		client:    &http.Client{Transport: dial.NewHostTransport(options.Dial, hostIdleTimeout)},
 		createdAt: clock.Now(),
 	}
@@ -146,8 +146,8 @@
 	p.ledger.OnLimit = p.logLimit
 	calls := &http.Client{Transport: dial.NewHostTransport(options.Dial, originIdleTimeout)}
 	p.provider = options.Provider(s.Store, p.client, calls)
-	p.compiler = &mirror.Compiler{Decode: p.provider.Decode, OnBelief: p.logDeclaration}
-	p.table.OnChange = p.compiler.Take
+	p.compiler = &replica.Compiler{Decode: p.provider.Decode, OnEntryChange: p.logDeclaration}
+	p.table.OnChange = p.compiler.Apply
 	p.neighbours = p.newNeighbours()
 	p.neighbours.Hold = p.starting
 	p.addFollowers()
@@ -163,27 +163,27 @@
 // router of this hall while one answers: with watches by each loader, these would be most of
 // the calls to the store. The versions are also read from the store, at first and at intervals.
 func (p *Process) addFollowers() {
-	outage := &mirror.Outage{}
-	follower := func(prefix string) *mirror.Follower {
-		return &mirror.Follower{
-			Store: p.provider.Store, Prefix: prefix, Table: p.table, OnContact: p.telemetry.Contact,
-			Outage: outage,
+	breaker := &replica.CircuitBreaker{}
+	follower := func(prefix string) *replica.Follower {
+		return &replica.Follower{
+			Store: p.provider.Store, Prefix: prefix, Table: p.table, OnConnectionChange: p.telemetry.Contact,
+			Breaker: breaker,
 		}
 	}
 	p.versions = follower(p.provider.Prefixes.Versions)
-	p.versions.FirstStale = true
-	p.versions.Wait = func() time.Duration { return versionsWatchWait }
-	p.versions.LookEvery = versionsPollInterval
-	p.versions.Near = p.newNeighbours().News
+	p.versions.StaleFirstList = true
+	p.versions.WatchWait = func() time.Duration { return versionsWatchWait }
+	p.versions.RecheckInterval = versionsPollInterval
+	p.versions.QueryPeer = p.newNeighbours().News
 	hall := p.current.Load().Hall
 	p.hosts = follower(p.provider.Prefixes.Upstreams)
-	p.hosts.ListEvery = func() time.Duration { return hostsInterval/2 + rand.N(hostsInterval/2) }
-	p.hosts.Near, p.hosts.NearTries = p.neighbours.News, maxRouterFailures
+	p.hosts.PollInterval = func() time.Duration { return hostsInterval/2 + rand.N(hostsInterval/2) }
+	p.hosts.QueryPeer, p.hosts.PeerAttempts = p.neighbours.News, maxRouterFailures
 	p.routers = follower(p.provider.Prefixes.OfHall(hall, ""))
-	p.routers.ListEvery = p.routersDelay
-	p.routers.Near = p.newNeighbours().News
-	p.routers.Before = []string{p.provider.Prefixes.OfHall(hall, readers.Shard(p.current.Load().Name)), p.routers.Prefix}
-	p.routers.Enough = p.knowsRouter
+	p.routers.PollInterval = p.routersDelay
+	p.routers.QueryPeer = p.newNeighbours().News
+	p.routers.BootstrapPrefixes = []string{p.provider.Prefixes.OfHall(hall, readers.Shard(p.current.Load().Name)), p.routers.Prefix}
+	p.routers.BootstrapDone = p.knowsRouter
 }
 
 // knowsRouter reports whether a router of this hall is known, responsive or not.
@@ -211,8 +211,8 @@
 // routers.
 func (p *Process) starting() bool { return clock.Since(p.createdAt) < startupPeriod }
 
-func (p *Process) followers() []*mirror.Follower {
-	return []*mirror.Follower{p.versions, p.hosts, p.routers}
+func (p *Process) followers() []*replica.Follower {
+	return []*replica.Follower{p.versions, p.hosts, p.routers}
 }
 
 // Start listens on the ports and starts the followers and the engine's reconciliation.
@@ -246,19 +246,19 @@
 // engine's configuration or the declared versions are not known.
 func (p *Process) plan(loaded int) (reconcile.Plan, bool) {
 	config := p.engineConfig.Load()
-	if config == nil || !p.versions.Known() {
+	if config == nil || !p.versions.Synced() {
 		return reconcile.Plan{}, false
 	}
 	model := config.Engine.Model
 	plan := reconcile.Plan{
-		Goal:   reconcile.Goal{Model: model, Version: initialVersion, Fence: p.table.Newest()},
+		Goal:   reconcile.Goal{Model: model, Version: initialVersion, Fence: p.table.LatestRevision()},
 		Origin: config.Origin, Places: config.Engine.Places,
 		Chunks: config.Engine.Chunks, ChunkBytes: config.Engine.ChunkBytes,
 		CopyTime: p.copyTime(config),
 	}
 	if declared, ok := p.compiler.View().Targets[model]; ok {
 		plan.Goal = p.goal(&declared, loaded)
-		for earlier := declared.Before; earlier != nil; earlier = earlier.Before {
+		for earlier := declared.Previous; earlier != nil; earlier = earlier.Previous {
 			plan.Earlier = append(plan.Earlier, p.goal(earlier, loaded))
 		}
 	}
@@ -266,18 +266,18 @@
 }
 
 // goal returns a declared version with the time at which this host's engine may load it.
-func (p *Process) goal(declared *mirror.Declared, loaded int) reconcile.Goal {
+func (p *Process) goal(declared *replica.Declaration, loaded int) reconcile.Goal {
 	apply := p.current.Load().Bounds.VersionApply.Std()
 	due := time.Time{}
-	for earlier := declared.Before; earlier != nil && earlier.Version > loaded; earlier = earlier.Before {
-		due = earlier.Since(apply).Add(apply)
+	for earlier := declared.Previous; earlier != nil && earlier.Version > loaded; earlier = earlier.Previous {
+		due = earlier.DeclaredAt(apply).Add(apply)
 	}
-	window := schedule.NewWindow(declared.Since(apply), apply, due)
+	window := schedule.NewWindow(declared.DeclaredAt(apply), apply, due)
 	if c := p.copies.Get(declared.Version); c != nil {
 		window = window.Delayed(c.CompletedAt())
 	}
 	rank, hosts := p.rank(declared.Model, declared.Version)
-	return reconcile.Goal{Model: declared.Model, Version: declared.Version, Fence: p.table.Newest(), LoadAt: window.LoadTime(rank, hosts)}
+	return reconcile.Goal{Model: declared.Model, Version: declared.Version, Fence: p.table.LatestRevision(), LoadAt: window.LoadTime(rank, hosts)}
 }
 
 // rank returns this host's rank in the order in which hosts load a version, and their number.
@@ -289,7 +289,7 @@
 // copyTime returns how long the origin takes to send one copy. It follows from the declared
 // rate of the origin's link, or from this host's link where none is declared. With an estimate
 // that is too short, hosts would request each chunk long before the origin could send it.
-func (p *Process) copyTime(config *mirror.EngineNeeds) time.Duration {
+func (p *Process) copyTime(config *replica.EngineConfig) time.Duration {
 	bytes := config.Engine.Chunks * config.Engine.ChunkBytes
 	if config.OriginRate <= 0 {
 		return p.linkTime(bytes)
--- a/daemon/loader/roster.go
+++ b/daemon/loader/roster.go
@@ -5,7 +5,7 @@
 	"slices"
 	"sync"
 
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/version/schedule"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/version/swarm"
 	"github.com/wheelcleat/wheelcleat/daemon/settings"
@@ -15,7 +15,7 @@
 // the reconciliation reads it.
 type roster struct {
 	// view and settings are the inputs that the roster was computed from.
-	view     *mirror.View
+	view     *replica.View
 	settings *settings.Loader
 	// hosts holds the loaders of all engines of the service.
 	hosts []swarm.Host
@@ -38,7 +38,7 @@
 	return r
 }
 
-func newRoster(view *mirror.View, current *settings.Loader) *roster {
+func newRoster(view *replica.View, current *settings.Loader) *roster {
 	own := current.Listen.Peers
 	r := &roster{view: view, settings: current, names: []string{own.String()}, ranks: map[string]int{}}
 	for _, upstream := range view.Upstreams[current.Service] {
--- a/daemon/loader/start_test.go
+++ b/daemon/loader/start_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/clock"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 	"github.com/wheelcleat/wheelcleat/daemon/settings"
 )
@@ -22,19 +22,19 @@
 		Provider: func(netip.AddrPort, *http.Client, *http.Client) provider.Provider { return provider.Provider{} },
 	})
 	require.NoError(t, err)
-	_, err = p.hosts.Near(t.Context(), "u/", 0)
-	require.ErrorIs(t, err, mirror.ErrHold)
+	_, err = p.hosts.QueryPeer(t.Context(), "u/", 0)
+	require.ErrorIs(t, err, replica.ErrWait)
 	for range 100 {
 		assert.LessOrEqual(t, p.routersDelay(), routersRetryInterval, "the hall's routers are not listed often enough")
 	}
 
 	p.createdAt = clock.Now().Add(-startupPeriod)
-	_, err = p.hosts.Near(t.Context(), "u/", 0)
-	require.ErrorIs(t, err, mirror.ErrNoneNear, "the store is read where no router has registered")
+	_, err = p.hosts.QueryPeer(t.Context(), "u/", 0)
+	require.ErrorIs(t, err, replica.ErrNoPeer, "the store is read where no router has registered")
 
 	member := &provider.Member{Name: "r", Hall: p.current.Load().Hall, Peers: netip.MustParseAddrPort("127.0.0.1:1")}
 	p.compiler.Decode = func(provider.Entry) (provider.Record, error) { return provider.Record{Member: member}, nil }
-	p.compiler.Take([]provider.Entry{{Key: "m/r", Revision: 1}})
+	p.compiler.Apply([]provider.Entry{{Key: "m/r", Revision: 1}})
 	for range 100 {
 		assert.Greater(t, p.routersDelay(), routersRetryInterval, "the routers are listed too often once one is known")
 	}
--- a/daemon/router/limits.go
+++ b/daemon/router/limits.go
@@ -42,15 +42,15 @@
 }
 
 // heard takes what an answer says of its upstream's limit, and tells the others what is new.
-func (p *Process) heard(heard dispatch.Heard) {
+func (p *Process) heard(heard dispatch.LimitReport) {
 	p.recorder.limitSaid(heard)
-	if heard.Said.Kind == ratelimit.Silent {
+	if heard.Limit.Kind == ratelimit.Silent {
 		return
 	}
 	upstream := startOf(heard.Upstream)
 	var change ratelimit.Change
 	p.limits.do(func(table *ratelimit.Table, now time.Time) {
-		change = table.Heard(upstream, heard.Said, heard.Sent, now)
+		change = table.Heard(upstream, heard.Limit, heard.Sent, now)
 	})
 	p.limitChanged(limitNews{upstream: upstream, change: change, from: sourceOwn, request: heard.Request})
 	if change.Tell && !p.limitTeller.Tell(ratelimit.Named{Upstream: upstream, Note: change.After}) {
@@ -74,13 +74,13 @@
 		return
 	}
 	p.recorder.limitChanged(news)
-	p.pool.Hold(news.upstream.ID, 0)
+	p.pool.Throttle(news.upstream.ID, 0)
 }
 
 // allow asks for this router's share of the limit of an upstream at which no loader counts.
-func (p *Process) allow(upstream *provider.Upstream, door dispatch.Door) (wait time.Duration, ok bool) {
+func (p *Process) allow(upstream *provider.Upstream, door dispatch.AdmissionPath) (wait time.Duration, ok bool) {
 	share := ratelimit.PastLoader
-	if door == dispatch.DoorOwn {
+	if door == dispatch.PathNoLoader {
 		share = ratelimit.Without
 	}
 	share = share.Among(p.routerCount())
@@ -144,7 +144,7 @@
 		return answer.Load, false, errNotCounted
 	}
 	if answer.Wait > 0 {
-		p.recorder.limitDenied(dispatch.DoorLoader)
+		p.recorder.limitDenied(dispatch.PathLoader)
 	}
 	return answer.Load, answer.Given, nil
 }
--- a/daemon/router/serving.go
+++ b/daemon/router/serving.go
@@ -8,7 +8,7 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/clock"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/dial"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/peering"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/mirror"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/server"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/admission"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/dispatch"
@@ -55,12 +55,12 @@
 			Kept:    p.toUpstreams,
 			Fresh:   dial.NewHostTransport(connect, 0),
 		},
-		Pool: p.pool, Budget: p.budget, Pace: &dispatch.Pace{}, Callers: &admission.Callers{}, View: p.compiler.View, Stale: p.silent,
-		Holding: holding.Budget{Most: p.holdMost()},
+		Pool: p.pool, Budget: p.budget, LoadTracker: &dispatch.LoadTracker{}, Callers: &admission.Callers{}, View: p.compiler.View, Stale: p.silent,
+		Buffers: holding.Budget{Most: p.holdMost()},
 		Region:  func(hall string) string { return p.current.Load().RegionOf(hall) },
-		Demand:  p.demand, Report: p.recorder.request, AskPlace: p.askPlace, Broke: p.broke,
-		Heard: p.heard, Allow: p.allow,
-		Admit: p.admitContent, Judge: p.suspects.judge, Whole: p.answeredWhole, Over: p.over,
+		Demand:  p.demand, Report: p.recorder.request, RequestPlace: p.askPlace, OnDisconnect: p.broke,
+		OnLimit: p.heard, Allow: p.allow,
+		AdmitContent: p.admitContent, CheckContent: p.suspects.judge, OnServed: p.answeredWhole, ShutdownDeadline: p.over,
 	}
 }
 
@@ -72,8 +72,8 @@
 }
 
 // demand says on which versions of a model requests may run.
-func (p *Process) demand(declared *mirror.Declared) mirror.Demand {
-	return declared.Demand(clock.Now(), p.current.Load().Bounds.VersionApply.Std())
+func (p *Process) demand(declared *replica.Declaration) replica.VersionPolicy {
+	return declared.VersionPolicy(clock.Now(), p.current.Load().Bounds.VersionApply.Std())
 }
 
 // readyPages answers the balancer: ready while a configuration is known and no
@@ -91,7 +91,7 @@
 
 func (p *Process) peerPages() http.Handler {
 	pages := bunrouter.New()
-	copies := &peering.Source{Table: p.table, Standing: p.follower.Standing}
+	copies := &peering.Source{Table: p.table, Standing: p.follower.Status}
 	pages.Compat().GET(peering.Path, copies.ServeHTTP)
 	pages.Compat().GET(peering.EnginePath, peering.EngineHandler(p.compiler.View))
 	p.suspectPages(pages)
--- a/daemon/router/upstreams.go
+++ b/daemon/router/upstreams.go
@@ -14,8 +14,8 @@
 // takeChanges compiles changes of the store's copy and follows the load of the
 // engines that it lists.
 func (p *Process) takeChanges(changed []provider.Entry) {
-	p.compiler.Take(changed)
-	if p.compiler.Lapsed() {
+	p.compiler.Apply(changed)
+	if p.compiler.HasExpired() {
 		time.AfterFunc(lapseAgain, p.lookAtLapsed)
 	}
 	if p.compiler.View().Configuration != nil && !p.draining.Load() {
@@ -50,7 +50,7 @@
 // lapses reports whether entries of upstreams may go only because the store was
 // away: it is for this router, or was a moment ago.
 func (p *Process) lapses() bool {
-	ago, ever := p.follower.Regained()
+	ago, ever := p.follower.SinceReconnect()
 	return p.silent() || ever && ago < lapseAfter
 }
 
@@ -68,11 +68,11 @@
 
 // takeLoad hands on what a loader tells of the engine beside it.
 func (p *Process) takeLoad(host netip.AddrPort, line loadfeed.Line) {
-	told := balance.Told{
+	told := balance.LoadReport{
 		Running: line.Running, Waiting: line.Waiting, Loading: line.Loading,
 		ClosesIn: time.Duration(line.ClosesIn) * time.Millisecond, Models: line.Models,
 	}
 	for _, id := range (*p.enginesAt.Load())[host.Addr()] {
-		p.pool.Tell(id, told)
+		p.pool.Report(id, told)
 	}
 }
