--- a/daemon/internal/version/pace/pace.go
+++ b/daemon/internal/version/pace/pace.go
@@ -38,7 +38,8 @@
 	outageShare = 1.0 / 16
 )
 
-// Timeline is the timeline of one version at one host. It must be started by Start.
+// Timeline tracks which chunks of one version are due or overdue at one host. Start must be
+// called first.
 type Timeline struct {
 	// Chunks is the number of chunks, and CopyTime how long the origin takes to send all of
 	// them; 0 means that it is not known, and all chunks are due at once.
@@ -84,8 +85,8 @@
 	t.lastReceivedAt = now
 }
 
-// NewChunkSeen records that a chunk appeared that no host had before, and that seen chunks have now
-// been seen at any host. It resumes a paused timeline.
+// NewChunkSeen records that a chunk appeared that no host had before, and that seen chunks have
+// now been seen at any host. It resumes a paused timeline.
 func (t *Timeline) NewChunkSeen(seen int, now time.Time) {
 	if t.isPaused(now) {
 		position := time.Duration(t.DueChunks(now, seen) - lookahead)
@@ -98,7 +99,8 @@
 	t.lastNewAt = now
 }
 
-// OriginAnswered records that the origin sent this host a chunk, which other hosts may have already.
+// OriginAnswered records that the origin sent this host a chunk, which other hosts may have
+// already.
 func (t *Timeline) OriginAnswered(seen int, now time.Time) {
 	if !t.failedAt.IsZero() {
 		t.NewChunkSeen(seen, now)
@@ -111,8 +113,8 @@
 	return !t.failedAt.IsZero() || now.Sub(t.lastNewAt) > StallThreshold
 }
 
-// DueChunks returns the number of chunks, in index order, that may be requested from the origin by
-// now, given how many were seen at any host. All hosts request chunks in index order at the
+// DueChunks returns the number of chunks, in index order, that may be requested from the origin
+// by now, given how many were seen at any host. All hosts request chunks in index order at the
 // rate of the origin's link: if each requested all of its chunks at once, they would share the
 // link and even the first chunk would be late.
 func (t *Timeline) DueChunks(now time.Time, seen int) int {
@@ -140,14 +142,15 @@
 	return t.CopyTime * lookahead / time.Duration(max(t.Chunks, 1))
 }
 
-// OriginOverdue returns for how long a chunk from the origin is overdue, negative if it is not due yet.
+// OriginOverdue returns for how long a chunk from the origin is overdue, negative if it is not
+// due yet.
 func (t *Timeline) OriginOverdue(index int, now time.Time) time.Duration {
 	counted := time.Duration(outageShare * float64(t.outage(now)))
 	return t.PeerOverdue(index, now) - t.outage(now) - t.grace + counted
 }
 
-// PeerOverdue returns for how long a chunk that another host has is overdue. Failures of the origin
-// do not reduce it, because they are not the cause.
+// PeerOverdue returns for how long a chunk that another host has is overdue. Failures of the
+// origin do not reduce it, because they are not the cause.
 func (t *Timeline) PeerOverdue(index int, now time.Time) time.Duration {
 	dueAfter := t.CopyTime * time.Duration(index+1) / time.Duration(t.Chunks)
 	return now.Sub(t.startedAt) - dueAfter - t.paused - t.stalled
--- a/daemon/internal/version/reconcile/manifest.go
+++ b/daemon/internal/version/reconcile/manifest.go
@@ -51,7 +51,7 @@
 	pending map[netip.AddrPort]bool
 }
 
-// LookupResult is the result of a lookup.
+// LookupResult is a manifest and how it was found.
 type LookupResult struct {
 	Manifest provider.Manifest
 	// From is the address of the host that sent it, or swarm.FromOrigin.
--- a/daemon/internal/version/reconcile/reconcile.go
+++ b/daemon/internal/version/reconcile/reconcile.go
@@ -115,7 +115,7 @@
 	// stagedVersion is the version that was written to the engine's staging area.
 	stagedVersion int
 	orderedAt     time.Time
-	// drainStarted is when routers were told to send no more requests, zero while the
+	// drainStarted is when routers were notified to send no more requests, zero while the
 	// engine is not draining.
 	drainStarted time.Time
 	// engineStarted is the start time in the engine's last report.
@@ -223,7 +223,7 @@
 }
 
 // drained reports whether a serving engine may be ordered to load: its load time has come,
-// the staged chunks were verified, routers were told to send no more requests, and the
+// the staged chunks were verified, routers were notified to send no more requests, and the
 // engine's queue is empty. A request that is queued at the order may start on the old version
 // much later if the engine stalls in between. Running requests are not waited for: the engine
 // accepts nothing new, lets them end, and then loads.
--- a/daemon/internal/version/swarm/copy.go
+++ b/daemon/internal/version/swarm/copy.go
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// MergeSeen marks the chunks that another host has as seen, and returns those that were not seen at
-// any host before.
+// MergeSeen marks the chunks that another host has as seen, and returns those that were not seen
+// at any host before.
 func (c *Copy) MergeSeen(have Bitmap) (added []int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -132,7 +132,7 @@
 	return c.completedAt
 }
 
-// Bitmap returns for each chunk whether this host has it.
+// Present returns for each chunk whether this host has it.
 func (c *Copy) Present() []bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/daemon/internal/version/swarm/fetch.go
+++ b/daemon/internal/version/swarm/fetch.go
@@ -119,7 +119,7 @@
 	// It may be nil.
 	OnChunk func(index int, chunk []byte, from string)
 
-	// timeline is the schedule of this fetch; mu guards it.
+	// timeline says which chunks are due or overdue; mu guards it.
 	timeline pace.Timeline
 	// maxSeen is the highest number of chunks that were seen at any host.
 	maxSeen int
--- a/daemon/loader/events.go
+++ b/daemon/loader/events.go
@@ -18,8 +18,8 @@
 // fieldDecision is the log field for the kind of a decision.
 const fieldDecision = "decision"
 
-// logDeclaration logs a change of the declared version. Changes of other hosts' engines are logged
-// by the routers.
+// logDeclaration logs a change of the declared version. Changes of other hosts' engines are
+// logged by the routers.
 func (p *Process) logDeclaration(change replica.EntryChange) {
 	fields := log.Fields{fieldDecision: "believe", "key": change.Entry.Key, "revision": change.Entry.Revision}
 	switch target := change.Record.Target; {
