--- /dev/null
+++ b/daemon/internal/version/reconcile/reconcile.go
@@ -0,0 +1,323 @@
+// Package reconcile brings an engine to the declared version of its model. It fetches the
+// version, writes it to the engine's staging area, verifies it there, and orders the
+// engine to load it at its scheduled load time. Package loader runs one instance for
+// the engine on its host.
+//
+// The package is a reconciliation loop: each round starts from the engine's own report
+// and compares it with the declared versions. Nothing depends on the reply to an order,
+// so a lost reply, a restarted engine and a restarted loader need no handling of their
+// own.
+package reconcile
+
+import (
+	"context"
+	"fmt"
+	"net/netip"
+	"time"
+
+	"gopkg.in/tomb.v2"
+
+	"github.com/wheelcleat/wheelcleat/daemon/internal/clock"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/helpers"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/version/swarm"
+	"github.com/wheelcleat/wheelcleat/daemon/provider"
+)
+
+const (
+	// roundInterval is the interval between rounds.
+	roundInterval = 50 * time.Millisecond
+	// BusyInterval is the interval between rounds while the engine is busy. Routers need
+	// fresher load reports then; an idle engine is polled less often because each report
+	// costs processor time on this host and on the routers.
+	BusyInterval = 20 * time.Millisecond
+	// busyThreshold is the share of an engine's places in use from which it counts as busy.
+	busyThreshold = 0.6
+	// callTimeout bounds a call to the engine on this host.
+	callTimeout = time.Second
+	// maxRetryDelay bounds the random delay after a failed fetch.
+	maxRetryDelay = 400 * time.Millisecond
+	// minDrain is the time for routers to learn that the engine is draining, and maxDrain
+	// the longest that an order waits for queued requests.
+	minDrain = 200 * time.Millisecond
+	maxDrain = 2 * time.Second
+	// CloseLeadTime is how long before its scheduled load an engine accepts only requests that
+	// are likely to end by then, about the duration of most streams. An order cuts no
+	// request, and the engine serves nothing new until the longest running one has ended,
+	// so a long request accepted shortly before the order leaves the other places idle.
+	CloseLeadTime = 1600 * time.Millisecond
+	// maxSupersededFetch is how long a nearly complete fetch may continue after a newer
+	// version was declared, counted from its start.
+	maxSupersededFetch = 6 * time.Second
+	// orderRetryInterval is the time for an order to take effect in the engine's report
+	// before it is sent again.
+	orderRetryInterval = 500 * time.Millisecond
+)
+
+// Goal is a declared version that the engine should load.
+type Goal struct {
+	Model   string
+	Version int
+	// Fence is the fencing token of the order: an engine refuses one lower than it has seen.
+	Fence provider.Revision
+	// LoadAt is the earliest time to order an engine that serves an older version.
+	LoadAt time.Time
+}
+
+// Plan is the desired state of one engine, with what is needed to reach it.
+type Plan struct {
+	// Goal is the newest declared version, the one to fetch, and Earlier the
+	// ones declared before it, newest first.
+	Goal    Goal
+	Earlier []Goal
+	// Origin is the address of the origin of the weights.
+	Origin netip.AddrPort
+	// Places is the number of requests that the engine runs at once.
+	Places int
+	// Chunks and ChunkBytes are the declared sizes of a version.
+	Chunks, ChunkBytes int
+	// CopyTime is how long the origin takes to send one copy.
+	CopyTime time.Duration
+}
+
+// goals returns all declared versions, newest first.
+func (p Plan) goals() []Goal { return append([]Goal{p.Goal}, p.Earlier...) }
+
+// Reconciler reconciles one engine with its plan. The exported fields must be set, except Now.
+type Reconciler struct {
+	Engine  provider.Engine
+	Origin  provider.Origin
+	Address netip.AddrPort // of the engine
+	Copies  *swarm.Copies
+	// Plan returns the plan for an engine that serves the given version, 0 for none. It
+	// reports false while the configuration or the declared versions are not known.
+	Plan func(loaded int) (Plan, bool)
+	// Self is the address of this loader, and RankLoaders returns all loaders of the service in
+	// the order in which they query the origin for a version's manifest.
+	Self        netip.AddrPort
+	RankLoaders func(Goal) []netip.AddrPort
+	// NewFetch prepares the fetch of a copy without running it.
+	NewFetch func(plan Plan, c *swarm.Copy) *swarm.Fetch
+	// PeerManifest requests a manifest from one peer.
+	PeerManifest func(ctx context.Context, peer netip.AddrPort, version int) (provider.Manifest, error)
+	// Now is the clock that orders are scheduled by; nil means clock.Now.
+	Now func() time.Time
+	// OnReport is called with each report of the engine.
+	OnReport func(report provider.EngineReport, err error)
+	// OnStep is called with the outcome of each step.
+	OnStep func(step Step)
+
+	// fetchVersion is the version of the running fetch, which cancel ends and fetchDone
+	// waits for. Only run uses these fields.
+	fetchVersion int
+	fetchStarted time.Time
+	cancel       context.CancelFunc
+	fetchDone    chan struct{}
+	// stagedVersion is the version that was written to the engine's staging area.
+	stagedVersion int
+	orderedAt     time.Time
+	// drainStarted is when routers were notified to send no more requests, zero while the
+	// engine is not draining.
+	drainStarted time.Time
+	// engineStarted is the start time in the engine's last report.
+	engineStarted time.Time
+	// closesAt is the scheduled load time if it is less than CloseLeadTime away, otherwise zero.
+	closesAt time.Time
+	tomb     tomb.Tomb
+}
+
+// The names of steps.
+const (
+	StepManifest = "manifest"
+	StepFetch    = "fetch"
+	StepStage    = "stage"
+	StepCheck    = "check"
+	StepOrder    = "order"
+)
+
+// Step is the outcome of one step towards a version.
+type Step struct {
+	Name    string
+	Version int
+	// Reason explains the step, and Err is set where it failed.
+	Reason string
+	Err    error
+	Took   time.Duration
+	// Running is the number of requests that ran when an order was sent.
+	Running int
+}
+
+// Start runs the reconciliation loop until Stop.
+func (r *Reconciler) Start() { r.tomb.Go(r.run) }
+
+// Stop ends the loop and waits for it.
+func (r *Reconciler) Stop() {
+	r.tomb.Kill(nil)
+	_ = r.tomb.Wait()
+}
+
+func (r *Reconciler) run() error {
+	ctx := r.tomb.Context(nil) //nolint:staticcheck // nil asks the tomb for its own context
+	pause := roundInterval
+	for helpers.Pause(pause, r.tomb.Dying()) {
+		pause = roundInterval
+		if r.round(ctx) {
+			pause = BusyInterval
+		}
+	}
+	r.stopFetch()
+	return nil
+}
+
+// round reads the engine's report, takes the steps that are due, and reports whether the
+// engine is busy.
+func (r *Reconciler) round(ctx context.Context) (busy bool) {
+	report, err := r.report(ctx)
+	r.OnReport(report, err)
+	plan, ok := r.Plan(loadedVersion(report))
+	if !ok {
+		return false
+	}
+	r.ensureFetch(ctx, plan)
+	if err != nil {
+		return false
+	}
+	r.resetOnRestart(report.Started)
+	r.advance(ctx, plan, report)
+	return isBusy(report, plan.Places)
+}
+
+// resetOnRestart clears the state of orders to an earlier engine process: the new process
+// has received none of them, and an empty engine must not wait for one to take effect.
+func (r *Reconciler) resetOnRestart(started time.Time) {
+	if started.Equal(r.engineStarted) {
+		return
+	}
+	r.engineStarted = started
+	r.orderedAt, r.drainStarted = time.Time{}, time.Time{}
+}
+
+// isBusy reports whether so many of an engine's places are in use that routers need
+// frequent load reports.
+func isBusy(report provider.EngineReport, places int) bool {
+	return places > 0 && float64(report.Running+report.Waiting) >= busyThreshold*float64(places)
+}
+
+// advance takes the next step towards the version that the engine should load.
+func (r *Reconciler) advance(ctx context.Context, plan Plan, report provider.EngineReport) {
+	r.closesAt = closeTime(plan, loadedVersion(report), r.now())
+	goal, c := r.next(plan, report)
+	if c == nil || report.Loading {
+		r.drainStarted = time.Time{}
+		return
+	}
+	if r.stagedVersion != goal.Version {
+		r.stage(ctx, goal, c)
+	}
+	loaded := loadedVersion(report)
+	if r.now().Sub(r.orderedAt) < orderRetryInterval {
+		return
+	}
+	if loaded == 0 && r.verify(ctx, goal, c) || loaded > 0 && r.drained(ctx, goal, c, report) {
+		r.order(ctx, goal, report)
+	}
+}
+
+// drained reports whether a serving engine may be ordered to load: its load time has come,
+// the staged chunks were verified, routers were notified to send no more requests, and the
+// engine's queue is empty. A request that is queued at the order may start on the old version
+// much later if the engine stalls in between. Running requests are not waited for: the engine
+// accepts nothing new, lets them end, and then loads.
+func (r *Reconciler) drained(ctx context.Context, goal Goal, c *swarm.Copy, report provider.EngineReport) bool {
+	now := r.now()
+	if now.Before(goal.LoadAt) {
+		r.drainStarted = time.Time{}
+		return false
+	}
+	if r.drainStarted.IsZero() {
+		if !r.verify(ctx, goal, c) {
+			return false
+		}
+		if report.Running+report.Waiting == 0 {
+			return true // for example once routers send nothing to old versions
+		}
+		r.drainStarted = now
+		return false
+	}
+	waited := now.Sub(r.drainStarted)
+	return waited > maxDrain || waited > minDrain && report.Waiting == 0
+}
+
+func (r *Reconciler) now() time.Time { return helpers.Now(r.Now) }
+
+// Draining reports whether the engine is draining: it accepts no new requests because an
+// order is imminent. Only OnReport may call it.
+func (r *Reconciler) Draining() bool { return !r.drainStarted.IsZero() }
+
+// ClosesAt returns the scheduled load time if it is less than CloseLeadTime away, otherwise
+// zero. Only OnReport may call it.
+func (r *Reconciler) ClosesAt() time.Time { return r.closesAt }
+
+// closeTime returns the scheduled load time of an engine if it is less than CloseLeadTime
+// away, otherwise zero. It applies whether or not the copy is complete: that is known only
+// at the load time, too late for the requests that are running then.
+func closeTime(plan Plan, loaded int, now time.Time) time.Time {
+	var next time.Time
+	for _, goal := range plan.goals() {
+		soon := now.Before(goal.LoadAt) && !now.Before(goal.LoadAt.Add(-CloseLeadTime))
+		if loaded > 0 && goal.Version > loaded && soon && (next.IsZero() || goal.LoadAt.Before(next)) {
+			next = goal.LoadAt
+		}
+	}
+	return next
+}
+
+// next returns the version to load and its copy: the newest complete one whose load time
+// has come, otherwise the one that is scheduled first. The copy is nil where there is
+// nothing to load.
+func (r *Reconciler) next(plan Plan, report provider.EngineReport) (Goal, *swarm.Copy) {
+	loaded := loadedVersion(report)
+	var best Goal
+	var bestCopy *swarm.Copy
+	for _, goal := range plan.goals() {
+		c := r.Copies.Get(goal.Version)
+		if goal.Version <= loaded || c == nil || !c.Complete() {
+			continue
+		}
+		if bestCopy == nil || r.now().Before(best.LoadAt) {
+			best, bestCopy = goal, c
+		}
+		if loaded == 0 {
+			break // an empty engine loads the newest version at once
+		}
+	}
+	return best, bestCopy
+}
+
+func (r *Reconciler) report(ctx context.Context) (provider.EngineReport, error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	return r.Engine.Report(ctx, r.Address)
+}
+
+// loadedVersion returns the version that an engine has loaded, or 0. An engine serves one
+// model.
+func loadedVersion(report provider.EngineReport) int {
+	if len(report.Models) == 0 {
+		return 0
+	}
+	return report.Models[0].Version
+}
+
+// order sends the engine the order to load the staged version.
+func (r *Reconciler) order(ctx context.Context, goal Goal, report provider.EngineReport) {
+	started := clock.Now()
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	result, err := r.Engine.Start(ctx, r.Address, provider.Order{
+		Model: goal.Model, Version: goal.Version, FencingToken: goal.Fence, Sequence: report.Sequence,
+	})
+	r.orderedAt = r.now()
+	r.drainStarted = time.Time{}
+	reason := fmt.Sprintf("version %d loaded, %d requests running, order %s", loadedVersion(report), report.Running, result)
+	r.OnStep(Step{Name: StepOrder, Version: goal.Version, Reason: reason, Err: err, Took: clock.Since(started), Running: report.Running})
+}
--- /dev/null
+++ b/daemon/internal/version/reconcile/stage.go
@@ -0,0 +1,98 @@
+package reconcile
+
+import (
+	"context"
+	"errors"
+	"fmt"
+
+	"github.com/wheelcleat/wheelcleat/daemon/internal/clock"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/helpers"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/version/swarm"
+	"github.com/wheelcleat/wheelcleat/daemon/provider"
+)
+
+// This file writes chunks to the engine's staging area and reads them back.
+
+// reuseStaged adds to a copy the chunks of its version that are in the engine's staging area
+// already, from before a restart of this loader or of the engine. It retries until the
+// engine answers.
+func (r *Reconciler) reuseStaged(ctx context.Context, plan Plan, c *swarm.Copy) {
+	for ctx.Err() == nil && r.tryReuseStaged(ctx, plan, c) != nil {
+		helpers.Pause(roundInterval, ctx.Done())
+	}
+}
+
+func (r *Reconciler) tryReuseStaged(ctx context.Context, plan Plan, c *swarm.Copy) error {
+	const maxMisses = 3 // an empty staging area has no chunk at all, so a few misses suffice
+	for index, misses := 0, 0; index < len(c.Manifest.Digests) && misses < maxMisses; index++ {
+		chunk, err := r.readChunk(ctx, plan.Goal.Model, index)
+		switch {
+		case err == nil && c.Put(index, chunk) == nil:
+		case err == nil || errors.Is(err, provider.ErrNotFound):
+			misses++
+		default:
+			return fmt.Errorf("read staged chunk: %w", err)
+		}
+	}
+	return nil
+}
+
+func (r *Reconciler) readChunk(ctx context.Context, model string, index int) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	return r.Engine.ReadStaged(ctx, r.Address, model, index)
+}
+
+// stage writes a version to the engine's staging area ahead of its load time. It is verified
+// only right before the order, because staged chunks may become corrupt in between.
+func (r *Reconciler) stage(ctx context.Context, goal Goal, c *swarm.Copy) {
+	started := clock.Now()
+	var err error
+	for index := 0; index < len(c.Manifest.Digests) && err == nil; index++ {
+		err = r.writeChunk(ctx, goal.Model, index, c.Chunk(index))
+	}
+	if err == nil {
+		r.stagedVersion = goal.Version
+	}
+	r.OnStep(Step{Name: StepStage, Version: goal.Version, Err: err, Took: clock.Since(started)})
+}
+
+// repairStaged reads back every staged chunk, writes those that do not match again, and
+// returns how many these were.
+func (r *Reconciler) repairStaged(ctx context.Context, goal Goal, c *swarm.Copy) (repaired int, err error) {
+	for index := range c.Manifest.Digests {
+		if r.stagedMatches(ctx, goal, c, index) {
+			continue
+		}
+		repaired++
+		if err := r.writeChunk(ctx, goal.Model, index, c.Chunk(index)); err != nil {
+			return repaired, fmt.Errorf("stage chunk %d: %w", index, err)
+		}
+		if !r.stagedMatches(ctx, goal, c, index) {
+			return repaired, fmt.Errorf("stage chunk %d: it does not read back as written", index)
+		}
+	}
+	return repaired, nil
+}
+
+func (r *Reconciler) stagedMatches(ctx context.Context, goal Goal, c *swarm.Copy, index int) bool {
+	chunk, err := r.readChunk(ctx, goal.Model, index)
+	return err == nil && c.Matches(index, chunk)
+}
+
+func (r *Reconciler) writeChunk(ctx context.Context, model string, index int, chunk []byte) error {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	return r.Engine.WriteStaged(ctx, r.Address, model, index, chunk)
+}
+
+// verify verifies and repairs the staged version, and reports whether it is complete.
+func (r *Reconciler) verify(ctx context.Context, goal Goal, c *swarm.Copy) bool {
+	started := clock.Now()
+	repaired, err := r.repairStaged(ctx, goal, c)
+	if repaired > 0 || err != nil {
+		reason := fmt.Sprintf("%d corrupt or missing chunks", repaired)
+		r.OnStep(Step{Name: StepCheck, Version: goal.Version, Reason: reason, Err: err, Took: clock.Since(started)})
+	}
+	return err == nil
+}
--- /dev/null
+++ b/daemon/internal/version/swarm/copy.go
@@ -0,0 +1,193 @@
+// Package swarm fetches the chunks of a version from peers, and from the origin those that no
+// peer has. Package loader runs one fetch per version and serves the chunks to other loaders.
+//
+// Which host fetches a chunk from the origin is a pure function of the chunk and the list of
+// hosts, so that the origin sends about one copy for the whole fleet.
+//
+// Package fetch does the same for agents, whose peers are assigned by entries. Here a loader
+// finds its peers in the store's list of upstreams, versions are numbered, and a chunk is
+// identified by its index in a manifest of SHA-256 digests.
+package swarm
+
+import (
+	"crypto/sha256"
+	"errors"
+	"fmt"
+	"sync"
+	"time"
+
+	"github.com/wheelcleat/wheelcleat/daemon/internal/clock"
+	"github.com/wheelcleat/wheelcleat/daemon/provider"
+)
+
+// keptVersions is the number of versions that a host holds: the current one, for hosts that
+// are stale, and up to two newer ones.
+const keptVersions = 3
+
+// errDigest means that a chunk does not match the manifest.
+var errDigest = errors.New("chunk does not match its digest")
+
+// Copy is the part of a version that this host has. All its chunks are verified.
+type Copy struct {
+	Manifest provider.Manifest
+
+	mu     sync.Mutex
+	chunks [][]byte
+	count  int
+	// completedAt is when the last chunk was added, zero before.
+	completedAt time.Time
+	// seen marks the chunks that some host has been known to have, and seenCount counts them.
+	seen      []bool
+	seenCount int
+	// changed is closed and replaced when a chunk is added.
+	changed chan struct{}
+}
+
+// NewCopy returns a copy without any chunks.
+func NewCopy(manifest provider.Manifest) *Copy {
+	return &Copy{Manifest: manifest, chunks: make([][]byte, len(manifest.Digests)), seen: make([]bool, len(manifest.Digests)), changed: make(chan struct{})}
+}
+
+// Put verifies a chunk and adds it.
+func (c *Copy) Put(index int, chunk []byte) error {
+	if index < 0 || index >= len(c.chunks) {
+		return fmt.Errorf("chunk %d of %d: %w", index, len(c.chunks), provider.ErrNotFound)
+	}
+	if sha256.Sum256(chunk) != c.Manifest.Digests[index] {
+		return fmt.Errorf("chunk %d of version %d: %w", index, c.Manifest.Version, errDigest)
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.chunks[index] == nil {
+		c.chunks[index] = chunk
+		c.count++
+		c.markSeen(index)
+		if c.count == len(c.chunks) {
+			c.completedAt = clock.Now()
+		}
+		close(c.changed)
+		c.changed = make(chan struct{})
+	}
+	return nil
+}
+
+// MergeSeen marks the chunks that another host has as seen, and returns those that were not seen
+// at any host before.
+func (c *Copy) MergeSeen(have Bitmap) (added []int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for index := range c.seen {
+		if !c.seen[index] && have.Has(index) {
+			c.markSeen(index)
+			added = append(added, index)
+		}
+	}
+	return added
+}
+
+// markSeen marks a chunk as seen at some host; the caller holds mu.
+func (c *Copy) markSeen(index int) {
+	if !c.seen[index] {
+		c.seen[index] = true
+		c.seenCount++
+	}
+}
+
+// Unseen returns the number of chunks that no host has been known to have, and that the origin
+// therefore still has to send.
+func (c *Copy) Unseen() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.seen) - c.seenCount
+}
+
+// Chunk returns a chunk, or nil where this host does not have it.
+func (c *Copy) Chunk(index int) []byte {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if index < 0 || index >= len(c.chunks) {
+		return nil
+	}
+	return c.chunks[index]
+}
+
+// Count returns the number of chunks on this host and a channel that is closed when one is
+// added.
+func (c *Copy) Count() (int, <-chan struct{}) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.count, c.changed
+}
+
+// Complete reports whether the copy has all chunks.
+func (c *Copy) Complete() bool {
+	count, _ := c.Count()
+	return count == len(c.Manifest.Digests)
+}
+
+// CompletedAt returns when the last chunk was added, zero before.
+func (c *Copy) CompletedAt() time.Time {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.completedAt
+}
+
+// Present returns for each chunk whether this host has it.
+func (c *Copy) Present() []bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	have := make([]bool, len(c.chunks))
+	for i, chunk := range c.chunks {
+		have[i] = chunk != nil
+	}
+	return have
+}
+
+// Copies holds the copies on this host. The zero value is empty.
+type Copies struct {
+	mu sync.Mutex
+	// byVersion holds the newest keptVersions copies.
+	byVersion map[int]*Copy
+}
+
+// Get returns the copy of a version, or nil where there is none.
+func (s *Copies) Get(version int) *Copy {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.byVersion[version]
+}
+
+// Add adds a copy, and drops the oldest ones beyond keptVersions.
+func (s *Copies) Add(c *Copy) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.byVersion == nil {
+		s.byVersion = map[int]*Copy{}
+	}
+	s.byVersion[c.Manifest.Version] = c
+	for len(s.byVersion) > keptVersions {
+		s.dropOldest()
+	}
+}
+
+// Drop removes the copy of a version whose manifest proved wrong.
+func (s *Copies) Drop(version int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.byVersion, version)
+}
+
+func (s *Copies) dropOldest() {
+	oldest := -1
+	for version := range s.byVersion {
+		if oldest < 0 || version < oldest {
+			oldest = version
+		}
+	}
+	delete(s.byVersion, oldest)
+}
+
+// Matches reports whether a chunk is the one at an index of the manifest.
+func (c *Copy) Matches(index int, chunk []byte) bool {
+	return sha256.Sum256(chunk) == c.Manifest.Digests[index]
+}
