--- a/daemon/internal/version/swarm/serve.go
+++ b/daemon/internal/version/swarm/serve.go
@@ -82,7 +82,7 @@
 	version, err := strconv.Atoi(r.URL.Query().Get("version"))
 	c := s.Copies.Get(version)
 	if err != nil || c == nil {
-		http.Error(w, "version not found on this host", http.StatusNotFound)
+		http.Error(w, "no such version here", http.StatusNotFound)
 		return nil
 	}
 	return c
@@ -118,14 +118,14 @@
 	index, err := strconv.Atoi(r.URL.Query().Get("index"))
 	chunk := c.Chunk(index)
 	if err != nil || chunk == nil {
-		http.Error(w, "chunk not found on this host", http.StatusNotFound)
+		http.Error(w, "no such chunk here", http.StatusNotFound)
 		return
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set("Content-Length", strconv.Itoa(len(chunk)))
 	if !s.Uplink.send(r.Context(), w, chunk, r.URL.Query().Has(urgentQuery)) {
 		w.Header().Del("Content-Length")
-		http.Error(w, "upload queue is full", http.StatusServiceUnavailable)
+		http.Error(w, "too many chunks are asked for here", http.StatusServiceUnavailable)
 	}
 }
 
