--- a/daemon/internal/process/server/connections.go
+++ b/daemon/internal/process/server/connections.go
@@ -8,117 +8,120 @@
 	"time"
 )
 
-// quietLooks is in how many looks, one after the other, a connection must be silent to be
-// ended. By the clock alone one would be ended whose request came while the process stood
-// still; what has come is read between two looks.
-const quietLooks = 5
+// idleChecks is the number of consecutive checks that must find a connection idle before it
+// is closed. Elapsed time alone would close a connection whose request arrived while the
+// process was not scheduled; between two checks the server reads what has arrived.
+const idleChecks = 5
 
-// connections knows what each connection of a server does. The zero value works.
+// connections tracks the state of each connection of a server. The zero value is ready to
+// use.
 //
 // Lock order: mu is the only lock.
 type connections struct {
-	mu    sync.Mutex
-	known map[net.Conn]connection
-	// ended are the connections that were closed here and whose server has not noticed yet.
-	ended map[net.Conn]bool
-	// none is closed once no connection is left; nil while nobody waits for that.
-	none chan struct{}
+	mu      sync.Mutex
+	tracked map[net.Conn]connection
+	// closed holds the connections that were closed here and that the server has not yet
+	// reported as closed.
+	closed map[net.Conn]bool
+	// drained is closed once no connection remains; nil while no caller waits for that.
+	drained chan struct{}
 }
 
 type connection struct {
 	state http.ConnState
-	// silent counts the looks since the state changed.
-	silent int
+	// checks counts the idle checks since the state changed.
+	checks int
 }
 
-// note takes a change of a connection's state.
-func (c *connections) note(conn net.Conn, state http.ConnState) {
+// setState records the new state of a connection. It is the server's ConnState hook.
+func (c *connections) setState(conn net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.known == nil {
-		c.known = map[net.Conn]connection{}
+	if c.tracked == nil {
+		c.tracked = map[net.Conn]connection{}
 	}
-	c.known[conn] = connection{state: state}
+	c.tracked[conn] = connection{state: state}
 	if state == http.StateClosed || state == http.StateHijacked {
-		c.forget(conn)
-		delete(c.ended, conn)
+		c.remove(conn)
+		delete(c.closed, conn)
 	}
 }
 
-// hasEnded reports whether a connection was closed here.
-func (c *connections) hasEnded(conn net.Conn) bool {
+// isClosed reports whether checkIdle has closed a connection.
+func (c *connections) isClosed(conn net.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.ended[conn]
+	return c.closed[conn]
 }
 
-// forget drops a connection; the caller holds mu.
-func (c *connections) forget(conn net.Conn) {
-	delete(c.known, conn)
-	if len(c.known) == 0 && c.none != nil {
-		close(c.none)
-		c.none = nil
+// remove stops tracking a connection; the caller holds mu.
+func (c *connections) remove(conn net.Conn) {
+	delete(c.tracked, conn)
+	if len(c.tracked) == 0 && c.drained != nil {
+		close(c.drained)
+		c.drained = nil
 	}
 }
 
-// gone returns a channel that is closed once no connection is left.
-func (c *connections) gone() <-chan struct{} {
+// drainedChan returns a channel that is closed once no connection remains.
+func (c *connections) drainedChan() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	none := make(chan struct{})
-	if len(c.known) == 0 {
-		close(none)
-		return none
+	drained := make(chan struct{})
+	if len(c.tracked) == 0 {
+		close(drained)
+		return drained
 	}
-	c.none = none
-	return none
+	c.drained = drained
+	return drained
 }
 
-// endQuiet ends each connection once it carries no request and has been silent for a
-// while, because its caller may just be sending one, and returns when all have ended.
-func (c *connections) endQuiet(ctx context.Context, quiet time.Duration) {
-	none := c.gone()
-	look := time.NewTicker(max(quiet/quietLooks, 1))
-	defer look.Stop()
+// closeIdle closes each connection once it has been idle for idleTimeout, because a caller
+// may be about to send a request on it. It returns when no connection remains or ctx is
+// done.
+func (c *connections) closeIdle(ctx context.Context, idleTimeout time.Duration) {
+	drained := c.drainedChan()
+	ticker := time.NewTicker(max(idleTimeout/idleChecks, 1))
+	defer ticker.Stop()
 	for {
 		select {
-		case <-none:
+		case <-drained:
 			return
-		case <-look.C:
-			c.closeQuiet()
+		case <-ticker.C:
+			c.checkIdle()
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// end closes a connection; the caller holds mu.
-func (c *connections) end(conn net.Conn) {
+// closeConn closes a connection; the caller holds mu.
+func (c *connections) closeConn(conn net.Conn) {
 	_ = conn.Close()
-	c.forget(conn)
-	if c.ended == nil {
-		c.ended = map[net.Conn]bool{}
+	c.remove(conn)
+	if c.closed == nil {
+		c.closed = map[net.Conn]bool{}
 	}
-	c.ended[conn] = true
+	c.closed[conn] = true
 }
 
-// closeQuiet is one look at the connections: it closes those that were silent in enough
-// of them. What has come and was not read yet is no silence: a process that stood still
-// looks before it reads, and closed a connection 56 ms after its request had been sent.
-func (c *connections) closeQuiet() {
+// checkIdle checks all connections once and closes those that idleChecks consecutive checks
+// found idle. A connection with unread data is not idle: after a scheduling pause this check
+// may run before the server reads a request that has arrived.
+func (c *connections) checkIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for conn, known := range c.known {
-		if known.state == http.StateActive {
+	for conn, tracked := range c.tracked {
+		if tracked.state == http.StateActive {
 			continue
 		}
-		known.silent++
-		if known.silent >= quietLooks && hasUnread(conn) {
-			known.silent = 0
+		tracked.checks++
+		if tracked.checks >= idleChecks && hasUnreadData(conn) {
+			tracked.checks = 0
 		}
-		c.known[conn] = known
-		if known.silent >= quietLooks {
-			c.end(conn)
+		c.tracked[conn] = tracked
+		if tracked.checks >= idleChecks {
+			c.closeConn(conn)
 		}
 	}
 }
--- a/daemon/internal/process/server/connections_test.go
+++ b/daemon/internal/process/server/connections_test.go
@@ -16,122 +16,108 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/helpers"
 )
 
-// Symptom: a router that was told to stop ended a connection without an answer, on which
-// a request had come 85 ms before; it went on to an upstream 2 ms later. Five more
-// requests ended with it, each "the caller left".
-//
-// Sequence: the process gets no processor for 90 ms. Meanwhile the time ends in which it
-// serves on, and requests come. When it goes on, it ends the connections that were silent
-// for 0.1 s, among them those whose requests it is just reading.
-//
-// Cause: how long a connection was silent was told by the clock, which runs on while the
-// process stands still.
-//
-// What settled it: all six connections ended within 2 ms of the end of that time, and the
-// requests on them had begun 0.6 to 1.3 ms before.
-func TestTimeInWhichTheProcessStoodStillIsNoSilence(t *testing.T) {
+// Guards against a shutdown that measures idle time by the clock alone: after a scheduling
+// pause it would close connections whose requests arrived during the pause.
+func TestSchedulingPauseDoesNotCountAsIdleTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const quiet = 100 * time.Millisecond
+		const idleTimeout = 100 * time.Millisecond
 		c := &connections{}
-		here, there := net.Pipe()
-		defer func() { _ = there.Close() }()
-		c.note(here, http.StateNew)
-		helpers.Pause(time.Hour, nil) // the process stands still
-		ended := make(chan struct{})
+		serverConn, callerConn := net.Pipe()
+		defer func() { _ = callerConn.Close() }()
+		c.setState(serverConn, http.StateNew)
+		helpers.Pause(time.Hour, nil) // the process is not scheduled
+		done := make(chan struct{})
 		go func() {
-			defer close(ended)
-			c.endQuiet(t.Context(), quiet)
+			defer close(done)
+			c.closeIdle(t.Context(), idleTimeout)
 		}()
 		synctest.Wait()
-		c.note(here, http.StateActive) // what came meanwhile is read now
+		c.setState(serverConn, http.StateActive) // the server reads the request that arrived meanwhile
 		helpers.Pause(time.Minute, nil)
 		synctest.Wait()
 		select {
-		case <-ended:
-			assert.Fail(t, "a connection with a request was ended")
+		case <-done:
+			assert.Fail(t, "a connection with a request was closed")
 		default:
 		}
-		c.note(here, http.StateIdle)
-		helpers.Pause(quiet/2, nil)
+		c.setState(serverConn, http.StateIdle)
+		helpers.Pause(idleTimeout/2, nil)
 		synctest.Wait()
 		c.mu.Lock()
-		assert.Len(t, c.known, 1, "its caller may just be sending another one")
+		assert.Len(t, c.tracked, 1, "the caller may be about to send another request")
 		c.mu.Unlock()
-		helpers.Pause(quiet, nil)
-		<-ended
+		helpers.Pause(idleTimeout, nil)
+		<-done
 	})
 }
 
-// TestTheEndOfAStopEndsTheWait: a request that goes on does not hold it.
-func TestTheEndOfAStopEndsTheWait(t *testing.T) {
+// Guards against a shutdown that waits for a running request beyond its deadline.
+func TestCloseIdleReturnsWhenContextIsDone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &connections{}
-		here, there := net.Pipe()
-		defer func() { _, _ = here.Close(), there.Close() }()
-		c.note(here, http.StateActive)
+		serverConn, callerConn := net.Pipe()
+		defer func() { _, _ = serverConn.Close(), callerConn.Close() }()
+		c.setState(serverConn, http.StateActive)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		c.endQuiet(ctx, time.Millisecond)
+		c.closeIdle(ctx, time.Millisecond)
 		assert.Error(t, ctx.Err())
 	})
 }
 
-// A router that stopped closed a connection 56 ms after its request had been sent: it had
-// stood still, and looked at its connections before it read what had come. The request went
-// on to its upstream all the same, where it ran for nobody.
-
-// TestWhatHasComeIsNoSilence: a connection with something unread is not ended, however often
-// it is looked at, and is once that was read.
-func TestWhatHasComeIsNoSilence(t *testing.T) {
+// Guards against a shutdown that closes a connection whose request has arrived but was not
+// read yet, because the process was not scheduled. Such a request would run although its
+// caller has been disconnected.
+func TestConnectionWithUnreadDataIsNotIdle(t *testing.T) {
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = listener.Close() }()
 	caller, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", listener.Addr().String())
 	require.NoError(t, err)
 	defer func() { _ = caller.Close() }()
-	here, err := listener.Accept()
+	serverConn, err := listener.Accept()
 	require.NoError(t, err)
-	defer func() { _ = here.Close() }()
+	defer func() { _ = serverConn.Close() }()
 	const request = "GET"
 	_, err = io.WriteString(caller, request)
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return hasUnread(here) }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return hasUnreadData(serverConn) }, 10*time.Second, time.Millisecond)
 
 	c := &connections{}
-	c.note(here, http.StateIdle)
-	look := func() {
-		for range 3 * quietLooks {
-			c.closeQuiet()
+	c.setState(serverConn, http.StateIdle)
+	runChecks := func() {
+		for range 3 * idleChecks {
+			c.checkIdle()
 		}
 	}
-	look()
-	assert.Len(t, c.known, 1)
-	assert.False(t, c.hasEnded(here))
-	_, err = io.ReadFull(here, make([]byte, len(request)))
+	runChecks()
+	assert.Len(t, c.tracked, 1)
+	assert.False(t, c.isClosed(serverConn))
+	_, err = io.ReadFull(serverConn, make([]byte, len(request)))
 	require.NoError(t, err)
-	look()
-	assert.Empty(t, c.known)
-	assert.True(t, c.hasEnded(here))
-	c.note(here, http.StateClosed)
-	assert.False(t, c.hasEnded(here), "its server has noticed")
+	runChecks()
+	assert.Empty(t, c.tracked)
+	assert.True(t, c.isClosed(serverConn))
+	c.setState(serverConn, http.StateClosed)
+	assert.False(t, c.isClosed(serverConn), "the server has reported it as closed")
 }
 
-// TestARequestOfAnEndedConnectionGoesNoFurther: it was read as the connection was closed.
-func TestARequestOfAnEndedConnectionGoesNoFurther(t *testing.T) {
-	here, there := net.Pipe()
-	defer func() { _ = there.Close() }()
+// Guards against running a request that was read while its connection was being closed.
+func TestRequestOnClosedConnectionIsAborted(t *testing.T) {
+	serverConn, callerConn := net.Pipe()
+	defer func() { _ = callerConn.Close() }()
 	s := &Server{}
-	passed := 0
-	handler := s.ending(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { passed++ }))
+	handled := 0
+	handler := s.closeWhenDraining(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { handled++ }))
 	request := httptest.NewRequest(http.MethodGet, "/", nil)
-	request = request.WithContext(context.WithValue(request.Context(), connectionKey{}, here))
+	request = request.WithContext(context.WithValue(request.Context(), connectionKey{}, serverConn))
 	handler.ServeHTTP(httptest.NewRecorder(), request)
-	assert.Equal(t, 1, passed)
+	assert.Equal(t, 1, handled)
 
-	s.open.mu.Lock()
-	s.open.end(here)
-	s.open.mu.Unlock()
-	s.open.note(here, http.StateActive)
+	s.conns.mu.Lock()
+	s.conns.closeConn(serverConn)
+	s.conns.mu.Unlock()
+	s.conns.setState(serverConn, http.StateActive)
 	assert.PanicsWithError(t, http.ErrAbortHandler.Error(), func() { handler.ServeHTTP(httptest.NewRecorder(), request) })
-	assert.Equal(t, 1, passed)
+	assert.Equal(t, 1, handled)
 }
--- a/daemon/internal/process/server/server.go
+++ b/daemon/internal/process/server/server.go
@@ -1,5 +1,9 @@
-// Package server runs the HTTP servers of a process, and ends them without
-// cutting requests.
+// Package server runs the HTTP servers of entries, agents, routers and loaders, and shuts
+// them down without aborting requests.
+//
+// During a shutdown the server keeps reading from open connections until they have been idle
+// for a while: http.Server.Shutdown drops requests that arrive on idle connections after it
+// was called, and a caller cannot know whether such a request ran.
 package server
 
 import (
@@ -17,25 +21,24 @@
 
 const (
 	headerTimeout = 10 * time.Second
-	// defaultQuiet is the default of Options.Quiet: several round trips between a caller
-	// and a host. What is taken in that time must end within the rest of a stop, so more
-	// would have long requests cut.
-	defaultQuiet = 100 * time.Millisecond
+	// defaultIdleTimeout is several round trips between a caller and a host. Requests that
+	// arrive in that time must end before the shutdown's deadline, so a longer timeout would
+	// abort long requests.
+	defaultIdleTimeout = 100 * time.Millisecond
 )
 
 // Server is one listening port.
 type Server struct {
-	// Address is where the server listens.
+	// Address is the bound address.
 	Address netip.AddrPort
 
-	http     *http.Server
-	listener *net.TCPListener
-	quiet    time.Duration
-	// open are the connections.
-	open connections
-	// closing makes answers end their connections.
-	closing atomic.Bool
-	done    chan struct{}
+	http        *http.Server
+	listener    *net.TCPListener
+	idleTimeout time.Duration
+	conns       connections
+	// keepAlivesDisabled makes responses close their connections.
+	keepAlivesDisabled atomic.Bool
+	done               chan struct{}
 }
 
 // Options describe a server.
@@ -44,12 +47,12 @@
 	Address        netip.AddrPort
 	Handler        http.Handler
 	MaxHeaderBytes int
-	// Quiet is how long a connection that carries no request must have been silent
-	// for a shutdown to end it; 0 means 100 ms.
+	// Quiet is how long a connection must have been idle before a shutdown closes it; 0
+	// means 100 ms.
 	Quiet time.Duration
 }
 
-// Listen opens the port and serves.
+// Listen binds the address and serves in a goroutine.
 func Listen(options Options) (*Server, error) {
 	listener, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(options.Address))
 	if err != nil {
@@ -60,10 +63,10 @@
 		return nil, fmt.Errorf("listen for %s on %s: not a TCP address", options.Name, options.Address)
 	}
 	s := &Server{
-		Address: bound.AddrPort(), listener: listener, quiet: helpers.OrDefault(options.Quiet, defaultQuiet), done: make(chan struct{}),
+		Address: bound.AddrPort(), listener: listener, idleTimeout: helpers.OrDefault(options.Quiet, defaultIdleTimeout), done: make(chan struct{}),
 	}
 	s.http = &http.Server{
-		Handler: s.ending(options.Handler), ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: options.MaxHeaderBytes, ConnState: s.open.note,
+		Handler: s.closeWhenDraining(options.Handler), ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: options.MaxHeaderBytes, ConnState: s.conns.setState,
 		ConnContext: func(ctx context.Context, conn net.Conn) context.Context {
 			return context.WithValue(ctx, connectionKey{}, conn)
 		},
@@ -78,32 +81,33 @@
 // connectionKey is the key of a request's connection in its context.
 type connectionKey struct{}
 
-// ending has answers close their connections once the server is closing, so
-// that callers come back elsewhere. A request that was read as its connection was closed
-// goes no further: nobody would get its answer, and it would have run all the same.
-func (s *Server) ending(handler http.Handler) http.Handler {
+// closeWhenDraining makes responses close their connections once keep-alives are disabled,
+// so that callers reconnect to another server. It aborts a request that was read while
+// checkIdle closed its connection: the request would run although no caller could receive
+// the response.
+func (s *Server) closeWhenDraining(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if conn, ok := r.Context().Value(connectionKey{}).(net.Conn); ok && s.open.hasEnded(conn) {
+		if conn, ok := r.Context().Value(connectionKey{}).(net.Conn); ok && s.conns.isClosed(conn) {
 			panic(http.ErrAbortHandler)
 		}
-		if s.closing.Load() {
+		if s.keepAlivesDisabled.Load() {
 			w.Header().Set("Connection", "close")
 		}
 		handler.ServeHTTP(w, r)
 	})
 }
 
-// Closing makes every further answer end its connection.
-func (s *Server) Closing() { s.closing.Store(true) }
+// Closing makes every further response close its connection.
+func (s *Server) Closing() { s.keepAlivesDisabled.Store(true) }
 
-// Shutdown takes no new connections and waits for requests in flight, and for those that
-// callers are about to send on open connections: the HTTP server, once it is told to
-// shut down, drops requests that it reads.
+// Shutdown stops accepting connections, and waits for the requests in flight and for those
+// that callers are about to send on open connections. Only then does it call
+// http.Server.Shutdown, which drops requests that arrive later.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.Closing()
 	_ = s.listener.Close()
 	<-s.done
-	s.open.endQuiet(ctx, s.quiet)
+	s.conns.closeIdle(ctx, s.idleTimeout)
 	err := s.http.Shutdown(ctx)
 	if err != nil && !errors.Is(err, http.ErrServerClosed) {
 		_ = s.http.Close()
@@ -112,11 +116,11 @@
 	return nil
 }
 
-// Kill cuts every connection, as a host that dies.
+// Kill closes the listener and all connections at once, as a crash of the host would.
 func (s *Server) Kill() {
 	_ = s.http.Close()
 	<-s.done
 }
 
-// Done is closed when the server has ended.
+// Done returns a channel that is closed when the server no longer accepts connections.
 func (s *Server) Done() <-chan struct{} { return s.done }
--- a/daemon/internal/process/server/unread.go
+++ b/daemon/internal/process/server/unread.go
@@ -7,8 +7,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// hasUnread reports whether something has come over a connection that nobody has read.
-func hasUnread(conn net.Conn) bool {
+// hasUnreadData reports whether the socket of a connection has received data that the
+// process has not read.
+func hasUnreadData(conn net.Conn) bool {
 	tcp, ok := conn.(syscall.Conn)
 	if !ok {
 		return false
@@ -18,9 +19,9 @@
 		return false
 	}
 	unread := 0
-	err = raw.Control(func(descriptor uintptr) {
-		var one [1]byte
-		unread, _, _ = unix.Recvfrom(int(descriptor), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+	err = raw.Control(func(fd uintptr) {
+		var buffer [1]byte
+		unread, _, _ = unix.Recvfrom(int(fd), buffer[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	})
 	return err == nil && unread > 0
 }
