--- a/daemon/internal/process/kvwrite/kvwrite.go
+++ b/daemon/internal/process/kvwrite/kvwrite.go
@@ -1,18 +1,17 @@
-// Package kvwrite makes a conditional write whose fate is known, as far as the
-// key-value service lets it be.
+// Package kvwrite makes conditional writes to the key-value service with retries, and
+// reports whether they took effect. The placer and the resource API write through it.
 //
-// An answer can be lost after its write took effect. The value therefore
-// carries a write id, and the revision that the write was based on. After a
-// lost answer the key is read again:
+// A response can be lost after its write took effect. Each value therefore carries a write
+// ID and the revision that it replaces. After a lost response the key is read:
 //
-//   - it holds our id: the write was accepted;
-//   - it still has the revision we based on: the write has not taken effect,
-//     but the lost call may still arrive; the same write is sent again, and
-//     whichever comes first wins under the one condition;
-//   - it holds another write based on the same revision as ours: ours can never
-//     have taken effect, a conflict;
-//   - it holds anything else: ours may have been accepted and overwritten.
-//     That stays unknown, and is said so.
+//   - It holds this write's ID: the write took effect.
+//   - It still has the revision to be replaced: the write has not taken effect, but the lost
+//     call may still arrive. The same write is sent again, and since both have the same
+//     condition, only one of them takes effect.
+//   - It holds another write that replaced the same revision: this write can no longer take
+//     effect. That is a conflict.
+//   - It holds anything else: this write may have taken effect and been overwritten. The
+//     error is platform.ErrUnknown.
 package kvwrite
 
 import (
@@ -27,14 +26,14 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/platform"
 )
 
-// Stamp identifies a value's write.
+// Stamp identifies the write that stored a value.
 type Stamp struct {
 	WriteID string
-	// BasedOn is the revision that the write replaced, 0 for a first write.
+	// BasedOn is the revision that the write replaced, 0 if the key was absent.
 	BasedOn uint64
 }
 
-// Bounds of the wait between tries.
+// Bounds of the backoff between attempts.
 const (
 	defaultMinWait = 50 * time.Millisecond
 	defaultMaxWait = time.Second
@@ -43,39 +42,40 @@
 // Writer writes to the key-value service.
 type Writer struct {
 	KV *platform.KV
-	// StampOf reads the stamp of a value; false where it has none.
+	// StampOf decodes the stamp of a value; it returns false if the value has none.
 	StampOf func(value []byte) (Stamp, bool)
-	// MinWait and MaxWait bound the jittered wait between tries; 0 means 50ms
-	// and 1s. They keep a fleet that retries together under the service's rates.
+	// MinWait and MaxWait bound the jittered backoff between attempts; 0 means 50 ms and
+	// 1 s. They keep simultaneous retries of a fleet within the service's rate limits.
 	MinWait, MaxWait time.Duration
 }
 
-// Put makes a write that carries the given write id and returns its revision.
-// It tries until the context ends. The error is a *platform.ConflictError,
-// platform.ErrUnavailable when nothing was written, or platform.ErrUnknown.
+// Put makes a write whose value carries writeID, and returns its revision. It retries until
+// ctx is done. The error is a *platform.ConflictError, platform.ErrUnavailable if nothing
+// was written, or platform.ErrUnknown.
 func (w *Writer) Put(ctx context.Context, write platform.Write, writeID string) (uint64, error) {
-	p := &putting{writer: w, write: write, id: writeID}
+	p := &putOperation{writer: w, write: write, id: writeID}
 	return p.run(ctx)
 }
 
-// putting is one write being made.
-type putting struct {
+// putOperation is one call of Put.
+type putOperation struct {
 	writer *Writer
 	write  platform.Write
 	id     string
-	// inDoubt is set from the first lost answer on.
+	// inDoubt is set once a response was lost.
 	inDoubt bool
 }
 
-func (w *Writer) waits() *backoff.ExponentialBackOff {
-	waits := backoff.NewExponentialBackOff()
-	waits.InitialInterval = helpers.OrDefault(w.MinWait, defaultMinWait)
-	waits.MaxInterval = helpers.OrDefault(w.MaxWait, defaultMaxWait)
-	return waits
+// newBackoff returns the backoff of one operation.
+func (w *Writer) newBackoff() *backoff.ExponentialBackOff {
+	delays := backoff.NewExponentialBackOff()
+	delays.InitialInterval = helpers.OrDefault(w.MinWait, defaultMinWait)
+	delays.MaxInterval = helpers.OrDefault(w.MaxWait, defaultMaxWait)
+	return delays
 }
 
-func (p *putting) run(ctx context.Context) (uint64, error) {
-	waits := p.writer.waits()
+func (p *putOperation) run(ctx context.Context) (uint64, error) {
+	delays := p.writer.newBackoff()
 	var last error
 	for {
 		revision, settled, err := p.try(ctx)
@@ -83,25 +83,25 @@
 			return revision, err
 		}
 		last = err
-		if !helpers.Pause(waits.NextBackOff(), ctx.Done()) {
+		if !helpers.Pause(delays.NextBackOff(), ctx.Done()) {
 			return 0, p.giveUp(last)
 		}
 	}
 }
 
-// giveUp says what is known when time has run out.
-func (p *putting) giveUp(last error) error {
+// giveUp returns the error for a write whose context is done.
+func (p *putOperation) giveUp(last error) error {
 	kind := platform.ErrUnavailable
 	if p.inDoubt {
 		kind = platform.ErrUnknown
 	}
-	return fmt.Errorf("write %s: time ran out: %w (last: %s)", p.write.Key, kind, last) //nolint:errorlint // only kind is wrapped on purpose
+	return fmt.Errorf("write %s: timed out: %w (last error: %s)", p.write.Key, kind, last) //nolint:errorlint // only kind is wrapped on purpose
 }
 
-// try sends the write once, or finds out what became of the last try.
-func (p *putting) try(ctx context.Context) (revision uint64, settled bool, err error) {
+// try sends the write once. If the write is in doubt, it first looks for its result.
+func (p *putOperation) try(ctx context.Context) (revision uint64, settled bool, err error) {
 	if p.inDoubt {
-		revision, settled, err = p.look(ctx)
+		revision, settled, err = p.readBack(ctx)
 		if settled || err != nil {
 			return revision, settled, err
 		}
@@ -114,7 +114,7 @@
 		if !p.inDoubt {
 			return 0, true, err
 		}
-		return p.look(ctx) // the conflict may be with our own lost write
+		return p.readBack(ctx) // the conflict may be with this write's lost call
 	case errors.Is(err, platform.ErrUnavailable):
 		return 0, false, err
 	default:
@@ -123,8 +123,8 @@
 	}
 }
 
-// look reads the key after a lost answer.
-func (p *putting) look(ctx context.Context) (revision uint64, settled bool, err error) {
+// readBack reads the key after a lost response to find out whether the write took effect.
+func (p *putOperation) readBack(ctx context.Context) (revision uint64, settled bool, err error) {
 	item, err := p.writer.KV.Get(ctx, p.write.Key)
 	if errors.Is(err, platform.ErrNotFound) {
 		item, err = platform.Item{}, nil
@@ -142,16 +142,15 @@
 	case ok && stamp.BasedOn == p.write.IfRevision && item.Revision != 0:
 		return 0, true, &platform.ConflictError{Key: p.write.Key, Revision: item.Revision}
 	default:
-		return 0, true, fmt.Errorf("write %s: %w: the key has moved on to revision %d", p.write.Key, platform.ErrUnknown, item.Revision)
+		return 0, true, fmt.Errorf("write %s: %w: the key is at revision %d by now", p.write.Key, platform.ErrUnknown, item.Revision)
 	}
 }
 
-// Delete removes a key that has the given revision and returns the revision of
-// the deletion, or 0 where a lost answer hides it. The errors are those of Put.
-// A key that is found gone after a lost answer counts as deleted: that is the
-// state the caller asked for, whoever brought it about.
+// Delete deletes a key that has the given revision and returns the revision of the
+// deletion, or 0 if a lost response hides it. The errors are those of Put. A key that is
+// absent counts as deleted, whichever client deleted it: that is the requested state.
 func (w *Writer) Delete(ctx context.Context, key string, ifRevision uint64) (uint64, error) {
-	waits := w.waits()
+	delays := w.newBackoff()
 	inDoubt := false
 	for {
 		revision, err := w.KV.Delete(ctx, key, ifRevision)
@@ -165,18 +164,18 @@
 		case !errors.Is(err, platform.ErrUnavailable):
 			inDoubt = true
 		}
-		if !helpers.Pause(waits.NextBackOff(), ctx.Done()) {
+		if !helpers.Pause(delays.NextBackOff(), ctx.Done()) {
 			kind := platform.ErrUnavailable
 			if inDoubt {
 				kind = platform.ErrUnknown
 			}
-			return 0, fmt.Errorf("delete %s: time ran out: %w", key, kind)
+			return 0, fmt.Errorf("delete %s: timed out: %w", key, kind)
 		}
 	}
 }
 
-// deleteConflict sorts out a conflict: revision 0 means gone, and after a lost
-// answer another revision may be a key made anew after our delete.
+// deleteConflict resolves a conflict. Revision 0 means that the key is absent. After a lost
+// response another revision may be that of a key that was created again after this deletion.
 func (w *Writer) deleteConflict(key string, ifRevision uint64, inDoubt bool, err error) (uint64, error) {
 	var conflict *platform.ConflictError
 	if errors.As(err, &conflict) && conflict.Revision == 0 {
--- a/daemon/internal/process/kvwrite/kvwrite_test.go
+++ b/daemon/internal/process/kvwrite/kvwrite_test.go
@@ -36,18 +36,18 @@
 	return data
 }
 
-// TestFateIsTrue lets writers race under every fault of the service. What Put
-// says must be what happened: an accepted write took effect, a conflict or an
-// unavailable one never did, and only "unknown" may be either.
-func TestFateIsTrue(t *testing.T) {
+// Guards against a wrong result of Put while writers race and the service fails: a write
+// without an error took effect, a conflicting or unavailable one did not, and only
+// ErrUnknown may mean either.
+func TestPutReportsWhetherWriteTookEffect(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		script := rapid.SliceOfN(rapid.SampledFrom([]kv.Fault{{}, {}, {Down: true}, {LoseAnswer: true}}), 1, 8).Draw(t, "faults")
+		faults := rapid.SliceOfN(rapid.SampledFrom([]kv.Fault{{}, {}, {Down: true}, {LoseAnswer: true}}), 1, 8).Draw(t, "faults")
 		var call atomic.Int64
 		service := &kv.Server{WritesPerSecond: 1e6, ReadsPerSecond: 1e6}
 		service.Fault = func(kv.Op, string) kv.Fault {
-			at := int(call.Add(1)) - 1
-			if at < len(script) {
-				return script[at]
+			i := int(call.Add(1)) - 1
+			if i < len(faults) {
+				return faults[i]
 			}
 			return kv.Fault{}
 		}
@@ -57,7 +57,7 @@
 		client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 		writer := &Writer{KV: platform.NewKV(server.Address, client), StampOf: stampOf, MinWait: time.Millisecond, MaxWait: 2 * time.Millisecond}
 
-		// A rival may write before, or between two tries of ours.
+		// A rival may write before this writer or between two of its attempts.
 		rivalAt := int64(rapid.IntRange(-1, 4).Draw(t, "rival"))
 		rivals := 0
 		put := writer.KV.Put
@@ -72,13 +72,13 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 		defer cancel()
 		revision, err := writer.Put(ctx, platform.Write{Key: "k", Value: encode("mine", 0)}, "mine")
-		took := tookEffect(service, "mine")
+		effective := tookEffect(service, "mine")
 		switch {
 		case err == nil:
-			require.True(t, took, "said accepted, did not take effect")
+			require.True(t, effective, "Put succeeded, but the write did not take effect")
 			require.Equal(t, revision, effectAt(service, "mine"))
 		case platform.IsConflict(err), errors.Is(err, platform.ErrUnavailable):
-			require.False(t, took, "said not written, took effect: %v", err)
+			require.False(t, effective, "Put reported that nothing was written, but the write took effect: %v", err)
 		default:
 			require.ErrorIs(t, err, platform.ErrUnknown)
 		}
@@ -98,17 +98,17 @@
 
 func tookEffect(service *kv.Server, id string) bool { return effectAt(service, id) != 0 }
 
-// TestUnavailableService covers both ways in which no connection is made: it is
-// refused, and time runs out meanwhile.
-func TestUnavailableService(t *testing.T) {
+// Covers both ways in which no connection is made: it is refused, or the timeout expires
+// before.
+func TestWritesWithoutConnectionAreUnavailable(t *testing.T) {
 	refused := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
 	hangs := func(ctx context.Context, _, _ string) (net.Conn, error) { <-ctx.Done(); return nil, ctx.Err() }
 	for name, dial := range map[string]func(context.Context, string, string) (net.Conn, error){"refused": refused, "hangs": hangs} {
-		t.Run(name, func(t *testing.T) { neverConnected(t, dial) })
+		t.Run(name, func(t *testing.T) { requireUnavailable(t, dial) })
 	}
 }
 
-func neverConnected(t *testing.T, dial func(context.Context, string, string) (net.Conn, error)) {
+func requireUnavailable(t *testing.T, dial func(context.Context, string, string) (net.Conn, error)) {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{DialContext: dial}}
 	writer := &Writer{KV: platform.NewKV(netip.MustParseAddrPort("127.0.0.1:1"), client), StampOf: stampOf, MinWait: time.Millisecond}
@@ -126,13 +126,13 @@
 	tests := []struct {
 		name    string
 		faults  []kv.Fault
-		rewrite bool // another operator makes the key anew after a lost answer
+		rewrite bool // another operator creates the key again after a lost response
 		wantErr error
 	}{
 		{"plain", nil, false, nil},
 		{"down, then up", []kv.Fault{{Down: true}}, false, nil},
-		{"answer lost", []kv.Fault{{LoseAnswer: true}}, false, nil},
-		{"answer lost and made anew", []kv.Fault{{LoseAnswer: true}}, true, platform.ErrUnknown},
+		{"response lost", []kv.Fault{{LoseAnswer: true}}, false, nil},
+		{"response lost and created again", []kv.Fault{{LoseAnswer: true}}, true, platform.ErrUnknown},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
