--- a/daemon/internal/process/kvwatch/kvwatch.go
+++ b/daemon/internal/process/kvwatch/kvwatch.go
@@ -1,14 +1,12 @@
-// Package kvwatch keeps an entry's table in step with the key-value service by
-// one waiting watch.
+// Package kvwatch keeps an entry's configuration table up to date with one long-polling
+// watch of the key-value service.
 //
-// Every entry's watch wakes at every change, so a burst of writes would cost
-// entries × writes calls. After a wake the next watch is therefore armed at once
-// only a few times in a row, then once per Rearm, so that further changes gather:
-// an entry makes at most 1/Rearm calls a second, whatever the rate of writes. At
-// 400 entries and 500 ms that is 800 of the 2,000 reads a second that the service
-// takes, and a first burst of 1,200. A fixed wait after every change was tried
-// first: a placement that follows a declaration then reached the other halls
-// half a second late for nothing.
+// Each change completes the watches of all entries, so a burst of writes would cost
+// entries × writes calls. A token bucket therefore limits how often an entry calls the
+// service after changes: rearmBurst calls at once, then one per Rearm, in which further
+// changes accumulate. At 400 entries and 500 ms that is 800 of the 2,000 reads a second that
+// the service allows, after a first burst of 1,200. A fixed wait after each change was
+// rejected, because it delays a placement that follows a declaration.
 package kvwatch
 
 import (
@@ -30,46 +28,49 @@
 const (
 	DefaultWait  = 30 * time.Second
 	DefaultRearm = 500 * time.Millisecond
-	// rearmBurst is the number of wakes in a row that are not held back.
+	// rearmBurst is the number of consecutive changes after which the next watch is not
+	// delayed.
 	rearmBurst = 3
-	// rearmJitter is the part of Rearm by which entries spread their calls.
+	// rearmJitter is the divisor of Rearm that gives the maximum jitter of a call.
 	rearmJitter    = 10
 	DefaultMaxWait = 2 * time.Second
 )
 
-// Watcher follows the service. Set the fields before Start.
+// Watcher watches the service and applies its changes to Table. Its fields must be set
+// before Start.
 type Watcher struct {
 	KV    *platform.KV
 	Table *tables.Table
-	// Wait, Rearm and MaxWait vary the defaults; 0 takes them.
+	// Wait is the timeout of a long poll, Rearm the interval between calls after changes,
+	// and MaxWait the maximum backoff after an error. 0 means the default.
 	Wait, Rearm, MaxWait time.Duration
-	// OnState is told when the service comes into reach (nil) or goes out of
-	// it; nil means nobody is told.
+	// OnState, if set, is called after each call of the service with its error, or with nil
+	// if the service answered.
 	OnState func(err error)
 
 	tomb tomb.Tomb
-	// wakes paces the watch after changes; it belongs to the goroutine of run.
-	wakes *rate.Limiter
+	// limiter limits the rate of calls after changes. Only run's goroutine uses it.
+	limiter *rate.Limiter
 }
 
-// Start begins to follow.
+// Start starts watching in a goroutine.
 func (w *Watcher) Start() { w.tomb.Go(w.run) }
 
-// Stop ends the watch and waits for it.
+// Stop stops watching and waits until the goroutine has ended.
 func (w *Watcher) Stop() {
 	w.tomb.Kill(nil)
 	_ = w.tomb.Wait()
 }
 
-// Done is closed when the watcher has ended.
+// Done returns a channel that is closed when the watcher has ended.
 func (w *Watcher) Done() <-chan struct{} { return w.tomb.Dead() }
 
 func (w *Watcher) run() error {
 	ctx := w.tomb.Context(nil) //nolint:staticcheck // tomb takes nil for "no parent"
-	waits := backoff.NewExponentialBackOff()
-	waits.InitialInterval = 50 * time.Millisecond
-	waits.MaxInterval = helpers.OrDefault(w.MaxWait, DefaultMaxWait)
-	w.wakes = rate.NewLimiter(rate.Every(helpers.OrDefault(w.Rearm, DefaultRearm)), rearmBurst)
+	delays := backoff.NewExponentialBackOff()
+	delays.InitialInterval = 50 * time.Millisecond
+	delays.MaxInterval = helpers.OrDefault(w.MaxWait, DefaultMaxWait)
+	w.limiter = rate.NewLimiter(rate.Every(helpers.OrDefault(w.Rearm, DefaultRearm)), rearmBurst)
 	listed := false
 	for w.tomb.Alive() {
 		var err error
@@ -83,17 +84,17 @@
 		if !w.tomb.Alive() {
 			break
 		}
-		w.tell(err)
+		w.reportState(err)
 		if err != nil && !errors.Is(err, platform.ErrCompacted) {
-			helpers.Pause(waits.NextBackOff(), w.tomb.Dying())
+			helpers.Pause(delays.NextBackOff(), w.tomb.Dying())
 			continue
 		}
-		waits.Reset()
+		delays.Reset()
 	}
 	return nil
 }
 
-func (w *Watcher) tell(err error) {
+func (w *Watcher) reportState(err error) {
 	if errors.Is(err, platform.ErrCompacted) {
 		err = nil // the service answers
 	}
@@ -118,7 +119,7 @@
 	}
 	w.Table.Apply(changes.Events, changes.Revision)
 	if len(changes.Events) > 0 {
-		helpers.Pause(w.wakes.Reserve().Delay()+rand.N(helpers.OrDefault(w.Rearm, DefaultRearm)/rearmJitter), w.tomb.Dying())
+		helpers.Pause(w.limiter.Reserve().Delay()+rand.N(helpers.OrDefault(w.Rearm, DefaultRearm)/rearmJitter), w.tomb.Dying())
 	}
 	return nil
 }
