--- a/daemon/internal/process/members/members.go
+++ b/daemon/internal/process/members/members.go
@@ -1,22 +1,18 @@
-// Package members keeps an entry's view of all agents: what they serve, and
-// whether they still live.
+// Package members holds an entry's membership table: what each agent serves, and whether
+// it is alive.
 //
-// An agent reports to a few entries of its hall. Entries pull from each other
-// what changed since their last pull, so a change reaches a hall of n entries
-// in about log(n) pulls, and a quiet fleet exchanges only cursors. Each record
-// is ordered by the agent's (incarnation, sequence), so records can arrive by
-// any way, twice, and out of order.
+// An agent sends heartbeats to a few entries of its hall. Entries gossip: each pulls the
+// changes since its last pull from others, so a change reaches a hall of n entries in about
+// log(n) pulls. Records are ordered by the agent's (incarnation, sequence), so they may
+// arrive by any path, repeatedly and out of order.
 //
-// Liveness is never copied as a time stamp, since clocks differ. An entry that
-// no longer hears an agent marks its record suspect at the sequence it last
-// saw; the mark travels as a change. An agent that lives learns of the mark
-// from any entry it reports to and raises its sequence, which lifts the mark
-// everywhere.
+// Timestamps of liveness are not exchanged, since clocks differ. An entry that misses an
+// agent's heartbeats marks its record suspect at the last received sequence, and the mark
+// spreads as a change. A live agent receives the mark in the reply to any heartbeat and
+// refutes it with a higher sequence.
 //
-// Weighed and rejected: every agent reporting to every entry of its hall (286
-// hosts times 57 entries a second is 57 KB/s at each entry, above the limit of
-// 25), and heartbeats kept in the key-value service (2,000 writes a second
-// against the 400 that it takes).
+// Rejected: heartbeats to all entries of a hall, which exceed the limit on control traffic
+// of an entry, and heartbeats in the key-value service, which exceed its write rate.
 package members
 
 import (
@@ -34,66 +30,68 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/helpers"
 )
 
-// DefaultSilence is how long an agent may be silent before it is suspect.
+// DefaultSilence is the time without a heartbeat after which an agent is suspect.
 const DefaultSilence = 3 * time.Second
 
-// DefaultForget is how long a suspect record is kept.
+// DefaultForget is how long the record of a suspect agent is kept.
 const DefaultForget = 10 * time.Minute
 
-// Table holds one record per agent. The zero value is empty.
+// Table holds one record per agent. The zero value is empty and ready to use.
 //
-// Lock order: mu is the only lock; it is not held while callers run.
+// Lock order: mu is the only lock, and no callback is called under it.
 type Table struct {
 	// Now is the clock; nil means clock.Now.
 	Now func() time.Time
-	// Silence and Forget vary the defaults; 0 takes them.
+	// Silence and Forget replace the defaults unless they are 0.
 	Silence, Forget time.Duration
 
 	view atomic.Pointer[View]
 
 	mu sync.Mutex
-	// instance names this table, so that a cursor of an earlier process is
-	// not taken for one of this.
+	// instance identifies this table, so that a cursor of an earlier process is not
+	// applied to it.
 	instance string
-	// cursor counts changes; every record's changedAt is unique.
+	// cursor counts the changes; each record's changedAt is unique.
 	cursor  uint64
 	records map[string]*record
+	// changed is closed at the next change.
 	changed chan struct{}
 }
 
-// record is one agent as this entry knows it.
+// record is this entry's view of one agent.
 type record struct {
 	// member is immutable; a change replaces it.
 	member *wire.Member
-	// changedAt is the cursor at the last change.
+	// changedAt is the cursor at the record's last change.
 	changedAt uint64
-	// heard is when the agent, or news of it, last reached this entry.
-	heard time.Time
-	// direct is set while the agent reports to this entry itself. Only then
-	// may this entry call it suspect.
+	// receivedAt is when this entry last received a heartbeat or a changed record of the agent.
+	receivedAt time.Time
+	// direct is set while the agent sends heartbeats to this entry. Only then may this entry
+	// mark it suspect.
 	direct bool
-	// suspectSince is when the mark came, zero while there is none.
+	// suspectSince is when this entry received or set the mark, zero if there is none.
 	suspectSince time.Time
 }
 
 // Agent is one agent in a view.
 type Agent struct {
 	*wire.Member
-	// Heard is when the agent, or news of it, last reached this entry.
+	// Heard is when this entry last received a heartbeat or a changed record of the agent.
 	Heard time.Time
-	// SuspectSince is zero for an agent that is not suspect.
+	// SuspectSince is when this entry received or set the suspect mark, zero if there is
+	// none.
 	SuspectSince time.Time
 }
 
-// View is the membership at one moment. It is read-only.
+// View is an immutable snapshot of the membership.
 type View struct {
-	// Agents holds every agent, sorted by name.
+	// Agents holds all agents, sorted by name.
 	Agents []Agent
-	// ByName finds an agent in Agents.
+	// ByName holds the agents by name; it points into Agents.
 	ByName map[string]*Agent
-	// ByService lists the agents that say they serve a service, sorted by name.
+	// ByService holds the agents that report a service as ready, sorted by name.
 	ByService map[string][]*Agent
-	// EngineHalls lists the halls that have an engine host, sorted.
+	// EngineHalls holds the halls that have an engine host, sorted.
 	EngineHalls []string
 }
 
@@ -101,7 +99,7 @@
 
 func (t *Table) now() time.Time { return helpers.Now(t.Now) }
 
-func (t *Table) setUp() {
+func (t *Table) init() {
 	if t.records == nil {
 		t.instance = fmt.Sprintf("%016x", rand.Uint64())
 		t.records = map[string]*record{}
@@ -109,8 +107,8 @@
 	}
 }
 
-// newer reports whether a replaces b. At the same sequence a suspect mark
-// replaces its absence.
+// newer reports whether record a replaces b. At the same sequence a suspect record replaces
+// one that is not suspect.
 func newer(a, b *wire.Member) bool {
 	switch {
 	case a.GetIncarnation() != b.GetIncarnation():
@@ -122,97 +120,97 @@
 	}
 }
 
-// Reply is what an agent learns from its report.
+// Reply is the reply to an agent's heartbeat.
 type Reply struct {
-	// SuspectSequence is the sequence at which the agent is held suspect, or
-	// 0; the agent lifts the mark by a higher one.
+	// SuspectSequence is the sequence at which the agent is marked suspect, or 0. The agent
+	// refutes the mark with a higher sequence.
 	SuspectSequence uint64
-	// WantMember asks for the whole record.
+	// WantMember asks the agent for its complete record.
 	WantMember bool
 }
 
-// Report takes an agent's own heartbeat. A member of nil stands for the record
-// that the agent sent before, with the given incarnation and sequence.
+// Report processes a heartbeat of an agent. A nil member means that the record has not
+// changed since the agent sent it with the given incarnation and sequence.
 func (t *Table) Report(name string, incarnation, sequence uint64, member *wire.Member) Reply {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.setUp()
+	t.init()
 	if member != nil {
 		t.merge(member)
 	}
-	held, ok := t.records[name]
-	if !ok || held.member.GetIncarnation() < incarnation || held.member.GetSequence() < sequence && held.member.GetIncarnation() == incarnation {
+	rec, ok := t.records[name]
+	if !ok || rec.member.GetIncarnation() < incarnation || rec.member.GetSequence() < sequence && rec.member.GetIncarnation() == incarnation {
 		return Reply{WantMember: true}
 	}
-	if held.member.GetIncarnation() != incarnation {
-		return Reply{} // an older process of the same host; its successor reports too
+	if rec.member.GetIncarnation() != incarnation {
+		return Reply{} // sent by an earlier process of the same host
 	}
-	held.heard = t.now()
-	held.direct = true
-	if held.member.GetSuspect() {
-		return Reply{SuspectSequence: held.member.GetSequence()}
+	rec.receivedAt = t.now()
+	rec.direct = true
+	if rec.member.GetSuspect() {
+		return Reply{SuspectSequence: rec.member.GetSequence()}
 	}
 	return Reply{}
 }
 
-// Merge takes records from another entry.
+// Merge merges records that another entry sent.
 func (t *Table) Merge(members []*wire.Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.setUp()
+	t.init()
 	for _, member := range members {
 		t.merge(member)
 	}
 }
 
-// merge takes one record if it is newer; the caller holds mu.
+// merge stores a record if it is newer than the table's; the caller holds mu.
 func (t *Table) merge(member *wire.Member) {
-	held, ok := t.records[member.GetName()]
+	rec, ok := t.records[member.GetName()]
 	if !ok {
-		held = &record{}
-		t.records[member.GetName()] = held
-	} else if !newer(member, held.member) {
+		rec = &record{}
+		t.records[member.GetName()] = rec
+	} else if !newer(member, rec.member) {
 		return
 	}
-	t.replace(held, member)
+	t.replace(rec, member)
 }
 
-// replace installs a new member record; the caller holds mu.
-func (t *Table) replace(held *record, member *wire.Member) {
+// replace stores a record unconditionally; the caller holds mu.
+func (t *Table) replace(rec *record, member *wire.Member) {
 	t.cursor++
-	held.member = member
-	held.changedAt = t.cursor
-	held.heard = t.now()
-	held.direct = false
-	held.suspectSince = time.Time{}
+	rec.member = member
+	rec.changedAt = t.cursor
+	rec.receivedAt = t.now()
+	rec.direct = false
+	rec.suspectSince = time.Time{}
 	if member.GetSuspect() {
-		held.suspectSince = t.now()
+		rec.suspectSince = t.now()
 	}
 	t.publish()
 }
 
-// publish drops the view, so that the next reader builds one, and wakes
-// waiters; the caller holds mu.
+// publish invalidates the view, which the next call of View builds again, and wakes the
+// waiters on Changed; the caller holds mu.
 func (t *Table) publish() {
 	t.view.Store(nil)
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
 
-// Sweep marks the agents that fell silent and forgets those long suspect. It
-// returns the names of the newly suspect ones.
+// Sweep marks agents without recent heartbeats as suspect, and removes the records of those
+// that have been suspect for too long. It returns the names of the newly suspect agents.
 func (t *Table) Sweep() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.setUp()
+	t.init()
 	now := t.now()
 	var marked []string
-	for name, held := range t.records {
+	for name, rec := range t.records {
 		switch {
-		case held.direct && !held.member.GetSuspect() && now.Sub(held.heard) > helpers.OrDefault(t.Silence, DefaultSilence):
-			t.replace(held, suspect(held.member))
+		case rec.direct && !rec.member.GetSuspect() && now.Sub(rec.receivedAt) > helpers.OrDefault(t.Silence, DefaultSilence):
+			t.replace(rec, suspected(rec.member))
 			marked = append(marked, name)
-		case held.member.GetSuspect() && now.Sub(held.suspectSince) > helpers.OrDefault(t.Forget, DefaultForget):
+		case rec.member.GetSuspect() && now.Sub(rec.suspectSince) > helpers.OrDefault(t.Forget, DefaultForget):
 			delete(t.records, name)
 			t.publish()
 		}
@@ -221,8 +219,8 @@
 	return marked
 }
 
-// suspect returns a copy of the record with the mark set.
-func suspect(m *wire.Member) *wire.Member {
+// suspected returns a copy of a record with the suspect mark.
+func suspected(m *wire.Member) *wire.Member {
 	return &wire.Member{
 		Name: m.GetName(), Hall: m.GetHall(), Address: m.GetAddress(),
 		Incarnation: m.GetIncarnation(), Sequence: m.GetSequence(),
@@ -233,74 +231,74 @@
 	}
 }
 
-// Position is how far a reader of a table has come.
+// Position is the position of a reader in the changes of a table.
 type Position struct {
-	// Instance names the table that the cursor belongs to.
+	// Instance identifies the table that Cursor refers to.
 	Instance string
 	Cursor   uint64
-	// Buckets are the digests of the reader's own table. They stand in for a
-	// cursor while the reader has none.
+	// Buckets holds the digests of the reader's own table. They replace the cursor until
+	// the reader has one.
 	Buckets []uint64
 }
 
-// Since returns the records that changed after a position, and the position to
-// go on from. A reader without a cursor of this table gets the records of the
-// buckets in which the two tables differ, which are all for one without buckets:
-// at 2,000 agents a whole table is 200 KB, and an entry meets 400 others.
+// Since returns the records that changed after a position, and the position to read from
+// next. A reader without a cursor of this table gets the records of the buckets in which
+// both tables differ, or all records if it sends no buckets. Without the buckets an entry
+// would transfer the complete table on its first contact with each of the others.
 func (t *Table) Since(from Position) (Position, []*wire.Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.setUp()
-	here := Position{Instance: t.instance, Cursor: t.cursor}
-	known := from.Instance == t.instance
-	var own []uint64
-	if !known {
-		own = t.buckets()
+	t.init()
+	current := Position{Instance: t.instance, Cursor: t.cursor}
+	sameInstance := from.Instance == t.instance
+	var digests []uint64
+	if !sameInstance {
+		digests = t.buckets()
 	}
 	var members []*wire.Member
-	for name, held := range t.records {
+	for name, rec := range t.records {
 		bucket := bucketOf(name)
-		same := !known && len(from.Buckets) == len(own) && from.Buckets[bucket] == own[bucket]
-		if known && held.changedAt > from.Cursor || !known && !same {
-			members = append(members, held.member)
+		same := !sameInstance && len(from.Buckets) == len(digests) && from.Buckets[bucket] == digests[bucket]
+		if sameInstance && rec.changedAt > from.Cursor || !sameInstance && !same {
+			members = append(members, rec.member)
 		}
 	}
-	return here, members
+	return current, members
 }
 
-// bucketCount is the number of buckets that a table is digested in.
+// bucketCount is the number of buckets into which names are hashed.
 const bucketCount = 64
 
 func bucketOf(name string) int { return int(xxhash.Sum64String(name) % bucketCount) }
 
-// Buckets returns a digest of the records of each bucket.
+// Buckets returns the digest of each bucket's records.
 func (t *Table) Buckets() []uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.buckets()
 }
 
-// buckets is Buckets for a caller that holds mu. The digest of a bucket is the
-// exclusive or of its records' hashes, so that their order does not matter.
+// buckets is Buckets for callers that hold mu. The digest of a bucket is the XOR of its
+// records' hashes, so that it does not depend on their order.
 func (t *Table) buckets() []uint64 {
 	digests := make([]uint64, bucketCount)
-	for name, held := range t.records {
-		m := held.member
-		stamp := fmt.Sprint(name, m.GetIncarnation(), m.GetSequence(), m.GetSuspect())
-		digests[bucketOf(name)] ^= xxhash.Sum64String(stamp)
+	for name, rec := range t.records {
+		m := rec.member
+		version := fmt.Sprint(name, m.GetIncarnation(), m.GetSequence(), m.GetSuspect())
+		digests[bucketOf(name)] ^= xxhash.Sum64String(version)
 	}
 	return digests
 }
 
-// Changed returns a channel that closes at the next change.
+// Changed returns a channel that is closed at the next change.
 func (t *Table) Changed() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.setUp()
+	t.init()
 	return t.changed
 }
 
-// View returns the membership as of now. It is read-only.
+// View returns a snapshot of the membership, which callers must not modify.
 func (t *Table) View() *View {
 	if view := t.view.Load(); view != nil {
 		return view
@@ -310,16 +308,16 @@
 	if len(t.records) == 0 {
 		return emptyView
 	}
-	view := t.build()
+	view := t.buildView()
 	t.view.Store(view)
 	return view
 }
 
-// build makes a view; the caller holds mu.
-func (t *Table) build() *View {
+// buildView builds a view of the records; the caller holds mu.
+func (t *Table) buildView() *View {
 	view := &View{ByName: make(map[string]*Agent, len(t.records)), ByService: map[string][]*Agent{}}
-	for _, held := range t.records {
-		view.Agents = append(view.Agents, Agent{Member: held.member, Heard: held.heard, SuspectSince: held.suspectSince})
+	for _, rec := range t.records {
+		view.Agents = append(view.Agents, Agent{Member: rec.member, Heard: rec.receivedAt, SuspectSince: rec.suspectSince})
 	}
 	slices.SortFunc(view.Agents, func(a, b Agent) int { return strings.Compare(a.GetName(), b.GetName()) })
 	for i := range view.Agents {
@@ -339,14 +337,15 @@
 	return view
 }
 
-// LastHeard returns when news of a hall last came, the zero time for never.
+// LastHeard returns when this entry last received a heartbeat or a changed record of any
+// agent of a hall, the zero time if it never did.
 func (t *Table) LastHeard(hall string) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var last time.Time
-	for _, held := range t.records {
-		if held.member.GetHall() == hall && held.heard.After(last) {
-			last = held.heard
+	for _, rec := range t.records {
+		if rec.member.GetHall() == hall && rec.receivedAt.After(last) {
+			last = rec.receivedAt
 		}
 	}
 	return last
--- a/daemon/internal/process/members/members_test.go
+++ b/daemon/internal/process/members/members_test.go
@@ -16,8 +16,7 @@
 	return &wire.Member{Name: name, Hall: "h", Incarnation: incarnation, Sequence: sequence, ReadyService: "s", ReadyManifest: fmt.Sprint(incarnation, "/", sequence)}
 }
 
-// TestTablesConverge merges the same records into two tables in any order, any
-// number of times, and expects the same membership.
+// Guards against a merge whose result depends on the order or repetition of records.
 func TestTablesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var records []*wire.Member
@@ -35,52 +34,52 @@
 }
 
 func names(t *Table) []string {
-	var all []string
+	var descriptions []string
 	for _, agent := range t.View().Agents {
-		all = append(all, fmt.Sprint(agent.GetName(), agent.GetIncarnation(), agent.GetSequence(), agent.GetSuspect()))
+		descriptions = append(descriptions, fmt.Sprint(agent.GetName(), agent.GetIncarnation(), agent.GetSequence(), agent.GetSuspect()))
 	}
-	return all
+	return descriptions
 }
 
-func TestSuspectAndRefute(t *testing.T) {
+func TestSuspectMarkSpreadsAndIsRefuted(t *testing.T) {
 	now := time.Unix(1000, 0)
 	clock := func() time.Time { return now }
-	home, other := &Table{Now: clock}, &Table{Now: clock}
-	assert.Equal(t, Reply{}, home.Report("a", 1, 1, member("a", 1, 1)))
-	position, changed := home.Since(Position{})
+	direct, other := &Table{Now: clock}, &Table{Now: clock}
+	assert.Equal(t, Reply{}, direct.Report("a", 1, 1, member("a", 1, 1)))
+	position, changed := direct.Since(Position{})
 	other.Merge(changed)
 	now = now.Add(2 * DefaultSilence)
-	assert.Empty(t, other.Sweep(), "only who heard the agent itself may call it suspect")
-	assert.Equal(t, []string{"a"}, home.Sweep())
-	assert.Empty(t, home.Sweep(), "once")
-	position, changed = home.Since(position)
+	assert.Empty(t, other.Sweep(), "an entry without direct heartbeats must not mark an agent suspect")
+	assert.Equal(t, []string{"a"}, direct.Sweep())
+	assert.Empty(t, direct.Sweep(), "an agent is marked only once")
+	position, changed = direct.Since(position)
 	require.Len(t, changed, 1)
 	other.Merge(changed)
 	assert.True(t, other.View().ByName["a"].GetSuspect())
 
 	reply := other.Report("a", 1, 1, nil)
-	assert.Equal(t, uint64(1), reply.SuspectSequence, "the agent learns of it from any entry")
+	assert.Equal(t, uint64(1), reply.SuspectSequence, "any entry reports the mark to the agent")
 	assert.Equal(t, Reply{}, other.Report("a", 1, 2, member("a", 1, 2)))
 	assert.False(t, other.View().ByName["a"].GetSuspect())
 	_, changed = other.Since(Position{})
-	home.Merge(changed)
-	assert.False(t, home.View().ByName["a"].GetSuspect(), "the mark is lifted everywhere")
-	_, changed = home.Since(position)
+	direct.Merge(changed)
+	assert.False(t, direct.View().ByName["a"].GetSuspect(), "the refutation spreads to the entry that set the mark")
+	_, changed = direct.Since(position)
 	assert.Len(t, changed, 1)
 }
 
-func TestReportWithoutRecord(t *testing.T) {
+func TestReportWithoutRecordAsksForNewerRecord(t *testing.T) {
 	var table Table
 	assert.True(t, table.Report("a", 5, 1, nil).WantMember, "unknown agent")
 	table.Report("a", 5, 1, member("a", 5, 1))
 	assert.False(t, table.Report("a", 5, 1, nil).WantMember)
-	assert.True(t, table.Report("a", 5, 2, nil).WantMember, "a newer record exists")
-	assert.True(t, table.Report("a", 6, 1, nil).WantMember, "a newer process exists")
-	assert.Equal(t, Reply{}, table.Report("a", 4, 9, member("a", 4, 9)), "an older process changes nothing")
+	assert.True(t, table.Report("a", 5, 2, nil).WantMember, "the agent has a newer record")
+	assert.True(t, table.Report("a", 6, 1, nil).WantMember, "the agent has restarted")
+	assert.Equal(t, Reply{}, table.Report("a", 4, 9, member("a", 4, 9)), "a report of an earlier process changes nothing")
 	assert.Equal(t, "5/1", table.View().ByName["a"].GetReadyManifest())
 }
 
-func TestForgetsTheLongDead(t *testing.T) {
+func TestSweepRemovesLongSuspectAgents(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := &Table{Now: func() time.Time { return now }}
 	table.Report("a", 1, 1, member("a", 1, 1))
@@ -99,23 +98,23 @@
 	require.Len(t, view.ByService["s"], 2)
 	assert.Equal(t, "a", view.ByService["s"][0].GetName())
 	assert.Len(t, view.ByService["loans"], 1)
-	assert.Same(t, view, table.View(), "built once per change")
+	assert.Same(t, view, table.View(), "the view is built once per change")
 }
 
 func TestFirstContactSendsOnlyDifferences(t *testing.T) {
 	var one, two Table
 	for i := range 500 {
-		both := member(fmt.Sprint("agent-", i), 1, 1)
-		one.Merge([]*wire.Member{both})
-		two.Merge([]*wire.Member{both})
+		shared := member(fmt.Sprint("agent-", i), 1, 1)
+		one.Merge([]*wire.Member{shared})
+		two.Merge([]*wire.Member{shared})
 	}
 	_, changed := one.Since(Position{Buckets: two.Buckets()})
-	assert.Empty(t, changed, "equal tables exchange nothing")
+	assert.Empty(t, changed, "equal tables exchange no records")
 	one.Merge([]*wire.Member{member("agent-7", 1, 2), member("new", 1, 1)})
 	_, changed = one.Since(Position{Instance: "another", Cursor: 99, Buckets: two.Buckets()})
-	assert.Less(t, len(changed), 50, "only the buckets that differ")
+	assert.Less(t, len(changed), 50, "only records of differing buckets are sent")
 	two.Merge(changed)
 	assert.Equal(t, names(&one), names(&two))
 	_, changed = one.Since(Position{})
-	assert.Len(t, changed, 501, "a reader without a table gets all")
+	assert.Len(t, changed, 501, "a reader without a table gets all records")
 }
