--- a/daemon/internal/process/placement/document.go
+++ b/daemon/internal/process/placement/document.go
@@ -1,53 +1,50 @@
-// Package placement decides which hosts of a data hall serve which version,
-// and in which waves they turn to a new one.
+// Package placement assigns hosts of a data hall to services and versions, and rolls out new
+// versions in waves.
 //
-// The decision is a pure function from the last document, the declarations and
-// the hosts to the next document. Whoever holds the hall's lease computes it
-// and writes it with compare and swap; the function itself knows neither
-// clocks nor the key-value service, so its tests are tables.
+// Plan is a pure function of the last document, the declarations and the hosts, and returns
+// the next document. The placer that holds the hall's lease calls it and writes the document
+// with compare and swap.
 //
-// A document says for each host which version it serves now, not only which
-// version the service is to reach. A host that is replaced in the middle of a
-// rollout so gets the version that its wave has, and a halted rollout stays
-// where it is whoever reads it.
+// A document records the version that each host serves, not only the target of the service.
+// So a host that is replaced during a rollout gets the version of its wave, and a halted
+// rollout does not advance when another entry takes over.
 package placement
 
 import "slices"
 
-// Document is the placement of one hall, the value of one key. Every entry
-// receives every document at each change, so hosts are written in few bytes.
+// Document is the placement of one hall, stored under one key. Every entry receives each
+// change of a document, so hosts have short JSON keys.
 type Document struct {
 	Hall string `json:"hall"`
-	// Generation grows by one with every write. It is the source of fencing
-	// tokens: an assignment made by a write carries that write's generation.
+	// Generation is incremented by each write. It is the fencing token of the assignments
+	// that the write creates or changes.
 	Generation uint64    `json:"generation"`
 	WriteID    string    `json:"writeID,omitempty"`
 	Services   []Service `json:"services"` // sorted by name
 }
 
-// None is the index of no version.
+// None is the index that stands for no version.
 const None = -1
 
 // Service is the placement of one service within the hall.
 type Service struct {
 	Name string `json:"name"`
-	// Versions holds every version that Target, Previous or a host refers to.
+	// Versions holds the versions that Target, Previous and the hosts refer to.
 	Versions []Version `json:"versions"`
 	// Target is the index of the declared version.
 	Target int `json:"target"`
-	// Previous is the index of the last version that the whole service
-	// reached, or None.
+	// Previous is the index of the last version that was rolled out to all hosts, or None.
 	Previous int `json:"previous"`
-	// Waves is the number of waves, OpenWave the number of them that may
-	// activate. OpenWave only grows until the target changes.
+	// Waves is the number of waves, and OpenWave the number of waves that may activate the
+	// target. OpenWave does not decrease until the target changes.
 	Waves    int `json:"waves"`
 	OpenWave int `json:"openWave"`
-	// Halted says why no further wave opens, "" while the rollout goes on.
+	// Halted is the reason why the rollout is halted, "" if it is not.
 	Halted string `json:"halted,omitempty"`
 	Hosts  []Host `json:"hosts"` // sorted by name
 }
 
-// Version names one set of weights.
+// Version identifies one set of weights.
 type Version struct {
 	Model    string `json:"model"`
 	Adapter  string `json:"adapter,omitempty"`
@@ -55,15 +52,15 @@
 	Manifest string `json:"manifest"`
 }
 
-// Host is one host's assignment.
+// Host is the assignment of one host.
 type Host struct {
 	Name string `json:"n"`
-	// Wave counts from 0; the host turns to the target when Wave < OpenWave.
+	// Wave is the host's wave, from 0. The host serves the target once Wave < OpenWave.
 	Wave int `json:"w"`
-	// Token is the fencing token of the host's orders. It grows with every
-	// change of what the host should serve.
+	// Token is the fencing token of the host's orders. It increases with each change of
+	// the version to serve.
 	Token uint64 `json:"t"`
-	// Serve is the index of the version that the host serves now, or None.
+	// Serve is the index of the version that the host is to serve now, or None.
 	Serve int `json:"v"`
 }
 
@@ -77,7 +74,7 @@
 	return nil
 }
 
-// FindHost returns a host's service and assignment, or nils.
+// FindHost returns a host's service and assignment, or nil for both.
 func (d *Document) FindHost(host string) (*Service, *Host) {
 	for i := range d.Services {
 		service := &d.Services[i]
@@ -90,7 +87,7 @@
 	return nil, nil
 }
 
-// Manifest returns the manifest at a version index, "" for None.
+// Manifest returns the manifest of the version at index, "" for None.
 func (s *Service) Manifest(index int) string {
 	if index < 0 || index >= len(s.Versions) {
 		return ""
@@ -98,16 +95,16 @@
 	return s.Versions[index].Manifest
 }
 
-// indexOf returns the index of a version, appending it if it is new.
+// indexOf returns the index of a version, which it appends if it is missing.
 func (s *Service) indexOf(version Version) int {
-	if at := slices.Index(s.Versions, version); at >= 0 {
-		return at
+	if i := slices.Index(s.Versions, version); i >= 0 {
+		return i
 	}
 	s.Versions = append(s.Versions, version)
 	return len(s.Versions) - 1
 }
 
-// clone returns a copy that shares no memory.
+// clone returns a deep copy.
 func (s *Service) clone() Service {
 	copied := *s
 	copied.Versions = slices.Clone(s.Versions)
@@ -115,19 +112,19 @@
 	return copied
 }
 
-// prune drops the versions that nothing refers to.
+// prune removes versions without references and renumbers the references to the others.
 func (s *Service) prune() {
 	old := s.Versions
 	s.Versions = nil
-	move := func(index int) int {
+	renumber := func(index int) int {
 		if index < 0 {
 			return None
 		}
 		return s.indexOf(old[index])
 	}
-	s.Target = move(s.Target)
-	s.Previous = move(s.Previous)
+	s.Target = renumber(s.Target)
+	s.Previous = renumber(s.Previous)
 	for i := range s.Hosts {
-		s.Hosts[i].Serve = move(s.Hosts[i].Serve)
+		s.Hosts[i].Serve = renumber(s.Hosts[i].Serve)
 	}
 }
--- a/daemon/internal/process/placement/plan.go
+++ b/daemon/internal/process/placement/plan.go
@@ -8,12 +8,12 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/rendezvous"
 )
 
-// Target is what one service declares for the hall.
+// Target is the declaration of one service for the hall.
 type Target struct {
 	Service  string
 	Version  Version
 	Replicas int
-	// WaveSize is the number of hosts per wave; 0 means all at once.
+	// WaveSize is the number of hosts per wave; 0 means all hosts.
 	WaveSize          int
 	ContinueOnFailure bool
 }
@@ -21,42 +21,42 @@
 // Candidate is one engine host of the hall.
 type Candidate struct {
 	Name string
-	// Keep is false for a host that is gone, leaving, or suspect for long:
-	// its assignment moves.
+	// Keep is false for a host that has left, is leaving, or has been suspect for too long.
+	// Its assignment moves to another host.
 	Keep bool
-	// Take is true for a host that may get a new assignment.
+	// Take says that the host may get a new assignment.
 	Take bool
-	// Ready is the manifest that it serves, for ReadyService.
+	// Ready is the manifest that the host serves for ReadyService.
 	Ready        string
 	ReadyService string
-	// Staged is the manifest that it holds or fetches.
+	// Staged is the manifest that the host holds or fetches.
 	Staged string
-	// Failed is the manifest whose activation failed, Failure why.
+	// Failed is the manifest whose activation failed, and Failure the reason.
 	Failed  string
 	Failure string
 }
 
-// Input is all that a plan depends on.
+// Input holds the inputs of Plan.
 type Input struct {
 	Previous Document
 	Targets  []Target
 	Hosts    []Candidate
-	// PauseOver reports whether the pause before a service's next wave has
-	// passed; nil means it always has.
+	// PauseOver reports whether the pause before a service's next wave is over; nil means
+	// that there are no pauses.
 	PauseOver func(service string) bool
 }
 
-// Step is one decision of a plan, for the log.
+// Step is one decision of a plan, which is logged.
 type Step struct {
 	Service string
 	Choice  string
 	Reason  string
 }
 
-// Plan returns the next document and the decisions that led to it. Without a
-// decision the document is the previous one.
+// Plan returns the next document and the decisions that led to it. Without decisions it
+// returns the previous document.
 func Plan(input Input) (Document, []Step) {
-	p := &planner{input: input, hosts: byName(input.Hosts), taken: map[string]bool{}}
+	p := &planner{input: input, hosts: byName(input.Hosts), assigned: map[string]bool{}}
 	targets := slices.Clone(input.Targets)
 	slices.SortFunc(targets, func(a, b Target) int { return strings.Compare(a.Service, b.Service) })
 	p.generation = input.Previous.Generation + 1
@@ -69,7 +69,7 @@
 		p.advance(&p.services[i], targets[i])
 		p.services[i].prune()
 	}
-	p.noteRemoved(targets)
+	p.recordRemoved(targets)
 	if len(p.steps) == 0 {
 		return input.Previous, nil
 	}
@@ -77,11 +77,11 @@
 }
 
 func byName(hosts []Candidate) map[string]*Candidate {
-	found := make(map[string]*Candidate, len(hosts))
+	candidates := make(map[string]*Candidate, len(hosts))
 	for i := range hosts {
-		found[hosts[i].Name] = &hosts[i]
+		candidates[hosts[i].Name] = &hosts[i]
 	}
-	return found
+	return candidates
 }
 
 // planner is one run of Plan.
@@ -89,18 +89,18 @@
 	input      Input
 	generation uint64
 	hosts      map[string]*Candidate
-	// taken holds every host that a service of the new document has.
-	taken    map[string]bool
+	// assigned holds the hosts that are assigned to a service of the new document.
+	assigned map[string]bool
 	services []Service
 	steps    []Step
 }
 
-func (p *planner) note(service, choice, reason string) {
+func (p *planner) record(service, choice, reason string) {
 	p.steps = append(p.steps, Step{Service: service, Choice: choice, Reason: reason})
 }
 
-// keep carries a service's hosts over from the previous document, all
-// services first, so that no service takes a host that another one keeps.
+// keep copies a service's assignments from the previous document. Plan calls it for all
+// services before it assigns further hosts, so that no service gets a host of another one.
 func (p *planner) keep(target Target) {
 	next := Service{Name: target.Service, Target: None, Previous: None}
 	if previous := p.input.Previous.Find(target.Service); previous != nil {
@@ -109,37 +109,36 @@
 	next.Hosts = slices.DeleteFunc(next.Hosts, func(host Host) bool {
 		candidate := p.hosts[host.Name]
 		if candidate != nil && candidate.Keep {
-			p.taken[host.Name] = true
+			p.assigned[host.Name] = true
 			return false
 		}
-		p.note(target.Service, "drop "+host.Name, "the host is gone or leaving")
+		p.record(target.Service, "drop "+host.Name, "the host has left, is leaving or is suspect")
 		return true
 	})
 	p.services = append(p.services, next)
 }
 
-// fill brings a service to its number of replicas with the least movement.
+// fill assigns or removes hosts until a service has its declared number of replicas.
 func (p *planner) fill(service *Service, target Target) {
 	for len(service.Hosts) > target.Replicas {
 		p.dropOne(service)
 	}
 	for _, name := range p.free(target, target.Replicas-len(service.Hosts)) {
-		p.taken[name] = true
+		p.assigned[name] = true
 		host := Host{Name: name, Token: p.generation, Serve: service.Target}
-		// A host that comes in the middle of a rollout does not run ahead of
-		// it: it serves what the service last reached as a whole, and turns
-		// with the last wave.
+		// A host that is added during a rollout serves the previous version until the last
+		// wave opens, so that it does not get the target before the waves do.
 		if service.OpenWave < service.Waves && service.Previous != None {
 			host.Serve = service.Previous
 			host.Wave = service.Waves - 1
 		}
 		service.Hosts = append(service.Hosts, host)
-		p.note(service.Name, "place on "+name, placeReason(p.hosts[name], target))
+		p.record(service.Name, "place on "+name, placeReason(p.hosts[name], target))
 	}
 	slices.SortFunc(service.Hosts, func(a, b Host) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// holds reports whether a host has the target's version already.
+// holds reports whether a host already has the target's version.
 func holds(candidate *Candidate, target Target) bool {
 	manifest := target.Version.Manifest
 	return candidate.Ready == manifest || candidate.Staged == manifest
@@ -147,55 +146,55 @@
 
 func placeReason(candidate *Candidate, target Target) string {
 	if holds(candidate, target) {
-		return "the host holds the version already"
+		return "the host already holds the version"
 	}
 	return "first free host by rendezvous rank"
 }
 
-// free returns up to count free hosts, those that hold the version first.
+// free returns up to count unassigned hosts, those that hold the version first.
 func (p *planner) free(target Target, count int) []string {
 	if count <= 0 {
 		return nil
 	}
 	var names []string
 	for name, candidate := range p.hosts {
-		if candidate.Take && candidate.Keep && !p.taken[name] {
+		if candidate.Take && candidate.Keep && !p.assigned[name] {
 			names = append(names, name)
 		}
 	}
 	ranked := rendezvous.Rank(target.Service, names)
-	var holding, empty []string
+	var holding, others []string
 	for _, name := range ranked {
 		if holds(p.hosts[name], target) {
 			holding = append(holding, name)
 		} else {
-			empty = append(empty, name)
+			others = append(others, name)
 		}
 	}
-	holding = append(holding, empty...)
+	holding = append(holding, others...)
 	return holding[:min(count, len(holding))]
 }
 
-// dropOne takes the host away that costs least: one that is not ready, else
-// the one that ranks last.
+// dropOne removes one assignment: the lowest-ranked host that is not ready, or if all are
+// ready, the lowest-ranked host.
 func (p *planner) dropOne(service *Service) {
 	names := make([]string, len(service.Hosts))
 	for i, host := range service.Hosts {
 		names[i] = host.Name
 	}
 	ranked := rendezvous.Rank(service.Name, names)
-	victim := ranked[len(ranked)-1]
+	dropped := ranked[len(ranked)-1]
 	for _, name := range ranked {
 		if p.hosts[name].Ready != service.Manifest(service.Target) {
-			victim = name
+			dropped = name
 		}
 	}
-	service.Hosts = slices.DeleteFunc(service.Hosts, func(h Host) bool { return h.Name == victim })
-	delete(p.taken, victim)
-	p.note(service.Name, "drop "+victim, "fewer replicas are declared")
+	service.Hosts = slices.DeleteFunc(service.Hosts, func(h Host) bool { return h.Name == dropped })
+	delete(p.assigned, dropped)
+	p.record(service.Name, "drop "+dropped, "the declared number of replicas is lower")
 }
 
-// retarget starts a rollout where the declared version changed.
+// retarget starts a rollout if the declared version has changed.
 func (p *planner) retarget(service *Service, target Target) {
 	if service.Manifest(service.Target) == target.Version.Manifest {
 		return
@@ -208,26 +207,26 @@
 	if size == 0 {
 		size = max(len(service.Hosts), 1)
 	}
-	turning := 0
+	changing := 0
 	for i := range service.Hosts {
 		host := &service.Hosts[i]
 		if service.Manifest(host.Serve) == target.Version.Manifest {
-			host.Wave = 0 // a rollback finds it where it was
+			host.Wave = 0 // already serves the target, as in a rollback
 			continue
 		}
-		host.Wave = turning / size
-		turning++
+		host.Wave = changing / size
+		changing++
 	}
 	service.Halted = ""
 	service.OpenWave = 1
-	service.Waves = max((turning+size-1)/size, 1)
-	p.turn(service)
-	short := target.Version.Manifest[:min(12, len(target.Version.Manifest))]
-	p.note(service.Name, fmt.Sprintf("open wave 1 of %d", service.Waves), "version "+target.Version.Version+" ("+short+") is declared")
+	service.Waves = max((changing+size-1)/size, 1)
+	p.activate(service)
+	digest := target.Version.Manifest[:min(12, len(target.Version.Manifest))]
+	p.record(service.Name, fmt.Sprintf("open wave 1 of %d", service.Waves), "version "+target.Version.Version+" ("+digest+") is declared")
 }
 
-// turn gives every host of the open waves the target.
-func (p *planner) turn(service *Service) {
+// activate assigns the target to the hosts of the open waves.
+func (p *planner) activate(service *Service) {
 	for i := range service.Hosts {
 		host := &service.Hosts[i]
 		if host.Wave < service.OpenWave && host.Serve != service.Target {
@@ -237,7 +236,7 @@
 	}
 }
 
-// advance opens the next wave, or halts.
+// advance opens the next wave or halts the rollout.
 func (p *planner) advance(service *Service, target Target) {
 	if service.OpenWave >= service.Waves {
 		return
@@ -247,25 +246,25 @@
 			return
 		}
 		service.Halted = ""
-		p.note(service.Name, "go on", "the declaration now goes on in spite of failures")
+		p.record(service.Name, "go on", "the declaration now continues on failure")
 	}
 	ready, failure := waveState(service, p.hosts)
 	if failure != "" && !target.ContinueOnFailure {
 		service.Halted = failure
-		p.note(service.Name, "halt", failure)
+		p.record(service.Name, "halt", failure)
 		return
 	}
 	if !ready || p.input.PauseOver != nil && !p.input.PauseOver(service.Name) {
 		return
 	}
 	service.OpenWave++
-	p.turn(service)
-	p.note(service.Name, fmt.Sprintf("open wave %d of %d", service.OpenWave, service.Waves), "every host of the open waves is ready")
+	p.activate(service)
+	p.record(service.Name, fmt.Sprintf("open wave %d of %d", service.OpenWave, service.Waves), "all hosts of the open waves are ready")
 }
 
-// waveState reports whether all hosts of the open waves are ready, and the
-// first failure among them. A failed host counts as settled, so that a rollout
-// that goes on in spite of failures does not wait for it.
+// waveState reports whether all hosts of the open waves are ready, and the first failure
+// among them. A failed host counts as ready, so that a rollout that continues on failure does
+// not wait for it.
 func waveState(service *Service, hosts map[string]*Candidate) (ready bool, failure string) {
 	target := service.Manifest(service.Target)
 	ready = true
@@ -288,19 +287,19 @@
 	return ready, failure
 }
 
-// WaveReady reports whether every host of the open waves is ready, for the
-// caller's clock of the pause.
+// WaveReady reports whether all hosts of a service's open waves are ready. Callers measure
+// the pause before the next wave from then on.
 func WaveReady(service *Service, hosts []Candidate) bool {
 	ready, _ := waveState(service, byName(hosts))
 	return ready
 }
 
-// noteRemoved records the services that are no longer declared for the hall.
-func (p *planner) noteRemoved(targets []Target) {
+// recordRemoved records the services that are no longer declared for the hall.
+func (p *planner) recordRemoved(targets []Target) {
 	for _, previous := range p.input.Previous.Services {
 		declared := slices.ContainsFunc(targets, func(t Target) bool { return t.Service == previous.Name })
 		if !declared {
-			p.note(previous.Name, "remove", "the service is no longer declared for this hall")
+			p.record(previous.Name, "remove", "the service is no longer declared for this hall")
 		}
 	}
 }
--- a/daemon/internal/process/placement/plan_test.go
+++ b/daemon/internal/process/placement/plan_test.go
@@ -15,7 +15,7 @@
 	return Version{Model: "m", Version: name, Manifest: strings.Repeat(name, 8)}
 }
 
-func live(names ...string) []Candidate {
+func liveHosts(names ...string) []Candidate {
 	var hosts []Candidate
 	for _, name := range names {
 		hosts = append(hosts, Candidate{Name: name, Keep: true, Take: true})
@@ -23,7 +23,7 @@
 	return hosts
 }
 
-// hall is a small world around Plan: hosts do what their orders say.
+// hall simulates a hall whose hosts carry out their assignments.
 type hall struct {
 	document Document
 	targets  []Target
@@ -36,8 +36,8 @@
 	return steps
 }
 
-// obey makes the hosts ready for what they are told, except the named ones.
-func (h *hall) obey(except ...string) {
+// applyAssignments makes all hosts ready for their assignments, except the named ones.
+func (h *hall) applyAssignments(except ...string) {
 	for i := range h.hosts {
 		candidate := &h.hosts[i]
 		service, host := h.document.FindHost(candidate.Name)
@@ -47,19 +47,19 @@
 	}
 }
 
-// settle obeys and plans until nothing changes.
+// settle repeats applyAssignments and plan until the plan has no more steps.
 func (h *hall) settle(t require.TestingT, except ...string) {
 	for range 100 {
-		h.obey(except...)
+		h.applyAssignments(except...)
 		steps := h.plan()
 		if len(steps) == 0 {
 			return
 		}
 	}
-	require.Fail(t, "the plan does not settle")
+	require.Fail(t, "the plan does not converge")
 }
 
-// serving returns what each host of service "s" serves.
+// serving returns the manifest of each host of service "s".
 func (h *hall) serving() map[string]string {
 	serving := map[string]string{}
 	placed := h.document.Find("s")
@@ -70,7 +70,7 @@
 }
 
 func TestFirstPlacement(t *testing.T) {
-	h := &hall{targets: []Target{{Service: "s", Version: version("v1"), Replicas: 2}}, hosts: live("a", "b", "c")}
+	h := &hall{targets: []Target{{Service: "s", Version: version("v1"), Replicas: 2}}, hosts: liveHosts("a", "b", "c")}
 	h.settle(t)
 	placed := h.document.Find("s")
 	require.Len(t, placed.Hosts, 2)
@@ -78,12 +78,12 @@
 		assert.Equal(t, version("v1").Manifest, placed.Manifest(host.Serve))
 		assert.Equal(t, uint64(1), host.Token)
 	}
-	assert.Empty(t, h.plan(), "nothing to do, nothing written")
+	assert.Empty(t, h.plan(), "an unchanged input must not change the document")
 }
 
-func TestHoldersGoFirst(t *testing.T) {
+func TestHostsWithVersionArePreferred(t *testing.T) {
 	for _, holder := range []string{"a", "b", "c"} {
-		h := &hall{targets: []Target{{Service: "s", Version: version("v1"), Replicas: 1}}, hosts: live("a", "b", "c")}
+		h := &hall{targets: []Target{{Service: "s", Version: version("v1"), Replicas: 1}}, hosts: liveHosts("a", "b", "c")}
 		for i := range h.hosts {
 			if h.hosts[i].Name == holder {
 				h.hosts[i].Staged = version("v1").Manifest
@@ -94,32 +94,32 @@
 	}
 }
 
-func TestWaves(t *testing.T) {
-	h := &hall{targets: []Target{{Service: "s", Version: version("v1"), Replicas: 4, WaveSize: 2}}, hosts: live("a", "b", "c", "d")}
+func TestRolloutProceedsInWaves(t *testing.T) {
+	h := &hall{targets: []Target{{Service: "s", Version: version("v1"), Replicas: 4, WaveSize: 2}}, hosts: liveHosts("a", "b", "c", "d")}
 	h.settle(t)
 	require.Equal(t, 2, h.document.Find("s").OpenWave)
 	h.targets[0].Version = version("v2")
 	h.plan()
-	turned := 0
+	updated := 0
 	for _, manifest := range h.serving() {
 		if manifest == version("v2").Manifest {
-			turned++
+			updated++
 		}
 	}
-	assert.Equal(t, 2, turned, "the first wave turns, the second serves on")
-	h.obey("a", "b", "c", "d")
-	assert.Empty(t, h.plan(), "the second wave waits for the first")
+	assert.Equal(t, 2, updated, "only the first wave activates the new version")
+	h.applyAssignments("a", "b", "c", "d")
+	assert.Empty(t, h.plan(), "the second wave opens only after the first is ready")
 	h.settle(t)
 	for host, manifest := range h.serving() {
 		assert.Equal(t, version("v2").Manifest, manifest, host)
 	}
-	assert.Len(t, h.document.Find("s").Versions, 2, "the version before stays known for a rollback")
+	assert.Len(t, h.document.Find("s").Versions, 2, "the previous version is kept for a rollback")
 }
 
 func TestPauseBetweenWaves(t *testing.T) {
-	h := &hall{targets: []Target{{Service: "s", Version: version("v1"), Replicas: 2, WaveSize: 1}}, hosts: live("a", "b")}
+	h := &hall{targets: []Target{{Service: "s", Version: version("v1"), Replicas: 2, WaveSize: 1}}, hosts: liveHosts("a", "b")}
 	h.plan()
-	h.obey()
+	h.applyAssignments()
 	paused := Input{Previous: h.document, Targets: h.targets, Hosts: h.hosts, PauseOver: func(string) bool { return false }}
 	_, steps := Plan(paused)
 	assert.Empty(t, steps)
@@ -128,8 +128,8 @@
 	assert.Equal(t, 2, next.Find("s").OpenWave)
 }
 
-func TestHaltAndRollBack(t *testing.T) {
-	h := &hall{targets: []Target{{Service: "s", Version: version("v1"), Replicas: 4, WaveSize: 1}}, hosts: live("a", "b", "c", "d")}
+func TestFailureHaltsRolloutUntilRollback(t *testing.T) {
+	h := &hall{targets: []Target{{Service: "s", Version: version("v1"), Replicas: 4, WaveSize: 1}}, hosts: liveHosts("a", "b", "c", "d")}
 	h.settle(t)
 	h.targets[0].Version = version("v2")
 	h.plan()
@@ -138,12 +138,12 @@
 	placed := h.document.Find("s")
 	assert.Equal(t, "a: out of memory", placed.Halted)
 	assert.Equal(t, 1, placed.OpenWave)
-	assert.Equal(t, version("v1").Manifest, h.serving()["d"], "later waves serve on")
+	assert.Equal(t, version("v1").Manifest, h.serving()["d"], "later waves keep the previous version")
 
 	h.hosts[3].Keep = false
-	h.hosts = append(h.hosts, live("e")...)
+	h.hosts = append(h.hosts, liveHosts("e")...)
 	h.settle(t, "a")
-	assert.Equal(t, version("v1").Manifest, h.serving()["e"], "a replacement does not run ahead of a halted rollout")
+	assert.Equal(t, version("v1").Manifest, h.serving()["e"], "a replacement must not get the target of a halted rollout")
 
 	h.targets[0].Version = version("v1")
 	h.settle(t)
@@ -153,8 +153,8 @@
 	assert.Empty(t, h.document.Find("s").Halted)
 }
 
-func TestContinueOnFailure(t *testing.T) {
-	h := &hall{targets: []Target{{Service: "s", Version: version("v1"), Replicas: 2, WaveSize: 1}}, hosts: live("a", "b")}
+func TestHaltedRolloutResumesWithContinueOnFailure(t *testing.T) {
+	h := &hall{targets: []Target{{Service: "s", Version: version("v1"), Replicas: 2, WaveSize: 1}}, hosts: liveHosts("a", "b")}
 	h.plan()
 	h.hosts[0].Failed, h.hosts[0].Failure = version("v1").Manifest, "no"
 	h.settle(t, "a")
@@ -165,7 +165,7 @@
 }
 
 func TestRemovedServiceFreesItsHosts(t *testing.T) {
-	h := &hall{targets: []Target{{Service: "s", Version: version("v1"), Replicas: 2}}, hosts: live("a", "b")}
+	h := &hall{targets: []Target{{Service: "s", Version: version("v1"), Replicas: 2}}, hosts: liveHosts("a", "b")}
 	h.settle(t)
 	h.targets = []Target{{Service: "t", Version: version("v1"), Replicas: 2}}
 	h.settle(t)
@@ -173,10 +173,10 @@
 	assert.Len(t, h.document.Find("t").Hosts, 2)
 }
 
-// TestInvariants throws races of operators and losses of hosts at the plan.
-func TestInvariants(t *testing.T) {
+// Checks the documents of random sequences of declarations, host changes and failures.
+func TestPlanInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := &hall{hosts: live("h0", "h1", "h2", "h3", "h4", "h5")}
+		h := &hall{hosts: liveHosts("h0", "h1", "h2", "h3", "h4", "h5")}
 		tokens := map[string]uint64{}
 		declare := func(t *rapid.T) {
 			h.targets = nil
@@ -193,7 +193,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"declare": declare,
 			"obey": func(t *rapid.T) {
-				h.obey(rapid.SampledFrom([]string{"h0", "h3", ""}).Draw(t, "but"))
+				h.applyAssignments(rapid.SampledFrom([]string{"h0", "h3", ""}).Draw(t, "but"))
 			},
 			"host changes": func(t *rapid.T) {
 				host := &h.hosts[rapid.IntRange(0, len(h.hosts)-1).Draw(t, "host")]
@@ -231,13 +231,13 @@
 			continue // planned before the last declaration
 		}
 		for _, host := range service.Hosts {
-			require.Empty(t, owner[host.Name], "a host serves one service")
+			require.Empty(t, owner[host.Name], "a host must serve only one service")
 			owner[host.Name] = service.Name
-			require.GreaterOrEqual(t, host.Token, tokens[host.Name], "tokens of a host never fall")
+			require.GreaterOrEqual(t, host.Token, tokens[host.Name], "tokens of a host must not decrease")
 			tokens[host.Name] = host.Token
 			require.Less(t, host.Serve, len(service.Versions))
 			if host.Wave < service.OpenWave && service.Halted == "" {
-				require.Equal(t, service.Target, host.Serve, "open waves turn: %s", fmt.Sprint(service))
+				require.Equal(t, service.Target, host.Serve, "hosts of open waves must have the target: %s", fmt.Sprint(service))
 			}
 		}
 	}
