--- a/daemon/internal/process/placer/census.go
+++ b/daemon/internal/process/placer/census.go
@@ -8,50 +8,49 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/platform"
 )
 
-// Census is what an entry knows of its hall's hosts: the platform's lagging
-// list, what the agents say themselves, and the last placement.
+// Census combines an entry's information on the hosts of its hall: the platform's host list,
+// which lags, the records of the agents, and the last placement.
 type Census struct {
 	Hall    string
 	Listed  []platform.Host
 	Members *members.View
 	Placed  placement.Document
 	Now     time.Time
-	// HeldSince is when this entry took the lease. Right after, its membership
-	// may still be empty, which must not read as a dead hall.
+	// HeldSince is when this entry acquired the lease. Its membership table may be empty for
+	// a while after that, which does not mean that all hosts have left.
 	HeldSince    time.Time
 	ReplaceAfter time.Duration
 }
 
-// Candidates returns the hosts that a plan may keep or take.
+// Candidates returns the hosts for a plan.
 //
-// An agent's own word is newer than the list. A host that the list lacks but
-// that reports is kept, since the list may lag behind its start; a suspect one
-// is kept until ReplaceAfter, since a move costs a fetch and a restart is
-// shorter. A placed host without any record is kept for as long after the
-// lease was taken.
+// An agent's record takes precedence over the list. A host that reports but is not listed is
+// kept, since the list may lag behind its start. A suspect host is kept for ReplaceAfter,
+// since moving its assignment costs a fetch and a restart is shorter. A placed host without a
+// record is kept for ReplaceAfter from when the lease was acquired.
 func (c *Census) Candidates() []placement.Candidate {
-	inList := map[string]platform.Host{}
+	listed := map[string]platform.Host{}
 	for _, host := range c.Listed {
-		inList[host.Name] = host
+		listed[host.Name] = host
 	}
 	var hosts []placement.Candidate
 	for i := range c.Members.Agents {
 		agent := &c.Members.Agents[i]
 		if agent.GetHall() == c.Hall && len(agent.GetPlainServices()) == 0 {
-			line, known := inList[agent.GetName()]
-			hosts = append(hosts, c.reported(agent, line, known))
+			listEntry, isListed := listed[agent.GetName()]
+			hosts = append(hosts, c.reported(agent, listEntry, isListed))
 		}
 	}
-	return append(hosts, c.unreported(inList)...)
+	return append(hosts, c.unreported(listed)...)
 }
 
-func (c *Census) reported(agent *members.Agent, line platform.Host, known bool) placement.Candidate {
-	leaving := agent.GetLeaving() || line.State == platform.StateLeaving
-	dead := agent.GetSuspect() && (!known || c.Now.Sub(agent.SuspectSince) > c.ReplaceAfter)
+func (c *Census) reported(agent *members.Agent, listEntry platform.Host, isListed bool) placement.Candidate {
+	leaving := agent.GetLeaving() || listEntry.State == platform.StateLeaving
+	unreachable := agent.GetSuspect() && (!isListed || c.Now.Sub(agent.SuspectSince) > c.ReplaceAfter)
 	return placement.Candidate{
 		Name:         agent.GetName(),
-		Keep:         !leaving && !dead,
-		Take:         known && !leaving && !agent.GetSuspect(),
+		Keep:         !leaving && !unreachable,
+		Take:         isListed && !leaving && !agent.GetSuspect(),
 		Ready:        agent.GetReadyManifest(),
 		ReadyService: agent.GetReadyService(),
 		Staged:       agent.GetFetchManifest(),
@@ -60,17 +59,17 @@
 	}
 }
 
-// unreported returns the placed hosts that no agent speaks for.
-func (c *Census) unreported(inList map[string]platform.Host) []placement.Candidate {
-	fresh := c.Now.Sub(c.HeldSince) <= c.ReplaceAfter
+// unreported returns the placed hosts without an agent's record.
+func (c *Census) unreported(listed map[string]platform.Host) []placement.Candidate {
+	recentLease := c.Now.Sub(c.HeldSince) <= c.ReplaceAfter
 	var hosts []placement.Candidate
 	for _, service := range c.Placed.Services {
 		for _, host := range service.Hosts {
 			if c.Members.ByName[host.Name] != nil {
 				continue
 			}
-			leaving := inList[host.Name].State == platform.StateLeaving
-			hosts = append(hosts, placement.Candidate{Name: host.Name, Keep: fresh && !leaving})
+			leaving := listed[host.Name].State == platform.StateLeaving
+			hosts = append(hosts, placement.Candidate{Name: host.Name, Keep: recentLease && !leaving})
 		}
 	}
 	return hosts
--- a/daemon/internal/process/placer/placer.go
+++ b/daemon/internal/process/placer/placer.go
@@ -1,11 +1,10 @@
-// Package placer lets one entry of a hall decide the hall's placement.
+// Package placer plans the placement of a hall in the entry that holds the hall's lease, and
+// writes it to the key-value service.
 //
-// The holder of the hall's lease plans and writes. The lease only saves wasted
-// work: safety is the compare and swap on the document, and the fencing tokens
-// that follow from its generation. A holder that was paused and wakes writes
-// against an old revision, fails, and finds out. Two entries that both believe
-// they hold the lease can both plan; one write wins and the other plans again
-// from the winner's document.
+// The lease only avoids duplicate work. Safety follows from the compare and swap on the
+// document and from the fencing tokens, which are the document's generations. If two entries
+// both hold the lease by their own view, for example after one was paused, one write succeeds;
+// the other fails and is planned again from the new document.
 package placer
 
 import (
@@ -30,67 +29,67 @@
 
 // Defaults of a Placer.
 const (
-	// DefaultTTL is the time of the lease.
+	// DefaultTTL is the lease's time to live.
 	DefaultTTL = 6 * time.Second
-	// DefaultEvery is the least time between two writes of the document: at 7
-	// halls and 300 ms that is at most 24 of the service's 400 writes a second.
+	// DefaultEvery is the minimum interval between two writes of a document. It keeps the
+	// placers of all halls far below the service's write rate.
 	DefaultEvery = 300 * time.Millisecond
-	// DefaultReplaceAfter is how long a host is suspect before its assignment
-	// moves: longer than a restart, since a move costs a fetch.
+	// DefaultReplaceAfter is how long a host must be suspect before its assignment moves. It
+	// is longer than a restart, since a move costs a fetch.
 	DefaultReplaceAfter = 10 * time.Second
 )
 
-// writeTimeout bounds one write of the document with its retries.
+// writeTimeout limits a write of the document, retries included.
 const writeTimeout = 5 * time.Second
 
-// Placer plans for one hall while it holds the lease. Set the fields before
-// Start.
+// Placer plans the placement of one hall while it holds the hall's lease. Its fields must be
+// set before Start.
 type Placer struct {
 	Hall, Name string
 	KV         *platform.KV
 	Table      *tables.Table
 	Members    *members.Table
-	// Listed returns the host list; false where none was ever fetched.
+	// Listed returns the host list, and false if none has been fetched yet.
 	Listed    func() ([]platform.Host, bool)
 	Telemetry *telemetry.Telemetry
 	// Now is the clock; nil means clock.Now.
 	Now func() time.Time
-	// TTL, Every and ReplaceAfter vary the defaults; 0 takes them.
+	// TTL, Every and ReplaceAfter replace the defaults unless they are 0.
 	TTL, Every, ReplaceAfter time.Duration
 
 	tomb tomb.Tomb
 
-	// The rest belongs to the one goroutine that run starts.
+	// Only run's goroutine uses the fields below.
 
 	lease platform.Lease
-	// validUntil is when the lease lapses by this process's own clock,
-	// counted from before the call that renewed it.
+	// validUntil is when the lease expires by this process's clock, computed from the time
+	// before the call that granted or renewed it.
 	validUntil time.Time
-	// heldSince is when the lease was taken.
+	// heldSince is when the lease was acquired.
 	heldSince time.Time
-	// wroteAt is when the document was last written.
+	// wroteAt is when a write of the document was last started.
 	wroteAt time.Time
-	// readySince is when the open waves of a service became ready.
+	// readySince is when all hosts of a service's open waves became ready.
 	readySince map[waveKey]time.Time
 }
 
-// waveKey names one wave of one rollout.
+// waveKey identifies one wave of one rollout.
 type waveKey struct {
 	service  string
 	manifest string
 	wave     int
 }
 
-// Start begins to campaign for the lease.
+// Start starts campaigning for the lease in a goroutine.
 func (p *Placer) Start() { p.tomb.Go(p.run) }
 
-// Stop gives the lease back and waits for the end.
+// Stop releases the lease and waits until the goroutine has ended.
 func (p *Placer) Stop() {
 	p.tomb.Kill(nil)
 	_ = p.tomb.Wait()
 }
 
-// Done is closed when the placer has ended.
+// Done returns a channel that is closed when the placer has ended.
 func (p *Placer) Done() <-chan struct{} { return p.tomb.Dead() }
 
 func (p *Placer) now() time.Time { return helpers.Now(p.Now) }
@@ -98,15 +97,15 @@
 func (p *Placer) run() error {
 	ctx := p.tomb.Context(nil) //nolint:staticcheck // tomb takes nil for "no parent"
 	p.readySince = map[waveKey]time.Time{}
-	defer p.giveBack()
-	every := helpers.OrDefault(p.Every, DefaultEvery)
+	defer p.release()
+	interval := helpers.OrDefault(p.Every, DefaultEvery)
 	for {
 		changed := p.Table.Changed()
 		p.step(ctx)
-		wait := every
+		wait := interval
 		if p.lease == 0 {
-			// All entries of the hall see the lease lapse together.
-			wait = every + rand.N(every)
+			// Jitter, because all entries of the hall see the lease expire at the same time.
+			wait = interval + rand.N(interval)
 			changed = nil
 		}
 		if !p.pause(wait, changed) {
@@ -115,13 +114,13 @@
 	}
 }
 
-// gatherFor is the time in which further declarations join a plan that a
-// change of the configuration has called for.
-const gatherFor = 20 * time.Millisecond
+// batchDelay is the delay between a change of the configuration and the plan for it, in which
+// further changes are batched.
+const batchDelay = 20 * time.Millisecond
 
-// pause waits until it is time for the next step: the interval is over, or the
-// configuration changed and nothing was written within it. It reports false
-// when the placer is to end.
+// pause waits for the next step: until wait has passed, or until the configuration changes,
+// provided that the last write is at least wait ago. It returns false once the placer is
+// stopping.
 func (p *Placer) pause(wait time.Duration, changed <-chan struct{}) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -135,13 +134,13 @@
 	case <-p.tomb.Dying():
 		return false
 	}
-	return helpers.Pause(gatherFor, p.tomb.Dying())
+	return helpers.Pause(batchDelay, p.tomb.Dying())
 }
 
-// step does what is due: campaign, renew, plan.
+// step campaigns for the lease or renews it, and plans if it is held.
 func (p *Placer) step(ctx context.Context) {
 	if p.lease != 0 && !p.now().Before(p.validUntil) {
-		p.lose("the lease lapsed by the own clock")
+		p.dropLease("the lease expired by the local clock")
 	}
 	if p.lease == 0 {
 		p.campaign(ctx)
@@ -153,18 +152,18 @@
 	}
 }
 
-func (p *Placer) lose(why string) {
-	p.Telemetry.Decide(telemetry.Decision{Step: "placement-lease", Choice: "lose", Reason: why, Revision: p.Table.View().Revision})
+func (p *Placer) dropLease(reason string) {
+	p.Telemetry.Decide(telemetry.Decision{Step: "placement-lease", Choice: "lose", Reason: reason, Revision: p.Table.View().Revision})
 	p.lease = 0
 }
 
-// campaign takes the lease if nobody has it.
+// campaign acquires the lease if no entry holds it.
 func (p *Placer) campaign(ctx context.Context) {
 	key := tables.PlacementLeaseKey(p.Hall)
 	if _, held := p.Table.View().Leases[key]; held || len(p.targets(p.Table.View())) == 0 && len(p.previous().Document.Services) == 0 {
 		return
 	}
-	asked := p.now()
+	start := p.now()
 	ttl := helpers.OrDefault(p.TTL, DefaultTTL)
 	lease, err := p.KV.Grant(ctx, ttl)
 	if err != nil {
@@ -172,33 +171,33 @@
 	}
 	_, err = p.KV.Put(ctx, platform.Write{Key: key, Value: []byte(p.Name), Lease: lease})
 	if err != nil {
-		// Whatever became of the key, without this lease it vanishes.
+		// The write may have taken effect; revoking the lease then deletes the key.
 		_ = p.KV.Revoke(ctx, lease)
 		return
 	}
 	p.lease = lease
-	p.validUntil = asked.Add(ttl)
-	p.heldSince = asked
-	p.Telemetry.Decide(telemetry.Decision{Step: "placement-lease", Choice: "take", Reason: "nobody held the hall's lease", Revision: p.Table.View().Revision})
+	p.validUntil = start.Add(ttl)
+	p.heldSince = start
+	p.Telemetry.Decide(telemetry.Decision{Step: "placement-lease", Choice: "take", Reason: "no entry held the hall's lease", Revision: p.Table.View().Revision})
 }
 
-// renew keeps the lease when a third of its time has passed.
+// renew renews the lease once a third of its time to live has passed.
 func (p *Placer) renew(ctx context.Context) {
 	ttl := helpers.OrDefault(p.TTL, DefaultTTL)
-	asked := p.now()
-	if p.validUntil.Sub(asked) > ttl*2/3 {
+	start := p.now()
+	if p.validUntil.Sub(start) > ttl*2/3 {
 		return
 	}
 	err := p.KV.KeepAlive(ctx, p.lease)
 	switch {
 	case err == nil:
-		p.validUntil = asked.Add(ttl)
+		p.validUntil = start.Add(ttl)
 	case errors.Is(err, platform.ErrNotFound):
-		p.lose("the lease lapsed at the key-value service")
+		p.dropLease("the lease expired at the key-value service")
 	}
 }
 
-func (p *Placer) giveBack() {
+func (p *Placer) release() {
 	if p.lease == 0 {
 		return
 	}
@@ -215,7 +214,7 @@
 	return previous
 }
 
-// targets returns what the declarations want of this hall.
+// targets returns the targets of the services that are declared for this hall.
 func (p *Placer) targets(view *tables.View) []placement.Target {
 	var targets []placement.Target
 	for _, service := range view.Services {
@@ -238,9 +237,9 @@
 	return targets
 }
 
-// version returns what a service is to serve. Two operators can race so that a
-// service names a version that was just withdrawn; then it keeps the one that
-// it has.
+// version returns the version that a service is to serve. If its model no longer has the
+// declared version, because operators made conflicting changes at the same time, the service
+// keeps its placed version.
 func (p *Placer) version(view *tables.View, service *api.Resource) (placement.Version, bool) {
 	spec := service.Service
 	if declared, ok := view.Target(service); ok {
@@ -254,7 +253,8 @@
 	return placed.Versions[placed.Target], true
 }
 
-// Serves reports whether a service with the declared halls is placed in a hall.
+// Serves reports whether a service that declares the given halls is placed in hall; a service
+// that declares none is placed in all halls.
 func Serves(declared []string, hall string) bool {
 	if len(declared) == 0 {
 		return true
@@ -267,12 +267,12 @@
 	return false
 }
 
-// place plans and writes.
+// place plans the next document and writes it if it has changed.
 func (p *Placer) place(ctx context.Context) {
 	view := p.Table.View()
 	listed, ok := p.Listed()
 	if !ok {
-		return // without a host list nobody can be called gone
+		return // without a host list no host can be considered gone
 	}
 	previous := p.previous()
 	census := Census{
@@ -288,12 +288,12 @@
 	p.write(ctx, next, previous.Revision, steps)
 }
 
-// pauseOver notes since when each open wave is ready and returns the check
-// that Plan asks for.
+// pauseOver records since when the open waves are ready, and returns the function for
+// placement.Input.PauseOver.
 func (p *Placer) pauseOver(view *tables.View, previous tables.Placement, hosts []placement.Candidate) func(string) bool {
 	now := p.now()
 	over := map[string]bool{}
-	waiting := map[waveKey]time.Time{}
+	ready := map[waveKey]time.Time{}
 	for i := range previous.Document.Services {
 		service := &previous.Document.Services[i]
 		declared := view.Services[service.Name]
@@ -305,20 +305,20 @@
 		if !ok {
 			since = now
 		}
-		waiting[key] = since
+		ready[key] = since
 		over[service.Name] = now.Sub(since) >= declared.Service.Rollout.Pause.Std()
 	}
-	p.readySince = waiting
+	p.readySince = ready
 	return func(service string) bool { return over[service] }
 }
 
-// stampedDocument adds the revision that a write is based on.
+// stampedDocument is the stored form of a document, with the revision that it replaced.
 type stampedDocument struct {
 	placement.Document
 	BasedOn uint64 `json:"basedOn"`
 }
 
-// StampOf reads the stamp of a stored document.
+// StampOf decodes the stamp of a stored document.
 func StampOf(value []byte) (kvwrite.Stamp, bool) {
 	var stored stampedDocument
 	err := json.Unmarshal(value, &stored)
@@ -329,7 +329,7 @@
 	next.WriteID = fmt.Sprintf("%s-%016x", p.Name, rand.Uint64())
 	value, err := json.Marshal(stampedDocument{Document: next, BasedOn: revision})
 	if err != nil {
-		p.Telemetry.Log.WithError(err).Error("placement cannot be encoded")
+		p.Telemetry.Log.WithError(err).Error("encoding the placement failed")
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
@@ -337,15 +337,15 @@
 	writer := kvwrite.Writer{KV: p.KV, StampOf: StampOf}
 	key := tables.PlacementKey(p.Hall)
 	p.wroteAt = p.now()
-	written, err := writer.Put(ctx, platform.Write{Key: key, Value: value, IfRevision: revision}, next.WriteID)
+	writtenRevision, err := writer.Put(ctx, platform.Write{Key: key, Value: value, IfRevision: revision}, next.WriteID)
 	if err != nil {
-		p.Telemetry.Log.WithError(err).Warn("placement was not written")
+		p.Telemetry.Log.WithError(err).Warn("writing the placement failed")
 		return
 	}
-	p.Table.ApplyWrite(platform.Change{Item: platform.Item{Key: key, Value: value, Revision: written}})
+	p.Table.ApplyWrite(platform.Change{Item: platform.Item{Key: key, Value: value, Revision: writtenRevision}})
 	for _, step := range steps {
 		p.Telemetry.Decide(telemetry.Decision{
-			Step: "place", Choice: step.Choice, Reason: step.Reason, Revision: written,
+			Step: "place", Choice: step.Choice, Reason: step.Reason, Revision: writtenRevision,
 			Details: map[string]any{"service": step.Service, "generation": next.Generation},
 		})
 	}
