--- a/daemon/internal/process/orders/orders.go
+++ b/daemon/internal/process/orders/orders.go
@@ -1,9 +1,9 @@
-// Package orders computes what one host is told: which version to serve, which
-// to fetch ahead, and which hosts to exchange chunks with.
+// Package orders computes the order for a host: which version to serve, which to prefetch,
+// and which hosts to exchange chunks with. The control service sends orders to agents.
 //
-// An order is a pure function of an entry's configuration and membership, so
-// any entry can answer any agent, and an agent compares two answers by the
-// configuration revision that they were computed at.
+// An order is a pure function of an entry's configuration and membership, so any entry can
+// respond to any agent. An agent orders two responses by the configuration revision that they
+// were computed at.
 package orders
 
 import (
@@ -22,15 +22,15 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/rendezvous"
 )
 
-// GatewaysPerHall is the number of hosts of each hall among which the
-// primaries of chunks are chosen. Hosts of other halls need to know only
-// these, which keeps an order small at 2,000 hosts.
+// GatewaysPerHall is the number of hosts of each hall from which the primaries of chunks are
+// chosen. An order lists only these hosts of other halls, which keeps it small in large
+// fleets.
 const GatewaysPerHall = 16
 
-// DefaultInFlight bounds a host's requests where the service names no bound.
+// DefaultInFlight is the limit of concurrent requests of a host whose service declares none.
 const DefaultInFlight = 64
 
-// For returns the order for a host, nil where it has none.
+// For returns the order for a host, or nil if it has no assignment.
 func For(view *tables.View, membership *members.View, hall, host string) *wire.Order {
 	placed, ok := view.Placements[hall]
 	if !ok {
@@ -50,7 +50,7 @@
 	return order
 }
 
-// Digest returns a hash of a whole order that is never 0, except for no order.
+// Digest returns a hash of an order, which is 0 only for a nil order.
 func Digest(order *wire.Order) uint64 {
 	if order == nil {
 		return 0
@@ -62,8 +62,8 @@
 	return xxhash.Sum64(data) | 1
 }
 
-// AssignmentDigest returns a hash of what an order says to do, without the
-// hosts it names as peers. It is never 0, except for no order.
+// AssignmentDigest returns a hash of an order without the lists of hosts, which is 0 only for
+// a nil order.
 func AssignmentDigest(order *wire.Order) uint64 {
 	if order == nil {
 		return 0
@@ -90,35 +90,35 @@
 }
 
 func version(view *tables.View, membership *members.View, hall string, v placement.Version) *wire.Version {
-	told := &wire.Version{Model: v.Model, Adapter: v.Adapter, Version: v.Version, Manifest: v.Manifest}
+	result := &wire.Version{Model: v.Model, Adapter: v.Adapter, Version: v.Version, Manifest: v.Manifest}
 	if model := view.FindModel(v.Model); model != nil {
-		told.Priority = int32(model.Priority) //nolint:gosec // a small number
-		told.FetchPolicy = string(model.FetchPolicy)
+		result.Priority = int32(model.Priority) //nolint:gosec // a small number
+		result.FetchPolicy = string(model.FetchPolicy)
 	}
 	for name, placed := range view.Placements {
-		hosts := takers(&placed.Document, membership, name, v.Manifest)
+		hosts := assignedHosts(&placed.Document, membership, name, v.Manifest)
 		if name == hall {
-			told.HallHosts = hosts
+			result.HallHosts = hosts
 		}
-		told.Gateways = append(told.Gateways, gateways(v.Manifest, hosts)...)
+		result.Gateways = append(result.Gateways, gateways(v.Manifest, hosts)...)
 	}
-	told.Halls = halls(view, membership, told)
-	slices.SortStableFunc(told.Gateways, func(a, b *wire.Host) int { return strings.Compare(a.GetHall(), b.GetHall()) })
-	return told
+	result.Halls = halls(view, membership, result)
+	slices.SortStableFunc(result.Gateways, func(a, b *wire.Host) int { return strings.Compare(a.GetHall(), b.GetHall()) })
+	return result
 }
 
-// halls returns the halls that are to take a version: those that have hosts
-// for it, and those that a service declares it for. Placements of the halls
-// come into force one after the other; if only those counted, each hall would
-// first take itself for the one that goes to the origin.
-func halls(view *tables.View, membership *members.View, told *wire.Version) []string {
+// halls returns the halls that get a version: those with hosts that are assigned to it, and
+// those that a service declares it for. The declared halls are included because placements of
+// the halls are written one after the other: with the assigned halls alone each hall would at
+// first choose itself as the one that fetches from the origin.
+func halls(view *tables.View, membership *members.View, v *wire.Version) []string {
 	found := map[string]bool{}
-	for _, gateway := range told.GetGateways() {
+	for _, gateway := range v.GetGateways() {
 		found[gateway.GetHall()] = true
 	}
 	for _, service := range view.Services {
 		target, ok := view.Target(service)
-		if !ok || target.Manifest != told.GetManifest() {
+		if !ok || target.Manifest != v.GetManifest() {
 			continue
 		}
 		for _, hall := range membership.EngineHalls {
@@ -130,14 +130,14 @@
 	return slices.Sorted(maps.Keys(found))
 }
 
-// takers returns the hosts of a hall that serve or fetch a version.
-func takers(document *placement.Document, membership *members.View, hall, manifest string) []*wire.Host {
+// assignedHosts returns the hosts of a hall that serve or fetch a version.
+func assignedHosts(document *placement.Document, membership *members.View, hall, manifest string) []*wire.Host {
 	var hosts []*wire.Host
 	for i := range document.Services {
 		service := &document.Services[i]
-		atTarget := service.Manifest(service.Target) == manifest
+		isTarget := service.Manifest(service.Target) == manifest
 		for _, host := range service.Hosts {
-			if !atTarget && service.Manifest(host.Serve) != manifest {
+			if !isTarget && service.Manifest(host.Serve) != manifest {
 				continue
 			}
 			agent := membership.ByName[host.Name]
@@ -151,7 +151,7 @@
 	return hosts
 }
 
-// gateways returns the hosts of one hall that rank first for a version.
+// gateways returns the highest-ranked hosts of one hall for a version.
 func gateways(manifest string, hosts []*wire.Host) []*wire.Host {
 	names := make([]string, len(hosts))
 	byName := make(map[string]*wire.Host, len(hosts))
