--- a/daemon/internal/process/tables/keys.go
+++ b/daemon/internal/process/tables/keys.go
@@ -7,8 +7,8 @@
 	"github.com/wheelcleat/wheelcleat/api"
 )
 
-// Keys of the key-value service. All state that lasts stands under Prefix, so
-// that an entry follows everything with one waiting watch.
+// Prefixes of the keys of the key-value service. All keys are under Prefix, so that an entry
+// needs only one watch.
 const (
 	Prefix          = "wheelcleat/"
 	resourcePrefix  = Prefix + "resources/"
@@ -24,15 +24,15 @@
 // PlacementKey returns the key of a hall's placement document.
 func PlacementKey(hall string) string { return placementPrefix + hall }
 
-// PlacementLeaseKey returns the key that names the holder of a hall's
+// PlacementLeaseKey returns the key whose value is the name of the holder of a hall's
 // placement lease.
 func PlacementLeaseKey(hall string) string { return leasePrefix + "placement/" + hall }
 
-// parseResourceKey returns the kind and name in a resource's key.
+// parseResourceKey returns the kind and the name of the resource that a key stands for.
 func parseResourceKey(key string) (api.Kind, string, error) {
 	plural, name, ok := strings.Cut(strings.TrimPrefix(key, resourcePrefix), "/")
 	if !ok {
-		return "", "", fmt.Errorf("key %s names no resource", key)
+		return "", "", fmt.Errorf("key %s is not the key of a resource", key)
 	}
 	kind, err := api.KindOf(plural)
 	return kind, name, err
--- a/daemon/internal/process/tables/tables.go
+++ b/daemon/internal/process/tables/tables.go
@@ -1,14 +1,13 @@
-// Package tables keeps an entry's copy of the configuration: the resources,
-// the placement documents and the leases.
+// Package tables holds an entry's replica of the configuration: resources, placement documents
+// and leases.
 //
-// The revision of the key-value service is the only order. A change is taken
-// only when its revision is above the one held for its key, so a table never
-// goes back, whatever order its sources answer in: the watch, a list, a write
-// that this entry made itself, or another entry's snapshot.
+// The revision of the key-value service is the only order. A change is applied only if its
+// revision is above that of the key in the table. So a table never reverts to older state,
+// in whatever order its sources deliver: the watch, a list, a write of this entry, or the
+// snapshot of another entry.
 //
-// Readers take an immutable View. A change builds a new one, which costs a
-// copy of the maps; at some thousand changes a day and a few hundred keys that
-// is cheaper than locks on the path of every request.
+// Readers use an immutable View, so the path of requests takes no locks. Each change builds a
+// new view from all items, which is affordable because changes are rare.
 package tables
 
 import (
@@ -20,41 +19,41 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/platform"
 )
 
-// historyLimit is the number of resource events kept for operators' watches.
+// historyLimit is the number of resource events that are kept for watches of the resource API.
 const historyLimit = 8192
 
-// Table is the configuration of one entry. The zero value is empty.
+// Table is the configuration of one entry. The zero value is empty and ready to use.
 //
-// Lock order: mu is the only lock; it is not held while callers run.
+// Lock order: mu is the only lock, and no callback is called under it.
 type Table struct {
 	view atomic.Pointer[View]
 
 	mu sync.Mutex
 	// items holds the newest value of each present key.
 	items map[string]platform.Item
-	// tombs holds the revision at which a key was deleted, for keys deleted
-	// above the cursor. Below it no older value can arrive any more.
-	tombs map[string]uint64
-	// cursor is the revision up to which every change has been taken. It only
-	// grows.
+	// tombstones holds the revisions of deletions above the cursor, by key. They prevent an older
+	// value from restoring a deleted key; below the cursor no older value can arrive.
+	tombstones map[string]uint64
+	// cursor is the revision up to which all changes have been applied. It never decreases.
 	cursor uint64
-	// events are the newest resource changes in order of revision.
+	// events holds the newest changes of resources in order of revision.
 	events []api.Event
-	// compacted is the highest revision whose event is not kept.
+	// compacted is the highest revision whose event is no longer kept.
 	compacted uint64
-	changed   chan struct{}
+	// changed is closed at the next change.
+	changed chan struct{}
 }
 
-// setUp makes the maps; the caller holds mu.
-func (t *Table) setUp() {
+// init creates the maps; the caller holds mu.
+func (t *Table) init() {
 	if t.items == nil {
 		t.items = map[string]platform.Item{}
-		t.tombs = map[string]uint64{}
+		t.tombstones = map[string]uint64{}
 		t.changed = make(chan struct{})
 	}
 }
 
-// View returns the configuration as of now. It is read-only.
+// View returns a snapshot of the configuration, which callers must not modify.
 func (t *Table) View() *View {
 	if view := t.view.Load(); view != nil {
 		return view
@@ -62,93 +61,94 @@
 	return emptyView
 }
 
-// Changed returns a channel that closes at the next change.
+// Changed returns a channel that is closed at the next change.
 func (t *Table) Changed() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.setUp()
+	t.init()
 	return t.changed
 }
 
-// Apply takes the changes of a watch, which reach up to a revision.
+// Apply applies the changes of a watch up to the revision upTo.
 func (t *Table) Apply(changes []platform.Change, upTo uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.setUp()
+	t.init()
 	if upTo <= t.cursor {
 		return
 	}
-	taken := false
+	applied := false
 	for _, change := range changes {
-		taken = t.take(change) || taken
+		applied = t.applyChange(change) || applied
 	}
 	t.advance(upTo)
-	t.publish(taken)
+	t.publish(applied)
 }
 
-// ApplyWrite takes a single change that this entry wrote itself. The cursor
-// stays, because changes of others may lie below.
+// ApplyWrite applies a change that this entry wrote. It does not advance the cursor, because
+// the watch may not yet have delivered changes with lower revisions.
 func (t *Table) ApplyWrite(change platform.Change) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.setUp()
+	t.init()
 	if change.Revision <= t.cursor {
-		return // the watch brought it, and perhaps what came after
+		return // the watch has delivered it, and possibly later changes
 	}
-	t.publish(t.take(change))
+	t.publish(t.applyChange(change))
 }
 
-// Replace takes a complete listing as of a revision. It reports false where
-// the table is already ahead, which leaves the table as it is.
+// Replace applies a complete listing as of a revision. It returns false, and leaves the table
+// unchanged, if the table is newer.
 func (t *Table) Replace(items []platform.Item, revision uint64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.setUp()
+	t.init()
 	if revision < t.cursor {
 		return false
 	}
 	listed := make(map[string]bool, len(items))
-	taken := false
+	applied := false
 	for _, item := range items {
 		listed[item.Key] = true
-		taken = t.take(platform.Change{Item: item}) || taken
+		applied = t.applyChange(platform.Change{Item: item}) || applied
 	}
-	for key, held := range t.items {
-		if !listed[key] && held.Revision <= revision {
-			taken = t.take(platform.Change{Item: platform.Item{Key: key, Revision: revision}, Deleted: true}) || taken
+	for key, current := range t.items {
+		if !listed[key] && current.Revision <= revision {
+			applied = t.applyChange(platform.Change{Item: platform.Item{Key: key, Revision: revision}, Deleted: true}) || applied
 		}
 	}
-	// Deletes learned from a listing have no revision of their own, so a
-	// watcher from before cannot be served a faithful history.
+	// A listing does not contain the revisions of deletions, so watches cannot resume from a
+	// revision before it.
 	t.events = nil
 	t.compacted = max(t.compacted, revision)
 	t.advance(revision)
-	t.publish(taken)
+	t.publish(applied)
 	return true
 }
 
-// take applies one change if it is newer than what is held; the caller holds mu.
-func (t *Table) take(change platform.Change) bool {
-	held, present := t.items[change.Key]
-	if change.Revision <= max(held.Revision, t.tombs[change.Key]) {
+// applyChange applies a change if it is newer than the table's state of the key, and reports whether
+// it changed the table; the caller holds mu.
+func (t *Table) applyChange(change platform.Change) bool {
+	current, present := t.items[change.Key]
+	if change.Revision <= max(current.Revision, t.tombstones[change.Key]) {
 		return false
 	}
 	if change.Deleted {
 		delete(t.items, change.Key)
-		t.tombs[change.Key] = change.Revision
+		t.tombstones[change.Key] = change.Revision
 		if !present {
 			return false
 		}
 	} else {
 		t.items[change.Key] = change.Item
-		delete(t.tombs, change.Key)
+		delete(t.tombstones, change.Key)
 	}
-	t.remember(change)
+	t.addEvent(change)
 	return true
 }
 
-// remember keeps a resource's change for watches; the caller holds mu.
-func (t *Table) remember(change platform.Change) {
+// addEvent adds a change of a resource to the events; the caller holds mu.
+func (t *Table) addEvent(change platform.Change) {
 	if !strings.HasPrefix(change.Key, resourcePrefix) {
 		return
 	}
@@ -167,36 +167,38 @@
 		}
 		event.Resource = resource
 	}
-	// An own write may come before older changes of others; keep the order.
-	at := len(t.events)
-	for at > 0 && t.events[at-1].Revision > event.Revision {
-		at--
+	// A write of this entry may be applied before changes with lower revisions, so events
+	// are inserted in order of revision.
+	i := len(t.events)
+	for i > 0 && t.events[i-1].Revision > event.Revision {
+		i--
 	}
 	t.events = append(t.events, api.Event{})
-	copy(t.events[at+1:], t.events[at:])
-	t.events[at] = event
-	if extra := len(t.events) - historyLimit; extra > 0 {
-		t.compacted = t.events[extra-1].Revision
-		t.events = append([]api.Event(nil), t.events[extra:]...)
+	copy(t.events[i+1:], t.events[i:])
+	t.events[i] = event
+	if excess := len(t.events) - historyLimit; excess > 0 {
+		t.compacted = t.events[excess-1].Revision
+		t.events = append([]api.Event(nil), t.events[excess:]...)
 	}
 }
 
-// advance moves the cursor up; the caller holds mu.
+// advance advances the cursor and drops the tombstones below it; the caller holds mu.
 func (t *Table) advance(upTo uint64) {
 	t.cursor = max(t.cursor, upTo)
-	for key, revision := range t.tombs {
+	for key, revision := range t.tombstones {
 		if revision <= t.cursor {
-			delete(t.tombs, key)
+			delete(t.tombstones, key)
 		}
 	}
 }
 
-// publish builds a new view and wakes waiters; the caller holds mu.
-func (t *Table) publish(taken bool) {
-	if view := t.view.Load(); view != nil && !taken {
-		moved := *view
-		moved.Revision = t.cursor
-		t.view.Store(&moved)
+// publish replaces the view and wakes the waiters on Changed. If no item changed, only the
+// view's revision does. The caller holds mu.
+func (t *Table) publish(applied bool) {
+	if view := t.view.Load(); view != nil && !applied {
+		updated := *view
+		updated.Revision = t.cursor
+		t.view.Store(&updated)
 	} else {
 		t.view.Store(buildView(t.items, t.cursor))
 	}
@@ -204,8 +206,8 @@
 	t.changed = make(chan struct{})
 }
 
-// Events returns the kept resource changes after a revision up to the cursor,
-// the revision to go on from, and false where they are no longer all kept.
+// Events returns the changes of resources after a revision up to the cursor, the revision to
+// resume from, and false if some of them are no longer kept.
 func (t *Table) Events(after uint64) ([]api.Event, uint64, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -214,7 +216,7 @@
 	}
 	var events []api.Event
 	for _, event := range t.events {
-		// Above the cursor there may be gaps that the watch has yet to fill.
+		// Above the cursor, changes that the watch has not delivered yet may be missing.
 		if event.Revision > after && event.Revision <= t.cursor {
 			events = append(events, event)
 		}
@@ -222,7 +224,7 @@
 	return events, max(after, t.cursor), true
 }
 
-// Snapshot returns every item and the cursor.
+// Snapshot returns all items up to the cursor, and the cursor.
 func (t *Table) Snapshot() ([]platform.Item, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/daemon/internal/process/tables/tables_test.go
+++ b/daemon/internal/process/tables/tables_test.go
@@ -24,12 +24,12 @@
 	return platform.Item{Key: ResourceKey(api.KindAccount, name), Value: value, Revision: revision}
 }
 
-// history is the oracle: every write of the key-value service in order.
+// history is the test's oracle: all writes of the key-value service in order.
 type history struct {
 	changes []platform.Change
 }
 
-// at returns the true state as of a revision.
+// at returns the revision of each present key as of a revision.
 func (h *history) at(revision uint64) map[string]uint64 {
 	state := map[string]uint64{}
 	for _, change := range h.changes {
@@ -56,13 +56,13 @@
 	return items
 }
 
-// TestNeverReverts mixes watches, listings, snapshots and own writes that come
-// late, twice and out of order, and holds the table to the true history.
-func TestNeverReverts(t *testing.T) {
+// Guards against a table that reverts to older state when watches, listings, snapshots and the
+// entry's own writes arrive late, repeatedly or out of order.
+func TestTableNeverReverts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		truth := &history{}
 		table := &Table{}
-		seen := map[string]uint64{}
+		seenRevisions := map[string]uint64{}
 		now := func() uint64 { return uint64(len(truth.changes)) }
 		t.Repeat(map[string]func(*rapid.T){
 			"write": func(t *rapid.T) {
@@ -94,29 +94,29 @@
 				for key, revision := range truth.at(view.Revision) {
 					held := view.Accounts[key[len(key)-1:]]
 					if held == nil {
-						// Only a deletion above the cursor may hide it.
+						// Only a deletion above the cursor may have removed it.
 						require.Contains(t, laterChanges(truth, key, revision), true)
 						continue
 					}
-					require.GreaterOrEqual(t, held.Revision, revision, "older than the cursor says")
+					require.GreaterOrEqual(t, held.Revision, revision, "the item is older than the cursor")
 				}
 				for name, held := range view.Accounts {
 					key := ResourceKey(api.KindAccount, name)
-					require.GreaterOrEqual(t, held.Revision, seen[key], "went back")
-					require.Equal(t, int(held.Revision), held.Account.Concurrency, "value of another revision")
+					require.GreaterOrEqual(t, held.Revision, seenRevisions[key], "the item reverted to an older revision")
+					require.Equal(t, int(held.Revision), held.Account.Concurrency, "the value belongs to another revision")
 					if held.Revision <= view.Revision {
-						require.Equal(t, truth.at(view.Revision)[key], held.Revision, "a deleted or replaced value stayed")
+						require.Equal(t, truth.at(view.Revision)[key], held.Revision, "a deleted or replaced value remains")
 					}
-					seen[key] = held.Revision
+					seenRevisions[key] = held.Revision
 				}
 			},
 		})
 		table.Apply(truth.changes[table.View().Revision:], now())
-		require.Len(t, table.View().Accounts, len(truth.at(now())), "everything arrives in the end")
+		require.Len(t, table.View().Accounts, len(truth.at(now())), "the table is complete after the last watch")
 	})
 }
 
-// laterChanges says, for each later change of a key, whether it is a deletion.
+// laterChanges returns for each later change of a key whether it is a deletion.
 func laterChanges(truth *history, key string, after uint64) []bool {
 	var deletions []bool
 	for _, change := range truth.changes {
@@ -127,11 +127,11 @@
 	return deletions
 }
 
-func TestEventsResume(t *testing.T) {
+func TestEventsResumeFromRevision(t *testing.T) {
 	table := &Table{}
 	require.True(t, table.Replace([]platform.Item{accountItem(t, "a", 3)}, 5))
 	_, _, kept := table.Events(4)
-	assert.False(t, kept, "a listing has no history")
+	assert.False(t, kept, "a listing does not contain earlier events")
 	events, upTo, kept := table.Events(5)
 	assert.True(t, kept)
 	assert.Empty(t, events)
@@ -139,7 +139,7 @@
 
 	table.ApplyWrite(platform.Change{Item: accountItem(t, "own", 8)})
 	events, upTo, _ = table.Events(5)
-	assert.Empty(t, events, "changes of others below an own write may be missing")
+	assert.Empty(t, events, "changes below the entry's own write may be missing")
 	assert.Equal(t, uint64(5), upTo)
 	changed := table.Changed()
 	table.Apply([]platform.Change{
@@ -153,15 +153,15 @@
 		t.Fatal("watchers were not woken")
 	}
 	events, upTo, _ = table.Events(5)
-	var seen []string
+	var descriptions []string
 	for _, event := range events {
-		seen = append(seen, fmt.Sprint(event.Revision, event.Type, event.Resource.Name))
+		descriptions = append(descriptions, fmt.Sprint(event.Revision, event.Type, event.Resource.Name))
 	}
-	assert.Equal(t, []string{"6putb", "7deletea", "8putown"}, seen)
+	assert.Equal(t, []string{"6putb", "7deletea", "8putown"}, descriptions)
 	assert.Equal(t, uint64(8), upTo)
 }
 
-func TestUnreadableItemsAreLeftOut(t *testing.T) {
+func TestViewSkipsUndecodableItems(t *testing.T) {
 	table := &Table{}
 	table.Replace([]platform.Item{
 		accountItem(t, "a", 1),
--- a/daemon/internal/process/tables/view.go
+++ b/daemon/internal/process/tables/view.go
@@ -12,25 +12,25 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/platform"
 )
 
-// View is the configuration at one revision. It is read-only.
+// View is an immutable snapshot of the configuration at one revision.
 type View struct {
-	// Revision is the table's cursor: every change up to it is in the view.
+	// Revision is the table's cursor: the view contains all changes up to it.
 	Revision uint64
 	Models   map[string]*api.Resource
 	Services map[string]*api.Resource
 	Accounts map[string]*api.Resource
-	// AccountByKey finds an account by the SHA-256 of a bearer key.
+	// AccountByKey holds the accounts by the SHA-256 of their bearer keys.
 	AccountByKey map[KeyDigest]*api.Resource
-	// Placements holds the placement document of each hall.
+	// Placements holds the placement documents by hall.
 	Placements map[string]Placement
-	// Leases holds the raw lease keys.
+	// Leases holds the items of leases by key.
 	Leases map[string]platform.Item
 }
 
 // KeyDigest is the SHA-256 of a bearer key.
 type KeyDigest [32]byte
 
-// Placement is a hall's document with its revision, which a write must name.
+// Placement is a hall's document with its revision, which is the condition of the next write.
 type Placement struct {
 	Document placement.Document
 	Revision uint64
@@ -63,7 +63,7 @@
 	}
 }
 
-// Sorted returns the resources of one kind by name.
+// Sorted returns the resources of one kind, sorted by name.
 func (v *View) Sorted(kind api.Kind) []*api.Resource {
 	byName := v.ByKind(kind)
 	sorted := make([]*api.Resource, 0, len(byName))
@@ -74,7 +74,7 @@
 	return sorted
 }
 
-// FindModel returns a declared model's spec, or nil.
+// FindModel returns the spec of a declared model, or nil.
 func (v *View) FindModel(name string) *api.ModelSpec {
 	if r := v.Models[name]; r != nil {
 		return r.Model
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// Target returns the version that a service declares, false for plain services
-// and for versions that no model declares.
+// Target returns the version that a service declares. It returns false for plain services and
+// for versions that no model declares.
 func (v *View) Target(service *api.Resource) (api.Version, bool) {
 	spec := service.Service
 	if spec == nil || spec.Plain {
@@ -96,8 +96,8 @@
 	return model.FindVersion(spec.Adapter, spec.Version)
 }
 
-// buildView decodes all items. An item that cannot be decoded is left out: it
-// was written by a newer release, and what this one knows stays in force.
+// buildView decodes all items. It skips items that it cannot decode, which a newer release
+// may have written.
 func buildView(items map[string]platform.Item, cursor uint64) *View {
 	view := newView()
 	view.Revision = cursor
@@ -139,37 +139,35 @@
 	v.Placements[strings.TrimPrefix(item.Key, placementPrefix)] = Placement{Document: document, Revision: item.Revision}
 }
 
-// storedResource is the form of a resource in the key-value service. The
-// write id stands outside too, where a reader of stamps finds it for every
-// kind of value.
+// storedResource is the stored form of a resource. The write ID is repeated outside the
+// resource, where kvwrite reads the stamps of all kinds of values.
 type storedResource struct {
 	BasedOn  uint64        `json:"basedOn"`
 	WriteID  string        `json:"writeID"`
 	Resource *api.Resource `json:"resource"`
 }
 
-// EncodeResource returns the value under which a resource is kept, for a write
-// that replaces the given revision. Its own revision is the key's, so it is
-// not part of the value.
+// EncodeResource returns the stored value of a resource, for a write that replaces the revision
+// basedOn. The value does not contain the resource's revision, which is that of its key.
 func EncodeResource(resource *api.Resource, basedOn uint64) ([]byte, error) {
-	inner := *resource
-	inner.Revision = 0
-	data, err := json.Marshal(storedResource{BasedOn: basedOn, WriteID: resource.WriteID, Resource: &inner})
+	copied := *resource
+	copied.Revision = 0
+	data, err := json.Marshal(storedResource{BasedOn: basedOn, WriteID: resource.WriteID, Resource: &copied})
 	if err != nil {
 		return nil, fmt.Errorf("encode %s %q: %w", resource.Kind, resource.Name, err)
 	}
 	return data, nil
 }
 
-// DecodeResource reads a resource from its item.
+// DecodeResource decodes the resource of an item.
 func DecodeResource(item platform.Item) (*api.Resource, error) {
-	var outer storedResource
-	if err := json.Unmarshal(item.Value, &outer); err != nil {
-		return nil, fmt.Errorf("read %s: %w", item.Key, err)
+	var stored storedResource
+	if err := json.Unmarshal(item.Value, &stored); err != nil {
+		return nil, fmt.Errorf("decode %s: %w", item.Key, err)
 	}
-	if outer.Resource == nil {
-		return nil, fmt.Errorf("read %s: no resource in it", item.Key)
+	if stored.Resource == nil {
+		return nil, fmt.Errorf("decode %s: the value contains no resource", item.Key)
 	}
-	outer.Resource.Revision = item.Revision
-	return outer.Resource, nil
+	stored.Resource.Revision = item.Revision
+	return stored.Resource, nil
 }
