--- a/daemon/internal/process/hosts/hosts.go
+++ b/daemon/internal/process/hosts/hosts.go
@@ -1,5 +1,5 @@
-// Package hosts follows the platform's host list. The list lags, and when it
-// is out of reach the last one known stays in use.
+// Package hosts polls the platform's host list for agents and entries. The list lags behind
+// the real state, and while it is unreachable the last fetched list stays in use.
 package hosts
 
 import (
@@ -14,18 +14,18 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/platform"
 )
 
-// DefaultEvery is the interval between fetches. A fetch of an unchanged list
-// is a few bytes.
+// DefaultEvery is the mean interval between fetches. Fetches are conditional, so an unchanged
+// list is not transferred again.
 const DefaultEvery = time.Second
 
-// Follower keeps the newest list. Set the fields before Start.
+// Follower holds the last fetched list. Its fields must be set before Start.
 type Follower struct {
 	List *platform.HostList
 	// Hall limits the list; empty means all halls.
 	Hall string
-	// Every varies DefaultEvery; 0 takes it.
+	// Every replaces DefaultEvery unless it is 0.
 	Every time.Duration
-	// OnChange is called after a new list was taken; nil means nobody is told.
+	// OnChange, if set, is called with each new list.
 	OnChange func([]platform.Host)
 
 	tomb tomb.Tomb
@@ -34,30 +34,30 @@
 	mu    sync.Mutex
 	hosts []platform.Host
 	tag   string
-	// fetched is set from the first answer on.
+	// fetched is set once a list was fetched.
 	fetched bool
 }
 
-// Start begins to follow.
+// Start starts polling in a goroutine.
 func (f *Follower) Start() { f.tomb.Go(f.run) }
 
-// Stop ends the following and waits for it.
+// Stop stops polling and waits until the goroutine has ended.
 func (f *Follower) Stop() {
 	f.tomb.Kill(nil)
 	_ = f.tomb.Wait()
 }
 
-// Done is closed when the follower has ended.
+// Done returns a channel that is closed when the follower has ended.
 func (f *Follower) Done() <-chan struct{} { return f.tomb.Dead() }
 
-// Hosts returns the newest list, and false where none was ever fetched.
+// Hosts returns the last fetched list, and false if none has been fetched yet.
 func (f *Follower) Hosts() ([]platform.Host, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.hosts, f.fetched
 }
 
-// Select returns the hosts of a role and hall; an empty hall means all.
+// Select returns the hosts of a role and a hall; an empty hall means all halls.
 func (f *Follower) Select(role, hall string) []platform.Host {
 	all, _ := f.Hosts()
 	var selected []platform.Host
@@ -71,9 +71,9 @@
 
 func (f *Follower) run() error {
 	ctx := f.tomb.Context(nil) //nolint:staticcheck // tomb takes nil for "no parent"
-	every := helpers.OrDefault(f.Every, DefaultEvery)
+	interval := helpers.OrDefault(f.Every, DefaultEvery)
 	f.fetch(ctx)
-	for helpers.Pause(every/2+rand.N(every), f.tomb.Dying()) {
+	for helpers.Pause(interval/2+rand.N(interval), f.tomb.Dying()) {
 		f.fetch(ctx)
 	}
 	return nil
