--- a/daemon/internal/process/platform/kv.go
+++ b/daemon/internal/process/platform/kv.go
@@ -24,83 +24,83 @@
 	Revision uint64 `json:"revision"`
 }
 
-// Change is one event of a watch.
+// Change is one change that a watch delivers.
 type Change struct {
 	Item
 	Deleted bool `json:"deleted"`
 }
 
-// Listing is the answer to a list.
+// Listing is the response to a list.
 type Listing struct {
 	Revision uint64 `json:"revision"`
 	Items    []Item `json:"items"`
 }
 
-// Changes is the answer to a waiting watch.
+// Changes is the response to a watch.
 type Changes struct {
 	Revision uint64   `json:"revision"`
 	Events   []Change `json:"events"`
 }
 
-// Lease is a lease of the key-value service; 0 means none.
+// Lease is the ID of a lease; 0 means none.
 type Lease uint64
 
 // Write is a conditional write.
 type Write struct {
 	Key   string
 	Value []byte
-	// IfRevision is the revision the key must have; 0 means it must be absent.
+	// IfRevision is the revision that the key must have; 0 means that it must be absent.
 	IfRevision uint64
-	// Lease ties the key to a lease; 0 means none.
+	// Lease is the lease on whose end the key is deleted; 0 means none.
 	Lease Lease
 }
 
-// KV is the key-value service. Each field is one call of the service, and
-// every call counts against the service's rates.
+// KV is a client of the key-value service. Each field is one call of the service and counts
+// against its rate limits.
 type KV struct {
 	List func(ctx context.Context, prefix string) (Listing, error)
 	Get  func(ctx context.Context, key string) (Item, error)
 	// Put returns the new revision, a *ConflictError, ErrUnavailable or ErrUnknown.
 	Put func(ctx context.Context, write Write) (uint64, error)
-	// Delete fails as Put does, and with ErrNotFound.
+	// Delete returns the revision of the deletion, an error as Put does, or ErrNotFound.
 	Delete func(ctx context.Context, key string, ifRevision uint64) (uint64, error)
-	// Watch waits for changes after a revision and returns none when the wait
-	// has passed; ErrCompacted when it must be replaced by a list.
+	// Watch waits for changes after a revision. It returns no changes once wait has passed,
+	// and ErrCompacted if the caller must list instead.
 	Watch     func(ctx context.Context, prefix string, after uint64, wait time.Duration) (Changes, error)
 	Grant     func(ctx context.Context, ttl time.Duration) (Lease, error)
 	KeepAlive func(ctx context.Context, lease Lease) error
 	Revoke    func(ctx context.Context, lease Lease) error
 }
 
-// MaxValueBytes is the size of the largest value that the service holds.
+// MaxValueBytes is the size of the largest value that the service stores.
 const MaxValueBytes = 1 << 20
 
-// callTimeout is how long the answer of a call may take to begin, but for the waiting
-// watch, and each part of it after the first.
+// callTimeout is the timeout for the first byte of a response, except that of a watch, and for
+// each further read.
 const callTimeout = 2 * time.Second
 
-// longestRead bounds a call whatever comes of its answer.
-const longestRead = time.Minute
+// totalTimeout limits a complete call.
+const totalTimeout = time.Minute
 
-// watchGrace is what a watch may take beyond its wait.
+// watchGrace is how much longer than its wait a watch may take.
 const watchGrace = 3 * time.Second
 
-// maxAnswerBytes bounds one answer of the service.
-const maxAnswerBytes = 256 << 20
+// maxResponseBytes limits the body of a response.
+const maxResponseBytes = 256 << 20
 
-// NewKV returns the service at an address.
+// NewKV returns a client of the service at an address.
 func NewKV(address netip.AddrPort, client *http.Client) *KV {
-	c := &kvClient{peer: address, client: client}
+	c := &kvClient{address: address, client: client}
 	return &KV{
 		List: c.list, Get: c.get, Put: c.put, Delete: c.delete, Watch: c.watch,
 		Grant: c.grant, KeepAlive: c.keepAlive, Revoke: c.revoke,
 	}
 }
 
-// kvClient speaks the service's HTTP.
+// kvClient implements the calls of KV over HTTP.
 type kvClient struct {
-	peer   netip.AddrPort
-	client *http.Client
+	address netip.AddrPort
+	client  *http.Client
 }
 
 // kvCall is one HTTP call.
@@ -124,8 +124,8 @@
 	return item, err
 }
 
-// revisionAnswer is the body of a write's answer.
-type revisionAnswer struct {
+// revisionResponse is the body of the response to a write.
+type revisionResponse struct {
 	Revision uint64 `json:"revision"`
 }
 
@@ -134,16 +134,16 @@
 	if write.Lease != 0 {
 		query.Set("lease", strconv.FormatUint(uint64(write.Lease), 10))
 	}
-	var answer revisionAnswer
-	err := c.do(ctx, kvCall{method: http.MethodPut, path: "/kv/" + write.Key, query: query, body: write.Value}, &answer)
-	return answer.Revision, err
+	var resp revisionResponse
+	err := c.do(ctx, kvCall{method: http.MethodPut, path: "/kv/" + write.Key, query: query, body: write.Value}, &resp)
+	return resp.Revision, err
 }
 
 func (c *kvClient) delete(ctx context.Context, key string, ifRevision uint64) (uint64, error) {
 	query := url.Values{"ifRevision": {strconv.FormatUint(ifRevision, 10)}}
-	var answer revisionAnswer
-	err := c.do(ctx, kvCall{method: http.MethodDelete, path: "/kv/" + key, query: query}, &answer)
-	return answer.Revision, err
+	var resp revisionResponse
+	err := c.do(ctx, kvCall{method: http.MethodDelete, path: "/kv/" + key, query: query}, &resp)
+	return resp.Revision, err
 }
 
 func (c *kvClient) watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (Changes, error) {
@@ -153,15 +153,15 @@
 	return changes, err
 }
 
-// leaseAnswer is the body of a lease call's answer.
-type leaseAnswer struct {
+// leaseResponse is the body of the response to a grant.
+type leaseResponse struct {
 	ID Lease `json:"id"`
 }
 
 func (c *kvClient) grant(ctx context.Context, ttl time.Duration) (Lease, error) {
-	var answer leaseAnswer
-	err := c.do(ctx, kvCall{method: http.MethodPost, path: "/leases", query: url.Values{"ttl": {ttl.String()}}}, &answer)
-	return answer.ID, err
+	var resp leaseResponse
+	err := c.do(ctx, kvCall{method: http.MethodPost, path: "/leases", query: url.Values{"ttl": {ttl.String()}}}, &resp)
+	return resp.ID, err
 }
 
 func leasePath(lease Lease) string { return "/leases/" + strconv.FormatUint(uint64(lease), 10) }
@@ -174,36 +174,36 @@
 	return c.do(ctx, kvCall{method: http.MethodDelete, path: leasePath(lease)}, nil)
 }
 
-// do makes a call and reads its answer into target, which may be nil.
+// do makes a call and decodes the response into target, which may be nil.
 func (c *kvClient) do(ctx context.Context, call kvCall, target any) error {
 	timeout := call.timeout
 	if timeout == 0 {
 		timeout = callTimeout
 	}
-	ctx, end := patience.Limit{First: timeout, Stall: callTimeout, Whole: longestRead}.Context(ctx)
-	defer end()
-	address := "http://" + c.peer.String() + call.path
+	ctx, cancel := patience.Limit{First: timeout, Stall: callTimeout, Whole: totalTimeout}.Context(ctx)
+	defer cancel()
+	rawURL := "http://" + c.address.String() + call.path
 	if len(call.query) > 0 {
-		address += "?" + call.query.Encode()
+		rawURL += "?" + call.query.Encode()
 	}
 	connected := false
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }})
-	request, err := http.NewRequestWithContext(ctx, call.method, address, bytes.NewReader(call.body))
+	req, err := http.NewRequestWithContext(ctx, call.method, rawURL, bytes.NewReader(call.body))
 	if err != nil {
 		return fmt.Errorf("key-value %s %s: %w", call.method, call.path, err)
 	}
-	response, err := c.client.Do(request)
+	resp, err := c.client.Do(req)
 	if err != nil {
-		return c.wrap(call, lost(patience.Explain(ctx, err), connected))
+		return c.wrap(call, transportError(patience.Explain(ctx, err), connected))
 	}
-	defer func() { _ = response.Body.Close() }()
-	if err := statusError(response, call); err != nil {
+	defer func() { _ = resp.Body.Close() }()
+	if err := statusError(resp, call); err != nil {
 		return c.wrap(call, err)
 	}
 	if target == nil {
 		return nil
 	}
-	data, err := provider.ReadAll(ctx, response.Body, maxAnswerBytes)
+	data, err := provider.ReadAll(ctx, resp.Body, maxResponseBytes)
 	if err == nil {
 		err = json.Unmarshal(data, target)
 	}
@@ -214,21 +214,21 @@
 }
 
 func (c *kvClient) wrap(call kvCall, err error) error {
-	return fmt.Errorf("key-value %s %s at %s: %w", call.method, call.path, c.peer, err)
+	return fmt.Errorf("key-value %s %s at %s: %w", call.method, call.path, c.address, err)
 }
 
-// lost says what a transport error means: where no connection was ever had, no
-// call was sent; all else may have been. The kind of the error does not tell: a
-// context that ends while a connection is made looks like one that ends later.
-func lost(err error, connected bool) error {
+// transportError classifies an error of the HTTP transport: without a connection no call was
+// sent, otherwise it may have been. The error itself does not distinguish the two, since a
+// context may expire before or after a connection was made.
+func transportError(err error, connected bool) error {
 	if !connected {
 		return errors.Join(ErrUnavailable, err)
 	}
 	return errors.Join(ErrUnknown, err)
 }
 
-func statusError(response *http.Response, call kvCall) error {
-	switch response.StatusCode {
+func statusError(resp *http.Response, call kvCall) error {
+	switch resp.StatusCode {
 	case http.StatusOK:
 		return nil
 	case http.StatusNotFound:
@@ -236,14 +236,14 @@
 	case http.StatusGone:
 		return ErrCompacted
 	case http.StatusConflict:
-		var answer revisionAnswer
-		if err := json.NewDecoder(response.Body).Decode(&answer); err != nil {
+		var body revisionResponse
+		if err := json.NewDecoder(resp.Body).Decode(&body); err != nil {
 			return errors.Join(ErrUnknown, err)
 		}
-		return &ConflictError{Key: call.path[len("/kv/"):], Revision: answer.Revision}
+		return &ConflictError{Key: call.path[len("/kv/"):], Revision: body.Revision}
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return ErrUnavailable
 	default:
-		return fmt.Errorf("%w: status %s", ErrUnknown, response.Status)
+		return fmt.Errorf("%w: status %s", ErrUnknown, resp.Status)
 	}
 }
--- a/daemon/internal/process/platform/platform.go
+++ b/daemon/internal/process/platform/platform.go
@@ -1,11 +1,9 @@
-// Package platform holds the adapters to the platform's services: the
-// key-value service and the host list.
+// Package platform holds the clients of the platform's services: the key-value service and the
+// host list.
 //
-// An adapter is a concrete type whose calls are function fields. The formats
-// that the platform really speaks are not known yet; when they are, a new
-// constructor fills the same fields and nothing outside this package changes.
-// Tests replace single calls. An interface would say the same, but each fake
-// would have to carry every method.
+// A client is a struct whose calls are function fields, so that another constructor can
+// support another protocol without changes outside this package, and tests can replace single
+// calls. An interface was rejected, because each fake would have to implement all methods.
 package platform
 
 import (
@@ -15,24 +13,24 @@
 
 // Errors of the key-value service.
 var (
-	// ErrNotFound: the key or the lease does not exist.
+	// ErrNotFound means that the key or the lease does not exist.
 	ErrNotFound = errors.New("not found")
-	// ErrCompacted: the watch's revision is no longer kept; list again.
+	// ErrCompacted means that the changes after a watch's revision are no longer kept.
 	ErrCompacted = errors.New("revision no longer kept")
-	// ErrUnavailable: the call had no effect.
+	// ErrUnavailable means that the call had no effect.
 	ErrUnavailable = errors.New("key-value service unavailable")
-	// ErrUnknown: the answer was lost; a write may have taken effect.
-	ErrUnknown = errors.New("answer of the key-value service lost")
+	// ErrUnknown means that the response was lost. A write may have taken effect.
+	ErrUnknown = errors.New("response of the key-value service lost")
 )
 
-// ConflictError says that a write's condition did not hold.
+// ConflictError is the error of a write whose condition was not met.
 type ConflictError struct {
 	Key string
-	// Revision is the key's present revision, 0 when it is absent.
+	// Revision is the current revision of the key, 0 if it is absent.
 	Revision uint64
 }
 
-// Error names the key and its present revision.
+// Error returns a message with the key and its current revision.
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("key %s is at revision %d", e.Key, e.Revision)
 }
