--- a/daemon/internal/process/telemetry/bounded.go
+++ b/daemon/internal/process/telemetry/bounded.go
@@ -7,32 +7,31 @@
 	"sync/atomic"
 )
 
-// boundedLines is how many lines wait for a slow reader of the log.
+// boundedLines is the capacity of the queue of lines.
 const boundedLines = 2048
 
-// Bounded is a writer of log lines that never blocks: lines wait in a bounded
-// queue, and what does not fit is dropped, counted and said so in a line of its
-// own once there is room. Blocking was rejected, because a reader of the log
-// that stops would stop requests.
+// Bounded is a writer of log lines that never blocks. Lines are queued, and lines that exceed
+// the queue are dropped and counted; the count is logged once the output accepts lines again.
+// Blocking was rejected, because a stalled reader of the log would stall requests.
 type Bounded struct {
 	lines chan []byte
-	// mu guards closed; lines are sent under it, which never waits, so that none is sent
-	// to a closed queue.
+	// mu guards closed. Lines are queued under its read lock, so that none is sent on the
+	// closed channel; queueing does not block.
 	mu      sync.RWMutex
 	closed  bool
 	dropped atomic.Int64
 	done    chan struct{}
 }
 
-// NewBounded writes to output until Close.
+// NewBounded returns a writer that writes to output until Close.
 func NewBounded(output io.Writer) *Bounded {
 	b := &Bounded{lines: make(chan []byte, boundedLines), done: make(chan struct{})}
 	go b.run(output)
 	return b
 }
 
-// NewWithBounded starts a telemetry whose lines go to the options' output through
-// a bounded writer. Close the telemetry first, then the writer.
+// NewWithBounded returns a Telemetry that logs to the options' output through a Bounded
+// writer. The Telemetry must be closed before the writer.
 func NewWithBounded(options Options) (*Telemetry, *Bounded, error) {
 	if options.Output == nil {
 		options.Output = io.Discard
@@ -47,8 +46,8 @@
 	return t, output, nil
 }
 
-// Write takes one line; it always reports success. Lines after Close are dropped: handlers of
-// requests that were cut may still write.
+// Write queues one line and always reports success. It drops lines after Close, because
+// handlers of aborted requests may still log then.
 func (b *Bounded) Write(line []byte) (int, error) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
@@ -63,7 +62,7 @@
 	return len(line), nil
 }
 
-// Close ends the writer once the waiting lines are written.
+// Close writes the queued lines and ends the writer.
 func (b *Bounded) Close() {
 	b.mu.Lock()
 	b.closed = true
--- a/daemon/internal/process/telemetry/bounded_test.go
+++ b/daemon/internal/process/telemetry/bounded_test.go
@@ -10,49 +10,47 @@
 	"github.com/stretchr/testify/require"
 )
 
-// stalled is a reader of the log that stops until it is let go on.
-type stalled struct {
+// stalledOutput is an output that blocks until resume is closed.
+type stalledOutput struct {
 	entered chan struct{}
-	goOn    chan struct{}
+	resume  chan struct{}
 	bytes.Buffer
 }
 
-func (s *stalled) Write(line []byte) (int, error) {
+func (s *stalledOutput) Write(line []byte) (int, error) {
 	select {
 	case s.entered <- struct{}{}:
 	default:
 	}
-	<-s.goOn
+	<-s.resume
 	return s.Buffer.Write(line)
 }
 
-// TestAReaderThatStopsBlocksNobody: lines beyond the queue are dropped and
-// counted, and the count is written once the reader goes on.
-func TestAReaderThatStopsBlocksNobody(t *testing.T) {
-	const beyond = 37
-	reader := &stalled{entered: make(chan struct{}, 1), goOn: make(chan struct{})}
-	b := NewBounded(reader)
+// Guards against a stalled reader of the log that blocks requests.
+func TestStalledOutputDropsAndCountsLines(t *testing.T) {
+	const excess = 37
+	output := &stalledOutput{entered: make(chan struct{}, 1), resume: make(chan struct{})}
+	b := NewBounded(output)
 	line := func(i int) {
 		n, err := fmt.Fprintf(b, "line %d\n", i)
 		require.NoError(t, err)
 		assert.Positive(t, n)
 	}
 	line(0)
-	<-reader.entered // it holds the first line, so the queue is empty
-	for i := range boundedLines + beyond {
+	<-output.entered // the output has received the first line, so the queue is empty
+	for i := range boundedLines + excess {
 		line(i + 1)
 	}
-	close(reader.goOn)
+	close(output.resume)
 	b.Close()
-	text := reader.String()
+	text := output.String()
 	assert.Equal(t, boundedLines+1, strings.Count(text, "line "))
-	assert.Contains(t, text, fmt.Sprintf(`"message":"log lines dropped","fields":{"count":%d}`, beyond))
+	assert.Contains(t, text, fmt.Sprintf(`"message":"log lines dropped","fields":{"count":%d}`, excess))
 	assert.Equal(t, 1, strings.Count(text, "dropped"))
 }
 
-// TestLinesAfterTheEndAreDropped: a request that a stop cut wrote its line after the log had
-// been closed, and its handler ended in a panic.
-func TestLinesAfterTheEndAreDropped(t *testing.T) {
+// Guards against a panic in the handler of an aborted request that logs after Close.
+func TestWriteAfterCloseIsDropped(t *testing.T) {
 	output := &bytes.Buffer{}
 	b := NewBounded(output)
 	_, err := b.Write([]byte("before\n"))
--- a/daemon/internal/process/telemetry/standard.go
+++ b/daemon/internal/process/telemetry/standard.go
@@ -9,26 +9,25 @@
 	"golang.org/x/time/rate"
 )
 
-// standardLines bounds the lines a second that libraries may write.
+// standardLines is the maximum number of lines per second from libraries.
 const standardLines = 20
 
-// Standard is an output for Go's standard logger that makes each text a JSON line, a
-// bounded number a second. The HTTP library writes there when a handler panics, with its
-// stack, and when an upstream sends an answer that nobody asked for: as plain text they
-// are lost to whoever reads the log by its fields.
+// Standard is an output for Go's standard logger that writes each text as a JSON line, at a
+// limited rate. Package net/http logs there when a handler panics and when an upstream sends
+// an unsolicited response; as plain text these messages would break the log's JSON format.
 type Standard struct {
 	output  io.Writer
 	limiter *rate.Limiter
-	// leftOut counts the texts that the bound kept back since the last line.
-	leftOut int
+	// dropped counts the texts that were dropped since the last line.
+	dropped int
 }
 
-// NewStandard returns an output that writes lines to another one.
+// NewStandard returns a Standard that writes to output.
 func NewStandard(output io.Writer) *Standard {
 	return &Standard{output: output, limiter: rate.NewLimiter(standardLines, standardLines)}
 }
 
-// standardLine is one line.
+// standardLine is one line of the log.
 type standardLine struct {
 	Fields    standardFields `json:"fields"`
 	Level     string         `json:"level"`
@@ -41,20 +40,20 @@
 	LeftOut int    `json:"leftOut,omitempty"`
 }
 
-// Write takes one text; it always reports success. The standard logger calls it from one
-// goroutine at a time.
+// Write logs one text and always reports success. The standard logger does not call it
+// concurrently.
 func (s *Standard) Write(text []byte) (int, error) {
 	if !s.limiter.Allow() {
-		s.leftOut++
+		s.dropped++
 		return len(text), nil
 	}
 	line, err := json.Marshal(standardLine{
-		Fields: standardFields{Text: strings.TrimSpace(string(text)), LeftOut: s.leftOut},
-		Level:  "warn", Timestamp: time.Now(), Message: "a library says",
+		Fields: standardFields{Text: strings.TrimSpace(string(text)), LeftOut: s.dropped},
+		Level:  "warn", Timestamp: time.Now(), Message: "log output of a library",
 	})
 	if err == nil {
 		_, _ = s.output.Write(append(line, '\n'))
-		s.leftOut = 0
+		s.dropped = 0
 	}
 	return len(text), nil
 }
--- a/daemon/internal/process/telemetry/standard_test.go
+++ b/daemon/internal/process/telemetry/standard_test.go
@@ -9,9 +9,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestLibrariesWriteBoundedLines: what libraries write is JSON, and too much of it is
-// counted and left out.
-func TestLibrariesWriteBoundedLines(t *testing.T) {
+// Guards against plain text and unlimited output from libraries in the log.
+func TestStandardWritesRateLimitedJSONLines(t *testing.T) {
 	var output bytes.Buffer
 	standard := NewStandard(&output)
 	logger := log.New(standard, "", 0)
--- a/daemon/internal/process/telemetry/telemetry.go
+++ b/daemon/internal/process/telemetry/telemetry.go
@@ -1,8 +1,7 @@
-// Package telemetry gives a process its log, its metrics and its health pages.
+// Package telemetry provides the log, the metrics and the health pages of a process.
 //
-// Every routing or placement decision is one JSON line with the field
-// "decision"; nothing else carries that field, so the decisions of a fleet can
-// be picked out of its logs with one filter.
+// Each routing or placement decision is logged as one JSON line with the field "decision". No
+// other line has that field, so one filter selects the decisions of a fleet.
 package telemetry
 
 import (
@@ -22,30 +21,30 @@
 	promtally "github.com/uber-go/tally/v4/prometheus"
 )
 
-// reportEvery is the interval in which counters reach /metrics.
+// reportEvery is the interval at which metrics are reported to /metrics.
 const reportEvery = time.Second
 
-// Options describe the process.
+// Options configures a Telemetry.
 type Options struct {
 	Role, Name, Hall string
 	// Level is debug, info, warn or error.
 	Level string
-	// Output takes the log lines; nil means standard error.
+	// Output receives the log lines; nil means standard error.
 	Output io.Writer
 }
 
-// Telemetry is a process's log and metrics.
+// Telemetry holds the log and the metrics of a process.
 type Telemetry struct {
 	Log   *log.Entry
 	Scope tally.Scope
 
 	closer  io.Closer
 	metrics http.Handler
-	// notReady holds why the process is not ready, "" when it is.
+	// notReady holds the reason why the process is not ready, "" if it is ready.
 	notReady atomic.Value
 }
 
-// New starts the metrics reporter; Close ends it.
+// New returns a Telemetry and starts its metrics reporter, which Close stops.
 func New(options Options) (*Telemetry, error) {
 	output := options.Output
 	if output == nil {
@@ -74,17 +73,17 @@
 	return t, nil
 }
 
-// Close flushes and ends the metrics reporter.
+// Close flushes and stops the metrics reporter.
 func (t *Telemetry) Close() { _ = t.closer.Close() }
 
-// Decision is one routing or placement decision: what was decided, the choice,
-// why, at which configuration revision, and what else it depended on.
+// Decision is one routing or placement decision, with the configuration revision that it is
+// based on.
 type Decision struct {
 	Step     string // "route", "place", "activate", "fetch", ...
 	Choice   string
 	Reason   string
 	Revision uint64
-	// Details are further fields of the line, such as the candidates.
+	// Details holds further fields of the line, such as the candidates.
 	Details log.Fields
 }
 
@@ -97,20 +96,20 @@
 	t.Log.WithFields(fields).Info(d.Step + " decided")
 }
 
-// Contact logs that the store was lost, with the cause, or answers again. Prefix
-// is what of it the process follows.
-func (t *Telemetry) Contact(prefix string, lost error) {
+// Contact logs that the connection to the store was lost, with its cause err, or restored if err
+// is nil. Prefix is the part of the store that the process follows.
+func (t *Telemetry) Contact(prefix string, err error) {
 	fields := log.Fields{"dependency": "store", "prefix": prefix}
-	if lost != nil {
-		fields["reason"] = lost.Error()
+	if err != nil {
+		fields["reason"] = err.Error()
 		t.Log.WithFields(fields).Warn("dependency lost")
 		return
 	}
 	t.Log.WithFields(fields).Info("dependency regained")
 }
 
-// NeighbourMuted writes one line when a daemon of the hall that is asked in place of
-// the store is not asked for a while.
+// NeighbourMuted logs that a peer of the hall, which is queried in place of the store, is not
+// queried for a while.
 func (t *Telemetry) NeighbourMuted(neighbour netip.AddrPort, reason error) {
 	t.Scope.Counter("neighbours_muted").Inc(1)
 	t.Log.WithFields(log.Fields{
@@ -121,13 +120,13 @@
 // SetReady marks the process as ready.
 func (t *Telemetry) SetReady() { t.notReady.Store("") }
 
-// SetNotReady marks the process as not ready and says why.
-func (t *Telemetry) SetNotReady(why string) { t.notReady.Store(why) }
+// SetNotReady marks the process as not ready for the given reason.
+func (t *Telemetry) SetNotReady(reason string) { t.notReady.Store(reason) }
 
-// NotReady returns why the process is not ready, or "".
+// NotReady returns the reason why the process is not ready, or "".
 func (t *Telemetry) NotReady() string {
-	why, _ := t.notReady.Load().(string)
-	return why
+	reason, _ := t.notReady.Load().(string)
+	return reason
 }
 
 // Pages adds /metrics, /healthz and /readyz to a mux.
@@ -140,8 +139,8 @@
 func (t *Telemetry) Health(mux *http.ServeMux) {
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "alive\n") })
 	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
-		if why := t.NotReady(); why != "" {
-			http.Error(w, "not ready: "+why, http.StatusServiceUnavailable)
+		if reason := t.NotReady(); reason != "" {
+			http.Error(w, "not ready: "+reason, http.StatusServiceUnavailable)
 			return
 		}
 		_, _ = io.WriteString(w, "ready\n")
