--- a/daemon/agent/agent.go
+++ b/daemon/agent/agent.go
@@ -289,7 +289,7 @@
 	p.reporter.Send(ctx)
 	drained := p.gate.Drain(ctx)
 	helpers.Pause(helpers.OrDefault(p.options.LameDuck, lameDuck), ctx.Done())
-	p.server.Closing()
+	p.server.DisableKeepAlives()
 	if err := p.server.Shutdown(ctx); err != nil && drained == nil {
 		return err
 	}
@@ -299,7 +299,7 @@
 // Kill ends the agent at once, as a host that dies.
 func (p *Process) Kill() {
 	p.stopOnce.Do(func() {
-		p.server.Kill()
+		p.server.Close()
 		p.close()
 	})
 }
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -293,7 +293,7 @@
 	p.mu.Unlock()
 	p.telemetry.Decide(telemetry.Decision{Step: "leave", Choice: "drain", Reason: "the process was told to stop"})
 	p.placer.Stop() // another entry takes the lease at once
-	p.callers.Closing()
+	p.callers.DisableKeepAlives()
 	helpers.Pause(helpers.OrDefault(p.options.LameDuck, lameDuck), ctx.Done())
 	return errors.Join(p.callers.Shutdown(ctx), p.operators.Shutdown(ctx), p.peers.Shutdown(ctx))
 }
@@ -309,7 +309,7 @@
 func (p *Process) killServers() {
 	for _, s := range []*server.Server{p.callers, p.operators, p.peers} {
 		if s != nil {
-			s.Kill()
+			s.Close()
 		}
 	}
 }
--- a/daemon/internal/process/server/server.go
+++ b/daemon/internal/process/server/server.go
@@ -47,9 +47,9 @@
 	Address        netip.AddrPort
 	Handler        http.Handler
 	MaxHeaderBytes int
-	// Quiet is how long a connection must have been idle before a shutdown closes it; 0
+	// IdleTimeout is how long a connection must have been idle before a shutdown closes it; 0
 	// means 100 ms.
-	Quiet time.Duration
+	IdleTimeout time.Duration
 }
 
 // Listen binds the address and serves in a goroutine.
@@ -63,7 +63,7 @@
 		return nil, fmt.Errorf("listen for %s on %s: not a TCP address", options.Name, options.Address)
 	}
 	s := &Server{
-		Address: bound.AddrPort(), listener: listener, idleTimeout: helpers.OrDefault(options.Quiet, defaultIdleTimeout), done: make(chan struct{}),
+		Address: bound.AddrPort(), listener: listener, idleTimeout: helpers.OrDefault(options.IdleTimeout, defaultIdleTimeout), done: make(chan struct{}),
 	}
 	s.http = &http.Server{
 		Handler: s.closeWhenDraining(options.Handler), ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: options.MaxHeaderBytes, ConnState: s.conns.setState,
@@ -97,14 +97,14 @@
 	})
 }
 
-// Closing makes every further response close its connection.
-func (s *Server) Closing() { s.keepAlivesDisabled.Store(true) }
+// DisableKeepAlives makes every further response close its connection.
+func (s *Server) DisableKeepAlives() { s.keepAlivesDisabled.Store(true) }
 
 // Shutdown stops accepting connections, and waits for the requests in flight and for those
 // that callers are about to send on open connections. Only then does it call
 // http.Server.Shutdown, which drops requests that arrive later.
 func (s *Server) Shutdown(ctx context.Context) error {
-	s.Closing()
+	s.DisableKeepAlives()
 	_ = s.listener.Close()
 	<-s.done
 	s.conns.closeIdle(ctx, s.idleTimeout)
@@ -116,8 +116,8 @@
 	return nil
 }
 
-// Kill closes the listener and all connections at once, as a crash of the host would.
-func (s *Server) Kill() {
+// Close closes the listener and all connections at once, as a crash of the host would.
+func (s *Server) Close() {
 	_ = s.http.Close()
 	<-s.done
 }
--- a/daemon/internal/process/server/server_test.go
+++ b/daemon/internal/process/server/server_test.go
@@ -20,11 +20,11 @@
 func start(t *testing.T) *server.Server {
 	t.Helper()
 	s, err := server.Listen(server.Options{
-		Name: "callers", Address: netip.MustParseAddrPort("127.0.0.1:0"), Quiet: time.Minute,
+		Name: "callers", Address: netip.MustParseAddrPort("127.0.0.1:0"), IdleTimeout: time.Minute,
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }),
 	})
 	require.NoError(t, err)
-	t.Cleanup(s.Kill)
+	t.Cleanup(s.Close)
 	return s
 }
 
@@ -53,7 +53,7 @@
 // shutdown starts to shut a server down, and returns once it accepts no new connections.
 func shutdown(t *testing.T, s *server.Server) <-chan error {
 	t.Helper()
-	s.Closing()
+	s.DisableKeepAlives()
 	done := make(chan error, 1)
 	go func() { done <- s.Shutdown(context.Background()) }()
 	require.Eventually(t, func() bool {
@@ -92,7 +92,7 @@
 func TestShutdownClosesIdleConnections(t *testing.T) {
 	started, release := make(chan struct{}), make(chan struct{})
 	s, err := server.Listen(server.Options{
-		Name: "callers", Address: netip.MustParseAddrPort("127.0.0.1:0"), Quiet: time.Millisecond,
+		Name: "callers", Address: netip.MustParseAddrPort("127.0.0.1:0"), IdleTimeout: time.Millisecond,
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			close(started)
 			<-release
@@ -100,7 +100,7 @@
 		}),
 	})
 	require.NoError(t, err)
-	t.Cleanup(s.Kill)
+	t.Cleanup(s.Close)
 	idle, busy := dial(t, s), dial(t, s)
 	_, err = io.WriteString(busy, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	require.NoError(t, err)
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -228,7 +228,7 @@
 	p.telemetry.Pages(mux)
 	p.metrics, err = server.Listen(server.Options{Name: "metrics", Address: p.current.Load().Listen.Metrics, Handler: mux})
 	if err != nil {
-		p.peers.Kill()
+		p.peers.Close()
 		return fmt.Errorf("loader %s: %w", p.current.Load().Name, err)
 	}
 	for _, follower := range p.followers() {
@@ -357,8 +357,8 @@
 	for _, follower := range p.followers() {
 		follower.Stop()
 	}
-	p.peers.Kill()
-	p.metrics.Kill()
+	p.peers.Close()
+	p.metrics.Close()
 	p.log.Info("stopped")
 	p.telemetry.Close()
 	p.output.Close()
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -201,7 +201,7 @@
 	p.draining.Store(true)
 	p.telemetry.SetNotReady("stopping")
 	p.recorder.stopping()
-	p.callers.Closing()
+	p.callers.DisableKeepAlives()
 	defer p.endBefore(ctx)()
 	helpers.Pause(helpers.OrDefault(p.options.LameDuck, lameDuck), ctx.Done())
 	err := p.callers.Shutdown(ctx)
@@ -236,7 +236,7 @@
 func (p *Process) kill() {
 	for _, s := range []*server.Server{p.callers, p.ready, p.peers, p.metrics} {
 		if s != nil {
-			s.Kill()
+			s.Close()
 		}
 	}
 }
