--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -103,7 +103,7 @@
 	}
 	p := &Process{
 		settings: s, options: options, telemetry: t,
-		table: &tables.Table{}, members: &members.Table{Silence: options.Silence},
+		table: &tables.Table{}, members: &members.Table{HeartbeatTimeout: options.Silence},
 		router:    &route.Router{Hall: s.Hall},
 		transport: upstream.NewTransport(options.Dial),
 		stopping:  make(chan struct{}), done: make(chan struct{}),
--- a/daemon/internal/connection/control/control.go
+++ b/daemon/internal/connection/control/control.go
@@ -75,7 +75,7 @@
 // Sync returns the members that changed since the caller's cursor.
 func (s *Server) Sync(_ context.Context, request *wire.SyncRequest) (*wire.SyncResponse, error) {
 	from := members.Position{Instance: request.GetInstance(), Cursor: request.GetCursor(), Buckets: request.GetBuckets()}
-	position, changed := s.Members.Since(from)
+	position, changed := s.Members.ChangesAfter(from)
 	return &wire.SyncResponse{Instance: position.Instance, Cursor: position.Cursor, Members: changed}, nil
 }
 
--- a/daemon/internal/process/members/members.go
+++ b/daemon/internal/process/members/members.go
@@ -30,11 +30,11 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/helpers"
 )
 
-// DefaultSilence is the time without a heartbeat after which an agent is suspect.
-const DefaultSilence = 3 * time.Second
+// DefaultHeartbeatTimeout is the time without a heartbeat after which an agent is suspect.
+const DefaultHeartbeatTimeout = 3 * time.Second
 
-// DefaultForget is how long the record of a suspect agent is kept.
-const DefaultForget = 10 * time.Minute
+// DefaultSuspectRetention is how long the record of a suspect agent is kept.
+const DefaultSuspectRetention = 10 * time.Minute
 
 // Table holds one record per agent. The zero value is empty and ready to use.
 //
@@ -42,8 +42,8 @@
 type Table struct {
 	// Now is the clock; nil means clock.Now.
 	Now func() time.Time
-	// Silence and Forget replace the defaults unless they are 0.
-	Silence, Forget time.Duration
+	// HeartbeatTimeout and SuspectRetention replace the defaults unless they are 0.
+	HeartbeatTimeout, SuspectRetention time.Duration
 
 	view atomic.Pointer[View]
 
@@ -76,8 +76,8 @@
 // Agent is one agent in a view.
 type Agent struct {
 	*wire.Member
-	// Heard is when this entry last received a heartbeat or a changed record of the agent.
-	Heard time.Time
+	// ReceivedAt is when this entry last received a heartbeat or a changed record of the agent.
+	ReceivedAt time.Time
 	// SuspectSince is when this entry received or set the suspect mark, zero if there is
 	// none.
 	SuspectSince time.Time
@@ -207,10 +207,10 @@
 	var marked []string
 	for name, rec := range t.records {
 		switch {
-		case rec.direct && !rec.member.GetSuspect() && now.Sub(rec.receivedAt) > helpers.OrDefault(t.Silence, DefaultSilence):
+		case rec.direct && !rec.member.GetSuspect() && now.Sub(rec.receivedAt) > helpers.OrDefault(t.HeartbeatTimeout, DefaultHeartbeatTimeout):
 			t.replace(rec, suspected(rec.member))
 			marked = append(marked, name)
-		case rec.member.GetSuspect() && now.Sub(rec.suspectSince) > helpers.OrDefault(t.Forget, DefaultForget):
+		case rec.member.GetSuspect() && now.Sub(rec.suspectSince) > helpers.OrDefault(t.SuspectRetention, DefaultSuspectRetention):
 			delete(t.records, name)
 			t.publish()
 		}
@@ -241,11 +241,11 @@
 	Buckets []uint64
 }
 
-// Since returns the records that changed after a position, and the position to read from
+// ChangesAfter returns the records that changed after a position, and the position to read from
 // next. A reader without a cursor of this table gets the records of the buckets in which
 // both tables differ, or all records if it sends no buckets. Without the buckets an entry
 // would transfer the complete table on its first contact with each of the others.
-func (t *Table) Since(from Position) (Position, []*wire.Member) {
+func (t *Table) ChangesAfter(from Position) (Position, []*wire.Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.init()
@@ -317,7 +317,7 @@
 func (t *Table) buildView() *View {
 	view := &View{ByName: make(map[string]*Agent, len(t.records)), ByService: map[string][]*Agent{}}
 	for _, rec := range t.records {
-		view.Agents = append(view.Agents, Agent{Member: rec.member, Heard: rec.receivedAt, SuspectSince: rec.suspectSince})
+		view.Agents = append(view.Agents, Agent{Member: rec.member, ReceivedAt: rec.receivedAt, SuspectSince: rec.suspectSince})
 	}
 	slices.SortFunc(view.Agents, func(a, b Agent) int { return strings.Compare(a.GetName(), b.GetName()) })
 	for i := range view.Agents {
@@ -337,9 +337,9 @@
 	return view
 }
 
-// LastHeard returns when this entry last received a heartbeat or a changed record of any
+// LastReceivedAt returns when this entry last received a heartbeat or a changed record of any
 // agent of a hall, the zero time if it never did.
-func (t *Table) LastHeard(hall string) time.Time {
+func (t *Table) LastReceivedAt(hall string) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var last time.Time
--- a/daemon/internal/process/members/members_test.go
+++ b/daemon/internal/process/members/members_test.go
@@ -46,13 +46,13 @@
 	clock := func() time.Time { return now }
 	direct, other := &Table{Now: clock}, &Table{Now: clock}
 	assert.Equal(t, Reply{}, direct.Report("a", 1, 1, member("a", 1, 1)))
-	position, changed := direct.Since(Position{})
+	position, changed := direct.ChangesAfter(Position{})
 	other.Merge(changed)
-	now = now.Add(2 * DefaultSilence)
+	now = now.Add(2 * DefaultHeartbeatTimeout)
 	assert.Empty(t, other.Sweep(), "an entry without direct heartbeats must not mark an agent suspect")
 	assert.Equal(t, []string{"a"}, direct.Sweep())
 	assert.Empty(t, direct.Sweep(), "an agent is marked only once")
-	position, changed = direct.Since(position)
+	position, changed = direct.ChangesAfter(position)
 	require.Len(t, changed, 1)
 	other.Merge(changed)
 	assert.True(t, other.View().ByName["a"].GetSuspect())
@@ -61,10 +61,10 @@
 	assert.Equal(t, uint64(1), reply.SuspectSequence, "any entry reports the mark to the agent")
 	assert.Equal(t, Reply{}, other.Report("a", 1, 2, member("a", 1, 2)))
 	assert.False(t, other.View().ByName["a"].GetSuspect())
-	_, changed = other.Since(Position{})
+	_, changed = other.ChangesAfter(Position{})
 	direct.Merge(changed)
 	assert.False(t, direct.View().ByName["a"].GetSuspect(), "the refutation spreads to the entry that set the mark")
-	_, changed = direct.Since(position)
+	_, changed = direct.ChangesAfter(position)
 	assert.Len(t, changed, 1)
 }
 
@@ -86,7 +86,7 @@
 	now = now.Add(time.Minute)
 	table.Sweep()
 	assert.Len(t, table.View().Agents, 1)
-	now = now.Add(2 * DefaultForget)
+	now = now.Add(2 * DefaultSuspectRetention)
 	table.Sweep()
 	assert.Empty(t, table.View().Agents)
 }
@@ -108,13 +108,13 @@
 		one.Merge([]*wire.Member{shared})
 		two.Merge([]*wire.Member{shared})
 	}
-	_, changed := one.Since(Position{Buckets: two.Buckets()})
+	_, changed := one.ChangesAfter(Position{Buckets: two.Buckets()})
 	assert.Empty(t, changed, "equal tables exchange no records")
 	one.Merge([]*wire.Member{member("agent-7", 1, 2), member("new", 1, 1)})
-	_, changed = one.Since(Position{Instance: "another", Cursor: 99, Buckets: two.Buckets()})
+	_, changed = one.ChangesAfter(Position{Instance: "another", Cursor: 99, Buckets: two.Buckets()})
 	assert.Less(t, len(changed), 50, "only records of differing buckets are sent")
 	two.Merge(changed)
 	assert.Equal(t, names(&one), names(&two))
-	_, changed = one.Since(Position{})
+	_, changed = one.ChangesAfter(Position{})
 	assert.Len(t, changed, 501, "a reader without a table gets all records")
 }
