--- a/daemon/internal/process/orders/orders.go
+++ b/daemon/internal/process/orders/orders.go
@@ -41,10 +41,10 @@
 		return nil
 	}
 	order := &wire.Order{Service: service.Name, Token: assignment.Token, InFlightLimit: inFlightLimit(view, service.Name)}
-	if assignment.Serve != placement.None {
-		order.Serve = version(view, membership, hall, service.Versions[assignment.Serve])
+	if assignment.VersionIndex != placement.None {
+		order.Serve = version(view, membership, hall, service.Versions[assignment.VersionIndex])
 	}
-	if assignment.Serve != service.Target && service.Target != placement.None {
+	if assignment.VersionIndex != service.Target && service.Target != placement.None {
 		order.Next = version(view, membership, hall, service.Versions[service.Target])
 	}
 	return order
@@ -137,7 +137,7 @@
 		service := &document.Services[i]
 		isTarget := service.Manifest(service.Target) == manifest
 		for _, host := range service.Hosts {
-			if !isTarget && service.Manifest(host.Serve) != manifest {
+			if !isTarget && service.Manifest(host.VersionIndex) != manifest {
 				continue
 			}
 			agent := membership.ByName[host.Name]
--- a/daemon/internal/process/placement/document.go
+++ b/daemon/internal/process/placement/document.go
@@ -60,12 +60,12 @@
 	// Token is the fencing token of the host's orders. It increases with each change of
 	// the version to serve.
 	Token uint64 `json:"t"`
-	// Serve is the index of the version that the host is to serve now, or None.
-	Serve int `json:"v"`
+	// VersionIndex is the index of the version that the host is to serve now, or None.
+	VersionIndex int `json:"v"`
 }
 
-// Find returns the placement of a service, or nil.
-func (d *Document) Find(service string) *Service {
+// FindService returns the placement of a service, or nil.
+func (d *Document) FindService(service string) *Service {
 	for i := range d.Services {
 		if d.Services[i].Name == service {
 			return &d.Services[i]
@@ -125,6 +125,6 @@
 	s.Target = renumber(s.Target)
 	s.Previous = renumber(s.Previous)
 	for i := range s.Hosts {
-		s.Hosts[i].Serve = renumber(s.Hosts[i].Serve)
+		s.Hosts[i].VersionIndex = renumber(s.Hosts[i].VersionIndex)
 	}
 }
--- a/daemon/internal/process/placement/plan.go
+++ b/daemon/internal/process/placement/plan.go
@@ -21,19 +21,19 @@
 // Candidate is one engine host of the hall.
 type Candidate struct {
 	Name string
-	// Keep is false for a host that has left, is leaving, or has been suspect for too long.
+	// KeepAssignment is false for a host that has left, is leaving, or has been suspect for too long.
 	// Its assignment moves to another host.
-	Keep bool
-	// Take says that the host may get a new assignment.
-	Take bool
-	// Ready is the manifest that the host serves for ReadyService.
-	Ready        string
-	ReadyService string
-	// Staged is the manifest that the host holds or fetches.
-	Staged string
-	// Failed is the manifest whose activation failed, and Failure the reason.
-	Failed  string
-	Failure string
+	KeepAssignment bool
+	// Assignable says that the host may get a new assignment.
+	Assignable bool
+	// ReadyManifest is the manifest that the host serves for ReadyService.
+	ReadyManifest string
+	ReadyService  string
+	// StagedManifest is the manifest that the host holds or fetches.
+	StagedManifest string
+	// FailedManifest is the manifest whose activation failed, and Failure the reason.
+	FailedManifest string
+	Failure        string
 }
 
 // Input holds the inputs of Plan.
@@ -41,9 +41,9 @@
 	Previous Document
 	Targets  []Target
 	Hosts    []Candidate
-	// PauseOver reports whether the pause before a service's next wave is over; nil means
+	// PauseElapsed reports whether the pause before a service's next wave is over; nil means
 	// that there are no pauses.
-	PauseOver func(service string) bool
+	PauseElapsed func(service string) bool
 }
 
 // Step is one decision of a plan, which is logged.
@@ -103,12 +103,12 @@
 // services before it assigns further hosts, so that no service gets a host of another one.
 func (p *planner) keep(target Target) {
 	next := Service{Name: target.Service, Target: None, Previous: None}
-	if previous := p.input.Previous.Find(target.Service); previous != nil {
+	if previous := p.input.Previous.FindService(target.Service); previous != nil {
 		next = previous.clone()
 	}
 	next.Hosts = slices.DeleteFunc(next.Hosts, func(host Host) bool {
 		candidate := p.hosts[host.Name]
-		if candidate != nil && candidate.Keep {
+		if candidate != nil && candidate.KeepAssignment {
 			p.assigned[host.Name] = true
 			return false
 		}
@@ -125,11 +125,11 @@
 	}
 	for _, name := range p.free(target, target.Replicas-len(service.Hosts)) {
 		p.assigned[name] = true
-		host := Host{Name: name, Token: p.generation, Serve: service.Target}
+		host := Host{Name: name, Token: p.generation, VersionIndex: service.Target}
 		// A host that is added during a rollout serves the previous version until the last
 		// wave opens, so that it does not get the target before the waves do.
 		if service.OpenWave < service.Waves && service.Previous != None {
-			host.Serve = service.Previous
+			host.VersionIndex = service.Previous
 			host.Wave = service.Waves - 1
 		}
 		service.Hosts = append(service.Hosts, host)
@@ -141,7 +141,7 @@
 // holds reports whether a host already has the target's version.
 func holds(candidate *Candidate, target Target) bool {
 	manifest := target.Version.Manifest
-	return candidate.Ready == manifest || candidate.Staged == manifest
+	return candidate.ReadyManifest == manifest || candidate.StagedManifest == manifest
 }
 
 func placeReason(candidate *Candidate, target Target) string {
@@ -158,7 +158,7 @@
 	}
 	var names []string
 	for name, candidate := range p.hosts {
-		if candidate.Take && candidate.Keep && !p.assigned[name] {
+		if candidate.Assignable && candidate.KeepAssignment && !p.assigned[name] {
 			names = append(names, name)
 		}
 	}
@@ -185,7 +185,7 @@
 	ranked := rendezvous.Rank(service.Name, names)
 	dropped := ranked[len(ranked)-1]
 	for _, name := range ranked {
-		if p.hosts[name].Ready != service.Manifest(service.Target) {
+		if p.hosts[name].ReadyManifest != service.Manifest(service.Target) {
 			dropped = name
 		}
 	}
@@ -210,7 +210,7 @@
 	changing := 0
 	for i := range service.Hosts {
 		host := &service.Hosts[i]
-		if service.Manifest(host.Serve) == target.Version.Manifest {
+		if service.Manifest(host.VersionIndex) == target.Version.Manifest {
 			host.Wave = 0 // already serves the target, as in a rollback
 			continue
 		}
@@ -229,8 +229,8 @@
 func (p *planner) activate(service *Service) {
 	for i := range service.Hosts {
 		host := &service.Hosts[i]
-		if host.Wave < service.OpenWave && host.Serve != service.Target {
-			host.Serve = service.Target
+		if host.Wave < service.OpenWave && host.VersionIndex != service.Target {
+			host.VersionIndex = service.Target
 			host.Token = p.generation
 		}
 	}
@@ -254,7 +254,7 @@
 		p.record(service.Name, "halt", failure)
 		return
 	}
-	if !ready || p.input.PauseOver != nil && !p.input.PauseOver(service.Name) {
+	if !ready || p.input.PauseElapsed != nil && !p.input.PauseElapsed(service.Name) {
 		return
 	}
 	service.OpenWave++
@@ -276,11 +276,11 @@
 		switch {
 		case candidate == nil:
 			ready = false
-		case candidate.Failed == target:
+		case candidate.FailedManifest == target:
 			if failure == "" {
 				failure = host.Name + ": " + candidate.Failure
 			}
-		case candidate.Ready != target || candidate.ReadyService != service.Name:
+		case candidate.ReadyManifest != target || candidate.ReadyService != service.Name:
 			ready = false
 		}
 	}
--- a/daemon/internal/process/placement/plan_test.go
+++ b/daemon/internal/process/placement/plan_test.go
@@ -18,7 +18,7 @@
 func liveHosts(names ...string) []Candidate {
 	var hosts []Candidate
 	for _, name := range names {
-		hosts = append(hosts, Candidate{Name: name, Keep: true, Take: true})
+		hosts = append(hosts, Candidate{Name: name, KeepAssignment: true, Assignable: true})
 	}
 	return hosts
 }
@@ -41,8 +41,8 @@
 	for i := range h.hosts {
 		candidate := &h.hosts[i]
 		service, host := h.document.FindHost(candidate.Name)
-		if service != nil && host.Serve != None && !slices.Contains(except, candidate.Name) {
-			candidate.Ready, candidate.ReadyService = service.Manifest(host.Serve), service.Name
+		if service != nil && host.VersionIndex != None && !slices.Contains(except, candidate.Name) {
+			candidate.ReadyManifest, candidate.ReadyService = service.Manifest(host.VersionIndex), service.Name
 		}
 	}
 }
@@ -62,9 +62,9 @@
 // serving returns the manifest of each host of service "s".
 func (h *hall) serving() map[string]string {
 	serving := map[string]string{}
-	placed := h.document.Find("s")
+	placed := h.document.FindService("s")
 	for _, host := range placed.Hosts {
-		serving[host.Name] = placed.Manifest(host.Serve)
+		serving[host.Name] = placed.Manifest(host.VersionIndex)
 	}
 	return serving
 }
@@ -72,10 +72,10 @@
 func TestFirstPlacement(t *testing.T) {
 	h := &hall{targets: []Target{{Service: "s", Version: version("v1"), Replicas: 2}}, hosts: liveHosts("a", "b", "c")}
 	h.settle(t)
-	placed := h.document.Find("s")
+	placed := h.document.FindService("s")
 	require.Len(t, placed.Hosts, 2)
 	for _, host := range placed.Hosts {
-		assert.Equal(t, version("v1").Manifest, placed.Manifest(host.Serve))
+		assert.Equal(t, version("v1").Manifest, placed.Manifest(host.VersionIndex))
 		assert.Equal(t, uint64(1), host.Token)
 	}
 	assert.Empty(t, h.plan(), "an unchanged input must not change the document")
@@ -86,18 +86,18 @@
 		h := &hall{targets: []Target{{Service: "s", Version: version("v1"), Replicas: 1}}, hosts: liveHosts("a", "b", "c")}
 		for i := range h.hosts {
 			if h.hosts[i].Name == holder {
-				h.hosts[i].Staged = version("v1").Manifest
+				h.hosts[i].StagedManifest = version("v1").Manifest
 			}
 		}
 		h.plan()
-		assert.Equal(t, holder, h.document.Find("s").Hosts[0].Name)
+		assert.Equal(t, holder, h.document.FindService("s").Hosts[0].Name)
 	}
 }
 
 func TestRolloutProceedsInWaves(t *testing.T) {
 	h := &hall{targets: []Target{{Service: "s", Version: version("v1"), Replicas: 4, WaveSize: 2}}, hosts: liveHosts("a", "b", "c", "d")}
 	h.settle(t)
-	require.Equal(t, 2, h.document.Find("s").OpenWave)
+	require.Equal(t, 2, h.document.FindService("s").OpenWave)
 	h.targets[0].Version = version("v2")
 	h.plan()
 	updated := 0
@@ -113,19 +113,19 @@
 	for host, manifest := range h.serving() {
 		assert.Equal(t, version("v2").Manifest, manifest, host)
 	}
-	assert.Len(t, h.document.Find("s").Versions, 2, "the previous version is kept for a rollback")
+	assert.Len(t, h.document.FindService("s").Versions, 2, "the previous version is kept for a rollback")
 }
 
 func TestPauseBetweenWaves(t *testing.T) {
 	h := &hall{targets: []Target{{Service: "s", Version: version("v1"), Replicas: 2, WaveSize: 1}}, hosts: liveHosts("a", "b")}
 	h.plan()
 	h.applyAssignments()
-	paused := Input{Previous: h.document, Targets: h.targets, Hosts: h.hosts, PauseOver: func(string) bool { return false }}
+	paused := Input{Previous: h.document, Targets: h.targets, Hosts: h.hosts, PauseElapsed: func(string) bool { return false }}
 	_, steps := Plan(paused)
 	assert.Empty(t, steps)
-	paused.PauseOver = func(string) bool { return true }
+	paused.PauseElapsed = func(string) bool { return true }
 	next, _ := Plan(paused)
-	assert.Equal(t, 2, next.Find("s").OpenWave)
+	assert.Equal(t, 2, next.FindService("s").OpenWave)
 }
 
 func TestFailureHaltsRolloutUntilRollback(t *testing.T) {
@@ -133,14 +133,14 @@
 	h.settle(t)
 	h.targets[0].Version = version("v2")
 	h.plan()
-	h.hosts[0].Failed, h.hosts[0].Failure = version("v2").Manifest, "out of memory"
+	h.hosts[0].FailedManifest, h.hosts[0].Failure = version("v2").Manifest, "out of memory"
 	h.settle(t, "a")
-	placed := h.document.Find("s")
+	placed := h.document.FindService("s")
 	assert.Equal(t, "a: out of memory", placed.Halted)
 	assert.Equal(t, 1, placed.OpenWave)
 	assert.Equal(t, version("v1").Manifest, h.serving()["d"], "later waves keep the previous version")
 
-	h.hosts[3].Keep = false
+	h.hosts[3].KeepAssignment = false
 	h.hosts = append(h.hosts, liveHosts("e")...)
 	h.settle(t, "a")
 	assert.Equal(t, version("v1").Manifest, h.serving()["e"], "a replacement must not get the target of a halted rollout")
@@ -150,18 +150,18 @@
 	for host, manifest := range h.serving() {
 		assert.Equal(t, version("v1").Manifest, manifest, host)
 	}
-	assert.Empty(t, h.document.Find("s").Halted)
+	assert.Empty(t, h.document.FindService("s").Halted)
 }
 
 func TestHaltedRolloutResumesWithContinueOnFailure(t *testing.T) {
 	h := &hall{targets: []Target{{Service: "s", Version: version("v1"), Replicas: 2, WaveSize: 1}}, hosts: liveHosts("a", "b")}
 	h.plan()
-	h.hosts[0].Failed, h.hosts[0].Failure = version("v1").Manifest, "no"
+	h.hosts[0].FailedManifest, h.hosts[0].Failure = version("v1").Manifest, "no"
 	h.settle(t, "a")
-	require.NotEmpty(t, h.document.Find("s").Halted)
+	require.NotEmpty(t, h.document.FindService("s").Halted)
 	h.targets[0].ContinueOnFailure = true
 	h.settle(t, "a")
-	assert.Equal(t, 2, h.document.Find("s").OpenWave)
+	assert.Equal(t, 2, h.document.FindService("s").OpenWave)
 }
 
 func TestRemovedServiceFreesItsHosts(t *testing.T) {
@@ -169,8 +169,8 @@
 	h.settle(t)
 	h.targets = []Target{{Service: "t", Version: version("v1"), Replicas: 2}}
 	h.settle(t)
-	assert.Nil(t, h.document.Find("s"))
-	assert.Len(t, h.document.Find("t").Hosts, 2)
+	assert.Nil(t, h.document.FindService("s"))
+	assert.Len(t, h.document.FindService("t").Hosts, 2)
 }
 
 // Checks the documents of random sequences of declarations, host changes and failures.
@@ -197,16 +197,16 @@
 			},
 			"host changes": func(t *rapid.T) {
 				host := &h.hosts[rapid.IntRange(0, len(h.hosts)-1).Draw(t, "host")]
-				host.Keep = rapid.Bool().Draw(t, "keep")
-				host.Take = host.Keep && rapid.Bool().Draw(t, "take")
-				if !host.Keep {
-					host.Ready, host.ReadyService, host.Failed = "", "", ""
+				host.KeepAssignment = rapid.Bool().Draw(t, "keep")
+				host.Assignable = host.KeepAssignment && rapid.Bool().Draw(t, "take")
+				if !host.KeepAssignment {
+					host.ReadyManifest, host.ReadyService, host.FailedManifest = "", "", ""
 				}
 			},
 			"activation fails": func(t *rapid.T) {
 				host := &h.hosts[rapid.IntRange(0, len(h.hosts)-1).Draw(t, "host")]
 				if service, at := h.document.FindHost(host.Name); service != nil {
-					host.Failed, host.Failure = service.Manifest(at.Serve), "failed"
+					host.FailedManifest, host.Failure = service.Manifest(at.VersionIndex), "failed"
 				}
 			},
 			"plan": func(t *rapid.T) {
@@ -235,9 +235,9 @@
 			owner[host.Name] = service.Name
 			require.GreaterOrEqual(t, host.Token, tokens[host.Name], "tokens of a host must not decrease")
 			tokens[host.Name] = host.Token
-			require.Less(t, host.Serve, len(service.Versions))
+			require.Less(t, host.VersionIndex, len(service.Versions))
 			if host.Wave < service.OpenWave && service.Halted == "" {
-				require.Equal(t, service.Target, host.Serve, "hosts of open waves must have the target: %s", fmt.Sprint(service))
+				require.Equal(t, service.Target, host.VersionIndex, "hosts of open waves must have the target: %s", fmt.Sprint(service))
 			}
 		}
 	}
--- a/daemon/internal/process/placer/census.go
+++ b/daemon/internal/process/placer/census.go
@@ -48,14 +48,14 @@
 	leaving := agent.GetLeaving() || listEntry.State == platform.StateLeaving
 	unreachable := agent.GetSuspect() && (!isListed || c.Now.Sub(agent.SuspectSince) > c.ReplaceAfter)
 	return placement.Candidate{
-		Name:         agent.GetName(),
-		Keep:         !leaving && !unreachable,
-		Take:         isListed && !leaving && !agent.GetSuspect(),
-		Ready:        agent.GetReadyManifest(),
-		ReadyService: agent.GetReadyService(),
-		Staged:       agent.GetFetchManifest(),
-		Failed:       agent.GetFailedManifest(),
-		Failure:      agent.GetFailure(),
+		Name:           agent.GetName(),
+		KeepAssignment: !leaving && !unreachable,
+		Assignable:     isListed && !leaving && !agent.GetSuspect(),
+		ReadyManifest:  agent.GetReadyManifest(),
+		ReadyService:   agent.GetReadyService(),
+		StagedManifest: agent.GetFetchManifest(),
+		FailedManifest: agent.GetFailedManifest(),
+		Failure:        agent.GetFailure(),
 	}
 }
 
@@ -69,7 +69,7 @@
 				continue
 			}
 			leaving := listed[host.Name].State == platform.StateLeaving
-			hosts = append(hosts, placement.Candidate{Name: host.Name, Keep: recentLease && !leaving})
+			hosts = append(hosts, placement.Candidate{Name: host.Name, KeepAssignment: recentLease && !leaving})
 		}
 	}
 	return hosts
--- a/daemon/internal/process/placer/placer.go
+++ b/daemon/internal/process/placer/placer.go
@@ -246,7 +246,7 @@
 		return placement.Version{Model: spec.Model, Adapter: spec.Adapter, Version: spec.Version, Manifest: declared.Manifest}, true
 	}
 	document := p.previous().Document
-	placed := document.Find(service.Name)
+	placed := document.FindService(service.Name)
 	if placed == nil || placed.Target == placement.None {
 		return placement.Version{}, false
 	}
@@ -280,7 +280,7 @@
 		Now: p.now(), HeldSince: p.heldSince, ReplaceAfter: helpers.OrDefault(p.ReplaceAfter, DefaultReplaceAfter),
 	}
 	hosts := census.Candidates()
-	input := placement.Input{Previous: previous.Document, Targets: p.targets(view), Hosts: hosts, PauseOver: p.pauseOver(view, previous, hosts)}
+	input := placement.Input{Previous: previous.Document, Targets: p.targets(view), Hosts: hosts, PauseElapsed: p.pauseOver(view, previous, hosts)}
 	next, steps := placement.Plan(input)
 	if len(steps) == 0 {
 		return
--- a/daemon/internal/process/resource/rollout.go
+++ b/daemon/internal/process/resource/rollout.go
@@ -80,7 +80,7 @@
 	if !ok {
 		return status
 	}
-	service := placed.Document.Find(c.service.Name)
+	service := placed.Document.FindService(c.service.Name)
 	if service == nil || !placer.Serves(c.service.Service.Halls, hall) {
 		return status
 	}
