--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -139,8 +139,8 @@
 	}
 	p.placer = &placer.Placer{
 		Hall: p.settings.Hall, Name: p.settings.Name, KV: kv, Table: p.table, Members: p.members,
-		Listed: p.hosts.Hosts, Telemetry: p.telemetry,
-		TTL: p.options.LeaseTTL, Every: p.options.PlaceEvery, ReplaceAfter: p.options.ReplaceAfter,
+		HostList: p.hosts.Hosts, Telemetry: p.telemetry,
+		TTL: p.options.LeaseTTL, MinWriteInterval: p.options.PlaceEvery, ReplaceAfter: p.options.ReplaceAfter,
 	}
 }
 
--- a/daemon/internal/process/orders/orders.go
+++ b/daemon/internal/process/orders/orders.go
@@ -122,7 +122,7 @@
 			continue
 		}
 		for _, hall := range membership.EngineHalls {
-			if placer.Serves(service.Service.Halls, hall) {
+			if placer.ServesHall(service.Service.Halls, hall) {
 				found[hall] = true
 			}
 		}
--- a/daemon/internal/process/placer/census.go
+++ b/daemon/internal/process/placer/inventory.go
@@ -8,14 +8,14 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/platform"
 )
 
-// Census combines an entry's information on the hosts of its hall: the platform's host list,
+// Inventory combines an entry's information on the hosts of its hall: the platform's host list,
 // which lags, the records of the agents, and the last placement.
-type Census struct {
-	Hall    string
-	Listed  []platform.Host
-	Members *members.View
-	Placed  placement.Document
-	Now     time.Time
+type Inventory struct {
+	Hall      string
+	HostList  []platform.Host
+	Members   *members.View
+	Placement placement.Document
+	Now       time.Time
 	// HeldSince is when this entry acquired the lease. Its membership table may be empty for
 	// a while after that, which does not mean that all hosts have left.
 	HeldSince    time.Time
@@ -28,9 +28,9 @@
 // kept, since the list may lag behind its start. A suspect host is kept for ReplaceAfter,
 // since moving its assignment costs a fetch and a restart is shorter. A placed host without a
 // record is kept for ReplaceAfter from when the lease was acquired.
-func (c *Census) Candidates() []placement.Candidate {
+func (c *Inventory) Candidates() []placement.Candidate {
 	listed := map[string]platform.Host{}
-	for _, host := range c.Listed {
+	for _, host := range c.HostList {
 		listed[host.Name] = host
 	}
 	var hosts []placement.Candidate
@@ -44,7 +44,7 @@
 	return append(hosts, c.unreported(listed)...)
 }
 
-func (c *Census) reported(agent *members.Agent, listEntry platform.Host, isListed bool) placement.Candidate {
+func (c *Inventory) reported(agent *members.Agent, listEntry platform.Host, isListed bool) placement.Candidate {
 	leaving := agent.GetLeaving() || listEntry.State == platform.StateLeaving
 	unreachable := agent.GetSuspect() && (!isListed || c.Now.Sub(agent.SuspectSince) > c.ReplaceAfter)
 	return placement.Candidate{
@@ -60,10 +60,10 @@
 }
 
 // unreported returns the placed hosts without an agent's record.
-func (c *Census) unreported(listed map[string]platform.Host) []placement.Candidate {
+func (c *Inventory) unreported(listed map[string]platform.Host) []placement.Candidate {
 	recentLease := c.Now.Sub(c.HeldSince) <= c.ReplaceAfter
 	var hosts []placement.Candidate
-	for _, service := range c.Placed.Services {
+	for _, service := range c.Placement.Services {
 		for _, host := range service.Hosts {
 			if c.Members.ByName[host.Name] != nil {
 				continue
--- a/daemon/internal/process/placer/placer.go
+++ b/daemon/internal/process/placer/placer.go
@@ -31,9 +31,9 @@
 const (
 	// DefaultTTL is the lease's time to live.
 	DefaultTTL = 6 * time.Second
-	// DefaultEvery is the minimum interval between two writes of a document. It keeps the
+	// DefaultMinWriteInterval is the minimum interval between two writes of a document. It keeps the
 	// placers of all halls far below the service's write rate.
-	DefaultEvery = 300 * time.Millisecond
+	DefaultMinWriteInterval = 300 * time.Millisecond
 	// DefaultReplaceAfter is how long a host must be suspect before its assignment moves. It
 	// is longer than a restart, since a move costs a fetch.
 	DefaultReplaceAfter = 10 * time.Second
@@ -49,13 +49,13 @@
 	KV         *platform.KV
 	Table      *tables.Table
 	Members    *members.Table
-	// Listed returns the host list, and false if none has been fetched yet.
-	Listed    func() ([]platform.Host, bool)
+	// HostList returns the host list, and false if none has been fetched yet.
+	HostList  func() ([]platform.Host, bool)
 	Telemetry *telemetry.Telemetry
 	// Now is the clock; nil means clock.Now.
 	Now func() time.Time
-	// TTL, Every and ReplaceAfter replace the defaults unless they are 0.
-	TTL, Every, ReplaceAfter time.Duration
+	// TTL, MinWriteInterval and ReplaceAfter replace the defaults unless they are 0.
+	TTL, MinWriteInterval, ReplaceAfter time.Duration
 
 	tomb tomb.Tomb
 
@@ -98,7 +98,7 @@
 	ctx := p.tomb.Context(nil) //nolint:staticcheck // tomb takes nil for "no parent"
 	p.readySince = map[waveKey]time.Time{}
 	defer p.release()
-	interval := helpers.OrDefault(p.Every, DefaultEvery)
+	interval := helpers.OrDefault(p.MinWriteInterval, DefaultMinWriteInterval)
 	for {
 		changed := p.Table.Changed()
 		p.step(ctx)
@@ -219,7 +219,7 @@
 	var targets []placement.Target
 	for _, service := range view.Services {
 		spec := service.Service
-		if spec.Plain || !Serves(spec.Halls, p.Hall) {
+		if spec.Plain || !ServesHall(spec.Halls, p.Hall) {
 			continue
 		}
 		version, ok := p.version(view, service)
@@ -253,9 +253,9 @@
 	return placed.Versions[placed.Target], true
 }
 
-// Serves reports whether a service that declares the given halls is placed in hall; a service
+// ServesHall reports whether a service that declares the given halls is placed in hall; a service
 // that declares none is placed in all halls.
-func Serves(declared []string, hall string) bool {
+func ServesHall(declared []string, hall string) bool {
 	if len(declared) == 0 {
 		return true
 	}
@@ -270,13 +270,13 @@
 // place plans the next document and writes it if it has changed.
 func (p *Placer) place(ctx context.Context) {
 	view := p.Table.View()
-	listed, ok := p.Listed()
+	listed, ok := p.HostList()
 	if !ok {
 		return // without a host list no host can be considered gone
 	}
 	previous := p.previous()
-	census := Census{
-		Hall: p.Hall, Listed: listed, Members: p.Members.View(), Placed: previous.Document,
+	census := Inventory{
+		Hall: p.Hall, HostList: listed, Members: p.Members.View(), Placement: previous.Document,
 		Now: p.now(), HeldSince: p.heldSince, ReplaceAfter: helpers.OrDefault(p.ReplaceAfter, DefaultReplaceAfter),
 	}
 	hosts := census.Candidates()
--- a/daemon/internal/process/resource/rollout.go
+++ b/daemon/internal/process/resource/rollout.go
@@ -81,7 +81,7 @@
 		return status
 	}
 	service := placed.Document.FindService(c.service.Name)
-	if service == nil || !placer.Serves(c.service.Service.Halls, hall) {
+	if service == nil || !placer.ServesHall(c.service.Service.Halls, hall) {
 		return status
 	}
 	status.Placed, status.Waves, status.OpenWave, status.Halted = len(service.Hosts), service.Waves, service.OpenWave, service.Halted
--- a/daemon/internal/request/route/route.go
+++ b/daemon/internal/request/route/route.go
@@ -148,7 +148,7 @@
 	for _, agent := range query.Members.ByService[query.Service.Name] {
 		switch {
 		case agent.GetLeaving() || agent.GetSuspect() || slices.Contains(query.Tried, agent.GetName()):
-		case !placer.Serves(query.Service.Service.Halls, agent.GetHall()):
+		case !placer.ServesHall(query.Service.Service.Halls, agent.GetHall()):
 		case agent.GetHall() == r.Hall:
 			own = append(own, agent)
 		default:
