--- a/daemon/agent/agent.go
+++ b/daemon/agent/agent.go
@@ -122,7 +122,7 @@
 		return err
 	}
 	client := &http.Client{Transport: p.control}
-	p.hosts = &hosts.Follower{List: platform.NewHostList(p.settings.Platform.HostList, client), Hall: p.settings.Hall, Every: p.options.HostsEvery}
+	p.hosts = &hosts.Follower{List: platform.NewHostList(p.settings.Platform.HostList, client), Hall: p.settings.Hall, Interval: p.options.HostsEvery}
 	entries := func() []platform.Host { return p.hosts.Select(platform.RoleEntry, "") }
 	p.reporter = &report.Reporter{
 		Host: p.settings.Name, Entries: entries, Client: client,
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -116,7 +116,7 @@
 func (p *Process) Start() error {
 	client := &http.Client{Transport: p.client}
 	kv := platform.NewKV(p.settings.Platform.KeyValue, client)
-	p.hosts = &hosts.Follower{List: platform.NewHostList(p.settings.Platform.HostList, client), Every: p.options.HostsEvery}
+	p.hosts = &hosts.Follower{List: platform.NewHostList(p.settings.Platform.HostList, client), Interval: p.options.HostsEvery}
 	p.addFollowers(kv, client)
 	if err := p.listen(kv); err != nil {
 		p.killServers()
--- a/daemon/internal/process/hosts/hosts.go
+++ b/daemon/internal/process/hosts/hosts.go
@@ -14,17 +14,17 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/platform"
 )
 
-// DefaultEvery is the mean interval between fetches. Fetches are conditional, so an unchanged
+// DefaultInterval is the mean interval between fetches. Fetches are conditional, so an unchanged
 // list is not transferred again.
-const DefaultEvery = time.Second
+const DefaultInterval = time.Second
 
 // Follower holds the last fetched list. Its fields must be set before Start.
 type Follower struct {
 	List *platform.HostList
 	// Hall limits the list; empty means all halls.
 	Hall string
-	// Every replaces DefaultEvery unless it is 0.
-	Every time.Duration
+	// Interval replaces DefaultEvery unless it is 0.
+	Interval time.Duration
 	// OnChange, if set, is called with each new list.
 	OnChange func([]platform.Host)
 
@@ -71,7 +71,7 @@
 
 func (f *Follower) run() error {
 	ctx := f.tomb.Context(nil) //nolint:staticcheck // tomb takes nil for "no parent"
-	interval := helpers.OrDefault(f.Every, DefaultEvery)
+	interval := helpers.OrDefault(f.Interval, DefaultInterval)
 	f.fetch(ctx)
 	for helpers.Pause(interval/2+rand.N(interval), f.tomb.Dying()) {
 		f.fetch(ctx)
