--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -131,7 +131,7 @@
 }
 
 func (p *Process) addFollowers(kv *platform.KV, client *http.Client) {
-	p.watcher = &kvwatch.Watcher{KV: kv, Table: p.table, Rearm: p.options.Rearm, OnState: p.noteKV}
+	p.watcher = &kvwatch.Watcher{KV: kv, Table: p.table, MinInterval: p.options.Rearm, OnResult: p.noteKV}
 	p.puller = &gossip.Puller{
 		Name: p.settings.Name, Hall: p.settings.Hall, Table: p.table, Members: p.members, Client: client,
 		Entries:    func() []platform.Host { return p.hosts.Select(platform.RoleEntry, "") },
--- a/daemon/internal/process/kvwatch/kvwatch.go
+++ b/daemon/internal/process/kvwatch/kvwatch.go
@@ -26,14 +26,14 @@
 
 // Defaults of a Watcher.
 const (
-	DefaultWait  = 30 * time.Second
-	DefaultRearm = 500 * time.Millisecond
-	// rearmBurst is the number of consecutive changes after which the next watch is not
+	DefaultPollTimeout = 30 * time.Second
+	DefaultMinInterval = 500 * time.Millisecond
+	// pollBurst is the number of consecutive changes after which the next watch is not
 	// delayed.
-	rearmBurst = 3
-	// rearmJitter is the divisor of Rearm that gives the maximum jitter of a call.
-	rearmJitter    = 10
-	DefaultMaxWait = 2 * time.Second
+	pollBurst = 3
+	// jitterDivisor is the divisor of Rearm that gives the maximum jitter of a call.
+	jitterDivisor     = 10
+	DefaultMaxBackoff = 2 * time.Second
 )
 
 // Watcher watches the service and applies its changes to Table. Its fields must be set
@@ -41,12 +41,12 @@
 type Watcher struct {
 	KV    *platform.KV
 	Table *tables.Table
-	// Wait is the timeout of a long poll, Rearm the interval between calls after changes,
-	// and MaxWait the maximum backoff after an error. 0 means the default.
-	Wait, Rearm, MaxWait time.Duration
-	// OnState, if set, is called after each call of the service with its error, or with nil
+	// PollTimeout is the timeout of a long poll, MinInterval the interval between calls after changes,
+	// and MaxBackoff the maximum backoff after an error. 0 means the default.
+	PollTimeout, MinInterval, MaxBackoff time.Duration
+	// OnResult, if set, is called after each call of the service with its error, or with nil
 	// if the service answered.
-	OnState func(err error)
+	OnResult func(err error)
 
 	tomb tomb.Tomb
 	// limiter limits the rate of calls after changes. Only run's goroutine uses it.
@@ -69,8 +69,8 @@
 	ctx := w.tomb.Context(nil) //nolint:staticcheck // tomb takes nil for "no parent"
 	delays := backoff.NewExponentialBackOff()
 	delays.InitialInterval = 50 * time.Millisecond
-	delays.MaxInterval = helpers.OrDefault(w.MaxWait, DefaultMaxWait)
-	w.limiter = rate.NewLimiter(rate.Every(helpers.OrDefault(w.Rearm, DefaultRearm)), rearmBurst)
+	delays.MaxInterval = helpers.OrDefault(w.MaxBackoff, DefaultMaxBackoff)
+	w.limiter = rate.NewLimiter(rate.Every(helpers.OrDefault(w.MinInterval, DefaultMinInterval)), pollBurst)
 	listed := false
 	for w.tomb.Alive() {
 		var err error
@@ -84,7 +84,7 @@
 		if !w.tomb.Alive() {
 			break
 		}
-		w.reportState(err)
+		w.reportResult(err)
 		if err != nil && !errors.Is(err, platform.ErrCompacted) {
 			helpers.Pause(delays.NextBackOff(), w.tomb.Dying())
 			continue
@@ -94,12 +94,12 @@
 	return nil
 }
 
-func (w *Watcher) reportState(err error) {
+func (w *Watcher) reportResult(err error) {
 	if errors.Is(err, platform.ErrCompacted) {
 		err = nil // the service answers
 	}
-	if w.OnState != nil {
-		w.OnState(err)
+	if w.OnResult != nil {
+		w.OnResult(err)
 	}
 }
 
@@ -113,13 +113,13 @@
 }
 
 func (w *Watcher) watch(ctx context.Context) error {
-	changes, err := w.KV.Watch(ctx, tables.Prefix, w.Table.View().Revision, helpers.OrDefault(w.Wait, DefaultWait))
+	changes, err := w.KV.Watch(ctx, tables.Prefix, w.Table.View().Revision, helpers.OrDefault(w.PollTimeout, DefaultPollTimeout))
 	if err != nil {
 		return err
 	}
 	w.Table.Apply(changes.Events, changes.Revision)
 	if len(changes.Events) > 0 {
-		helpers.Pause(w.limiter.Reserve().Delay()+rand.N(helpers.OrDefault(w.Rearm, DefaultRearm)/rearmJitter), w.tomb.Dying())
+		helpers.Pause(w.limiter.Reserve().Delay()+rand.N(helpers.OrDefault(w.MinInterval, DefaultMinInterval)/jitterDivisor), w.tomb.Dying())
 	}
 	return nil
 }
