--- a/daemon/internal/process/kvwrite/kvwrite.go
+++ b/daemon/internal/process/kvwrite/kvwrite.go
@@ -35,8 +35,8 @@
 
 // Bounds of the backoff between attempts.
 const (
-	defaultMinWait = 50 * time.Millisecond
-	defaultMaxWait = time.Second
+	defaultMinBackoff = 50 * time.Millisecond
+	defaultMaxBackoff = time.Second
 )
 
 // Writer writes to the key-value service.
@@ -44,9 +44,9 @@
 	KV *platform.KV
 	// StampOf decodes the stamp of a value; it returns false if the value has none.
 	StampOf func(value []byte) (Stamp, bool)
-	// MinWait and MaxWait bound the jittered backoff between attempts; 0 means 50 ms and
+	// MinBackoff and MaxBackoff bound the jittered backoff between attempts; 0 means 50 ms and
 	// 1 s. They keep simultaneous retries of a fleet within the service's rate limits.
-	MinWait, MaxWait time.Duration
+	MinBackoff, MaxBackoff time.Duration
 }
 
 // Put makes a write whose value carries writeID, and returns its revision. It retries until
@@ -69,8 +69,8 @@
 // newBackoff returns the backoff of one operation.
 func (w *Writer) newBackoff() *backoff.ExponentialBackOff {
 	delays := backoff.NewExponentialBackOff()
-	delays.InitialInterval = helpers.OrDefault(w.MinWait, defaultMinWait)
-	delays.MaxInterval = helpers.OrDefault(w.MaxWait, defaultMaxWait)
+	delays.InitialInterval = helpers.OrDefault(w.MinBackoff, defaultMinBackoff)
+	delays.MaxInterval = helpers.OrDefault(w.MaxBackoff, defaultMaxBackoff)
 	return delays
 }
 
--- a/daemon/internal/process/kvwrite/kvwrite_test.go
+++ b/daemon/internal/process/kvwrite/kvwrite_test.go
@@ -55,7 +55,7 @@
 		require.NoError(t, err)
 		defer server.Close()
 		client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-		writer := &Writer{KV: platform.NewKV(server.Address, client), StampOf: stampOf, MinWait: time.Millisecond, MaxWait: 2 * time.Millisecond}
+		writer := &Writer{KV: platform.NewKV(server.Address, client), StampOf: stampOf, MinBackoff: time.Millisecond, MaxBackoff: 2 * time.Millisecond}
 
 		// A rival may write before this writer or between two of its attempts.
 		rivalAt := int64(rapid.IntRange(-1, 4).Draw(t, "rival"))
@@ -111,7 +111,7 @@
 func requireUnavailable(t *testing.T, dial func(context.Context, string, string) (net.Conn, error)) {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{DialContext: dial}}
-	writer := &Writer{KV: platform.NewKV(netip.MustParseAddrPort("127.0.0.1:1"), client), StampOf: stampOf, MinWait: time.Millisecond}
+	writer := &Writer{KV: platform.NewKV(netip.MustParseAddrPort("127.0.0.1:1"), client), StampOf: stampOf, MinBackoff: time.Millisecond}
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Millisecond)
 	defer cancel()
 	_, err := writer.Put(ctx, platform.Write{Key: "k", Value: encode("x", 0)}, "x")
@@ -153,7 +153,7 @@
 			defer server.Close()
 			revision, _ := service.Store.Put("k", encode("x", 0), 0, 0)
 			client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-			writer := &Writer{KV: platform.NewKV(server.Address, client), StampOf: stampOf, MinWait: time.Millisecond}
+			writer := &Writer{KV: platform.NewKV(server.Address, client), StampOf: stampOf, MinBackoff: time.Millisecond}
 			_, err = writer.Delete(t.Context(), "k", revision)
 			if test.wantErr != nil {
 				require.ErrorIs(t, err, test.wantErr)
