--- a/daemon/agent/agent.go
+++ b/daemon/agent/agent.go
@@ -158,7 +158,7 @@
 
 // handler adds the request path and the pages.
 func (p *Process) handler(mux *http.ServeMux) {
-	p.telemetry.Pages(mux)
+	p.telemetry.RegisterPages(mux)
 	requests := &gate.Handler{
 		Gate: p.gate, Name: p.settings.Name, Upstream: p.settings.Upstream.Address,
 		Transport: p.transport, Telemetry: p.telemetry,
@@ -235,7 +235,7 @@
 	for _, host := range all {
 		if host.Name == p.settings.Name && host.State == platform.StateLeaving && !p.gate.Leaving() {
 			p.gate.Leave()
-			p.telemetry.Decide(telemetry.Decision{Step: "leave", Choice: "refuse new requests", Reason: "the host list says that the host leaves"})
+			p.telemetry.LogDecision(telemetry.Decision{Step: "leave", Choice: "refuse new requests", Reason: "the host list says that the host leaves"})
 		}
 	}
 }
@@ -285,7 +285,7 @@
 func (p *Process) drain(ctx context.Context) error {
 	p.telemetry.SetNotReady("stopping")
 	p.gate.Leave()
-	p.telemetry.Decide(telemetry.Decision{Step: "leave", Choice: "drain", Reason: "the process was told to stop", Details: map[string]any{"inFlight": p.gate.InFlight()}})
+	p.telemetry.LogDecision(telemetry.Decision{Step: "leave", Choice: "drain", Reason: "the process was told to stop", Details: map[string]any{"inFlight": p.gate.InFlight()}})
 	p.reporter.Send(ctx)
 	drained := p.gate.Drain(ctx)
 	helpers.Pause(helpers.OrDefault(p.options.LameDuck, lameDuck), ctx.Done())
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -174,7 +174,7 @@
 	}
 	handler.Register(router)
 	mux := http.NewServeMux()
-	p.telemetry.Health(mux) // for the balancer
+	p.telemetry.RegisterHealth(mux) // for the balancer
 	mux.Handle("/", router)
 	return mux
 }
@@ -189,7 +189,7 @@
 	}
 	handler.Register(router)
 	mux := http.NewServeMux()
-	p.telemetry.Pages(mux)
+	p.telemetry.RegisterPages(mux)
 	mux.Handle("/v1/", router)
 	return mux
 }
@@ -226,12 +226,12 @@
 
 func (p *Process) noteSnapshot(peer string, revision uint64) {
 	p.setLoaded()
-	p.telemetry.Decide(telemetry.Decision{Step: "configure", Choice: "take from " + peer, Reason: "the key-value service has given nothing yet", Revision: revision})
+	p.telemetry.LogDecision(telemetry.Decision{Step: "configure", Choice: "take from " + peer, Reason: "the key-value service has given nothing yet", Revision: revision})
 }
 
 func (p *Process) noteSuspects(names []string) {
 	for _, name := range names {
-		p.telemetry.Decide(telemetry.Decision{Step: "member", Choice: "suspect " + name, Reason: "no report for too long", Revision: p.table.View().Revision})
+		p.telemetry.LogDecision(telemetry.Decision{Step: "member", Choice: "suspect " + name, Reason: "no report for too long", Revision: p.table.View().Revision})
 	}
 }
 
@@ -291,7 +291,7 @@
 	close(p.stopping)
 	p.telemetry.SetNotReady("stopping")
 	p.mu.Unlock()
-	p.telemetry.Decide(telemetry.Decision{Step: "leave", Choice: "drain", Reason: "the process was told to stop"})
+	p.telemetry.LogDecision(telemetry.Decision{Step: "leave", Choice: "drain", Reason: "the process was told to stop"})
 	p.placer.Stop() // another entry takes the lease at once
 	p.callers.DisableKeepAlives()
 	helpers.Pause(helpers.OrDefault(p.options.LameDuck, lameDuck), ctx.Done())
--- a/daemon/internal/process/placer/placer.go
+++ b/daemon/internal/process/placer/placer.go
@@ -153,7 +153,7 @@
 }
 
 func (p *Placer) dropLease(reason string) {
-	p.Telemetry.Decide(telemetry.Decision{Step: "placement-lease", Choice: "lose", Reason: reason, Revision: p.Table.View().Revision})
+	p.Telemetry.LogDecision(telemetry.Decision{Step: "placement-lease", Choice: "lose", Reason: reason, Revision: p.Table.View().Revision})
 	p.lease = 0
 }
 
@@ -178,7 +178,7 @@
 	p.lease = lease
 	p.validUntil = start.Add(ttl)
 	p.heldSince = start
-	p.Telemetry.Decide(telemetry.Decision{Step: "placement-lease", Choice: "take", Reason: "no entry held the hall's lease", Revision: p.Table.View().Revision})
+	p.Telemetry.LogDecision(telemetry.Decision{Step: "placement-lease", Choice: "take", Reason: "no entry held the hall's lease", Revision: p.Table.View().Revision})
 }
 
 // renew renews the lease once a third of its time to live has passed.
@@ -344,7 +344,7 @@
 	}
 	p.Table.ApplyWrite(platform.Change{Item: platform.Item{Key: key, Value: value, Revision: writtenRevision}})
 	for _, step := range steps {
-		p.Telemetry.Decide(telemetry.Decision{
+		p.Telemetry.LogDecision(telemetry.Decision{
 			Step: "place", Choice: step.Choice, Reason: step.Reason, Revision: writtenRevision,
 			Details: map[string]any{"service": step.Service, "generation": next.Generation},
 		})
--- a/daemon/internal/process/resource/handler.go
+++ b/daemon/internal/process/resource/handler.go
@@ -206,7 +206,7 @@
 	if dryRun {
 		reason = "dry run: nothing was written"
 	}
-	h.Telemetry.Decide(telemetry.Decision{
+	h.Telemetry.LogDecision(telemetry.Decision{
 		Step: "configure", Choice: choice, Reason: reason, Revision: resource.Revision,
 		Details: map[string]any{"kind": resource.Kind, "resource": resource.Name, "writeID": resource.WriteID},
 	})
--- a/daemon/internal/process/telemetry/telemetry.go
+++ b/daemon/internal/process/telemetry/telemetry.go
@@ -87,8 +87,8 @@
 	Details log.Fields
 }
 
-// Decide logs a decision.
-func (t *Telemetry) Decide(d Decision) {
+// LogDecision logs a decision.
+func (t *Telemetry) LogDecision(d Decision) {
 	fields := log.Fields{"decision": d.Step, "choice": d.Choice, "reason": d.Reason, "revision": d.Revision}
 	for name, value := range d.Details {
 		fields[name] = value
@@ -96,9 +96,9 @@
 	t.Log.WithFields(fields).Info(d.Step + " decided")
 }
 
-// Contact logs that the connection to the store was lost, with its cause err, or restored if err
+// LogStoreConnection logs that the connection to the store was lost, with its cause err, or restored if err
 // is nil. Prefix is the part of the store that the process follows.
-func (t *Telemetry) Contact(prefix string, err error) {
+func (t *Telemetry) LogStoreConnection(prefix string, err error) {
 	fields := log.Fields{"dependency": "store", "prefix": prefix}
 	if err != nil {
 		fields["reason"] = err.Error()
@@ -108,9 +108,9 @@
 	t.Log.WithFields(fields).Info("dependency regained")
 }
 
-// NeighbourMuted logs that a peer of the hall, which is queried in place of the store, is not
+// LogPeerPaused logs that a peer of the hall, which is queried in place of the store, is not
 // queried for a while.
-func (t *Telemetry) NeighbourMuted(neighbour netip.AddrPort, reason error) {
+func (t *Telemetry) LogPeerPaused(neighbour netip.AddrPort, reason error) {
 	t.Scope.Counter("neighbours_muted").Inc(1)
 	t.Log.WithFields(log.Fields{
 		"decision": "follow", "dependency": "neighbour", "peer": neighbour, "reason": reason.Error(),
@@ -129,14 +129,14 @@
 	return reason
 }
 
-// Pages adds /metrics, /healthz and /readyz to a mux.
-func (t *Telemetry) Pages(mux *http.ServeMux) {
+// RegisterPages adds /metrics, /healthz and /readyz to a mux.
+func (t *Telemetry) RegisterPages(mux *http.ServeMux) {
 	mux.Handle("GET /metrics", t.metrics)
-	t.Health(mux)
+	t.RegisterHealth(mux)
 }
 
-// Health adds /healthz and /readyz to a mux.
-func (t *Telemetry) Health(mux *http.ServeMux) {
+// RegisterHealth adds /healthz and /readyz to a mux.
+func (t *Telemetry) RegisterHealth(mux *http.ServeMux) {
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "alive\n") })
 	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
 		if reason := t.NotReady(); reason != "" {
--- a/daemon/internal/request/gate/handler.go
+++ b/daemon/internal/request/gate/handler.go
@@ -77,7 +77,7 @@
 }
 
 func (h *Handler) log(r *http.Request, stamp Stamp, choice, reason string) {
-	h.Telemetry.Decide(telemetry.Decision{
+	h.Telemetry.LogDecision(telemetry.Decision{
 		Step: "admit", Choice: choice, Reason: reason,
 		Details: map[string]any{"request": r.Header.Get(api.HeaderRequestID), "service": stamp.Service, "manifest": stamp.Manifest},
 	})
--- a/daemon/internal/request/intake/intake.go
+++ b/daemon/internal/request/intake/intake.go
@@ -143,7 +143,7 @@
 	if p.account != nil {
 		details["account"] = p.account.Name
 	}
-	p.handler.Telemetry.Decide(telemetry.Decision{
+	p.handler.Telemetry.LogDecision(telemetry.Decision{
 		Step: "route", Choice: choice, Reason: reason, Revision: p.handler.Table.View().Revision, Details: details,
 	})
 }
--- a/daemon/internal/version/fetch/schedule.go
+++ b/daemon/internal/version/fetch/schedule.go
@@ -354,7 +354,7 @@
 			err = fmt.Errorf("chunk %d from %s: %w", t.chunk, hop.Address, stage.ErrCorrupt)
 		}
 		done.failedHops = append(done.failedHops, hop.Name)
-		f.Telemetry.Decide(telemetry.Decision{
+		f.Telemetry.LogDecision(telemetry.Decision{
 			Step: "fetch", Choice: "pass over " + hop.Name, Reason: err.Error(),
 			Details: map[string]any{"version": version.ID.Short(), "chunk": t.chunk},
 		})
@@ -390,7 +390,7 @@
 	if done.corrupt {
 		choice = "drop corrupt chunk"
 	}
-	f.Telemetry.Decide(telemetry.Decision{
+	f.Telemetry.LogDecision(telemetry.Decision{
 		Step: "fetch", Choice: choice, Reason: done.err.Error(),
 		Details: map[string]any{"version": version.ID.Short(), "chunk": done.chunk, "from": done.source, "kind": string(done.kind)},
 	})
--- a/daemon/internal/version/install/install.go
+++ b/daemon/internal/version/install/install.go
@@ -268,7 +268,7 @@
 	for ctx.Err() == nil {
 		err := i.fetchOnce(ctx, id, f)
 		if err == nil {
-			i.Telemetry.Decide(telemetry.Decision{
+			i.Telemetry.LogDecision(telemetry.Decision{
 				Step: "stage", Choice: id.Short(), Reason: "every chunk and the whole are verified",
 				Details: map[string]any{"seconds": time.Since(started).Seconds()},
 			})
@@ -358,7 +358,7 @@
 		return
 	}
 	i.Gate.Open(gate.Serving{})
-	i.Telemetry.Decide(telemetry.Decision{Step: "activate", Choice: "serve nothing", Reason: "the host has no version to serve", Revision: order.GetToken()})
+	i.Telemetry.LogDecision(telemetry.Decision{Step: "activate", Choice: "serve nothing", Reason: "the host has no version to serve", Revision: order.GetToken()})
 	i.changed()
 }
 
@@ -369,7 +369,7 @@
 		return
 	}
 	i.Gate.Open(gate.Serving{Services: []string{order.GetService()}, Manifest: id.String()})
-	i.Telemetry.Decide(telemetry.Decision{
+	i.Telemetry.LogDecision(telemetry.Decision{
 		Step: "activate", Choice: "serve " + id.Short(), Reason: "the engine holds the version whole", Revision: order.GetToken(),
 		Details: map[string]any{"service": order.GetService(), "version": order.GetServe().GetVersion()},
 	})
@@ -444,7 +444,7 @@
 // loadFailed goes back to the version before, if the engine says that it still
 // holds it.
 func (i *Installer) loadFailed(ctx context.Context, order *wire.Order, id, before manifest.Digest, err error) {
-	i.Telemetry.Decide(telemetry.Decision{Step: "activate", Choice: "not serve " + id.Short(), Reason: err.Error(), Revision: order.GetToken()})
+	i.Telemetry.LogDecision(telemetry.Decision{Step: "activate", Choice: "not serve " + id.Short(), Reason: err.Error(), Revision: order.GetToken()})
 	if ctx.Err() == nil {
 		i.fail(id, err)
 	}
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -165,7 +165,7 @@
 	outage := &replica.CircuitBreaker{}
 	follower := func(prefix string) *replica.Follower {
 		return &replica.Follower{
-			Store: p.provider.Store, Prefix: prefix, Table: p.table, OnConnectionChange: p.telemetry.Contact,
+			Store: p.provider.Store, Prefix: prefix, Table: p.table, OnConnectionChange: p.telemetry.LogStoreConnection,
 			Breaker: outage,
 		}
 	}
@@ -193,7 +193,7 @@
 
 // newNeighbours returns what asks the routers of this hall for one follower.
 func (p *Process) newNeighbours() *peering.Neighbours {
-	return &peering.Neighbours{Client: p.client, Choose: p.neighbour, OnMute: p.telemetry.NeighbourMuted}
+	return &peering.Neighbours{Client: p.client, Choose: p.neighbour, OnMute: p.telemetry.LogPeerPaused}
 }
 
 // routersPause is the pause before the hall's routers are listed again: short while none of
@@ -225,7 +225,7 @@
 		return fmt.Errorf("loader %s: %w", p.current.Load().Name, err)
 	}
 	mux := http.NewServeMux()
-	p.telemetry.Pages(mux)
+	p.telemetry.RegisterPages(mux)
 	p.metrics, err = server.Listen(server.Options{Name: "metrics", Address: p.current.Load().Listen.Metrics, Handler: mux})
 	if err != nil {
 		p.peers.Close()
--- a/daemon/router/recorder.go
+++ b/daemon/router/recorder.go
@@ -275,7 +275,7 @@
 
 // contact writes one line when the store is lost or answers again.
 func (r *recorder) contact(prefix string, lost error) {
-	r.telemetry.Contact(prefix, lost)
+	r.telemetry.LogStoreConnection(prefix, lost)
 	if lost != nil {
 		r.scope.Counter("store_lost").Inc(1)
 	}
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -158,7 +158,7 @@
 }
 
 func (p *Process) addFollowers(client *http.Client) {
-	p.neighbours = &peering.Neighbours{Client: client, Choose: p.neighbour, Hold: p.holds, OnMute: p.telemetry.NeighbourMuted}
+	p.neighbours = &peering.Neighbours{Client: client, Choose: p.neighbour, Hold: p.holds, OnMute: p.telemetry.LogPeerPaused}
 	own := p.member()
 	ofShard, ofHall := p.provider.Prefixes.OfHall(own.Hall, own.Shard), p.provider.Prefixes.OfHall(own.Hall, "")
 	p.follower = &replica.Follower{
--- a/daemon/router/serving.go
+++ b/daemon/router/serving.go
@@ -101,6 +101,6 @@
 
 func (p *Process) metricsPages() http.Handler {
 	mux := http.NewServeMux()
-	p.telemetry.Pages(mux)
+	p.telemetry.RegisterPages(mux)
 	return mux
 }
