--- a/daemon/cmd/wheelcleatd/main.go
+++ b/daemon/cmd/wheelcleatd/main.go
@@ -86,7 +86,7 @@
 
 func run(command *cli.Command, taken signals) error {
 	log.SetFlags(0)
-	log.SetOutput(telemetry.NewStandard(telemetry.NewBounded(os.Stdout)))
+	log.SetOutput(telemetry.NewStandardLogWriter(telemetry.NewBoundedWriter(os.Stdout)))
 	path, err := settingsPath(command)
 	if err != nil {
 		return err
--- a/daemon/internal/process/telemetry/bounded.go
+++ b/daemon/internal/process/telemetry/bounded.go
@@ -7,13 +7,13 @@
 	"sync/atomic"
 )
 
-// boundedLines is the capacity of the queue of lines.
-const boundedLines = 2048
+// queueCapacity is the capacity of the queue of lines.
+const queueCapacity = 2048
 
-// Bounded is a writer of log lines that never blocks. Lines are queued, and lines that exceed
+// BoundedWriter is a writer of log lines that never blocks. Lines are queued, and lines that exceed
 // the queue are dropped and counted; the count is logged once the output accepts lines again.
 // Blocking was rejected, because a stalled reader of the log would stall requests.
-type Bounded struct {
+type BoundedWriter struct {
 	lines chan []byte
 	// mu guards closed. Lines are queued under its read lock, so that none is sent on the
 	// closed channel; queueing does not block.
@@ -23,20 +23,20 @@
 	done    chan struct{}
 }
 
-// NewBounded returns a writer that writes to output until Close.
-func NewBounded(output io.Writer) *Bounded {
-	b := &Bounded{lines: make(chan []byte, boundedLines), done: make(chan struct{})}
+// NewBoundedWriter returns a writer that writes to output until Close.
+func NewBoundedWriter(output io.Writer) *BoundedWriter {
+	b := &BoundedWriter{lines: make(chan []byte, queueCapacity), done: make(chan struct{})}
 	go b.run(output)
 	return b
 }
 
-// NewWithBounded returns a Telemetry that logs to the options' output through a Bounded
+// NewWithBoundedWriter returns a Telemetry that logs to the options' output through a Bounded
 // writer. The Telemetry must be closed before the writer.
-func NewWithBounded(options Options) (*Telemetry, *Bounded, error) {
+func NewWithBoundedWriter(options Options) (*Telemetry, *BoundedWriter, error) {
 	if options.Output == nil {
 		options.Output = io.Discard
 	}
-	output := NewBounded(options.Output)
+	output := NewBoundedWriter(options.Output)
 	options.Output = output
 	t, err := New(options)
 	if err != nil {
@@ -48,7 +48,7 @@
 
 // Write queues one line and always reports success. It drops lines after Close, because
 // handlers of aborted requests may still log then.
-func (b *Bounded) Write(line []byte) (int, error) {
+func (b *BoundedWriter) Write(line []byte) (int, error) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	if b.closed {
@@ -63,7 +63,7 @@
 }
 
 // Close writes the queued lines and ends the writer.
-func (b *Bounded) Close() {
+func (b *BoundedWriter) Close() {
 	b.mu.Lock()
 	b.closed = true
 	close(b.lines)
@@ -71,7 +71,7 @@
 	<-b.done
 }
 
-func (b *Bounded) run(output io.Writer) {
+func (b *BoundedWriter) run(output io.Writer) {
 	defer close(b.done)
 	for line := range b.lines {
 		_, _ = output.Write(line)
--- a/daemon/internal/process/telemetry/bounded_test.go
+++ b/daemon/internal/process/telemetry/bounded_test.go
@@ -30,7 +30,7 @@
 func TestStalledOutputDropsAndCountsLines(t *testing.T) {
 	const excess = 37
 	output := &stalledOutput{entered: make(chan struct{}, 1), resume: make(chan struct{})}
-	b := NewBounded(output)
+	b := NewBoundedWriter(output)
 	line := func(i int) {
 		n, err := fmt.Fprintf(b, "line %d\n", i)
 		require.NoError(t, err)
@@ -38,13 +38,13 @@
 	}
 	line(0)
 	<-output.entered // the output has received the first line, so the queue is empty
-	for i := range boundedLines + excess {
+	for i := range queueCapacity + excess {
 		line(i + 1)
 	}
 	close(output.resume)
 	b.Close()
 	text := output.String()
-	assert.Equal(t, boundedLines+1, strings.Count(text, "line "))
+	assert.Equal(t, queueCapacity+1, strings.Count(text, "line "))
 	assert.Contains(t, text, fmt.Sprintf(`"message":"log lines dropped","fields":{"count":%d}`, excess))
 	assert.Equal(t, 1, strings.Count(text, "dropped"))
 }
@@ -52,7 +52,7 @@
 // Guards against a panic in the handler of an aborted request that logs after Close.
 func TestWriteAfterCloseIsDropped(t *testing.T) {
 	output := &bytes.Buffer{}
-	b := NewBounded(output)
+	b := NewBoundedWriter(output)
 	_, err := b.Write([]byte("before\n"))
 	require.NoError(t, err)
 	b.Close()
--- a/daemon/internal/process/telemetry/standard.go
+++ b/daemon/internal/process/telemetry/standard.go
@@ -9,22 +9,22 @@
 	"golang.org/x/time/rate"
 )
 
-// standardLines is the maximum number of lines per second from libraries.
-const standardLines = 20
+// maxLinesPerSecond is the maximum number of lines per second from libraries.
+const maxLinesPerSecond = 20
 
-// Standard is an output for Go's standard logger that writes each text as a JSON line, at a
+// StandardLogWriter is an output for Go's standard logger that writes each text as a JSON line, at a
 // limited rate. Package net/http logs there when a handler panics and when an upstream sends
 // an unsolicited response; as plain text these messages would break the log's JSON format.
-type Standard struct {
+type StandardLogWriter struct {
 	output  io.Writer
 	limiter *rate.Limiter
 	// dropped counts the texts that were dropped since the last line.
 	dropped int
 }
 
-// NewStandard returns a Standard that writes to output.
-func NewStandard(output io.Writer) *Standard {
-	return &Standard{output: output, limiter: rate.NewLimiter(standardLines, standardLines)}
+// NewStandardLogWriter returns a Standard that writes to output.
+func NewStandardLogWriter(output io.Writer) *StandardLogWriter {
+	return &StandardLogWriter{output: output, limiter: rate.NewLimiter(maxLinesPerSecond, maxLinesPerSecond)}
 }
 
 // standardLine is one line of the log.
@@ -37,18 +37,18 @@
 
 type standardFields struct {
 	Text    string `json:"text"`
-	LeftOut int    `json:"leftOut,omitempty"`
+	Dropped int    `json:"leftOut,omitempty"`
 }
 
 // Write logs one text and always reports success. The standard logger does not call it
 // concurrently.
-func (s *Standard) Write(text []byte) (int, error) {
+func (s *StandardLogWriter) Write(text []byte) (int, error) {
 	if !s.limiter.Allow() {
 		s.dropped++
 		return len(text), nil
 	}
 	line, err := json.Marshal(standardLine{
-		Fields: standardFields{Text: strings.TrimSpace(string(text)), LeftOut: s.dropped},
+		Fields: standardFields{Text: strings.TrimSpace(string(text)), Dropped: s.dropped},
 		Level:  "warn", Timestamp: time.Now(), Message: "log output of a library",
 	})
 	if err == nil {
--- a/daemon/internal/process/telemetry/standard_test.go
+++ b/daemon/internal/process/telemetry/standard_test.go
@@ -12,14 +12,14 @@
 // Guards against plain text and unlimited output from libraries in the log.
 func TestStandardWritesRateLimitedJSONLines(t *testing.T) {
 	var output bytes.Buffer
-	standard := NewStandard(&output)
+	standard := NewStandardLogWriter(&output)
 	logger := log.New(standard, "", 0)
-	for range 3 * standardLines {
+	for range 3 * maxLinesPerSecond {
 		logger.Printf("http: panic serving %q:\nstack", "caller")
 	}
 	lines := strings.Split(strings.TrimSpace(output.String()), "\n")
-	assert.GreaterOrEqual(t, len(lines), standardLines)
-	assert.Less(t, len(lines), 3*standardLines)
+	assert.GreaterOrEqual(t, len(lines), maxLinesPerSecond)
+	assert.Less(t, len(lines), 3*maxLinesPerSecond)
 	assert.Contains(t, lines[0], `"text":"http: panic serving \"caller\":\nstack"`)
 	standard.limiter.SetLimit(1e9)
 	logger.Print("later")
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -89,7 +89,7 @@
 	current   atomic.Pointer[settings.Loader]
 	provider  provider.Provider
 	telemetry *telemetry.Telemetry
-	output    *telemetry.Bounded
+	output    *telemetry.BoundedWriter
 	log       *log.Entry
 
 	table    *replica.Table
@@ -126,7 +126,7 @@
 		return nil, errors.New("loader: no provider")
 	}
 	s.SetDefaults()
-	t, output, err := telemetry.NewWithBounded(telemetry.Options{
+	t, output, err := telemetry.NewWithBoundedWriter(telemetry.Options{
 		Role: string(s.Role), Name: s.Name, Hall: s.Hall, Level: s.Log.Level, Output: options.LogOutput,
 	})
 	if err != nil {
--- a/daemon/loader/notes_test.go
+++ b/daemon/loader/notes_test.go
@@ -18,7 +18,7 @@
 
 // TestAnEngineThatHoldsNothingGivesNoPlace: as after its start, it would refuse what is sent.
 func TestAnEngineThatHoldsNothingGivesNoPlace(t *testing.T) {
-	told, output, err := telemetry.NewWithBounded(telemetry.Options{Role: "loader", Name: "l", Level: "error"})
+	told, output, err := telemetry.NewWithBoundedWriter(telemetry.Options{Role: "loader", Name: "l", Level: "error"})
 	require.NoError(t, err)
 	t.Cleanup(output.Close)
 	p := &Process{telemetry: told, feed: loadfeed.NewFeed(), ledger: &places.Ledger{}, keeper: &keep.Keeper{}}
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -86,7 +86,7 @@
 	options   Options
 	provider  provider.Provider
 	telemetry *telemetry.Telemetry
-	output    *telemetry.Bounded
+	output    *telemetry.BoundedWriter
 	recorder  *recorder
 
 	table    *replica.Table
@@ -130,7 +130,7 @@
 		return nil, errors.New("router: no provider")
 	}
 	s.SetDefaults()
-	t, output, err := telemetry.NewWithBounded(telemetry.Options{
+	t, output, err := telemetry.NewWithBoundedWriter(telemetry.Options{
 		Role: string(s.Role), Name: s.Name, Hall: s.Hall, Level: s.Log.Level, Output: options.LogOutput,
 	})
 	if err != nil {
