--- a/daemon/internal/connection/control/control.go
+++ b/daemon/internal/connection/control/control.go
@@ -56,7 +56,7 @@
 	if view.Revision == 0 || view.Revision < request.GetHeldRevision() {
 		return response // this entry is behind the agent
 	}
-	order := orders.For(view, s.Members.View(), request.GetHall(), request.GetHost())
+	order := orders.Compute(view, s.Members.View(), request.GetHall(), request.GetHost())
 	other := orders.AssignmentDigest(order) != request.GetHeldAssignment() ||
 		request.GetHeldOrder() != 0 && orders.Digest(order) != request.GetHeldOrder()
 	if other {
--- a/daemon/internal/process/kvwrite/kvwrite.go
+++ b/daemon/internal/process/kvwrite/kvwrite.go
@@ -93,7 +93,7 @@
 func (p *putOperation) giveUp(last error) error {
 	kind := platform.ErrUnavailable
 	if p.inDoubt {
-		kind = platform.ErrUnknown
+		kind = platform.ErrUnknownResult
 	}
 	return fmt.Errorf("write %s: timed out: %w (last error: %s)", p.write.Key, kind, last) //nolint:errorlint // only kind is wrapped on purpose
 }
@@ -142,7 +142,7 @@
 	case ok && stamp.BasedOn == p.write.IfRevision && item.Revision != 0:
 		return 0, true, &platform.ConflictError{Key: p.write.Key, Revision: item.Revision}
 	default:
-		return 0, true, fmt.Errorf("write %s: %w: the key is at revision %d by now", p.write.Key, platform.ErrUnknown, item.Revision)
+		return 0, true, fmt.Errorf("write %s: %w: the key is at revision %d by now", p.write.Key, platform.ErrUnknownResult, item.Revision)
 	}
 }
 
@@ -167,7 +167,7 @@
 		if !helpers.Pause(delays.NextBackOff(), ctx.Done()) {
 			kind := platform.ErrUnavailable
 			if inDoubt {
-				kind = platform.ErrUnknown
+				kind = platform.ErrUnknownResult
 			}
 			return 0, fmt.Errorf("delete %s: timed out: %w", key, kind)
 		}
@@ -182,7 +182,7 @@
 		return 0, nil
 	}
 	if inDoubt {
-		return 0, fmt.Errorf("delete %s at revision %d: %w: %w", key, ifRevision, platform.ErrUnknown, err)
+		return 0, fmt.Errorf("delete %s at revision %d: %w: %w", key, ifRevision, platform.ErrUnknownResult, err)
 	}
 	return 0, err
 }
--- a/daemon/internal/process/kvwrite/kvwrite_test.go
+++ b/daemon/internal/process/kvwrite/kvwrite_test.go
@@ -80,7 +80,7 @@
 		case platform.IsConflict(err), errors.Is(err, platform.ErrUnavailable):
 			require.False(t, effective, "Put reported that nothing was written, but the write took effect: %v", err)
 		default:
-			require.ErrorIs(t, err, platform.ErrUnknown)
+			require.ErrorIs(t, err, platform.ErrUnknownResult)
 		}
 	})
 }
@@ -132,7 +132,7 @@
 		{"plain", nil, false, nil},
 		{"down, then up", []kv.Fault{{Down: true}}, false, nil},
 		{"response lost", []kv.Fault{{LoseAnswer: true}}, false, nil},
-		{"response lost and created again", []kv.Fault{{LoseAnswer: true}}, true, platform.ErrUnknown},
+		{"response lost and created again", []kv.Fault{{LoseAnswer: true}}, true, platform.ErrUnknownResult},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/daemon/internal/process/orders/orders.go
+++ b/daemon/internal/process/orders/orders.go
@@ -27,11 +27,11 @@
 // fleets.
 const GatewaysPerHall = 16
 
-// DefaultInFlight is the limit of concurrent requests of a host whose service declares none.
-const DefaultInFlight = 64
+// DefaultInFlightLimit is the limit of concurrent requests of a host whose service declares none.
+const DefaultInFlightLimit = 64
 
-// For returns the order for a host, or nil if it has no assignment.
-func For(view *tables.View, membership *members.View, hall, host string) *wire.Order {
+// Compute returns the order for a host, or nil if it has no assignment.
+func Compute(view *tables.View, membership *members.View, hall, host string) *wire.Order {
 	placed, ok := view.Placements[hall]
 	if !ok {
 		return nil
@@ -84,7 +84,7 @@
 func inFlightLimit(view *tables.View, name string) uint32 {
 	service := view.Services[name]
 	if service == nil || service.Service.Limits.InFlight <= 0 {
-		return DefaultInFlight
+		return DefaultInFlightLimit
 	}
 	return uint32(service.Service.Limits.InFlight) //nolint:gosec // checked above
 }
--- a/daemon/internal/process/platform/kv.go
+++ b/daemon/internal/process/platform/kv.go
@@ -208,7 +208,7 @@
 		err = json.Unmarshal(data, target)
 	}
 	if err != nil {
-		return c.wrap(call, errors.Join(ErrUnknown, patience.Explain(ctx, err)))
+		return c.wrap(call, errors.Join(ErrUnknownResult, patience.Explain(ctx, err)))
 	}
 	return nil
 }
@@ -224,7 +224,7 @@
 	if !connected {
 		return errors.Join(ErrUnavailable, err)
 	}
-	return errors.Join(ErrUnknown, err)
+	return errors.Join(ErrUnknownResult, err)
 }
 
 func statusError(resp *http.Response, call kvCall) error {
@@ -238,12 +238,12 @@
 	case http.StatusConflict:
 		var body revisionResponse
 		if err := json.NewDecoder(resp.Body).Decode(&body); err != nil {
-			return errors.Join(ErrUnknown, err)
+			return errors.Join(ErrUnknownResult, err)
 		}
 		return &ConflictError{Key: call.path[len("/kv/"):], Revision: body.Revision}
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return ErrUnavailable
 	default:
-		return fmt.Errorf("%w: status %s", ErrUnknown, resp.Status)
+		return fmt.Errorf("%w: status %s", ErrUnknownResult, resp.Status)
 	}
 }
--- a/daemon/internal/process/platform/platform.go
+++ b/daemon/internal/process/platform/platform.go
@@ -19,8 +19,8 @@
 	ErrCompacted = errors.New("revision no longer kept")
 	// ErrUnavailable means that the call had no effect.
 	ErrUnavailable = errors.New("key-value service unavailable")
-	// ErrUnknown means that the response was lost. A write may have taken effect.
-	ErrUnknown = errors.New("response of the key-value service lost")
+	// ErrUnknownResult means that the response was lost. A write may have taken effect.
+	ErrUnknownResult = errors.New("response of the key-value service lost")
 )
 
 // ConflictError is the error of a write whose condition was not met.
--- a/daemon/internal/process/resource/handler.go
+++ b/daemon/internal/process/resource/handler.go
@@ -251,7 +251,7 @@
 	if err != nil {
 		return &api.Problem{Code: api.CodeMalformed, Message: "after is not a revision", Hint: "use the revision of a list"}
 	}
-	if _, _, kept := h.Store.Table.Events(after); !kept {
+	if _, _, kept := h.Store.Table.EventsAfter(after); !kept {
 		return &api.Problem{
 			Code: api.CodeTooOld, Message: fmt.Sprintf("some changes after revision %d are no longer kept", after),
 			Revision: h.Store.Table.View().Revision, Hint: "list again and watch from the list's revision",
@@ -275,7 +275,7 @@
 	defer ticker.Stop()
 	for {
 		changed := h.Store.Table.Changed()
-		events, upTo, kept := h.Store.Table.Events(stream.after)
+		events, upTo, kept := h.Store.Table.EventsAfter(stream.after)
 		if !kept {
 			return nil // the caller must resume, which fails with 410
 		}
--- a/daemon/internal/process/tables/tables.go
+++ b/daemon/internal/process/tables/tables.go
@@ -206,9 +206,9 @@
 	t.changed = make(chan struct{})
 }
 
-// Events returns the changes of resources after a revision up to the cursor, the revision to
+// EventsAfter returns the changes of resources after a revision up to the cursor, the revision to
 // resume from, and false if some of them are no longer kept.
-func (t *Table) Events(after uint64) ([]api.Event, uint64, bool) {
+func (t *Table) EventsAfter(after uint64) ([]api.Event, uint64, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if after < t.compacted {
--- a/daemon/internal/process/tables/tables_test.go
+++ b/daemon/internal/process/tables/tables_test.go
@@ -130,15 +130,15 @@
 func TestEventsResumeFromRevision(t *testing.T) {
 	table := &Table{}
 	require.True(t, table.Replace([]platform.Item{accountItem(t, "a", 3)}, 5))
-	_, _, kept := table.Events(4)
+	_, _, kept := table.EventsAfter(4)
 	assert.False(t, kept, "a listing does not contain earlier events")
-	events, upTo, kept := table.Events(5)
+	events, upTo, kept := table.EventsAfter(5)
 	assert.True(t, kept)
 	assert.Empty(t, events)
 	assert.Equal(t, uint64(5), upTo)
 
 	table.ApplyWrite(platform.Change{Item: accountItem(t, "own", 8)})
-	events, upTo, _ = table.Events(5)
+	events, upTo, _ = table.EventsAfter(5)
 	assert.Empty(t, events, "changes below the entry's own write may be missing")
 	assert.Equal(t, uint64(5), upTo)
 	changed := table.Changed()
@@ -152,7 +152,7 @@
 	default:
 		t.Fatal("watchers were not woken")
 	}
-	events, upTo, _ = table.Events(5)
+	events, upTo, _ = table.EventsAfter(5)
 	var descriptions []string
 	for _, event := range events {
 		descriptions = append(descriptions, fmt.Sprint(event.Revision, event.Type, event.Resource.Name))
