--- a/daemon/internal/process/hosts/hosts.go
+++ b/daemon/internal/process/hosts/hosts.go
@@ -23,7 +23,7 @@
 	List *platform.HostList
 	// Hall limits the list; empty means all halls.
 	Hall string
-	// Interval replaces DefaultEvery unless it is 0.
+	// Interval replaces DefaultInterval unless it is 0.
 	Interval time.Duration
 	// OnChange, if set, is called with each new list.
 	OnChange func([]platform.Host)
--- a/daemon/internal/process/kvwatch/kvwatch.go
+++ b/daemon/internal/process/kvwatch/kvwatch.go
@@ -3,10 +3,10 @@
 //
 // Each change completes the watches of all entries, so a burst of writes would cost
 // entries × writes calls. A token bucket therefore limits how often an entry calls the
-// service after changes: rearmBurst calls at once, then one per Rearm, in which further
-// changes accumulate. At 400 entries and 500 ms that is 800 of the 2,000 reads a second that
-// the service allows, after a first burst of 1,200. A fixed wait after each change was
-// rejected, because it delays a placement that follows a declaration.
+// service after changes: pollBurst calls at once, then one per MinInterval, in which further
+// changes accumulate. This keeps all entries together within the service's read rate. A fixed
+// wait after each change was rejected, because it delays a placement that follows a
+// declaration.
 package kvwatch
 
 import (
@@ -31,7 +31,7 @@
 	// pollBurst is the number of consecutive changes after which the next watch is not
 	// delayed.
 	pollBurst = 3
-	// jitterDivisor is the divisor of Rearm that gives the maximum jitter of a call.
+	// jitterDivisor is the divisor of MinInterval that gives the maximum jitter of a call.
 	jitterDivisor     = 10
 	DefaultMaxBackoff = 2 * time.Second
 )
@@ -41,8 +41,8 @@
 type Watcher struct {
 	KV    *platform.KV
 	Table *tables.Table
-	// PollTimeout is the timeout of a long poll, MinInterval the interval between calls after changes,
-	// and MaxBackoff the maximum backoff after an error. 0 means the default.
+	// PollTimeout is the timeout of a long poll, MinInterval the mean interval between calls
+	// after changes, and MaxBackoff the maximum backoff after an error. 0 means the default.
 	PollTimeout, MinInterval, MaxBackoff time.Duration
 	// OnResult, if set, is called after each call of the service with its error, or with nil
 	// if the service answered.
@@ -96,7 +96,7 @@
 
 func (w *Watcher) reportResult(err error) {
 	if errors.Is(err, platform.ErrCompacted) {
-		err = nil // the service answers
+		err = nil // the service has responded
 	}
 	if w.OnResult != nil {
 		w.OnResult(err)
--- a/daemon/internal/process/kvwrite/kvwrite.go
+++ b/daemon/internal/process/kvwrite/kvwrite.go
@@ -11,7 +11,7 @@
 //   - It holds another write that replaced the same revision: this write can no longer take
 //     effect. That is a conflict.
 //   - It holds anything else: this write may have taken effect and been overwritten. The
-//     error is platform.ErrUnknown.
+//     error is platform.ErrUnknownResult.
 package kvwrite
 
 import (
@@ -51,7 +51,7 @@
 
 // Put makes a write whose value carries writeID, and returns its revision. It retries until
 // ctx is done. The error is a *platform.ConflictError, platform.ErrUnavailable if nothing
-// was written, or platform.ErrUnknown.
+// was written, or platform.ErrUnknownResult.
 func (w *Writer) Put(ctx context.Context, write platform.Write, writeID string) (uint64, error) {
 	p := &putOperation{writer: w, write: write, id: writeID}
 	return p.run(ctx)
--- a/daemon/internal/process/kvwrite/kvwrite_test.go
+++ b/daemon/internal/process/kvwrite/kvwrite_test.go
@@ -38,7 +38,7 @@
 
 // Guards against a wrong result of Put while writers race and the service fails: a write
 // without an error took effect, a conflicting or unavailable one did not, and only
-// ErrUnknown may mean either.
+// ErrUnknownResult may mean either.
 func TestPutReportsWhetherWriteTookEffect(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		faults := rapid.SliceOfN(rapid.SampledFrom([]kv.Fault{{}, {}, {Down: true}, {LoseAnswer: true}}), 1, 8).Draw(t, "faults")
--- a/daemon/internal/process/orders/orders.go
+++ b/daemon/internal/process/orders/orders.go
@@ -62,8 +62,8 @@
 	return xxhash.Sum64(data) | 1
 }
 
-// AssignmentDigest returns a hash of an order without the lists of hosts, which is 0 only for
-// a nil order.
+// AssignmentDigest returns a hash of an order without its lists of hosts, which is 0 only for a
+// nil order.
 func AssignmentDigest(order *wire.Order) uint64 {
 	if order == nil {
 		return 0
--- a/daemon/internal/process/placement/plan.go
+++ b/daemon/internal/process/placement/plan.go
@@ -21,8 +21,8 @@
 // Candidate is one engine host of the hall.
 type Candidate struct {
 	Name string
-	// KeepAssignment is false for a host that has left, is leaving, or has been suspect for too long.
-	// Its assignment moves to another host.
+	// KeepAssignment is false for a host that has left, is leaving, or has been suspect for
+	// too long. Its assignment moves to another host.
 	KeepAssignment bool
 	// Assignable says that the host may get a new assignment.
 	Assignable bool
--- a/daemon/internal/process/placer/inventory.go
+++ b/daemon/internal/process/placer/inventory.go
@@ -28,25 +28,25 @@
 // kept, since the list may lag behind its start. A suspect host is kept for ReplaceAfter,
 // since moving its assignment costs a fetch and a restart is shorter. A placed host without a
 // record is kept for ReplaceAfter from when the lease was acquired.
-func (c *Inventory) Candidates() []placement.Candidate {
+func (inv *Inventory) Candidates() []placement.Candidate {
 	listed := map[string]platform.Host{}
-	for _, host := range c.HostList {
+	for _, host := range inv.HostList {
 		listed[host.Name] = host
 	}
 	var hosts []placement.Candidate
-	for i := range c.Members.Agents {
-		agent := &c.Members.Agents[i]
-		if agent.GetHall() == c.Hall && len(agent.GetPlainServices()) == 0 {
+	for i := range inv.Members.Agents {
+		agent := &inv.Members.Agents[i]
+		if agent.GetHall() == inv.Hall && len(agent.GetPlainServices()) == 0 {
 			listEntry, isListed := listed[agent.GetName()]
-			hosts = append(hosts, c.reported(agent, listEntry, isListed))
+			hosts = append(hosts, inv.reported(agent, listEntry, isListed))
 		}
 	}
-	return append(hosts, c.unreported(listed)...)
+	return append(hosts, inv.unreported(listed)...)
 }
 
-func (c *Inventory) reported(agent *members.Agent, listEntry platform.Host, isListed bool) placement.Candidate {
+func (inv *Inventory) reported(agent *members.Agent, listEntry platform.Host, isListed bool) placement.Candidate {
 	leaving := agent.GetLeaving() || listEntry.State == platform.StateLeaving
-	unreachable := agent.GetSuspect() && (!isListed || c.Now.Sub(agent.SuspectSince) > c.ReplaceAfter)
+	unreachable := agent.GetSuspect() && (!isListed || inv.Now.Sub(agent.SuspectSince) > inv.ReplaceAfter)
 	return placement.Candidate{
 		Name:           agent.GetName(),
 		KeepAssignment: !leaving && !unreachable,
@@ -60,12 +60,12 @@
 }
 
 // unreported returns the placed hosts without an agent's record.
-func (c *Inventory) unreported(listed map[string]platform.Host) []placement.Candidate {
-	recentLease := c.Now.Sub(c.HeldSince) <= c.ReplaceAfter
+func (inv *Inventory) unreported(listed map[string]platform.Host) []placement.Candidate {
+	recentLease := inv.Now.Sub(inv.HeldSince) <= inv.ReplaceAfter
 	var hosts []placement.Candidate
-	for _, service := range c.Placement.Services {
+	for _, service := range inv.Placement.Services {
 		for _, host := range service.Hosts {
-			if c.Members.ByName[host.Name] != nil {
+			if inv.Members.ByName[host.Name] != nil {
 				continue
 			}
 			leaving := listed[host.Name].State == platform.StateLeaving
--- a/daemon/internal/process/placer/placer.go
+++ b/daemon/internal/process/placer/placer.go
@@ -31,8 +31,8 @@
 const (
 	// DefaultTTL is the lease's time to live.
 	DefaultTTL = 6 * time.Second
-	// DefaultMinWriteInterval is the minimum interval between two writes of a document. It keeps the
-	// placers of all halls far below the service's write rate.
+	// DefaultMinWriteInterval is the minimum interval between two writes of a document. It
+	// keeps the placers of all halls far below the service's write rate.
 	DefaultMinWriteInterval = 300 * time.Millisecond
 	// DefaultReplaceAfter is how long a host must be suspect before its assignment moves. It
 	// is longer than a restart, since a move costs a fetch.
@@ -253,8 +253,8 @@
 	return placed.Versions[placed.Target], true
 }
 
-// ServesHall reports whether a service that declares the given halls is placed in hall; a service
-// that declares none is placed in all halls.
+// ServesHall reports whether a service that declares the given halls is placed in hall. A
+// service that declares none is placed in all halls.
 func ServesHall(declared []string, hall string) bool {
 	if len(declared) == 0 {
 		return true
@@ -275,12 +275,12 @@
 		return // without a host list no host can be considered gone
 	}
 	previous := p.previous()
-	census := Inventory{
+	inventory := Inventory{
 		Hall: p.Hall, HostList: listed, Members: p.Members.View(), Placement: previous.Document,
 		Now: p.now(), HeldSince: p.heldSince, ReplaceAfter: helpers.OrDefault(p.ReplaceAfter, DefaultReplaceAfter),
 	}
-	hosts := census.Candidates()
-	input := placement.Input{Previous: previous.Document, Targets: p.targets(view), Hosts: hosts, PauseElapsed: p.pauseOver(view, previous, hosts)}
+	hosts := inventory.Candidates()
+	input := placement.Input{Previous: previous.Document, Targets: p.targets(view), Hosts: hosts, PauseElapsed: p.pauseElapsed(view, previous, hosts)}
 	next, steps := placement.Plan(input)
 	if len(steps) == 0 {
 		return
@@ -288,11 +288,11 @@
 	p.write(ctx, next, previous.Revision, steps)
 }
 
-// pauseOver records since when the open waves are ready, and returns the function for
-// placement.Input.PauseOver.
-func (p *Placer) pauseOver(view *tables.View, previous tables.Placement, hosts []placement.Candidate) func(string) bool {
+// pauseElapsed records since when the open waves are ready, and returns the function for
+// placement.Input.PauseElapsed.
+func (p *Placer) pauseElapsed(view *tables.View, previous tables.Placement, hosts []placement.Candidate) func(string) bool {
 	now := p.now()
-	over := map[string]bool{}
+	elapsed := map[string]bool{}
 	ready := map[waveKey]time.Time{}
 	for i := range previous.Document.Services {
 		service := &previous.Document.Services[i]
@@ -306,10 +306,10 @@
 			since = now
 		}
 		ready[key] = since
-		over[service.Name] = now.Sub(since) >= declared.Service.Rollout.Pause.Std()
+		elapsed[service.Name] = now.Sub(since) >= declared.Service.Rollout.Pause.Std()
 	}
 	p.readySince = ready
-	return func(service string) bool { return over[service] }
+	return func(service string) bool { return elapsed[service] }
 }
 
 // stampedDocument is the stored form of a document, with the revision that it replaced.
--- a/daemon/internal/process/platform/kv.go
+++ b/daemon/internal/process/platform/kv.go
@@ -60,7 +60,7 @@
 type KV struct {
 	List func(ctx context.Context, prefix string) (Listing, error)
 	Get  func(ctx context.Context, key string) (Item, error)
-	// Put returns the new revision, a *ConflictError, ErrUnavailable or ErrUnknown.
+	// Put returns the new revision, a *ConflictError, ErrUnavailable or ErrUnknownResult.
 	Put func(ctx context.Context, write Write) (uint64, error)
 	// Delete returns the revision of the deletion, an error as Put does, or ErrNotFound.
 	Delete func(ctx context.Context, key string, ifRevision uint64) (uint64, error)
--- a/daemon/internal/process/resource/store.go
+++ b/daemon/internal/process/resource/store.go
@@ -48,24 +48,24 @@
 func (s *Store) Put(ctx context.Context, request PutRequest) (*api.Resource, error) {
 	view := s.Table.View()
 	if fieldErrors := validate(view, request.Resource); len(fieldErrors) > 0 {
-		return nil, invalid(request.Resource, fieldErrors)
+		return nil, invalidProblem(request.Resource, fieldErrors)
 	}
-	present, err := s.present(ctx, request.Resource.Kind, request.Resource.Name)
+	current, err := s.readState(ctx, request.Resource.Kind, request.Resource.Name)
 	if err != nil {
 		return nil, err
 	}
-	if problem := condition(request, present); problem != nil {
+	if problem := checkCondition(request, current); problem != nil {
 		return nil, problem
 	}
-	if present.resource != nil && api.SameSpec(present.resource, request.Resource) {
-		return present.resource, nil // nothing to write
+	if current.resource != nil && api.SameSpec(current.resource, request.Resource) {
+		return current.resource, nil // nothing to write
 	}
 	if request.DryRun {
 		planned := *request.Resource
-		planned.Revision = present.revision
+		planned.Revision = current.revision
 		return &planned, nil
 	}
-	return s.write(ctx, request, present)
+	return s.write(ctx, request, current)
 }
 
 // keyState is the state of a key in the key-value service.
@@ -74,9 +74,9 @@
 	resource *api.Resource // nil if the key is absent or its value cannot be decoded
 }
 
-// present reads a key from the service, because the condition of a write must not be based on
+// readState reads a key from the service, because the condition of a write must not be based on
 // the entry's table, which lags.
-func (s *Store) present(ctx context.Context, kind api.Kind, name string) (keyState, error) {
+func (s *Store) readState(ctx context.Context, kind api.Kind, name string) (keyState, error) {
 	item, err := s.KV.Get(ctx, tables.ResourceKey(kind, name))
 	switch {
 	case errors.Is(err, platform.ErrNotFound):
@@ -94,27 +94,27 @@
 	return keyState{revision: item.Revision, resource: resource}, nil
 }
 
-func condition(request PutRequest, present keyState) *api.Problem {
+func checkCondition(request PutRequest, current keyState) *api.Problem {
 	name := fmt.Sprintf("%s %q", request.Resource.Kind, request.Resource.Name)
 	switch {
-	case request.IfRevision != 0 && request.IfRevision != present.revision:
-		return conflict(name, request.IfRevision, present.revision)
-	case request.Create && present.revision != 0:
-		return conflict(name, 0, present.revision)
+	case request.IfRevision != 0 && request.IfRevision != current.revision:
+		return conflictProblem(name, request.IfRevision, current.revision)
+	case request.Create && current.revision != 0:
+		return conflictProblem(name, 0, current.revision)
 	default:
 		return nil
 	}
 }
 
-func conflict(name string, want, present uint64) *api.Problem {
+func conflictProblem(name string, want, current uint64) *api.Problem {
 	return &api.Problem{
-		Code: api.CodeConflict, Revision: present,
-		Message: fmt.Sprintf("%s is at revision %d, not %d", name, present, want),
+		Code: api.CodeConflict, Revision: current,
+		Message: fmt.Sprintf("%s is at revision %d, not %d", name, current, want),
 		Hint:    "read the resource again and apply your change to its current revision",
 	}
 }
 
-func invalid(resource *api.Resource, fieldErrors []api.FieldError) *api.Problem {
+func invalidProblem(resource *api.Resource, fieldErrors []api.FieldError) *api.Problem {
 	return &api.Problem{
 		Code: api.CodeInvalid, Fields: fieldErrors,
 		Message: fmt.Sprintf("%s %q violates %d rules", resource.Kind, resource.Name, len(fieldErrors)),
@@ -160,10 +160,10 @@
 	return kvwrite.Stamp{WriteID: s.WriteID, BasedOn: s.BasedOn}, err == nil
 }
 
-func (s *Store) write(ctx context.Context, request PutRequest, present keyState) (*api.Resource, error) {
+func (s *Store) write(ctx context.Context, request PutRequest, current keyState) (*api.Resource, error) {
 	accepted := *request.Resource
 	accepted.WriteID = fmt.Sprintf("%s-%016x", s.Name, rand.Uint64())
-	value, err := tables.EncodeResource(&accepted, present.revision)
+	value, err := tables.EncodeResource(&accepted, current.revision)
 	if err != nil {
 		return nil, &api.Problem{Code: api.CodeMalformed, Message: err.Error()}
 	}
@@ -174,9 +174,9 @@
 	ctx, cancel := s.withTimeout(ctx)
 	defer cancel()
 	writer := kvwrite.Writer{KV: s.KV, StampOf: stampOf}
-	revision, err := writer.Put(ctx, platform.Write{Key: key, Value: value, IfRevision: present.revision}, accepted.WriteID)
+	revision, err := writer.Put(ctx, platform.Write{Key: key, Value: value, IfRevision: current.revision}, accepted.WriteID)
 	if err != nil {
-		return nil, problemOf(err, &accepted, present.revision)
+		return nil, problemOf(err, &accepted, current.revision)
 	}
 	accepted.Revision = revision
 	s.Table.ApplyWrite(platform.Change{Item: platform.Item{Key: key, Value: value, Revision: revision}})
@@ -196,7 +196,7 @@
 	var conflictErr *platform.ConflictError
 	switch {
 	case errors.As(err, &conflictErr):
-		return conflict(fmt.Sprintf("%s %q", resource.Kind, resource.Name), basedOn, conflictErr.Revision)
+		return conflictProblem(fmt.Sprintf("%s %q", resource.Kind, resource.Name), basedOn, conflictErr.Revision)
 	case errors.Is(err, platform.ErrUnavailable):
 		return &api.Problem{
 			Code: api.CodeUnavailable, Message: "the key-value service does not accept writes; nothing was written",
@@ -213,26 +213,26 @@
 
 // Delete removes a resource. The error is an *api.Problem.
 func (s *Store) Delete(ctx context.Context, kind api.Kind, name string, ifRevision uint64) error {
-	if problem := s.inUse(kind, name); problem != nil {
+	if problem := s.checkInUse(kind, name); problem != nil {
 		return problem
 	}
-	present, err := s.present(ctx, kind, name)
+	current, err := s.readState(ctx, kind, name)
 	if err != nil {
 		return err
 	}
-	if present.revision == 0 {
+	if current.revision == 0 {
 		return &api.Problem{Code: api.CodeNotFound, Message: fmt.Sprintf("%s %q does not exist", kind, name)}
 	}
-	if ifRevision != 0 && ifRevision != present.revision {
-		return conflict(fmt.Sprintf("%s %q", kind, name), ifRevision, present.revision)
+	if ifRevision != 0 && ifRevision != current.revision {
+		return conflictProblem(fmt.Sprintf("%s %q", kind, name), ifRevision, current.revision)
 	}
 	key := tables.ResourceKey(kind, name)
 	ctx, cancel := s.withTimeout(ctx)
 	defer cancel()
 	writer := kvwrite.Writer{KV: s.KV, StampOf: stampOf}
-	revision, err := writer.Delete(ctx, key, present.revision)
+	revision, err := writer.Delete(ctx, key, current.revision)
 	if err != nil {
-		return problemOf(err, &api.Resource{Kind: kind, Name: name}, present.revision)
+		return problemOf(err, &api.Resource{Kind: kind, Name: name}, current.revision)
 	}
 	if revision != 0 {
 		s.Table.ApplyWrite(platform.Change{Item: platform.Item{Key: key, Revision: revision}, Deleted: true})
@@ -240,8 +240,8 @@
 	return nil
 }
 
-// inUse returns a problem if a resource is a model that a service declares.
-func (s *Store) inUse(kind api.Kind, name string) *api.Problem {
+// checkInUse returns a problem if a resource is a model that a service declares.
+func (s *Store) checkInUse(kind api.Kind, name string) *api.Problem {
 	if kind != api.KindModel {
 		return nil
 	}
--- a/daemon/internal/process/server/server.go
+++ b/daemon/internal/process/server/server.go
@@ -47,8 +47,8 @@
 	Address        netip.AddrPort
 	Handler        http.Handler
 	MaxHeaderBytes int
-	// IdleTimeout is how long a connection must have been idle before a shutdown closes it; 0
-	// means 100 ms.
+	// IdleTimeout is how long a connection must have been idle before a shutdown closes it;
+	// 0 means 100 ms.
 	IdleTimeout time.Duration
 }
 
--- a/daemon/internal/process/tables/tables.go
+++ b/daemon/internal/process/tables/tables.go
@@ -126,8 +126,8 @@
 	return true
 }
 
-// applyChange applies a change if it is newer than the table's state of the key, and reports whether
-// it changed the table; the caller holds mu.
+// applyChange applies a change if it is newer than the table's state of the key, and reports
+// whether it changed the table; the caller holds mu.
 func (t *Table) applyChange(change platform.Change) bool {
 	current, present := t.items[change.Key]
 	if change.Revision <= max(current.Revision, t.tombstones[change.Key]) {
--- a/daemon/internal/process/telemetry/bounded.go
+++ b/daemon/internal/process/telemetry/bounded.go
@@ -10,9 +10,9 @@
 // queueCapacity is the capacity of the queue of lines.
 const queueCapacity = 2048
 
-// BoundedWriter is a writer of log lines that never blocks. Lines are queued, and lines that exceed
-// the queue are dropped and counted; the count is logged once the output accepts lines again.
-// Blocking was rejected, because a stalled reader of the log would stall requests.
+// BoundedWriter is a writer of log lines that never blocks. Lines are queued, and lines that
+// exceed the queue are dropped and counted; the count is logged once the output accepts lines
+// again. Blocking was rejected, because a stalled reader of the log would stall requests.
 type BoundedWriter struct {
 	lines chan []byte
 	// mu guards closed. Lines are queued under its read lock, so that none is sent on the
@@ -30,8 +30,8 @@
 	return b
 }
 
-// NewWithBoundedWriter returns a Telemetry that logs to the options' output through a Bounded
-// writer. The Telemetry must be closed before the writer.
+// NewWithBoundedWriter returns a Telemetry that logs to the options' output through a
+// BoundedWriter. The Telemetry must be closed before the writer.
 func NewWithBoundedWriter(options Options) (*Telemetry, *BoundedWriter, error) {
 	if options.Output == nil {
 		options.Output = io.Discard
--- a/daemon/internal/process/telemetry/standard.go
+++ b/daemon/internal/process/telemetry/standard.go
@@ -12,9 +12,10 @@
 // maxLinesPerSecond is the maximum number of lines per second from libraries.
 const maxLinesPerSecond = 20
 
-// StandardLogWriter is an output for Go's standard logger that writes each text as a JSON line, at a
-// limited rate. Package net/http logs there when a handler panics and when an upstream sends
-// an unsolicited response; as plain text these messages would break the log's JSON format.
+// StandardLogWriter is an output for Go's standard logger that writes each text as a JSON
+// line, at a limited rate. Package net/http logs there when a handler panics and when an
+// upstream sends an unsolicited response; as plain text these messages would break the log's
+// JSON format.
 type StandardLogWriter struct {
 	output  io.Writer
 	limiter *rate.Limiter
@@ -22,7 +23,7 @@
 	dropped int
 }
 
-// NewStandardLogWriter returns a Standard that writes to output.
+// NewStandardLogWriter returns a StandardLogWriter that writes to output.
 func NewStandardLogWriter(output io.Writer) *StandardLogWriter {
 	return &StandardLogWriter{output: output, limiter: rate.NewLimiter(maxLinesPerSecond, maxLinesPerSecond)}
 }
--- a/daemon/internal/process/telemetry/telemetry.go
+++ b/daemon/internal/process/telemetry/telemetry.go
@@ -96,8 +96,8 @@
 	t.Log.WithFields(fields).Info(d.Step + " decided")
 }
 
-// LogStoreConnection logs that the connection to the store was lost, with its cause err, or restored if err
-// is nil. Prefix is the part of the store that the process follows.
+// LogStoreConnection logs that the connection to the store was lost with err, or that it was
+// restored if err is nil. Prefix is the part of the store that the process follows.
 func (t *Telemetry) LogStoreConnection(prefix string, err error) {
 	fields := log.Fields{"dependency": "store", "prefix": prefix}
 	if err != nil {
@@ -108,12 +108,12 @@
 	t.Log.WithFields(fields).Info("dependency regained")
 }
 
-// LogPeerPaused logs that a peer of the hall, which is queried in place of the store, is not
-// queried for a while.
-func (t *Telemetry) LogPeerPaused(neighbour netip.AddrPort, reason error) {
+// LogPeerPaused logs that a peer of the hall, which the process queries in place of the store,
+// is not queried for a while after an error.
+func (t *Telemetry) LogPeerPaused(peer netip.AddrPort, reason error) {
 	t.Scope.Counter("neighbours_muted").Inc(1)
 	t.Log.WithFields(log.Fields{
-		"decision": "follow", "dependency": "neighbour", "peer": neighbour, "reason": reason.Error(),
+		"decision": "follow", "dependency": "neighbour", "peer": peer, "reason": reason.Error(),
 	}).Warn("neighbour not asked for a while")
 }
 
