--- a/daemon/agent/agent.go
+++ b/daemon/agent/agent.go
@@ -124,7 +124,7 @@
 		return err
 	}
 	client := &http.Client{Transport: p.control}
-	p.hosts = &hosts.Follower{List: platform.NewHostList(p.settings.Platform.HostList, client), Hall: p.settings.Hall, Every: p.options.HostsInterval}
+	p.hosts = &hosts.Follower{List: platform.NewHostList(p.settings.Platform.HostList, client), Hall: p.settings.Hall, Interval: p.options.HostsInterval}
 	entries := func() []platform.Host { return p.hosts.Select(platform.RoleEntry, "") }
 	p.reporter = &report.Reporter{
 		Host: p.settings.Name, Entries: entries, Client: client,
@@ -160,7 +160,7 @@
 
 // registerRoutes adds the routes for requests and for telemetry.
 func (p *Process) registerRoutes(mux *http.ServeMux) {
-	p.telemetry.Pages(mux)
+	p.telemetry.RegisterPages(mux)
 	requests := &gate.Handler{
 		Gate: p.gate, Name: p.settings.Name, Upstream: p.settings.Upstream.Address,
 		Transport: p.transport, Telemetry: p.telemetry,
@@ -241,7 +241,7 @@
 	for _, host := range all {
 		if host.Name == p.settings.Name && host.State == platform.StateLeaving && !p.gate.Leaving() {
 			p.gate.Leave()
-			p.telemetry.Decide(telemetry.Decision{Step: "leave", Choice: "refuse new requests", Reason: "the host list marks the host as leaving"})
+			p.telemetry.LogDecision(telemetry.Decision{Step: "leave", Choice: "refuse new requests", Reason: "the host list marks the host as leaving"})
 		}
 	}
 }
@@ -292,11 +292,11 @@
 func (p *Process) drain(ctx context.Context) error {
 	p.telemetry.SetNotReady("stopping")
 	p.gate.Leave()
-	p.telemetry.Decide(telemetry.Decision{Step: "leave", Choice: "drain", Reason: "shutdown requested", Details: map[string]any{"inFlight": p.gate.InFlight()}})
+	p.telemetry.LogDecision(telemetry.Decision{Step: "leave", Choice: "drain", Reason: "shutdown requested", Details: map[string]any{"inFlight": p.gate.InFlight()}})
 	p.reporter.Send(ctx)
 	drained := p.gate.Drain(ctx)
 	helpers.Pause(helpers.OrDefault(p.options.LameDuck, lameDuck), ctx.Done())
-	p.server.Closing()
+	p.server.DisableKeepAlives()
 	if err := p.server.Shutdown(ctx); err != nil && drained == nil {
 		return err
 	}
@@ -306,7 +306,7 @@
 // Kill stops the agent at once, like a crash of its host.
 func (p *Process) Kill() {
 	p.stopOnce.Do(func() {
-		p.server.Kill()
+		p.server.Close()
 		p.close()
 	})
 }
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -106,7 +106,7 @@
 	}
 	p := &Process{
 		settings: s, options: options, telemetry: t,
-		table: &tables.Table{}, members: &members.Table{Silence: options.SuspectAfter},
+		table: &tables.Table{}, members: &members.Table{HeartbeatTimeout: options.SuspectAfter},
 		router:    &route.Router{Hall: s.Hall},
 		transport: upstream.NewTransport(options.Dial),
 		stopping:  make(chan struct{}), done: make(chan struct{}),
@@ -119,7 +119,7 @@
 func (p *Process) Start() error {
 	client := &http.Client{Transport: p.control}
 	kv := platform.NewKV(p.settings.Platform.KeyValue, client)
-	p.hosts = &hosts.Follower{List: platform.NewHostList(p.settings.Platform.HostList, client), Every: p.options.HostsInterval}
+	p.hosts = &hosts.Follower{List: platform.NewHostList(p.settings.Platform.HostList, client), Interval: p.options.HostsInterval}
 	p.addFollowers(kv, client)
 	if err := p.listen(kv); err != nil {
 		p.killServers()
@@ -136,7 +136,7 @@
 // addFollowers creates the parts that follow the key-value service and other
 // entries.
 func (p *Process) addFollowers(kv *platform.KV, client *http.Client) {
-	p.watcher = &kvwatch.Watcher{KV: kv, Table: p.table, Rearm: p.options.RearmDelay, OnState: p.onKVState}
+	p.watcher = &kvwatch.Watcher{KV: kv, Table: p.table, MinInterval: p.options.RearmDelay, OnResult: p.onKVState}
 	p.puller = &gossip.Puller{
 		Name: p.settings.Name, Hall: p.settings.Hall, Table: p.table, Members: p.members, Client: client,
 		Entries:    func() []platform.Host { return p.hosts.Select(platform.RoleEntry, "") },
@@ -144,8 +144,8 @@
 	}
 	p.placer = &placer.Placer{
 		Hall: p.settings.Hall, Name: p.settings.Name, KV: kv, Table: p.table, Members: p.members,
-		Listed: p.hosts.Hosts, Telemetry: p.telemetry,
-		TTL: p.options.LeaseTTL, Every: p.options.PlaceInterval, ReplaceAfter: p.options.ReplaceAfter,
+		HostList: p.hosts.Hosts, Telemetry: p.telemetry,
+		TTL: p.options.LeaseTTL, MinWriteInterval: p.options.PlaceInterval, ReplaceAfter: p.options.ReplaceAfter,
 	}
 }
 
@@ -179,7 +179,7 @@
 	}
 	handler.Register(router)
 	mux := http.NewServeMux()
-	p.telemetry.Health(mux) // for the load balancer
+	p.telemetry.RegisterHealth(mux) // for the load balancer
 	mux.Handle("/", router)
 	return mux
 }
@@ -194,7 +194,7 @@
 	}
 	handler.Register(router)
 	mux := http.NewServeMux()
-	p.telemetry.Pages(mux)
+	p.telemetry.RegisterPages(mux)
 	mux.Handle("/v1/", router)
 	return mux
 }
@@ -232,12 +232,12 @@
 
 func (p *Process) onSnapshot(peer string, revision uint64) {
 	p.setLoaded()
-	p.telemetry.Decide(telemetry.Decision{Step: "configure", Choice: "load from " + peer, Reason: "no configuration from the key-value service yet", Revision: revision})
+	p.telemetry.LogDecision(telemetry.Decision{Step: "configure", Choice: "load from " + peer, Reason: "no configuration from the key-value service yet", Revision: revision})
 }
 
 func (p *Process) onSuspects(names []string) {
 	for _, name := range names {
-		p.telemetry.Decide(telemetry.Decision{Step: "member", Choice: "suspect " + name, Reason: "no heartbeat within the timeout", Revision: p.table.View().Revision})
+		p.telemetry.LogDecision(telemetry.Decision{Step: "member", Choice: "suspect " + name, Reason: "no heartbeat within the timeout", Revision: p.table.View().Revision})
 	}
 }
 
@@ -298,9 +298,9 @@
 	close(p.stopping)
 	p.telemetry.SetNotReady("stopping")
 	p.mu.Unlock()
-	p.telemetry.Decide(telemetry.Decision{Step: "leave", Choice: "drain", Reason: "shutdown requested"})
+	p.telemetry.LogDecision(telemetry.Decision{Step: "leave", Choice: "drain", Reason: "shutdown requested"})
 	p.placer.Stop() // releases the lease, so that another entry can acquire it at once
-	p.callers.Closing()
+	p.callers.DisableKeepAlives()
 	helpers.Pause(helpers.OrDefault(p.options.LameDuck, lameDuck), ctx.Done())
 	return errors.Join(p.callers.Shutdown(ctx), p.operators.Shutdown(ctx), p.peers.Shutdown(ctx))
 }
@@ -316,7 +316,7 @@
 func (p *Process) killServers() {
 	for _, s := range []*server.Server{p.callers, p.operators, p.peers} {
 		if s != nil {
-			s.Kill()
+			s.Close()
 		}
 	}
 }
--- a/daemon/internal/connection/control/control.go
+++ b/daemon/internal/connection/control/control.go
@@ -58,7 +58,7 @@
 	if view.Revision == 0 || view.Revision < req.GetHeldRevision() {
 		return resp // the table of this entry is older than the agent's order
 	}
-	order := orders.For(view, s.Members.View(), req.GetHall(), req.GetHost())
+	order := orders.Compute(view, s.Members.View(), req.GetHall(), req.GetHost())
 	changed := orders.AssignmentDigest(order) != req.GetHeldAssignment() ||
 		req.GetHeldOrder() != 0 && orders.Digest(order) != req.GetHeldOrder()
 	if changed {
@@ -77,7 +77,7 @@
 // Sync returns the members that changed since the caller's cursor.
 func (s *Server) Sync(_ context.Context, req *wire.SyncRequest) (*wire.SyncResponse, error) {
 	from := members.Position{Instance: req.GetInstance(), Cursor: req.GetCursor(), Buckets: req.GetBuckets()}
-	position, changed := s.Members.Since(from)
+	position, changed := s.Members.ChangesAfter(from)
 	return &wire.SyncResponse{Instance: position.Instance, Cursor: position.Cursor, Members: changed}, nil
 }
 
--- a/daemon/loader/events_test.go
+++ b/daemon/loader/events_test.go
@@ -18,7 +18,7 @@
 
 // TestEngineWithoutVersionGrantsNoPlace: an engine that has just started refuses every request.
 func TestEngineWithoutVersionGrantsNoPlace(t *testing.T) {
-	events, output, err := telemetry.NewWithBounded(telemetry.Options{Role: "loader", Name: "l", Level: "error"})
+	events, output, err := telemetry.NewWithBoundedWriter(telemetry.Options{Role: "loader", Name: "l", Level: "error"})
 	require.NoError(t, err)
 	t.Cleanup(output.Close)
 	p := &Process{telemetry: events, feed: loadfeed.NewFeed(), ledger: &places.Ledger{}, reconciler: &reconcile.Reconciler{}}
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -91,7 +91,7 @@
 	current   atomic.Pointer[settings.Loader]
 	provider  provider.Provider
 	telemetry *telemetry.Telemetry
-	output    *telemetry.Bounded
+	output    *telemetry.BoundedWriter
 	log       *log.Entry
 
 	table    *replica.Table
@@ -127,7 +127,7 @@
 		return nil, errors.New("loader: no provider")
 	}
 	s.SetDefaults()
-	t, output, err := telemetry.NewWithBounded(telemetry.Options{
+	t, output, err := telemetry.NewWithBoundedWriter(telemetry.Options{
 		Role: string(s.Role), Name: s.Name, Hall: s.Hall, Level: s.Log.Level, Output: options.LogOutput,
 	})
 	if err != nil {
@@ -166,7 +166,7 @@
 	breaker := &replica.CircuitBreaker{}
 	follower := func(prefix string) *replica.Follower {
 		return &replica.Follower{
-			Store: p.provider.Store, Prefix: prefix, Table: p.table, OnConnectionChange: p.telemetry.Contact,
+			Store: p.provider.Store, Prefix: prefix, Table: p.table, OnConnectionChange: p.telemetry.LogStoreConnection,
 			Breaker: breaker,
 		}
 	}
@@ -194,7 +194,7 @@
 
 // newNeighbours returns a client of this hall's routers for one follower.
 func (p *Process) newNeighbours() *peering.Neighbours {
-	return &peering.Neighbours{Client: p.client, Choose: p.chooseRouter, OnBackoff: p.telemetry.NeighbourMuted}
+	return &peering.Neighbours{Client: p.client, Choose: p.chooseRouter, OnBackoff: p.telemetry.LogPeerPaused}
 }
 
 // routersDelay returns the delay before the hall's routers are listed again, which is short
@@ -227,10 +227,10 @@
 		return fmt.Errorf("loader %s: %w", p.current.Load().Name, err)
 	}
 	mux := http.NewServeMux()
-	p.telemetry.Pages(mux)
+	p.telemetry.RegisterPages(mux)
 	p.metrics, err = server.Listen(server.Options{Name: "metrics", Address: p.current.Load().Listen.Metrics, Handler: mux})
 	if err != nil {
-		p.peers.Kill()
+		p.peers.Close()
 		return fmt.Errorf("loader %s: %w", p.current.Load().Name, err)
 	}
 	for _, follower := range p.followers() {
@@ -361,8 +361,8 @@
 	for _, follower := range p.followers() {
 		follower.Stop()
 	}
-	p.peers.Kill()
-	p.metrics.Kill()
+	p.peers.Close()
+	p.metrics.Close()
 	p.log.Info("stopped")
 	p.telemetry.Close()
 	p.output.Close()
--- a/daemon/router/listeners.go
+++ b/daemon/router/listeners.go
@@ -104,6 +104,6 @@
 
 func (p *Process) metricsHandler() http.Handler {
 	mux := http.NewServeMux()
-	p.telemetry.Pages(mux)
+	p.telemetry.RegisterPages(mux)
 	return mux
 }
--- a/daemon/router/recorder.go
+++ b/daemon/router/recorder.go
@@ -276,7 +276,7 @@
 
 // storeConnectionChanged logs that the store was lost or is reachable again.
 func (r *recorder) storeConnectionChanged(prefix string, lost error) {
-	r.telemetry.Contact(prefix, lost)
+	r.telemetry.LogStoreConnection(prefix, lost)
 	if lost != nil {
 		r.scope.Counter("store_lost").Inc(1)
 	}
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -84,7 +84,7 @@
 	options   Options
 	provider  provider.Provider
 	telemetry *telemetry.Telemetry
-	output    *telemetry.Bounded
+	output    *telemetry.BoundedWriter
 	recorder  *recorder
 
 	table    *replica.Table
@@ -129,7 +129,7 @@
 		return nil, errors.New("router: no provider")
 	}
 	s.SetDefaults()
-	t, output, err := telemetry.NewWithBounded(telemetry.Options{
+	t, output, err := telemetry.NewWithBoundedWriter(telemetry.Options{
 		Role: string(s.Role), Name: s.Name, Hall: s.Hall, Level: s.Log.Level, Output: options.LogOutput,
 	})
 	if err != nil {
@@ -159,7 +159,7 @@
 // initReplication prepares the store follower, the fallback to peers and the announcement of this
 // router.
 func (p *Process) initReplication(client *http.Client) {
-	p.neighbours = &peering.Neighbours{Client: client, Choose: p.neighbourToFollow, Hold: p.defersStoreRead, OnBackoff: p.telemetry.NeighbourMuted}
+	p.neighbours = &peering.Neighbours{Client: client, Choose: p.neighbourToFollow, Hold: p.defersStoreRead, OnBackoff: p.telemetry.LogPeerPaused}
 	own := p.ownMember()
 	shardPrefix, hallPrefix := p.provider.Prefixes.MembersOfHall(own.Hall, own.Shard), p.provider.Prefixes.MembersOfHall(own.Hall, "")
 	p.follower = &replica.Follower{
@@ -202,7 +202,7 @@
 	p.draining.Store(true)
 	p.telemetry.SetNotReady("stopping")
 	p.recorder.stopping()
-	p.callers.Closing()
+	p.callers.DisableKeepAlives()
 	defer p.startDrainTimer(ctx)()
 	helpers.Pause(helpers.OrDefault(p.options.LameDuck, lameDuckPeriod), ctx.Done())
 	err := p.callers.Shutdown(ctx)
@@ -239,7 +239,7 @@
 func (p *Process) closeServers() {
 	for _, s := range []*server.Server{p.callers, p.ready, p.peers, p.metrics} {
 		if s != nil {
-			s.Kill()
+			s.Close()
 		}
 	}
 }
