--- a/daemon/internal/version/fetch/fetch.go
+++ b/daemon/internal/version/fetch/fetch.go
@@ -1,21 +1,21 @@
-// Package fetch brings one version's chunks to a host, together with all other
-// hosts that take the version.
+// Package fetch downloads the chunks of one version to a host, cooperatively
+// with all other hosts that need the version. Package install calls it.
 //
-// Each chunk has one primary per hall and one hall that takes it first, both by
-// rendezvous hashing over the hosts that the order names, so that the origin
-// sends each chunk about once without anybody handing out work. Only the first
-// hall's primary asks the store or origin; the primaries of other halls ask a
-// primary that comes before theirs; every other host takes chunks from the
-// neighbours of its hall, rarest first.
+// Rendezvous hashing over the hosts named in the order assigns each chunk a
+// primary in every hall and a first hall, so the origin sends each chunk about
+// once without a coordinator. Only the first hall's primary requests the chunk
+// from the store or origin; primaries of other halls request it from a primary
+// of a hall that ranks higher; all other hosts download chunks from neighbours
+// in their hall, rare chunks first.
 //
-// Nobody waits for a dead primary by a fixed clock, because a slow origin would
-// then look like a dead primary to every host and all would go there at once.
-// A primary that does not answer is passed over; one that answers but brings
-// nothing is backed up only when no new chunk has shown up anywhere near for a
-// while, in the order of ranks.
+// A fixed timeout for primaries was rejected: a slow origin would look like a
+// failed primary to every host, and all of them would send requests to the
+// origin at once. A primary that does not respond is skipped. A primary that
+// responds but gains no chunk is replaced by the next rank only after no new
+// chunk has appeared in the neighbourhood for an adaptive delay.
 //
 // One goroutine owns all state of a fetch and starts transfers; transfers and
-// polls run in goroutines of their own and report back on one channel.
+// polls run in their own goroutines and report on one channel.
 package fetch
 
 import (
@@ -32,94 +32,99 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/version/stage"
 )
 
-// Peer is another host that takes the version.
+// Peer is a host that downloads the version.
 type Peer struct {
 	Name    string
 	Hall    string
 	Address netip.AddrPort
 }
 
-// Swarm is all hosts that take a version, as an order names them.
+// Swarm lists the hosts that download a version, as named in an order.
 type Swarm struct {
-	// HallHosts are the hosts of the own hall, this one included, by name.
+	// HallHosts are the hosts of the local hall, including this one, sorted by name.
 	HallHosts []Peer
-	// Gateways are the hosts of every hall among which primaries are chosen.
+	// Gateways are the hosts of all halls that are eligible as primaries.
 	Gateways []Peer
-	// Halls are all halls that are to take the version, also those that have
-	// no gateways yet.
+	// Halls are all halls that need the version, including halls without
+	// gateways.
 	Halls []string
 }
 
-// Policy says how chunks are found.
+// Policy selects the source of each chunk.
 type Policy string
 
-// The policies. The zero value means PolicySwarm; the others are baselines to
-// measure it against.
+// The zero value means PolicySwarm; the other policies are baselines for
+// benchmarks.
 const (
 	PolicySwarm Policy = "swarm"
-	// PolicyOriginOnly takes every chunk from the store or origin.
+	// PolicyOriginOnly downloads every chunk from the store or origin.
 	PolicyOriginOnly Policy = "origin-only"
-	// PolicyTree relays along a fixed tree of TreeFanOut over the hall's hosts.
+	// PolicyTree relays chunks along a fixed tree over the hall's hosts, with
+	// TreeFanOut children per host.
 	PolicyTree Policy = "tree"
-	// PolicyNaive asks random peers for random chunks, and the origin for
-	// chunks that no neighbour has.
+	// PolicyNaive downloads random chunks from random peers, and chunks that no
+	// neighbour holds from the origin.
 	PolicyNaive Policy = "naive-swarm"
 )
 
 // TreeFanOut is the number of children in PolicyTree.
 const TreeFanOut = 2
 
-// Defaults of a Fetcher.
+// Defaults of the Fetcher fields of the same names.
 const (
 	DefaultPeerWait    = 2 * time.Second
 	DefaultPeerSlots   = 10
 	DefaultOriginSlots = 1
 	DefaultHallSlots   = 4
-	// DefaultNeighbours is the number of hosts whose chunks a host follows.
+	// DefaultNeighbours is the number of hosts that a host polls for chunks.
 	DefaultNeighbours = 16
-	perPeerSlots      = 2
+	transfersPerPeer  = 2
 )
 
 // Fetcher fetches versions for one host. Set the fields before use.
 type Fetcher struct {
+	// Self and Hall are the names of the local host and its hall.
 	Self, Hall string
 	Stage      *stage.Stage
 	Link       *source.Link
-	// Sources are the store and the origin, cheapest first.
+	// Sources are the store and the origin, in order of preference.
 	Sources []*source.Source
-	// Have asks a peer for the chunks that it gained.
+	// Have polls a peer for the chunks that it has gained.
 	Have      func(ctx context.Context, peer netip.AddrPort, request *wire.HaveRequest) (*wire.HaveResponse, error)
 	Telemetry *telemetry.Telemetry
 	Policy    Policy
-	// PeerWait varies DefaultPeerWait; 0 takes it.
+	// PeerWait is the minimum delay before this host stands in for another
+	// primary, and the time that a primary of another hall may wait for a
+	// requested chunk; 0 means DefaultPeerWait.
 	PeerWait time.Duration
-	// PeerSlots, OriginSlots and HallSlots bound the transfers from peers of
-	// the hall, from the store and origin, and from other halls; 0 takes the
-	// defaults.
+	// PeerSlots, OriginSlots and HallSlots limit concurrent transfers from peers
+	// of the hall, from the store and origin, and from other halls; 0 means the
+	// default.
 	PeerSlots, OriginSlots, HallSlots int
-	// Neighbours varies DefaultNeighbours; 0 takes it.
+	// Neighbours is the number of hosts to poll; 0 means DefaultNeighbours.
 	Neighbours int
-	// Counters of what came from where; nil means nobody counts.
-	OnBytes func(from Kind, bytes int64, useful bool)
+	// OnBytes, if set, is called with the size of each transfer. useful is
+	// false if the chunk failed or was already staged.
+	OnBytes func(src Kind, bytes int64, useful bool)
 }
 
-// Kind says where a transfer comes from.
+// Kind is the kind of source of a transfer.
 type Kind string
 
-// The kinds of transfer.
 const (
-	FromPeer   Kind = "peer"   // an agent of the own hall
+	FromPeer   Kind = "peer"   // an agent of the local hall
 	FromHall   Kind = "hall"   // an agent of another hall
 	FromOrigin Kind = "origin" // the store or origin
 )
 
-// SwarmSource returns the present swarm and a channel that closes when it
+// SwarmSource returns the current swarm and a channel that is closed when it
 // changes.
 type SwarmSource func() (Swarm, <-chan struct{})
 
-// Manifest fetches a version's manifest, from peers first.
+// Manifest downloads a version's manifest, from up to two random peers of the
+// hall first and then from the sources.
 func (f *Fetcher) Manifest(ctx context.Context, version manifest.Digest, swarm Swarm) (*manifest.Manifest, error) {
-	var last error
+	var lastErr error
 	peers := append([]Peer(nil), swarm.HallHosts...)
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	for _, peer := range peers[:min(2, len(peers))] {
@@ -133,26 +138,27 @@
 			}
 		}
 	}
-	for _, from := range f.Sources {
-		data, err := from.FetchManifest(ctx, version)
+	for _, src := range f.Sources {
+		data, err := src.FetchManifest(ctx, version)
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
 		m, err := manifest.Decode(data, version)
 		if err == nil {
 			return m, nil
 		}
-		last = fmt.Errorf("manifest %s from %s %s: %w", version.Short(), from.Name, from.Peer, err)
+		lastErr = fmt.Errorf("manifest %s from %s %s: %w", version.Short(), src.Name, src.Peer, err)
 	}
-	if last == nil {
-		last = fmt.Errorf("manifest %s: no source is configured", version.Short())
+	if lastErr == nil {
+		lastErr = fmt.Errorf("manifest %s: no store or origin is configured", version.Short())
 	}
-	return nil, last
+	return nil, lastErr
 }
 
-// Fetch brings every chunk of a staged version here and verifies the whole. It
-// returns when that is done, the context ends or the version is dropped.
+// Fetch downloads every chunk of a staged version and verifies the digest of
+// the whole file. It returns when the version is verified, ctx is done or the
+// version is dropped from the stage.
 func (f *Fetcher) Fetch(ctx context.Context, version *stage.Version, swarm SwarmSource) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/daemon/internal/version/fetch/fetch_test.go
+++ b/daemon/internal/version/fetch/fetch_test.go
@@ -20,9 +20,9 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/version/stage"
 )
 
-// swarmOf returns halls of hosts, the first gateways of each hall being its
-// gateways.
-func swarmOf(hall string, perHall map[string]int, gateways int) Swarm {
+// newSwarm returns the swarm as seen from one hall. The first hosts of each hall,
+// as many as gateways says, are its gateways.
+func newSwarm(hall string, perHall map[string]int, gateways int) Swarm {
 	var swarm Swarm
 	names := make([]string, 0, len(perHall))
 	for name := range perHall {
@@ -43,7 +43,7 @@
 	return swarm
 }
 
-func someChunks(n int) []digest {
+func numberedChunks(n int) []digest {
 	chunks := make([]digest, n)
 	for i := range chunks {
 		chunks[i] = manifest.Sum([]byte(fmt.Sprint(i)))
@@ -51,25 +51,25 @@
 	return chunks
 }
 
-// TestOnePrimaryPerChunk checks over a whole fleet what the design rests on:
-// each chunk has one primary in each hall, and one of these goes to the origin.
-func TestOnePrimaryPerChunk(t *testing.T) {
+// All hosts of a fleet must agree that each chunk has one primary in each hall,
+// and that exactly one of these fetches it from the origin.
+func TestEachChunkHasOnePrimaryPerHallAndOneOrigin(t *testing.T) {
 	halls := map[string]int{"a": 5, "b": 20, "c": 1}
-	chunks := someChunks(200)
+	chunks := numberedChunks(200)
 	primaries := map[string]int{}
 	origins := make([]int, len(chunks))
 	load := map[string]int{}
 	for hall, count := range halls {
-		swarm := swarmOf(hall, halls, 16)
+		swarm := newSwarm(hall, halls, 16)
 		for i := range count {
 			f := &Fetcher{Self: fmt.Sprintf("%s-%03d", hall, i), Hall: hall}
-			for _, d := range f.dutiesOf(chunks, swarm) {
-				if d.rank != 0 {
+			for _, a := range f.assignmentsOf(chunks, swarm) {
+				if a.rank != 0 {
 					continue
 				}
-				primaries[fmt.Sprint(hall, d.chunk)]++
-				if len(d.hops) == 0 {
-					origins[d.chunk]++
+				primaries[fmt.Sprint(hall, a.chunk)]++
+				if len(a.hops) == 0 {
+					origins[a.chunk]++
 					load[hall]++
 				}
 			}
@@ -83,57 +83,57 @@
 		require.Equal(t, 1, count, "chunk %d", chunk)
 	}
 	for hall := range halls {
-		assert.InDelta(t, len(chunks)/len(halls), load[hall], 30, "halls share the first takes evenly")
+		assert.InDelta(t, len(chunks)/len(halls), load[hall], 30, "fetches from the origin are spread evenly over halls")
 	}
 }
 
-func TestHopsLeadToTheFirstHall(t *testing.T) {
+func TestHopsAreInOtherHalls(t *testing.T) {
 	halls := map[string]int{"a": 3, "b": 3, "c": 3, "d": 3, "e": 3, "f": 3, "g": 3}
 	for hall := range halls {
-		swarm := swarmOf(hall, halls, 3)
+		swarm := newSwarm(hall, halls, 3)
 		for i := range 3 {
 			f := &Fetcher{Self: fmt.Sprintf("%s-%03d", hall, i), Hall: hall}
-			for _, d := range f.dutiesOf(someChunks(50), swarm) {
-				assert.LessOrEqual(t, len(d.hops), 2*hopsPerHall)
-				for _, hop := range d.hops {
-					assert.NotEqual(t, hall, hop.Hall, "asks other halls only")
+			for _, a := range f.assignmentsOf(numberedChunks(50), swarm) {
+				assert.LessOrEqual(t, len(a.hops), 2*hopsPerHall)
+				for _, hop := range a.hops {
+					assert.NotEqual(t, hall, hop.Hall, "hops are in other halls")
 				}
 			}
 		}
 	}
 }
 
-func TestNeighboursConnectTheHall(t *testing.T) {
+func TestNeighboursReachEveryHostOfHall(t *testing.T) {
 	for _, hosts := range []int{1, 2, 3, 17, 64, 286} {
-		swarm := swarmOf("a", map[string]int{"a": hosts}, 16)
-		follows := map[string][]string{}
+		swarm := newSwarm("a", map[string]int{"a": hosts}, 16)
+		pollers := map[string][]string{}
 		for i, host := range swarm.HallHosts {
 			f := &Fetcher{Self: host.Name, Hall: "a"}
 			for _, peer := range f.neighbours(swarm) {
 				require.NotEqual(t, host.Name, peer.Name)
-				follows[peer.Name] = append(follows[peer.Name], host.Name)
+				pollers[peer.Name] = append(pollers[peer.Name], host.Name)
 			}
 			limit := DefaultNeighbours
 			if i < 16 {
-				limit += 15 // gateways follow each other
+				limit += 15 // gateways poll each other
 			}
 			assert.LessOrEqual(t, len(f.neighbours(swarm)), min(limit, hosts-1))
 		}
 		reached := map[string]bool{"a-000": true}
 		for queue := []string{"a-000"}; len(queue) > 0; queue = queue[1:] {
-			for _, next := range follows[queue[0]] {
+			for _, next := range pollers[queue[0]] {
 				if !reached[next] {
 					reached[next] = true
 					queue = append(queue, next)
 				}
 			}
 		}
-		assert.Len(t, reached, hosts, "a chunk at one host reaches all")
+		assert.Len(t, reached, hosts, "a chunk at one host reaches all hosts")
 	}
 }
 
-func TestTreeNeighbours(t *testing.T) {
-	swarm := swarmOf("a", map[string]int{"a": 7}, 7)
+func TestTreePolicyPollsOnlyParent(t *testing.T) {
+	swarm := newSwarm("a", map[string]int{"a": 7}, 7)
 	parents := map[string]string{}
 	for _, host := range swarm.HallHosts {
 		f := &Fetcher{Self: host.Name, Hall: "a", Policy: PolicyTree}
@@ -145,47 +145,47 @@
 	assert.Equal(t, "a-002", parents["a-006"])
 }
 
-// TestStoreBeforeOrigin fetches alone, from a store that fails in every way and
-// from the origin behind it.
-func TestStoreBeforeOrigin(t *testing.T) {
+// The store fails or returns corrupt bytes for some chunks; only these may be
+// fetched from the origin.
+func TestFetchFallsBackToOriginWhenStoreFails(t *testing.T) {
 	data := bytes.Repeat([]byte("weights of a small model "), 100)
 	m, err := manifest.Build(bytes.NewReader(data), int64(len(data)), 256)
 	require.NoError(t, err)
 	_, id, err := m.Encode()
 	require.NoError(t, err)
 	var mu sync.Mutex
-	asked := map[string]int{}
-	sourceOf := func(name string, answer func(offset int64, good []byte) ([]byte, error)) *source.Source {
+	requests := map[string]int{}
+	newSource := func(name string, reply func(offset int64, good []byte) ([]byte, error)) *source.Source {
 		return &source.Source{Name: name, FetchRange: func(_ context.Context, _ manifest.Digest, offset, length int64) ([]byte, error) {
 			mu.Lock()
-			asked[name]++
+			requests[name]++
 			mu.Unlock()
-			return answer(offset, bytes.Clone(data[offset:offset+length]))
+			return reply(offset, bytes.Clone(data[offset:offset+length]))
 		}}
 	}
-	store := sourceOf("store", func(offset int64, good []byte) ([]byte, error) {
+	store := newSource("store", func(offset int64, good []byte) ([]byte, error) {
 		switch offset / 256 % 3 {
 		case 0:
-			return nil, errors.New("the store is down")
+			return nil, errors.New("store unavailable")
 		case 1:
 			good[0] ^= 1
 		}
 		return good, nil
 	})
-	origin := sourceOf("origin", func(_ int64, good []byte) ([]byte, error) { return good, nil })
-	quiet, err := telemetry.New(telemetry.Options{Level: "error", Output: io.Discard})
+	origin := newSource("origin", func(_ int64, good []byte) ([]byte, error) { return good, nil })
+	logger, err := telemetry.New(telemetry.Options{Level: "error", Output: io.Discard})
 	require.NoError(t, err)
-	defer quiet.Close()
+	defer logger.Close()
 	self := Peer{Name: "alone", Hall: "a"}
-	alone := Swarm{HallHosts: []Peer{self}, Gateways: []Peer{self}, Halls: []string{"a"}}
-	f := &Fetcher{Self: "alone", Hall: "a", Stage: &stage.Stage{}, Link: &source.Link{}, Sources: []*source.Source{store, origin}, Telemetry: quiet}
+	singleHost := Swarm{HallHosts: []Peer{self}, Gateways: []Peer{self}, Halls: []string{"a"}}
+	f := &Fetcher{Self: "alone", Hall: "a", Stage: &stage.Stage{}, Link: &source.Link{}, Sources: []*source.Source{store, origin}, Telemetry: logger}
 	version, err := f.Stage.Open(id, m, nil)
 	require.NoError(t, err)
-	require.NoError(t, f.Fetch(t.Context(), version, func() (Swarm, <-chan struct{}) { return alone, nil }))
-	var whole bytes.Buffer
-	require.NoError(t, version.WriteAll(&whole))
-	assert.Equal(t, data, whole.Bytes())
-	assert.Equal(t, len(m.Chunks), asked["store"], "the store goes first")
-	assert.Less(t, asked["origin"], asked["store"], "the origin only for what the store could not give")
-	assert.Positive(t, asked["origin"])
+	require.NoError(t, f.Fetch(t.Context(), version, func() (Swarm, <-chan struct{}) { return singleHost, nil }))
+	var assembled bytes.Buffer
+	require.NoError(t, version.WriteAll(&assembled))
+	assert.Equal(t, data, assembled.Bytes())
+	assert.Equal(t, len(m.Chunks), requests["store"], "every chunk is requested from the store first")
+	assert.Less(t, requests["origin"], requests["store"], "the origin only for chunks that the store failed to deliver")
+	assert.Positive(t, requests["origin"])
 }
--- a/daemon/internal/version/fetch/neighbours.go
+++ b/daemon/internal/version/fetch/neighbours.go
@@ -11,26 +11,27 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/rendezvous"
 )
 
-// downAfter is how long polls of a primary fail before it is passed over.
-const downAfter = time.Second
+// unresponsiveAfter is how long polls of a host fail before it is skipped.
+const unresponsiveAfter = time.Second
 
-// duty is a chunk that this host may have to bring into its hall.
-type duty struct {
+// assignment is a chunk that this host may have to bring into its hall.
+type assignment struct {
 	chunk int
 	// rank is the host's rank among the hall's gateways for the chunk; 0 is
 	// the primary.
 	rank int
-	// before are the gateways that rank before this host.
-	before []string
+	// rankedBefore are the gateways that rank before this host.
+	rankedBefore []string
 	// hops are the primaries of other halls to ask before the origin.
 	hops []Peer
-	// waits is set while the hall to ask has no gateways yet.
-	waits bool
+	// waitsForHall is set while the halls to ask have no gateways yet.
+	waitsForHall bool
 }
 
-// setSwarm takes the hosts that an order names.
+// setSwarm applies a new list of hosts: it updates the polled neighbours and the
+// assignments.
 func (r *run) setSwarm(ctx context.Context, swarm Swarm) {
-	r.hallsOver = false
+	r.hallsTimedOut = false
 	wanted := map[string]Peer{}
 	for _, peer := range r.fetcher.neighbours(swarm) {
 		wanted[peer.Name] = peer
@@ -38,22 +39,22 @@
 	for name, peer := range r.peers {
 		if wanted[name] != peer.Peer {
 			peer.stop()
-			r.forget(peer)
+			r.clearChunks(peer)
 			delete(r.peers, name)
 		}
 	}
 	for name, peer := range wanted {
 		if r.peers[name] == nil {
-			r.follow(ctx, peer)
+			r.startPolling(ctx, peer)
 		}
 	}
-	r.duties = r.fetcher.dutiesOf(r.version.Manifest.Chunks, swarm)
-	rand.Shuffle(len(r.duties), func(i, j int) { r.duties[i], r.duties[j] = r.duties[j], r.duties[i] })
-	slices.SortStableFunc(r.duties, func(a, b duty) int { return cmp.Compare(a.rank, b.rank) })
+	r.assignments = r.fetcher.assignmentsOf(r.version.Manifest.Chunks, swarm)
+	rand.Shuffle(len(r.assignments), func(i, j int) { r.assignments[i], r.assignments[j] = r.assignments[j], r.assignments[i] })
+	slices.SortStableFunc(r.assignments, func(x, y assignment) int { return cmp.Compare(x.rank, y.rank) })
 }
 
-// follow starts to poll a neighbour.
-func (r *run) follow(ctx context.Context, peer Peer) {
+// startPolling starts a goroutine that polls a neighbour.
+func (r *run) startPolling(ctx context.Context, peer Peer) {
 	ctx, stop := context.WithCancel(ctx)
 	r.peers[peer.Name] = &peerState{Peer: peer, has: make([]bool, len(r.chunks)), stop: stop}
 	r.polls++
@@ -63,10 +64,10 @@
 	}()
 }
 
-// neighbours returns the hosts of the hall whose chunks this host follows:
-// those at ring distances of powers of two, so that the hall is connected in
-// log(n) steps, then random ones; a gateway follows the other gateways too, to
-// know when it must stand in for one.
+// neighbours returns the hosts of the hall that this host polls: the hosts at
+// ring distances of powers of two, so that a chunk reaches the whole hall in
+// log(n) steps, then random hosts. A gateway also polls the other gateways of the
+// hall, to detect when it has to stand in for one.
 func (f *Fetcher) neighbours(swarm Swarm) []Peer {
 	hosts := swarm.HallHosts
 	self := slices.IndexFunc(hosts, func(p Peer) bool { return p.Name == f.Self })
@@ -92,9 +93,9 @@
 		add(hosts[(self+distance)%len(hosts)])
 		add(hosts[(self-distance+len(hosts))%len(hosts)])
 	}
-	for _, at := range rand.Perm(len(hosts)) {
+	for _, index := range rand.Perm(len(hosts)) {
 		if len(picked) < limit {
-			add(hosts[at])
+			add(hosts[index])
 		}
 	}
 	own := f.ownGateways(swarm)
@@ -116,33 +117,33 @@
 	return own
 }
 
-// gatewaysByHall is one hall with its gateways.
-type gatewaysByHall struct {
+// hallGateways holds the gateways of one hall.
+type hallGateways struct {
 	hall  string
 	names []string
 	peers map[string]Peer
 }
 
-// group sorts the gateways by hall.
-func group(gateways []Peer) []gatewaysByHall {
-	var halls []gatewaysByHall
+// groupByHall groups gateways by hall, in order of first appearance.
+func groupByHall(gateways []Peer) []hallGateways {
+	var halls []hallGateways
 	for _, gateway := range gateways {
-		at := slices.IndexFunc(halls, func(h gatewaysByHall) bool { return h.hall == gateway.Hall })
-		if at < 0 {
-			at = len(halls)
-			halls = append(halls, gatewaysByHall{hall: gateway.Hall, peers: map[string]Peer{}})
+		index := slices.IndexFunc(halls, func(h hallGateways) bool { return h.hall == gateway.Hall })
+		if index < 0 {
+			index = len(halls)
+			halls = append(halls, hallGateways{hall: gateway.Hall, peers: map[string]Peer{}})
 		}
-		halls[at].names = append(halls[at].names, gateway.Name)
-		halls[at].peers[gateway.Name] = gateway
+		halls[index].names = append(halls[index].names, gateway.Name)
+		halls[index].peers[gateway.Name] = gateway
 	}
 	return halls
 }
 
-// dutiesOf returns the chunks that this host may have to bring in, and by
-// which way.
-func (f *Fetcher) dutiesOf(chunks []digest, swarm Swarm) []duty {
-	halls := group(swarm.Gateways)
-	own := slices.IndexFunc(halls, func(h gatewaysByHall) bool { return h.hall == f.Hall })
+// assignmentsOf returns the chunks that this host may have to bring into its
+// hall, with the agents to ask. It returns nil for a host that is no gateway.
+func (f *Fetcher) assignmentsOf(chunks []digest, swarm Swarm) []assignment {
+	halls := groupByHall(swarm.Gateways)
+	own := slices.IndexFunc(halls, func(h hallGateways) bool { return h.hall == f.Hall })
 	if own < 0 {
 		return nil
 	}
@@ -150,41 +151,41 @@
 		return nil
 	}
 	names := slices.Clone(swarm.Halls)
-	byName := map[string]gatewaysByHall{}
+	byName := map[string]hallGateways{}
 	for _, hall := range halls {
 		byName[hall.hall] = hall
 		if !slices.Contains(names, hall.hall) {
 			names = append(names, hall.hall)
 		}
 	}
-	duties := make([]duty, 0, len(chunks))
+	assignments := make([]assignment, 0, len(chunks))
 	for index, chunk := range chunks {
 		key := string(chunk[:])
 		ranked := rendezvous.Rank(key, halls[own].names)
 		rank := slices.Index(ranked, f.Self)
-		d := duty{chunk: index, rank: rank, before: ranked[:rank]}
-		d.hops, d.waits = hopsTo(key, f.Hall, rendezvous.Rank(key, names), byName)
-		duties = append(duties, d)
+		a := assignment{chunk: index, rank: rank, rankedBefore: ranked[:rank]}
+		a.hops, a.waitsForHall = hopsFor(key, f.Hall, rendezvous.Rank(key, names), byName)
+		assignments = append(assignments, a)
 	}
-	return duties
+	return assignments
 }
 
 // hopsPerHall is the number of gateways of another hall that are asked for a
-// chunk: its primary, and who stands in for it.
+// chunk: its primary and the next rank.
 const hopsPerHall = 2
 
-// hopsTo returns the primaries of the halls through which a chunk comes to a
-// hall. The halls form a binary tree in the order of their rank for the chunk:
-// the first one goes to the origin, each other one to its parent, and in case
-// the parent fails to the first.
-func hopsTo(key, hall string, ranked []string, byName map[string]gatewaysByHall) (hops []Peer, waits bool) {
-	at := slices.Index(ranked, hall)
-	if at <= 0 {
+// hopsFor returns the agents of other halls from which a hall fetches a chunk.
+// The halls form a binary tree in the order of their rank for the chunk: the
+// root uses the origin, every other hall its parent and, if the parent fails,
+// the root.
+func hopsFor(key, hall string, ranked []string, byName map[string]hallGateways) (hops []Peer, waitsForHall bool) {
+	index := slices.Index(ranked, hall)
+	if index <= 0 {
 		return nil, false
 	}
-	for _, from := range []int{(at - 1) / 2, 0} {
-		source, known := byName[ranked[from]]
-		if !known {
+	for _, parent := range []int{(index - 1) / 2, 0} {
+		source, ok := byName[ranked[parent]]
+		if !ok {
 			continue
 		}
 		inOrder := rendezvous.Rank(key, source.names)
--- a/daemon/internal/version/fetch/run.go
+++ b/daemon/internal/version/fetch/run.go
@@ -12,132 +12,137 @@
 )
 
 const (
-	// tickEvery is the interval in which waits are looked at.
-	tickEvery = 50 * time.Millisecond
-	// haveWait is the wait of one poll of a neighbour.
-	haveWait   = haveWaitMs * time.Millisecond
-	haveWaitMs = 5000
-	// haveRetry is the pause after a poll that failed.
-	haveRetry = 250 * time.Millisecond
-	// corruptLimit is the number of corrupt chunks after which a peer is
-	// taken off for the version, failLimit that of failures in a row after
-	// which it is taken off for offFor.
-	corruptLimit = 3
-	failLimit    = 2
-	offFor       = 30 * time.Second
-	offForever   = 24 * time.Hour
-	// hedgeFloor is the least age of a transfer that is hedged.
-	hedgeFloor = 300 * time.Millisecond
-	// hedgeFactor times the usual duration is the age from which a transfer
-	// is hedged.
+	// tickInterval is the interval at which delays and backoffs are checked.
+	tickInterval = 50 * time.Millisecond
+	// pollWait is how long a neighbour may delay its response to a poll.
+	pollWait   = pollWaitMs * time.Millisecond
+	pollWaitMs = 5000
+	// pollRetryDelay is the pause after a failed poll.
+	pollRetryDelay = 250 * time.Millisecond
+	// maxCorruptChunks is the number of corrupt chunks after which a peer is
+	// excluded for the rest of the fetch; maxConsecutiveFailures is the number
+	// of consecutive failures after which it is excluded for exclusionPeriod.
+	maxCorruptChunks       = 3
+	maxConsecutiveFailures = 2
+	exclusionPeriod        = 30 * time.Second
+	permanentExclusion     = 24 * time.Hour
+	// minHedgeDelay is the minimum age of a transfer that is hedged.
+	minHedgeDelay = 300 * time.Millisecond
+	// hedgeFactor is the multiple of the mean transfer duration after which a
+	// transfer is hedged.
 	hedgeFactor = 3
-	// busyPause is how long a peer without a free slot is left alone.
-	busyPause = 50 * time.Millisecond
-	// failPause is how long a peer is left alone after its first failure in a
-	// row; it doubles with each further one, failDoubles times at most.
-	failPause   = 250 * time.Millisecond
-	failDoubles = 5
+	// busyBackoff is the pause after a peer reported no free upload slot.
+	busyBackoff = 50 * time.Millisecond
+	// failureBackoff is the base of the pause after a failed transfer; the
+	// pause doubles with each consecutive failure, at most
+	// maxBackoffDoublings times.
+	failureBackoff      = 250 * time.Millisecond
+	maxBackoffDoublings = 5
 )
 
-// chunkState is what a run knows of one chunk.
+// chunkState is the state of one chunk in a run.
 type chunkState struct {
 	held bool
-	// transfers is the number of transfers of the chunk under way.
+	// transfers is the number of transfers of the chunk in progress.
 	transfers int
-	// since is when the first of them began.
-	since time.Time
-	// seen is set once the chunk is held here or by a neighbour.
+	// transferStart is when the first of these transfers started.
+	transferStart time.Time
+	// seen is set once this host or a neighbour has held the chunk.
 	seen bool
-	// holders is the number of neighbours that have the chunk.
+	// holders is the number of neighbours that hold the chunk.
 	holders int
-	// pausedUntil keeps other halls from being asked too soon again.
-	pausedUntil time.Time
+	// backoffUntil is when other halls may be asked for the chunk again.
+	backoffUntil time.Time
 }
 
-// peerState is what a run knows of one neighbour.
+// peerState is the state of one neighbour in a run.
 type peerState struct {
 	Peer
 	has []bool
-	// missed lists what the peer said to have while it was off.
-	missed    []uint32
+	// deferred lists the chunks that the peer reported while it was excluded.
+	deferred  []uint32
 	transfers int
-	// pausedUntil keeps the peer from being asked too soon again.
-	pausedUntil time.Time
-	failures    int
-	corrupt     int
-	// offUntil is set for a peer whose chunks do not arrive whole. Until then
-	// it counts as having none.
-	offUntil time.Time
-	// downSince is when its polls began to fail, zero while they succeed.
-	downSince time.Time
-	stop      context.CancelFunc
+	// backoffUntil is when the next transfer from the peer may start.
+	backoffUntil time.Time
+	failures     int
+	corrupt      int
+	// excludedUntil is set for a peer whose transfers fail. Until then the peer
+	// counts as holding no chunk.
+	excludedUntil time.Time
+	// pollsFailingSince is when polls of the peer started to fail; zero while
+	// they succeed.
+	pollsFailingSince time.Time
+	stop              context.CancelFunc
 }
 
-// usable reports whether the peer may be asked now.
+// usable reports whether a transfer from the peer may start now.
 func (p *peerState) usable(now time.Time) bool {
-	return p.transfers < perPeerSlots && !now.Before(p.pausedUntil)
+	return p.transfers < transfersPerPeer && !now.Before(p.backoffUntil)
 }
 
-// bad reports whether the peer cannot be counted on: it does not answer, or
-// what it sends does not arrive whole.
-func (p *peerState) bad(now time.Time) bool {
-	silent := !p.downSince.IsZero() && now.Sub(p.downSince) >= downAfter
-	return silent || now.Before(p.offUntil)
+// unavailable reports whether the peer does not respond to polls or is excluded
+// because its transfers fail.
+func (p *peerState) unavailable(now time.Time) bool {
+	unresponsive := !p.pollsFailingSince.IsZero() && now.Sub(p.pollsFailingSince) >= unresponsiveAfter
+	return unresponsive || now.Before(p.excludedUntil)
 }
 
-// run is one version being fetched. All fields belong to the goroutine of loop.
+// run is the fetch of one version. All fields belong to the goroutine of loop.
 type run struct {
-	fetcher *Fetcher
-	version *stage.Version
-	chunks  []chunkState
-	peers   map[string]*peerState
-	duties  []duty
-	// hopsOff names the agents of other halls that failed, and until when they
-	// are passed over.
-	hopsOff map[string]time.Time
-	// idle names the gateways of the own hall that were waited for in vain,
-	// until they bring something. hallsOver is set once halls without gateways
-	// were waited for in vain, until the swarm changes.
-	idle      map[string]bool
-	hallsOver bool
-	// slots counts the transfers under way of each kind.
+	fetcher     *Fetcher
+	version     *stage.Version
+	chunks      []chunkState
+	peers       map[string]*peerState
+	assignments []assignment
+	// excludedHops maps failed agents of other halls to the end of their
+	// exclusion.
+	excludedHops map[string]time.Time
+	// idleGateways names the gateways of the local hall that did not bring in a
+	// chunk within the stand-in delay, until they gain one. hallsTimedOut is
+	// set after the same delay for halls without gateways, until the swarm
+	// changes.
+	idleGateways  map[string]bool
+	hallsTimedOut bool
+	// slots counts the transfers in progress by kind.
 	slots map[Kind]int
-	// usual is a moving mean of how long a chunk takes from a peer.
-	usual time.Duration
-	// newest is when a chunk was last seen here for the first time, usualGap a
-	// slowly forgetting maximum of the time between two such.
-	newest   time.Time
-	usualGap time.Duration
-	// originTook is how long the last transfer from the origin took, and
-	// originBegan when the oldest one under way began.
-	originTook  time.Duration
-	originBegan time.Time
-	// originPausedUntil keeps the sources from being asked too soon again.
-	originPausedUntil time.Time
-	originFailures    int
+	// meanTransfer is a moving average of the duration of peer transfers.
+	meanTransfer time.Duration
+	// lastNewChunk is when the latest chunk was first seen; newChunkGap is a
+	// slowly decaying maximum of the time between two such events.
+	lastNewChunk time.Time
+	newChunkGap  time.Duration
+	// originDuration is the duration of the last completed transfer from the
+	// origin; originStart is the start of the first transfer since the
+	// origin had none in progress.
+	originDuration time.Duration
+	originStart    time.Time
+	// originBackoffUntil is when the next transfer from a source may start.
+	originBackoffUntil time.Time
+	originFailures     int
 
 	events chan event
 	polls  int
 }
 
-// event is what a transfer or a poll reports. Exactly one field is set.
+// event is a report from a transfer or a poll. Exactly one field is set.
 type event struct {
-	transfer  *transferDone
-	have      *haveNews
+	transfer  *transferResult
+	have      *chunkUpdate
 	pollEnded bool
 }
 
-// haveNews is what a poll of a neighbour brought.
-type haveNews struct {
+// chunkUpdate is the result of one poll of a neighbour.
+type chunkUpdate struct {
 	peer   string
 	chunks []uint32
-	// reset is set when the neighbour is another process than before.
+	// reset is set when the neighbour has staged the version anew, for example
+	// after a restart.
 	reset bool
 	err   error
 }
 
-// transferDone is the end of one transfer.
-type transferDone struct {
+// transferResult is the result of one transfer.
+type transferResult struct {
 	chunk   int
 	kind    Kind
 	peer    string // the neighbour's name, "" for the origin
@@ -145,41 +150,42 @@
 	bytes   int64
 	err     error
 	corrupt bool
-	// failedHops names the agents of other halls that failed on the way.
+	// failedHops names the agents of other halls that failed.
 	failedHops []string
-	// useful is set when the chunk was not here before.
+	// useful is set if the chunk was not staged before.
 	useful bool
-	// source names where a corrupt or failed transfer came from.
+	// source names the sender of the chunk, for logs.
 	source string
 }
 
 func newRun(f *Fetcher, version *stage.Version) *run {
 	return &run{
 		fetcher: f, version: version,
-		chunks:  make([]chunkState, len(version.Manifest.Chunks)),
-		peers:   map[string]*peerState{},
-		hopsOff: map[string]time.Time{},
-		idle:    map[string]bool{},
-		slots:   map[Kind]int{},
-		newest:  time.Now(),
-		events:  make(chan event, 64),
+		chunks:       make([]chunkState, len(version.Manifest.Chunks)),
+		peers:        map[string]*peerState{},
+		excludedHops: map[string]time.Time{},
+		idleGateways: map[string]bool{},
+		slots:        map[Kind]int{},
+		lastNewChunk: time.Now(),
+		events:       make(chan event, 64),
 	}
 }
 
-// loop runs until the version is complete.
+// loop schedules transfers until every chunk is staged, ctx is done or the
+// version is dropped.
 func (r *run) loop(ctx context.Context, swarm SwarmSource) error {
 	ctx, cancel := context.WithCancel(ctx)
-	defer r.wait()
+	defer r.awaitGoroutines()
 	defer cancel()
 	present, swarmChanged := swarm()
 	r.setSwarm(ctx, present)
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	var held stage.Gained
 	for {
 		var changed <-chan struct{}
 		held, changed = r.version.Since(held.Instance, held.Cursor)
-		r.noteHeld(held)
+		r.markHeld(held)
 		if int(held.Cursor) == len(r.chunks) {
 			return nil
 		}
@@ -202,14 +208,15 @@
 	}
 }
 
-// wait takes the remaining reports, so that no goroutine outlives the run.
-func (r *run) wait() {
+// awaitGoroutines handles the remaining events, so that no transfer or poll
+// outlives the run.
+func (r *run) awaitGoroutines() {
 	for r.polls > 0 || r.slots[FromPeer]+r.slots[FromHall]+r.slots[FromOrigin] > 0 {
 		r.handle(<-r.events)
 	}
 }
 
-// drainEvents handles what has gathered, before the next schedule.
+// drainEvents handles all queued events, so that schedule runs once for them.
 func (r *run) drainEvents() {
 	for {
 		select {
@@ -221,89 +228,91 @@
 	}
 }
 
-// noteHeld marks the chunks that the stage has got, from whatever side.
-func (r *run) noteHeld(gained stage.Gained) {
+// markHeld marks chunks that the stage gained, from this run or another one
+// that shares chunks.
+func (r *run) markHeld(gained stage.Gained) {
 	for _, index := range gained.Chunks {
 		r.chunks[index].held = true
-		r.see(int(index))
+		r.markSeen(int(index))
 	}
 }
 
-// see notes that a chunk has reached this host or a neighbour.
-func (r *run) see(index int) {
+// markSeen records that a chunk has reached this host or a neighbour.
+func (r *run) markSeen(index int) {
 	if r.chunks[index].seen {
 		return
 	}
 	r.chunks[index].seen = true
 	now := time.Now()
-	// A gap as long as the patience was spent waiting for somebody; counting it
-	// would make the next wait four times as long, and so on.
-	if gap := now.Sub(r.newest); gap < r.patience() {
-		r.usualGap = max(gap, r.usualGap*9/10)
+	// A gap of at least the stand-in delay was spent waiting for another
+	// primary. Including it would raise the next delay four times, and so on.
+	if gap := now.Sub(r.lastNewChunk); gap < r.standInDelay() {
+		r.newChunkGap = max(gap, r.newChunkGap*9/10)
 	}
-	r.newest = now
+	r.lastNewChunk = now
 }
 
 func (r *run) handle(e event) {
 	if e.transfer != nil {
-		r.finish(e.transfer)
+		r.finishTransfer(e.transfer)
 	}
 	if e.have != nil {
-		r.takeNews(e.have)
+		r.applyUpdate(e.have)
 	}
 	if e.pollEnded {
 		r.polls--
 	}
 }
 
-func (r *run) takeNews(news *haveNews) {
-	peer := r.peers[news.peer]
+func (r *run) applyUpdate(update *chunkUpdate) {
+	peer := r.peers[update.peer]
 	if peer == nil {
 		return
 	}
-	if news.err != nil {
+	if update.err != nil {
 		now := time.Now()
-		if peer.downSince.IsZero() {
-			peer.downSince = now
+		if peer.pollsFailingSince.IsZero() {
+			peer.pollsFailingSince = now
 		}
-		if now.Sub(peer.downSince) >= downAfter {
-			r.forget(peer) // what only it had must be brought in again
+		if now.Sub(peer.pollsFailingSince) >= unresponsiveAfter {
+			r.clearChunks(peer) // chunks that only this peer held have to be fetched again
 		}
 		return
 	}
-	peer.downSince = time.Time{}
-	if news.reset {
-		r.forget(peer)
+	peer.pollsFailingSince = time.Time{}
+	if update.reset {
+		r.clearChunks(peer)
 	}
-	if now := time.Now(); now.Before(peer.offUntil) {
-		peer.missed = append(peer.missed, news.chunks...)
+	if now := time.Now(); now.Before(peer.excludedUntil) {
+		peer.deferred = append(peer.deferred, update.chunks...)
 		return
 	}
-	for _, index := range append(peer.missed, news.chunks...) {
+	for _, index := range append(peer.deferred, update.chunks...) {
 		if int(index) < len(peer.has) && !peer.has[index] {
 			peer.has[index] = true
 			r.chunks[index].holders++
-			delete(r.idle, news.peer)
-			r.see(int(index))
+			delete(r.idleGateways, update.peer)
+			r.markSeen(int(index))
 		}
 	}
-	peer.missed = nil
+	peer.deferred = nil
 }
 
-// takeOff counts a peer as having nothing for a while, so that what only it
-// offers is brought in by another way. What it said is remembered until then.
-func (r *run) takeOff(peer *peerState, until time.Time) {
-	peer.offUntil = until
+// excludePeer treats a peer as holding no chunk until the given time, so that
+// chunks held only by this peer are fetched from elsewhere. The chunks that it
+// reported are restored with the first update after the exclusion.
+func (r *run) excludePeer(peer *peerState, until time.Time) {
+	peer.excludedUntil = until
 	for index, has := range peer.has {
 		if has {
-			peer.missed = append(peer.missed, uint32(index))
+			peer.deferred = append(peer.deferred, uint32(index))
 		}
 	}
-	r.forget(peer)
+	r.clearChunks(peer)
 }
 
-// forget takes back what a neighbour was known to have.
-func (r *run) forget(peer *peerState) {
+// clearChunks removes all chunks from a neighbour's record.
+func (r *run) clearChunks(peer *peerState) {
 	for index, has := range peer.has {
 		if has {
 			r.chunks[index].holders--
@@ -312,102 +321,102 @@
 	clear(peer.has)
 }
 
-// finish takes the end of a transfer into account.
-func (r *run) finish(done *transferDone) {
+// finishTransfer updates the state after a transfer.
+func (r *run) finishTransfer(result *transferResult) {
 	now := time.Now()
-	r.slots[done.kind]--
-	chunk := &r.chunks[done.chunk]
+	r.slots[result.kind]--
+	chunk := &r.chunks[result.chunk]
 	chunk.transfers--
-	if done.err == nil {
+	if result.err == nil {
 		chunk.held = true
-		r.see(done.chunk)
+		r.markSeen(result.chunk)
 	}
-	if r.fetcher.OnBytes != nil && done.bytes > 0 {
-		r.fetcher.OnBytes(done.kind, done.bytes, done.useful)
+	if r.fetcher.OnBytes != nil && result.bytes > 0 {
+		r.fetcher.OnBytes(result.kind, result.bytes, result.useful)
 	}
-	if done.err != nil && !errors.Is(done.err, context.Canceled) && !errors.Is(done.err, source.ErrBusy) &&
-		!errors.Is(done.err, source.ErrAbsent) {
-		r.fetcher.logFailure(r.version, done)
+	if result.err != nil && !errors.Is(result.err, context.Canceled) && !errors.Is(result.err, source.ErrBusy) &&
+		!errors.Is(result.err, source.ErrAbsent) {
+		r.fetcher.logFailure(r.version, result)
 	}
-	switch done.kind {
+	switch result.kind {
 	case FromOrigin:
-		r.finishOrigin(done, now)
+		r.finishOrigin(result, now)
 	case FromHall:
-		if done.err != nil {
-			chunk.pausedUntil = now.Add(busyPause)
+		if result.err != nil {
+			chunk.backoffUntil = now.Add(busyBackoff)
 		}
-		for _, name := range done.failedHops {
-			r.hopsOff[name] = now.Add(offFor)
+		for _, name := range result.failedHops {
+			r.excludedHops[name] = now.Add(exclusionPeriod)
 		}
 	case FromPeer:
 	}
-	if peer := r.peers[done.peer]; peer != nil {
-		r.finishPeer(peer, done, now)
+	if peer := r.peers[result.peer]; peer != nil {
+		r.finishPeer(peer, result, now)
 	}
 }
 
-func (r *run) finishOrigin(done *transferDone, now time.Time) {
-	if done.err == nil {
+func (r *run) finishOrigin(result *transferResult, now time.Time) {
+	if result.err == nil {
 		r.originFailures = 0
-		r.originTook = now.Sub(done.started)
+		r.originDuration = now.Sub(result.started)
 		return
 	}
 	r.originFailures++
-	r.originPausedUntil = now.Add(failPause << min(r.originFailures, failDoubles))
+	r.originBackoffUntil = now.Add(failureBackoff << min(r.originFailures, maxBackoffDoublings))
 }
 
-func (r *run) finishPeer(peer *peerState, done *transferDone, now time.Time) {
+func (r *run) finishPeer(peer *peerState, result *transferResult, now time.Time) {
 	peer.transfers--
 	switch {
-	case done.err == nil:
+	case result.err == nil:
 		peer.failures = 0
-		took := now.Sub(done.started)
-		if r.usual == 0 {
-			r.usual = took
+		took := now.Sub(result.started)
+		if r.meanTransfer == 0 {
+			r.meanTransfer = took
 		}
-		r.usual += (took - r.usual) / 8
-	case done.corrupt:
+		r.meanTransfer += (took - r.meanTransfer) / 8
+	case result.corrupt:
 		peer.corrupt++
-		if peer.corrupt >= corruptLimit {
-			r.takeOff(peer, now.Add(offForever))
+		if peer.corrupt >= maxCorruptChunks {
+			r.excludePeer(peer, now.Add(permanentExclusion))
 		}
-	case errors.Is(done.err, source.ErrBusy):
-		peer.pausedUntil = now.Add(busyPause)
+	case errors.Is(result.err, source.ErrBusy):
+		peer.backoffUntil = now.Add(busyBackoff)
 	default:
 		peer.failures++
-		if peer.failures >= failLimit {
-			r.takeOff(peer, now.Add(offFor))
+		if peer.failures >= maxConsecutiveFailures {
+			r.excludePeer(peer, now.Add(exclusionPeriod))
 		}
-		peer.pausedUntil = now.Add(failPause << min(peer.failures, failDoubles))
-		if peer.has[done.chunk] && errors.Is(done.err, source.ErrAbsent) {
-			peer.has[done.chunk] = false
-			r.chunks[done.chunk].holders--
+		peer.backoffUntil = now.Add(failureBackoff << min(peer.failures, maxBackoffDoublings))
+		if peer.has[result.chunk] && errors.Is(result.err, source.ErrAbsent) {
+			peer.has[result.chunk] = false
+			r.chunks[result.chunk].holders--
 		}
 	}
 }
 
-// poll follows one neighbour's chunks until the context ends.
+// poll polls one neighbour for gained chunks until ctx is done.
 func (r *run) poll(ctx context.Context, peer Peer) {
 	instance, cursor := "", uint32(0)
 	for ctx.Err() == nil {
-		callCtx, cancel := context.WithTimeout(ctx, haveWait+time.Second)
+		callCtx, cancel := context.WithTimeout(ctx, pollWait+time.Second)
 		response, err := r.fetcher.Have(callCtx, peer.Address, &wire.HaveRequest{
-			Manifest: r.version.ID.String(), Instance: instance, Cursor: cursor, WaitMs: haveWaitMs,
+			Manifest: r.version.ID.String(), Instance: instance, Cursor: cursor, WaitMs: pollWaitMs,
 		})
 		cancel()
-		news := &haveNews{peer: peer.Name, err: err}
+		update := &chunkUpdate{peer: peer.Name, err: err}
 		if err == nil {
-			news.reset = instance != "" && instance != response.GetInstance()
-			news.chunks = response.GetGained()
+			update.reset = instance != "" && instance != response.GetInstance()
+			update.chunks = response.GetGained()
 			instance, cursor = response.GetInstance(), response.GetCursor()
 		}
 		select {
-		case r.events <- event{have: news}:
+		case r.events <- event{have: update}:
 		case <-ctx.Done():
 		}
 		if err != nil {
-			instance, cursor = "", 0 // ask for everything when it is back
-			helpers.Pause(haveRetry, ctx.Done())
+			instance, cursor = "", 0 // request the full list after the neighbour recovers
+			helpers.Pause(pollRetryDelay, ctx.Done())
 		}
 	}
 }
--- a/daemon/internal/version/fetch/schedule.go
+++ b/daemon/internal/version/fetch/schedule.go
@@ -18,178 +18,181 @@
 
 type digest = manifest.Digest
 
-// hallPatience times the peer wait is the quiet time after which a hall goes to
-// the origin itself although the primaries of other halls still answer.
-const hallPatience = 2
+// hallDelayFactor is the multiple of the stand-in delay without a new chunk after
+// which a hall uses the origin even though primaries of other halls respond.
+const hallDelayFactor = 2
 
-// rarestOf is the number of random chunks from which the rarest is taken.
-const rarestOf = 2
+// rarestSampleSize is the number of random chunks from which the rarest is picked.
+const rarestSampleSize = 2
 
-// lastResort times the peer wait is the quiet time after which any host goes
-// to the origin for any chunk, whatever became of the gateways.
-const lastResort = 6
+// lastResortFactor is the multiple of the stand-in delay without a new chunk after
+// which any host fetches any chunk from the origin, regardless of the gateways.
+const lastResortFactor = 6
 
-// schedule starts every transfer that is due.
+// schedule starts all transfers that the policy and the free slots allow.
 func (r *run) schedule(ctx context.Context) {
 	now := time.Now()
 	switch r.fetcher.Policy {
 	case PolicyOriginOnly:
-		r.scheduleAnyOrigin(ctx, now)
+		r.scheduleAllFromOrigin(ctx, now)
 	case PolicyNaive:
 		r.schedulePeers(ctx, now)
-		r.scheduleUnseen(ctx, now)
+		r.scheduleUnheldFromOrigin(ctx, now)
 	case PolicyTree:
 		r.schedulePeers(ctx, now)
-		if len(r.peers) == 0 || r.quiet(now) > lastResort*r.patience() {
-			r.scheduleAnyOrigin(ctx, now)
+		if len(r.peers) == 0 || r.idleTime(now) > lastResortFactor*r.standInDelay() {
+			r.scheduleAllFromOrigin(ctx, now)
 		}
 	default:
-		r.scheduleDuties(ctx, now)
+		r.scheduleAssignments(ctx, now)
 		r.schedulePeers(ctx, now)
 		r.hedge(ctx, now)
-		if r.quiet(now) > lastResort*r.patience() {
-			r.scheduleAnyOrigin(ctx, now)
+		if r.idleTime(now) > lastResortFactor*r.standInDelay() {
+			r.scheduleAllFromOrigin(ctx, now)
 		}
 	}
 }
 
-// patience is how long nothing new may show up before the next rank stands in.
-// So that a slow origin does not look like a dead one, it is a few times the
-// usual gap between two new chunks, and twice what this host's own transfer from
-// the origin took, or has taken so far: at the start all gateways share the
-// origin's link, and the first chunks of all come late together.
-func (r *run) patience() time.Duration {
-	own := r.originTook
+// standInDelay returns the time without a new chunk after which the next rank
+// stands in for a primary. It is at least a multiple of the gap between new
+// chunks and twice the duration of this host's last or current transfer from the
+// origin. Otherwise a slow origin would look like a failed one: at the start all
+// gateways share the origin's link, and their first chunks all arrive late.
+func (r *run) standInDelay() time.Duration {
+	own := r.originDuration
 	if r.slots[FromOrigin] > 0 {
-		own = max(own, time.Since(r.originBegan))
+		own = max(own, time.Since(r.originStart))
 	}
-	return max(helpers.OrDefault(r.fetcher.PeerWait, DefaultPeerWait), 4*r.usualGap, 2*own)
+	return max(helpers.OrDefault(r.fetcher.PeerWait, DefaultPeerWait), 4*r.newChunkGap, 2*own)
 }
 
-// quiet is the time since a new chunk was last seen near.
-func (r *run) quiet(now time.Time) time.Duration { return now.Sub(r.newest) }
-
-// scheduleDuties starts transfers of the chunks that this host must bring in.
-func (r *run) scheduleDuties(ctx context.Context, now time.Time) {
-	quiet := r.quiet(now)
-	for i := range r.duties {
-		d := &r.duties[i]
-		chunk := &r.chunks[d.chunk]
-		if chunk.held || chunk.holders > 0 || chunk.transfers > 0 || now.Before(chunk.pausedUntil) {
+// idleTime returns the time since this host or a neighbour gained a new chunk.
+func (r *run) idleTime(now time.Time) time.Duration { return now.Sub(r.lastNewChunk) }
+
+// scheduleAssignments starts the transfers into the hall that are due on this
+// host.
+func (r *run) scheduleAssignments(ctx context.Context, now time.Time) {
+	idleTime := r.idleTime(now)
+	for i := range r.assignments {
+		a := &r.assignments[i]
+		chunk := &r.chunks[a.chunk]
+		if chunk.held || chunk.holders > 0 || chunk.transfers > 0 || now.Before(chunk.backoffUntil) {
 			continue
 		}
-		if r.isDue(d, now, quiet) {
-			r.startDuty(ctx, d, now, quiet)
+		if r.isDue(a, now, idleTime) {
+			r.startAssignment(ctx, a, now, idleTime)
 		}
 	}
 }
 
-// isDue reports whether it is this host's turn to bring a chunk in: nobody
-// ranks before it, or was waited for long enough.
-func (r *run) isDue(d *duty, now time.Time, quiet time.Duration) bool {
-	ahead := r.aliveBefore(d, now)
-	if d.waits && !r.hallsOver {
-		ahead++
+// isDue reports whether this host has to bring a chunk into the hall now: no
+// live gateway ranks before it, or the stand-in delay of each has passed.
+func (r *run) isDue(a *assignment, now time.Time, idleTime time.Duration) bool {
+	pending := r.countLiveBefore(a, now)
+	if a.waitsForHall && !r.hallsTimedOut {
+		pending++
 	}
-	if time.Duration(ahead)*r.patience() > quiet {
+	if time.Duration(pending)*r.standInDelay() > idleTime {
 		return false
 	}
-	if ahead > 0 {
-		r.waitedInVain(d)
+	if pending > 0 {
+		r.markTimedOut(a)
 	}
 	return true
 }
 
-// startDuty brings a chunk in from another hall, or from the origin when there
-// is none to ask or they were waited for in vain.
-func (r *run) startDuty(ctx context.Context, d *duty, now time.Time, quiet time.Duration) {
-	if hops := r.hopsOn(d, now); len(hops) > 0 && quiet < hallPatience*r.patience() {
+// startAssignment fetches a chunk from another hall, or from the origin if no
+// other hall is usable or none delivered within the delay.
+func (r *run) startAssignment(ctx context.Context, a *assignment, now time.Time, idleTime time.Duration) {
+	if hops := r.usableHops(a, now); len(hops) > 0 && idleTime < hallDelayFactor*r.standInDelay() {
 		if r.slots[FromHall] < helpers.OrDefault(r.fetcher.HallSlots, DefaultHallSlots) {
-			r.start(ctx, transfer{chunk: d.chunk, kind: FromHall, hops: hops}, now)
+			r.start(ctx, transfer{chunk: a.chunk, kind: FromHall, hops: hops}, now)
 		}
 		return
 	}
-	for _, hop := range d.hops {
-		r.hopsOff[hop.Name] = now.Add(offFor)
+	for _, hop := range a.hops {
+		r.excludedHops[hop.Name] = now.Add(exclusionPeriod)
 	}
-	if r.originFree(now) {
-		r.logOrigin(d, quiet)
-		r.start(ctx, transfer{chunk: d.chunk, kind: FromOrigin}, now)
+	if r.originAvailable(now) {
+		r.logOrigin(a, idleTime)
+		r.start(ctx, transfer{chunk: a.chunk, kind: FromOrigin}, now)
 	}
 }
 
-// waitedInVain notes whom a chunk was waited for, so that the next chunk need
-// not wait for them again.
-func (r *run) waitedInVain(d *duty) {
-	r.hallsOver = r.hallsOver || d.waits
-	for _, name := range d.before {
-		r.idle[name] = true
+// markTimedOut records the gateways and halls that did not bring in a chunk, so
+// that the next chunk does not wait for them again.
+func (r *run) markTimedOut(a *assignment) {
+	r.hallsTimedOut = r.hallsTimedOut || a.waitsForHall
+	for _, name := range a.rankedBefore {
+		r.idleGateways[name] = true
 	}
 }
 
-// hopsOn returns the agents of other halls to ask, without those that failed
-// lately: one that hangs costs a few seconds, and that for every chunk.
-func (r *run) hopsOn(d *duty, now time.Time) []Peer {
-	var on []Peer
-	for _, hop := range d.hops {
-		if !now.Before(r.hopsOff[hop.Name]) {
-			on = append(on, hop)
+// usableHops returns the agents of other halls to ask, without those that
+// failed recently: an unresponsive agent would delay every chunk by a timeout.
+func (r *run) usableHops(a *assignment, now time.Time) []Peer {
+	var usable []Peer
+	for _, hop := range a.hops {
+		if !now.Before(r.excludedHops[hop.Name]) {
+			usable = append(usable, hop)
 		}
 	}
-	return on
+	return usable
 }
 
-// logOrigin tells why this host asks the origin for a chunk.
-func (r *run) logOrigin(d *duty, quiet time.Duration) {
+// logOrigin logs why this host fetches a chunk from the origin.
+func (r *run) logOrigin(a *assignment, idleTime time.Duration) {
 	r.fetcher.Telemetry.Log.WithFields(log.Fields{
-		"version": r.version.ID.Short(), "chunk": d.chunk, "rank": d.rank, "waits": d.waits, "quiet": quiet.String(), "patience": r.patience().String(),
-	}).Debug("chunk asked of the origin")
+		"version": r.version.ID.Short(), "chunk": a.chunk, "rank": a.rank, "waits": a.waitsForHall, "quiet": idleTime.String(), "patience": r.standInDelay().String(),
+	}).Debug("fetching chunk from the origin")
 }
 
-// aliveBefore counts the gateways that rank before this host for a chunk and
-// are neither known to be bad nor were waited for in vain.
-func (r *run) aliveBefore(d *duty, now time.Time) int {
+// countLiveBefore counts the gateways that rank before this host for a chunk and
+// are neither unavailable nor timed out.
+func (r *run) countLiveBefore(a *assignment, now time.Time) int {
 	alive := 0
-	for _, name := range d.before {
-		if peer := r.peers[name]; !r.idle[name] && (peer == nil || !peer.bad(now)) {
+	for _, name := range a.rankedBefore {
+		if peer := r.peers[name]; !r.idleGateways[name] && (peer == nil || !peer.unavailable(now)) {
 			alive++
 		}
 	}
 	return alive
 }
 
-func (r *run) originFree(now time.Time) bool {
-	return r.slots[FromOrigin] < helpers.OrDefault(r.fetcher.OriginSlots, DefaultOriginSlots) && !now.Before(r.originPausedUntil)
+func (r *run) originAvailable(now time.Time) bool {
+	return r.slots[FromOrigin] < helpers.OrDefault(r.fetcher.OriginSlots, DefaultOriginSlots) && !now.Before(r.originBackoffUntil)
 }
 
-// scheduleAnyOrigin fetches missing chunks from the origin, whoever is primary.
-func (r *run) scheduleAnyOrigin(ctx context.Context, now time.Time) {
-	r.scheduleOrigin(ctx, now, func(*chunkState) bool { return true })
+// scheduleAllFromOrigin fetches missing chunks from the origin, regardless of
+// their primaries.
+func (r *run) scheduleAllFromOrigin(ctx context.Context, now time.Time) {
+	r.scheduleFromOrigin(ctx, now, func(*chunkState) bool { return true })
 }
 
-// scheduleUnseen fetches chunks that no neighbour has from the origin.
-func (r *run) scheduleUnseen(ctx context.Context, now time.Time) {
-	r.scheduleOrigin(ctx, now, func(c *chunkState) bool { return c.holders == 0 })
+// scheduleUnheldFromOrigin fetches chunks that no neighbour holds from the
+// origin.
+func (r *run) scheduleUnheldFromOrigin(ctx context.Context, now time.Time) {
+	r.scheduleFromOrigin(ctx, now, func(c *chunkState) bool { return c.holders == 0 })
 }
 
-func (r *run) scheduleOrigin(ctx context.Context, now time.Time, due func(*chunkState) bool) {
+func (r *run) scheduleFromOrigin(ctx context.Context, now time.Time, eligible func(*chunkState) bool) {
 	start := rand.IntN(max(len(r.chunks), 1))
 	for i := range r.chunks {
-		if !r.originFree(now) {
+		if !r.originAvailable(now) {
 			return
 		}
 		index := (start + i) % len(r.chunks)
 		chunk := &r.chunks[index]
-		if !chunk.held && chunk.transfers == 0 && due(chunk) {
+		if !chunk.held && chunk.transfers == 0 && eligible(chunk) {
 			r.start(ctx, transfer{chunk: index, kind: FromOrigin}, now)
 		}
 	}
 }
 
-// schedulePeers fills the free slots with chunks of neighbours, rarest first.
+// schedulePeers fills the free peer slots with transfers from neighbours.
 func (r *run) schedulePeers(ctx context.Context, now time.Time) {
 	for r.slots[FromPeer] < helpers.OrDefault(r.fetcher.PeerSlots, DefaultPeerSlots) {
-		index, peer := r.pick(now)
+		index, peer := r.pickChunk(now)
 		if peer == nil {
 			return
 		}
@@ -198,15 +201,14 @@
 	}
 }
 
-// pick returns a chunk that is not under way and a usable neighbour that has
-// it: the rarest of a few random such chunks, and a random holder.
+// pickChunk returns a missing chunk without a transfer and a random usable
+// neighbour that holds it. The chunk is the rarest of a small random sample.
 //
-// The rarest of all was tried first. While the origin still sends, everybody
-// then wants the newest chunks of the few gateways that have them, whose uplinks
-// become the bottleneck while all others idle: 1.26 times the least time to 64
-// hosts against 1.15 for a random chunk. A sample keeps rare chunks in favour,
-// which matters when their holders leave.
-func (r *run) pick(now time.Time) (int, *peerState) {
+// Picking the rarest of all chunks was rejected: while the origin is still
+// sending, all hosts would request the newest chunks from the few gateways that
+// hold them, and the uplinks of these would be the bottleneck. A sample still
+// favours rare chunks, so that they survive when their holders leave.
+func (r *run) pickChunk(now time.Time) (int, *peerState) {
 	best, bestHolders := -1, 0
 	var bestPeer *peerState
 	sampled := 0
@@ -218,33 +220,34 @@
 			continue
 		}
 		if best >= 0 && chunk.holders >= bestHolders {
-			if sampled++; sampled >= r.sample() {
+			if sampled++; sampled >= r.sampleSize() {
 				break
 			}
 			continue
 		}
-		peer := r.holder(index, now)
+		peer := r.randomHolder(index, now)
 		if peer == nil {
 			continue
 		}
 		best, bestHolders, bestPeer = index, chunk.holders, peer
-		if sampled++; sampled >= r.sample() {
+		if sampled++; sampled >= r.sampleSize() {
 			break
 		}
 	}
 	return best, bestPeer
 }
 
-// sample is the number of random chunks from which pick takes the rarest.
-func (r *run) sample() int {
+// sampleSize returns the number of random chunks from which pickChunk picks the
+// rarest.
+func (r *run) sampleSize() int {
 	if r.fetcher.Policy == PolicyNaive {
 		return 1
 	}
-	return rarestOf
+	return rarestSampleSize
 }
 
-// holder returns a random usable neighbour that has a chunk.
-func (r *run) holder(index int, now time.Time) *peerState {
+// randomHolder returns a random usable neighbour that holds a chunk, or nil.
+func (r *run) randomHolder(index int, now time.Time) *peerState {
 	var found *peerState
 	count := 0
 	for _, peer := range r.peers {
@@ -259,74 +262,74 @@
 	return found
 }
 
-// hedge asks a second neighbour for a chunk whose transfer takes far longer
-// than usual. Each chunk has at most two transfers, so duplicate bytes stay
-// bounded at the end of a fetch, when every chunk is under way.
+// hedge starts a second transfer of a chunk whose first one takes much longer
+// than the mean. Each chunk has at most two transfers, which bounds duplicate
+// bytes at the end of a fetch, when a transfer of every chunk is in progress.
 func (r *run) hedge(ctx context.Context, now time.Time) {
-	late := max(hedgeFactor*r.usual, hedgeFloor)
+	hedgeDelay := max(hedgeFactor*r.meanTransfer, minHedgeDelay)
 	for index := range r.chunks {
 		if r.slots[FromPeer] >= helpers.OrDefault(r.fetcher.PeerSlots, DefaultPeerSlots) {
 			return
 		}
 		chunk := &r.chunks[index]
-		if chunk.held || chunk.transfers != 1 || now.Sub(chunk.since) < late || chunk.holders == 0 {
+		if chunk.held || chunk.transfers != 1 || now.Sub(chunk.transferStart) < hedgeDelay || chunk.holders == 0 {
 			continue
 		}
-		if peer := r.holder(index, now); peer != nil {
+		if peer := r.randomHolder(index, now); peer != nil {
 			peer.transfers++
 			r.start(ctx, transfer{chunk: index, kind: FromPeer, hops: []Peer{peer.Peer}}, now)
 		}
 	}
 }
 
-// transfer is one chunk on its way.
+// transfer describes the download of one chunk.
 type transfer struct {
 	chunk int
 	kind  Kind
-	// hops are the agents to ask, in order; none for the origin.
+	// hops are the agents to try in order; none for the origin.
 	hops []Peer
 }
 
-// start begins a transfer in a goroutine of its own.
+// start runs a transfer in a new goroutine, which reports to r.events.
 func (r *run) start(ctx context.Context, t transfer, now time.Time) {
 	chunk := &r.chunks[t.chunk]
 	if chunk.transfers == 0 {
-		chunk.since = now
+		chunk.transferStart = now
 	}
 	if t.kind == FromOrigin && r.slots[FromOrigin] == 0 {
-		r.originBegan = now
+		r.originStart = now
 	}
 	chunk.transfers++
 	r.slots[t.kind]++
 	go func() {
-		done := r.fetcher.transfer(ctx, r.version, t)
-		done.started = now
-		r.events <- event{transfer: done}
+		result := r.fetcher.transfer(ctx, r.version, t)
+		result.started = now
+		r.events <- event{transfer: result}
 	}()
 }
 
-// transfer brings one chunk into the stage.
-func (f *Fetcher) transfer(ctx context.Context, version *stage.Version, t transfer) *transferDone {
-	done := &transferDone{chunk: t.chunk, kind: t.kind}
+// transfer downloads one chunk and puts it into the stage.
+func (f *Fetcher) transfer(ctx context.Context, version *stage.Version, t transfer) *transferResult {
+	result := &transferResult{chunk: t.chunk, kind: t.kind}
 	var data []byte
 	var err error
 	switch t.kind {
 	case FromPeer:
-		done.peer = t.hops[0].Name
-		done.source = t.hops[0].Address.String()
+		result.peer = t.hops[0].Name
+		result.source = t.hops[0].Address.String()
 		data, err = f.Link.FetchChunk(ctx, chunkRequest(version, t.chunk, t.hops[0], 0))
 	case FromHall:
-		data, err = f.fromHalls(ctx, version, t, done)
+		data, err = f.fetchFromHalls(ctx, version, t, result)
 	case FromOrigin:
-		data, err = f.fromSources(ctx, version, t.chunk, done)
+		data, err = f.fetchFromSources(ctx, version, t.chunk, result)
 	}
-	done.bytes = int64(len(data))
+	result.bytes = int64(len(data))
 	if err == nil {
-		done.useful, err = f.Stage.Put(version, t.chunk, data)
-		done.corrupt = errors.Is(err, stage.ErrCorrupt)
+		result.useful, err = f.Stage.Put(version, t.chunk, data)
+		result.corrupt = errors.Is(err, stage.ErrCorrupt)
 	}
-	done.err = err
-	return done
+	result.err = err
+	return result
 }
 
 func chunkRequest(version *stage.Version, index int, peer Peer, wait time.Duration) source.ChunkRequest {
@@ -334,13 +337,13 @@
 	return source.ChunkRequest{Peer: peer.Address, Digest: version.Manifest.Chunks[index], Length: length, Wait: wait}
 }
 
-// fromHalls asks the primaries of other halls. One that is busy, or has not got
-// the chunk itself yet, is asked again later: only when none of them answers at
-// all does this hall go to the origin in their place.
-func (f *Fetcher) fromHalls(ctx context.Context, version *stage.Version, t transfer, done *transferDone) ([]byte, error) {
-	var answered error
+// fetchFromHalls downloads a chunk from the primaries of other halls. If one of
+// them is busy or does not hold the chunk yet, the transfer is retried later; it
+// falls back to the sources only if all of them fail.
+func (f *Fetcher) fetchFromHalls(ctx context.Context, version *stage.Version, t transfer, result *transferResult) ([]byte, error) {
+	var replyErr error
 	for _, hop := range t.hops {
-		done.source = hop.Address.String()
+		result.source = hop.Address.String()
 		data, err := f.Link.FetchChunk(ctx, chunkRequest(version, t.chunk, hop, helpers.OrDefault(f.PeerWait, DefaultPeerWait)))
 		switch {
 		case err == nil && manifest.Sum(data) == version.Manifest.Chunks[t.chunk]:
@@ -348,34 +351,34 @@
 		case ctx.Err() != nil:
 			return nil, ctx.Err()
 		case errors.Is(err, source.ErrBusy), errors.Is(err, source.ErrAbsent):
-			answered = err
+			replyErr = err
 			continue
 		case err == nil:
 			err = fmt.Errorf("chunk %d from %s: %w", t.chunk, hop.Address, stage.ErrCorrupt)
 		}
-		done.failedHops = append(done.failedHops, hop.Name)
+		result.failedHops = append(result.failedHops, hop.Name)
 		f.Telemetry.Decide(telemetry.Decision{
-			Step: "fetch", Choice: "pass over " + hop.Name, Reason: err.Error(),
+			Step: "fetch", Choice: "skip " + hop.Name, Reason: err.Error(),
 			Details: map[string]any{"version": version.ID.Short(), "chunk": t.chunk},
 		})
 	}
-	if answered != nil {
-		return nil, answered
+	if replyErr != nil {
+		return nil, replyErr
 	}
-	return f.fromSources(ctx, version, t.chunk, done)
+	return f.fetchFromSources(ctx, version, t.chunk, result)
 }
 
-// fromSources asks the store and then the origin.
-func (f *Fetcher) fromSources(ctx context.Context, version *stage.Version, index int, done *transferDone) ([]byte, error) {
+// fetchFromSources downloads a chunk from the store, then from the origin.
+func (f *Fetcher) fetchFromSources(ctx context.Context, version *stage.Version, index int, result *transferResult) ([]byte, error) {
 	offset, length := version.Manifest.ChunkRange(index)
 	err := errors.New("no store or origin is configured")
-	for _, from := range f.Sources {
-		done.source = from.Name + " " + from.Peer.String()
+	for _, src := range f.Sources {
+		result.source = src.Name + " " + src.Peer.String()
 		var data []byte
-		data, err = from.FetchRange(ctx, version.ID, offset, length)
+		data, err = src.FetchRange(ctx, version.ID, offset, length)
 		if err == nil && manifest.Sum(data) != version.Manifest.Chunks[index] {
-			err = fmt.Errorf("chunk %d from %s: %w", index, done.source, stage.ErrCorrupt)
-			done.corrupt = true
+			err = fmt.Errorf("chunk %d from %s: %w", index, result.source, stage.ErrCorrupt)
+			result.corrupt = true
 		}
 		if err == nil || ctx.Err() != nil {
 			return data, err
@@ -384,14 +387,14 @@
 	return nil, err
 }
 
-// logFailure logs a transfer that failed.
-func (f *Fetcher) logFailure(version *stage.Version, done *transferDone) {
+// logFailure logs a failed transfer as a decision to retry.
+func (f *Fetcher) logFailure(version *stage.Version, result *transferResult) {
 	choice := "retry"
-	if done.corrupt {
+	if result.corrupt {
 		choice = "drop corrupt chunk"
 	}
 	f.Telemetry.Decide(telemetry.Decision{
-		Step: "fetch", Choice: choice, Reason: done.err.Error(),
-		Details: map[string]any{"version": version.ID.Short(), "chunk": done.chunk, "from": done.source, "kind": string(done.kind)},
+		Step: "fetch", Choice: choice, Reason: result.err.Error(),
+		Details: map[string]any{"version": version.ID.Short(), "chunk": result.chunk, "from": result.source, "kind": string(result.kind)},
 	})
 }
