--- a/daemon/internal/version/source/source.go
+++ b/daemon/internal/version/source/source.go
@@ -1,8 +1,9 @@
-// Package source holds the adapters to where weights come from: the weight
-// store, the origin, and the agents of other hosts.
+// Package source downloads manifests and chunks of weights from the weight
+// store, the origin and the agents of other hosts. Package fetch calls it.
 //
-// As with the platform's adapters, calls are function fields, since the store's
-// and origin's real formats are told later.
+// Returned bytes are not verified; callers check them against the manifest. The
+// calls to the store and the origin are function fields, as in the platform's
+// adapters, so that they can be replaced for other formats.
 package source
 
 import (
@@ -23,10 +24,10 @@
 // ErrBusy means that the peer has no free upload slot.
 var ErrBusy = errors.New("no free upload slot")
 
-// ErrAbsent means that the source does not have what was asked for.
-var ErrAbsent = errors.New("not there")
+// ErrAbsent means that the source does not hold the requested data.
+var ErrAbsent = errors.New("not found at the source")
 
-// ErrStalled means that the transfer made no progress for too long.
+// ErrStalled means that no byte arrived within the stall timeout.
 var ErrStalled = errors.New("transfer stalled")
 
 // Source is the weight store or the origin.
@@ -36,24 +37,25 @@
 	Peer netip.AddrPort
 	// FetchManifest returns a version's manifest bytes, not yet verified.
 	FetchManifest func(ctx context.Context, version manifest.Digest) ([]byte, error)
-	// FetchRange returns bytes of a version's whole file, not yet verified.
+	// FetchRange returns a byte range of a version's file, not yet verified.
 	FetchRange func(ctx context.Context, version manifest.Digest, offset, length int64) ([]byte, error)
 }
 
-// Link paces what a host receives and judges whether a transfer still moves.
+// Link limits the rate of a host's downloads and detects stalled transfers.
 type Link struct {
 	Client *http.Client
-	// Download bounds received bytes; nil means no bound.
+	// Download limits the rate of received bytes; nil means no limit.
 	Download *rate.Limiter
-	// StallAfter is the time without a byte after which a transfer is given
-	// up, at least; 0 means 2s. A peer whose transfers usually pause longer is
-	// given more.
+	// StallAfter is the minimum time without a byte after which a transfer is
+	// aborted; 0 means 2s. The timeout is longer for peers with long gaps
+	// between reads.
 	StallAfter time.Duration
 
-	gaps gaps
+	gaps readGaps
 }
 
-const readBytes = 64 << 10
+// readSize is the maximum number of bytes per read.
+const readSize = 64 << 10
 
 // NewSource returns the store or origin at an address.
 func NewSource(name string, address netip.AddrPort, link *Link) *Source {
@@ -61,7 +63,7 @@
 	return &Source{
 		Name: name, Peer: address,
 		FetchManifest: func(ctx context.Context, version manifest.Digest) ([]byte, error) {
-			data, err := link.get(ctx, get{url: base + "/manifests/" + version.String(), limit: manifest.MaxBytes})
+			data, err := link.download(ctx, downloadRequest{url: base + "/manifests/" + version.String(), limit: manifest.MaxBytes})
 			if err != nil {
 				return nil, fmt.Errorf("fetch manifest %s from %s %s: %w", version.Short(), name, address, err)
 			}
@@ -69,7 +71,7 @@
 		},
 		FetchRange: func(ctx context.Context, version manifest.Digest, offset, length int64) ([]byte, error) {
 			byteRange := fmt.Sprintf("bytes=%d-%d", offset, offset+length-1)
-			data, err := link.get(ctx, get{url: base + "/weights/" + version.String(), byteRange: byteRange, limit: length, exact: true})
+			data, err := link.download(ctx, downloadRequest{url: base + "/weights/" + version.String(), byteRange: byteRange, limit: length, exact: true})
 			if err != nil {
 				return nil, fmt.Errorf("fetch bytes %d+%d of %s from %s %s: %w", offset, length, version.Short(), name, address, err)
 			}
@@ -78,12 +80,12 @@
 	}
 }
 
-// ChunkRequest asks another agent for one chunk.
+// ChunkRequest describes the download of one chunk from another agent.
 type ChunkRequest struct {
 	Peer   netip.AddrPort
 	Digest manifest.Digest
 	Length int64
-	// Wait is how long the peer may wait for the chunk to reach it itself.
+	// Wait is how long the peer may wait until it holds the chunk.
 	Wait time.Duration
 }
 
@@ -93,7 +95,7 @@
 	if request.Wait > 0 {
 		url += "?wait=" + request.Wait.String()
 	}
-	data, err := l.get(ctx, get{url: url, limit: request.Length, exact: true, headWait: request.Wait})
+	data, err := l.download(ctx, downloadRequest{url: url, limit: request.Length, exact: true, headerWait: request.Wait})
 	if err != nil {
 		return nil, fmt.Errorf("fetch chunk %s from peer %s: %w", request.Digest.Short(), request.Peer, err)
 	}
@@ -103,62 +105,64 @@
 // FetchPeerManifest returns a version's manifest from another agent, not yet
 // verified.
 func (l *Link) FetchPeerManifest(ctx context.Context, peer netip.AddrPort, version manifest.Digest) ([]byte, error) {
-	data, err := l.get(ctx, get{url: "http://" + peer.String() + "/manifests/" + version.String(), limit: manifest.MaxBytes})
+	data, err := l.download(ctx, downloadRequest{url: "http://" + peer.String() + "/manifests/" + version.String(), limit: manifest.MaxBytes})
 	if err != nil {
 		return nil, fmt.Errorf("fetch manifest %s from peer %s: %w", version.Short(), peer, err)
 	}
 	return data, nil
 }
 
-// get is one download.
-type get struct {
+// downloadRequest describes one download.
+type downloadRequest struct {
 	url       string
 	byteRange string
-	// limit is the most bytes taken; exact asks for just as many.
+	// limit is the maximum length of the body; exact requires this length.
 	limit int64
 	exact bool
-	// headWait is added to the time that the answer's head may take.
-	headWait time.Duration
+	// headerWait is added to the timeout for the response header.
+	headerWait time.Duration
 }
 
-func (l *Link) stallAfter(peer string) time.Duration {
-	least := defaultStallAfter
+func (l *Link) stallTimeout(peer string) time.Duration {
+	minimum := defaultStallTimeout
 	if l.StallAfter > 0 {
-		least = l.StallAfter
+		minimum = l.StallAfter
 	}
-	return l.gaps.allowed(peer, least)
+	return l.gaps.timeout(peer, minimum)
 }
 
-// get downloads and gives up when no byte comes for stallAfter.
-func (l *Link) get(ctx context.Context, g get) ([]byte, error) {
+// download returns the response body. It fails with ErrStalled when no byte
+// arrives within the stall timeout of the peer.
+func (l *Link) download(ctx context.Context, d downloadRequest) ([]byte, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, g.url, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, d.url, nil)
 	if err != nil {
 		return nil, err
 	}
-	allowed := l.stallAfter(request.URL.Host)
-	watchdog := time.AfterFunc(allowed+g.headWait, func() {
-		l.gaps.stalled(request.URL.Host, allowed)
+	timeout := l.stallTimeout(request.URL.Host)
+	watchdog := time.AfterFunc(timeout+d.headerWait, func() {
+		l.gaps.recordStall(request.URL.Host, timeout)
 		cancel(ErrStalled)
 	})
 	defer watchdog.Stop()
-	if g.byteRange != "" {
-		request.Header.Set("Range", g.byteRange)
+	if d.byteRange != "" {
+		request.Header.Set("Range", d.byteRange)
 	}
 	response, err := l.Client.Do(request)
 	if err != nil {
-		return nil, causeOf(ctx, err)
+		return nil, cancelCause(ctx, err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	if err := statusError(response); err != nil {
 		return nil, err
 	}
-	return l.read(ctx, response, g, watchdog)
+	return l.read(ctx, response, d, watchdog)
 }
 
-// causeOf prefers the reason for which a download was cancelled.
-func causeOf(ctx context.Context, err error) error {
+// cancelCause returns the cause of the cancellation of ctx, or err if ctx is not
+// cancelled.
+func cancelCause(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
 	}
@@ -178,48 +182,48 @@
 	}
 }
 
-func (l *Link) read(ctx context.Context, response *http.Response, g get, watchdog *time.Timer) ([]byte, error) {
-	if response.ContentLength > g.limit {
-		return nil, fmt.Errorf("answer of %d bytes, more than the %d asked for", response.ContentLength, g.limit)
+func (l *Link) read(ctx context.Context, response *http.Response, d downloadRequest, watchdog *time.Timer) ([]byte, error) {
+	if response.ContentLength > d.limit {
+		return nil, fmt.Errorf("response has %d bytes, more than the requested %d", response.ContentLength, d.limit)
 	}
-	data := make([]byte, 0, max(response.ContentLength, readBytes))
+	data := make([]byte, 0, max(response.ContentLength, readSize))
 	peer := response.Request.URL.Host
 	last := time.Now()
 	for {
 		if len(data) == cap(data) {
 			data = append(data, 0)[:len(data)]
 		}
-		n, err := response.Body.Read(data[len(data):min(cap(data), len(data)+readBytes)])
+		n, err := response.Body.Read(data[len(data):min(cap(data), len(data)+readSize)])
 		data = data[:len(data)+n]
 		if n > 0 {
-			l.gaps.saw(peer, time.Since(last))
-			watchdog.Reset(l.stallAfter(peer))
+			l.gaps.record(peer, time.Since(last))
+			watchdog.Reset(l.stallTimeout(peer))
 			if waitErr := l.pace(ctx, n, peer, watchdog); waitErr != nil {
-				return nil, causeOf(ctx, waitErr)
+				return nil, cancelCause(ctx, waitErr)
 			}
 			last = time.Now()
 		}
 		switch {
-		case int64(len(data)) > g.limit:
-			return nil, fmt.Errorf("answer is longer than the %d bytes asked for", g.limit)
-		case errors.Is(err, io.EOF) && g.exact && int64(len(data)) != g.limit:
-			return nil, fmt.Errorf("answer has %d of %d bytes: %w", len(data), g.limit, io.ErrUnexpectedEOF)
+		case int64(len(data)) > d.limit:
+			return nil, fmt.Errorf("response exceeds the requested %d bytes", d.limit)
+		case errors.Is(err, io.EOF) && d.exact && int64(len(data)) != d.limit:
+			return nil, fmt.Errorf("response truncated: got %d of %d bytes: %w", len(data), d.limit, io.ErrUnexpectedEOF)
 		case errors.Is(err, io.EOF):
 			return data, nil
 		case err != nil:
-			return nil, causeOf(ctx, err)
+			return nil, cancelCause(ctx, err)
 		}
 	}
 }
 
-// pace holds the download to the link's rate. Waiting for the own link is no
-// stall of the sender.
+// pace waits until the rate limit admits n bytes. The watchdog is stopped
+// meanwhile, since this wait is not a stall of the sender.
 func (l *Link) pace(ctx context.Context, n int, peer string, watchdog *time.Timer) error {
 	if l.Download == nil {
 		return nil
 	}
 	watchdog.Stop()
 	err := l.Download.WaitN(ctx, n)
-	watchdog.Reset(l.stallAfter(peer))
+	watchdog.Reset(l.stallTimeout(peer))
 	return err
 }
--- a/daemon/internal/version/source/source_test.go
+++ b/daemon/internal/version/source/source_test.go
@@ -14,23 +14,23 @@
 	"github.com/wheelcleat/wheelcleat/api/manifest"
 )
 
-func TestGapsOfASlowLink(t *testing.T) {
-	var g gaps
-	assert.Equal(t, time.Second, g.allowed("p", time.Second))
-	g.stalled("p", time.Second)
-	assert.Equal(t, 2*time.Second, g.allowed("p", time.Second), "a second try is allowed twice the time")
-	g.stalled("p", 2*time.Second)
-	assert.Equal(t, 4*time.Second, g.allowed("p", time.Second))
+func TestStallTimeoutAdaptsToReadGaps(t *testing.T) {
+	var g readGaps
+	assert.Equal(t, time.Second, g.timeout("p", time.Second))
+	g.recordStall("p", time.Second)
+	assert.Equal(t, 2*time.Second, g.timeout("p", time.Second), "a stall doubles the timeout")
+	g.recordStall("p", 2*time.Second)
+	assert.Equal(t, 4*time.Second, g.timeout("p", time.Second))
 	for range 1000 {
-		g.saw("p", time.Millisecond)
+		g.record("p", time.Millisecond)
 	}
-	assert.Equal(t, time.Second, g.allowed("p", time.Second), "a link that moves again is judged as such")
-	assert.Equal(t, time.Second, g.allowed("q", time.Second), "each peer by itself")
-	g.saw("p", time.Hour)
-	assert.Equal(t, maxStallAfter, g.allowed("p", time.Second))
+	assert.Equal(t, time.Second, g.timeout("p", time.Second), "regular reads restore the minimum")
+	assert.Equal(t, time.Second, g.timeout("q", time.Second), "peers are independent")
+	g.record("p", time.Hour)
+	assert.Equal(t, maxStallTimeout, g.timeout("p", time.Second))
 }
 
-func TestStalledTransfer(t *testing.T) {
+func TestStalledTransferFails(t *testing.T) {
 	release := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, "part")
@@ -46,19 +46,19 @@
 	require.ErrorContains(t, err, peer.String())
 }
 
-func TestAnswers(t *testing.T) {
+func TestFetchChunkStatusAndLength(t *testing.T) {
 	tests := []struct {
-		name   string
-		status int
-		body   string
-		want   error
-		text   string
+		name    string
+		status  int
+		body    string
+		want    error
+		message string
 	}{
 		{"whole", 200, "four", nil, ""},
 		{"absent", 404, "", ErrAbsent, ""},
 		{"busy", 503, "", ErrBusy, ""},
 		{"too short", 200, "fou", io.ErrUnexpectedEOF, ""},
-		{"too long", 200, "fours", nil, "more than the 4 asked for"},
+		{"too long", 200, "fours", nil, "more than the requested 4"},
 		{"broken", 500, "", nil, "status 500"},
 	}
 	for _, test := range tests {
@@ -73,8 +73,8 @@
 			switch {
 			case test.want != nil:
 				require.ErrorIs(t, err, test.want)
-			case test.text != "":
-				require.ErrorContains(t, err, test.text)
+			case test.message != "":
+				require.ErrorContains(t, err, test.message)
 			default:
 				require.NoError(t, err)
 				assert.Equal(t, test.body, string(data))
