--- a/daemon/internal/version/stage/stage.go
+++ b/daemon/internal/version/stage/stage.go
@@ -1,9 +1,10 @@
-// Package stage keeps verified chunks of weights in memory, within a budget.
+// Package stage holds verified chunks of weights in memory, within a budget.
+// Package fetch fills it; packages share and install read from it.
 //
-// Chunks are kept by content, so versions that share chunks share memory and
-// transfers. Nothing enters the stage unverified, and a version is complete
-// only when every chunk is there and the digest over the whole has been
-// checked, so whoever reads from it reads exactly one declared version.
+// Chunks are stored by digest, so versions that share chunks share memory and
+// transfers. Every chunk is verified before it is stored, and a version counts
+// as verified only after the digest of the whole file has been checked, so a
+// reader gets exactly the bytes of one declared version.
 package stage
 
 import (
@@ -21,38 +22,40 @@
 
 // Errors of the stage.
 var (
-	// ErrCorrupt: the bytes do not have the digest that the manifest names.
+	// ErrCorrupt means that the bytes do not match the digest in the manifest.
 	ErrCorrupt = errors.New("chunk is corrupt")
-	// ErrOverBudget: the versions in force and declared need more than the
+	// ErrOverBudget means that the active and declared versions exceed the
 	// budget.
 	ErrOverBudget = errors.New("staging budget exceeded")
-	// ErrDropped: the version is no longer staged.
+	// ErrDropped means that the version is no longer staged.
 	ErrDropped = errors.New("version is no longer staged")
 )
 
-// Stage is the store of one agent. Set MaxBytes before use; 0 means no bound.
+// Stage is the chunk store of one agent. Set MaxBytes before use; 0 means no
+// limit.
 //
 // Lock order: mu before the mu of a Version.
 type Stage struct {
 	MaxBytes int64
 
 	mu sync.Mutex
-	// chunks holds every chunk of a staged version that has arrived.
+	// chunks holds an entry for every chunk of the staged versions, with nil
+	// data until it is stored.
 	chunks map[manifest.Digest]*chunk
-	// bytes is the sum of the chunks' lengths.
+	// bytes is the total size of the stored chunks.
 	bytes int64
-	// versions holds the staged versions, newest declared last.
+	// versions holds the staged versions in the order in which they were opened.
 	versions []*Version
-	// changed is closed and replaced when a chunk comes; nil before the first
-	// use.
+	// changed is closed and cleared when a chunk is stored; nil while nobody
+	// waits.
 	changed chan struct{}
 }
 
-// chunk is verified bytes; data is never written again.
+// chunk is a chunk named by a staged version; data is verified and immutable.
 type chunk struct {
 	data []byte
-	// users is the number of staged versions that name the chunk.
-	users int
+	// refs is the number of references from the manifests of staged versions.
+	refs int
 }
 
 // Version is one staged version.
@@ -61,38 +64,40 @@
 	Manifest *manifest.Manifest
 
 	stage *Stage
-	// opened is when the version was staged.
-	opened time.Time
-	// instance names this staging, so that a reader's cursor into gained is
-	// not taken for one into another's.
+	// openedAt is when the version was staged.
+	openedAt time.Time
+	// instance identifies this staging, so that a cursor into the gained list
+	// of an earlier staging or another process is not misapplied.
 	instance string
 
 	mu sync.Mutex
-	// held says which chunks are here, count how many.
-	held  []bool
-	count int
-	// gained lists the chunks in the order they came.
+	// held marks the stored chunks; heldCount is their number.
+	held      []bool
+	heldCount int
+	// gained lists the stored chunks in the order of their arrival.
 	gained []uint32
-	// verified is set once the digest over the whole has been checked.
+	// verified is set once the digest of the whole file has been checked.
 	verified bool
 	dropped  bool
-	// changed is closed and replaced when a chunk comes or the version goes.
+	// changed is closed and replaced when a chunk is stored or the version is
+	// dropped.
 	changed chan struct{}
 }
 
-// Open stages a version, or returns the one already staged. Versions outside
-// wanted are dropped, oldest declaration first, until the budget holds.
+// Open stages a version, or returns it if it is already staged. Versions that
+// are not in wanted are dropped, oldest first, until the new version fits into
+// the budget.
 func (s *Stage) Open(id manifest.Digest, m *manifest.Manifest, wanted []manifest.Digest) (*Version, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if version := s.find(id); version != nil {
 		return version, nil
 	}
-	if err := s.makeRoom(m, wanted); err != nil {
+	if err := s.evictFor(m, wanted); err != nil {
 		return nil, err
 	}
 	version := &Version{
-		ID: id, Manifest: m, stage: s, opened: time.Now(),
+		ID: id, Manifest: m, stage: s, openedAt: time.Now(),
 		instance: fmt.Sprintf("%016x", rand.Uint64()),
 		held:     make([]bool, len(m.Chunks)),
 		changed:  make(chan struct{}),
@@ -101,14 +106,14 @@
 		s.chunks = map[manifest.Digest]*chunk{}
 	}
 	for index, digest := range m.Chunks {
-		if present := s.chunks[digest]; present != nil {
-			present.users++
-			if present.data != nil {
-				version.gain(index)
+		if existing := s.chunks[digest]; existing != nil {
+			existing.refs++
+			if existing.data != nil {
+				version.markHeld(index)
 			}
 			continue
 		}
-		s.chunks[digest] = &chunk{users: 1}
+		s.chunks[digest] = &chunk{refs: 1}
 	}
 	s.versions = append(s.versions, version)
 	return version, nil
@@ -130,24 +135,25 @@
 	return nil
 }
 
-// makeRoom drops unwanted versions until the new one fits; the caller holds mu.
-func (s *Stage) makeRoom(m *manifest.Manifest, wanted []manifest.Digest) error {
+// evictFor drops unwanted versions until the new one fits; the caller holds mu.
+func (s *Stage) evictFor(m *manifest.Manifest, wanted []manifest.Digest) error {
 	if s.MaxBytes == 0 {
 		return nil
 	}
-	for s.needs(m) > s.MaxBytes {
+	for s.requiredBytes(m) > s.MaxBytes {
 		victim := s.oldestUnwanted(wanted)
 		if victim == nil {
-			return fmt.Errorf("%w: the versions in force and declared need %d bytes, the budget is %d; raise weights.stagingBytes",
-				ErrOverBudget, s.needs(m), s.MaxBytes)
+			return fmt.Errorf("%w: active and declared versions need %d bytes, the budget is %d; raise weights.stagingBytes",
+				ErrOverBudget, s.requiredBytes(m), s.MaxBytes)
 		}
 		s.drop(victim)
 	}
 	return nil
 }
 
-// needs returns the bytes of all staged versions and a new one, once complete.
-func (s *Stage) needs(m *manifest.Manifest) int64 {
+// requiredBytes returns the size of all staged versions and a new one when
+// complete; shared chunks count once.
+func (s *Stage) requiredBytes(m *manifest.Manifest) int64 {
 	total := int64(0)
 	seen := map[manifest.Digest]bool{}
 	add := func(m *manifest.Manifest) {
@@ -179,7 +185,7 @@
 	return nil
 }
 
-// Drop removes a version and the chunks that no other one names.
+// Drop removes a version and the chunks that no other version references.
 func (s *Stage) Drop(id manifest.Digest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -198,27 +204,27 @@
 	}
 	for _, digest := range version.Manifest.Chunks {
 		held := s.chunks[digest]
-		held.users--
-		if held.users == 0 {
+		held.refs--
+		if held.refs == 0 {
 			s.bytes -= int64(len(held.data))
 			delete(s.chunks, digest)
 		}
 	}
 	version.mu.Lock()
 	version.dropped = true
-	version.wake()
+	version.notify()
 	version.mu.Unlock()
 }
 
-// Bytes returns the memory that chunks take.
+// Bytes returns the total size of the stored chunks.
 func (s *Stage) Bytes() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.bytes
 }
 
-// Chunk returns a chunk by content, nil where it is not here. The bytes are
-// read-only.
+// Chunk returns the chunk with a digest, or nil if it is not stored. The caller
+// must not modify it.
 func (s *Stage) Chunk(digest manifest.Digest) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -228,7 +234,7 @@
 	return nil
 }
 
-// Changed returns a channel that closes when the next chunk comes.
+// Changed returns a channel that is closed when the next chunk is stored.
 func (s *Stage) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -238,9 +244,9 @@
 	return s.changed
 }
 
-// Put verifies a chunk of a version and keeps it for every version that names
-// it. The stage owns data from then on. It reports false for a chunk that was
-// here already.
+// Put verifies a chunk of a version and stores it for every version that
+// references it. The stage owns data afterwards. Put returns false for a chunk
+// that is already stored.
 func (s *Stage) Put(version *Version, index int, data []byte) (bool, error) {
 	digest := version.Manifest.Chunks[index]
 	_, length := version.Manifest.ChunkRange(index)
@@ -262,8 +268,8 @@
 		close(s.changed)
 		s.changed = nil
 	}
-	for _, user := range s.versions {
-		user.gainAll(digest)
+	for _, v := range s.versions {
+		v.markHeldEverywhere(digest)
 	}
 	return true, nil
 }
@@ -274,66 +280,69 @@
 	return v.dropped
 }
 
-// gainAll marks every place of a chunk as held.
-func (v *Version) gainAll(digest manifest.Digest) {
+// markHeldEverywhere marks every index with the chunk's digest as held.
+func (v *Version) markHeldEverywhere(digest manifest.Digest) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for index, candidate := range v.Manifest.Chunks {
 		if candidate == digest {
-			v.gain(index)
+			v.markHeld(index)
 		}
 	}
 }
 
-// gain marks a chunk as held; the caller holds mu or is the only user.
-func (v *Version) gain(index int) {
+// markHeld marks a chunk as held; the caller holds mu or the version is not yet
+// published.
+func (v *Version) markHeld(index int) {
 	if v.held[index] {
 		return
 	}
 	v.held[index] = true
-	v.count++
+	v.heldCount++
 	v.gained = append(v.gained, uint32(index)) //nolint:gosec // an index into a manifest
-	v.wake()
+	v.notify()
 }
 
-func (v *Version) wake() {
+// notify wakes the waiters for changed; the caller holds mu or the version is not
+// yet published.
+func (v *Version) notify() {
 	close(v.changed)
 	v.changed = make(chan struct{})
 }
 
-// Has reports whether a chunk is here.
+// Has reports whether a chunk is stored.
 func (v *Version) Has(index int) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.held[index]
 }
 
-// Progress returns the chunks here and in all.
+// Progress returns the number of stored chunks and of all chunks.
 func (v *Version) Progress() (held, total int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.count, len(v.held)
+	return v.heldCount, len(v.held)
 }
 
-// UsualGap returns the mean time between two chunks that came.
+// UsualGap returns the mean time between the arrivals of two chunks.
 func (v *Version) UsualGap() time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.count == 0 {
+	if v.heldCount == 0 {
 		return 0
 	}
-	return time.Since(v.opened) / time.Duration(v.count)
+	return time.Since(v.openedAt) / time.Duration(v.heldCount)
 }
 
-// Gained is an answer to Since.
+// Gained lists the chunks returned by Since, with the cursor for the next call.
 type Gained struct {
 	Instance string
 	Cursor   uint32
 	Chunks   []uint32
 }
 
-// Since returns the chunks that came after a cursor of an instance, and a
-// channel that closes at the next change. Another instance's cursor counts as 0.
+// Since returns the chunks gained after a cursor of an instance, and a channel
+// that is closed at the next change. A cursor of another instance counts as 0.
 func (v *Version) Since(instance string, cursor uint32) (Gained, <-chan struct{}) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -347,10 +356,10 @@
 	}, v.changed
 }
 
-// Verify checks the digest over the whole file once every chunk is here.
+// Verify checks the digest of the whole file. It fails if chunks are missing.
 func (v *Version) Verify() error {
 	v.mu.Lock()
-	missing := len(v.held) - v.count
+	missing := len(v.held) - v.heldCount
 	done := v.verified
 	v.mu.Unlock()
 	switch {
@@ -363,10 +372,10 @@
 	if err := v.WriteAll(hash); err != nil {
 		return err
 	}
-	var whole manifest.Digest
-	hash.Sum(whole[:0])
-	if whole != v.Manifest.Whole {
-		return fmt.Errorf("version %s: the digest over the whole is %s, the manifest says %s", v.ID.Short(), whole.Short(), v.Manifest.Whole.Short())
+	var digest manifest.Digest
+	hash.Sum(digest[:0])
+	if digest != v.Manifest.Whole {
+		return fmt.Errorf("version %s: file digest is %s, but the manifest declares %s", v.ID.Short(), digest.Short(), v.Manifest.Whole.Short())
 	}
 	v.mu.Lock()
 	v.verified = true
--- a/daemon/internal/version/stage/stage_test.go
+++ b/daemon/internal/version/stage/stage_test.go
@@ -18,7 +18,7 @@
 	return err
 }
 
-// build describes a file.
+// build returns the manifest of a file and its digest.
 func build(t require.TestingT, data string) (*manifest.Manifest, manifest.Digest) {
 	m, err := manifest.Build(bytes.NewReader([]byte(data)), int64(len(data)), chunkBytes)
 	require.NoError(t, err)
@@ -32,7 +32,7 @@
 	return []byte(data[offset : offset+length])
 }
 
-func TestPutVerifies(t *testing.T) {
+func TestPutRejectsCorruptChunks(t *testing.T) {
 	s := &Stage{}
 	m, id := build(t, "aaaabbbbcc")
 	v, err := s.Open(id, m, nil)
@@ -44,21 +44,21 @@
 	require.ErrorContains(t, v.Verify(), "3 chunks are missing")
 	for i := range m.Chunks {
 		require.NoError(t, put(s, v, i, chunkOf(m, "aaaabbbbcc", i)))
-		require.NoError(t, put(s, v, i, chunkOf(m, "aaaabbbbcc", i)), "twice is once")
+		require.NoError(t, put(s, v, i, chunkOf(m, "aaaabbbbcc", i)), "a repeated put is ignored")
 	}
-	require.False(t, v.Verified(), "complete is not yet verified")
+	require.False(t, v.Verified(), "a complete version is not verified yet")
 	require.NoError(t, v.Verify())
 	require.True(t, v.Verified())
-	var whole bytes.Buffer
-	require.NoError(t, v.WriteAll(&whole))
-	assert.Equal(t, "aaaabbbbcc", whole.String())
+	var assembled bytes.Buffer
+	require.NoError(t, v.WriteAll(&assembled))
+	assert.Equal(t, "aaaabbbbcc", assembled.String())
 	s.Drop(id)
 	require.False(t, v.Verified())
-	require.ErrorIs(t, v.WriteAll(&whole), ErrDropped)
+	require.ErrorIs(t, v.WriteAll(&assembled), ErrDropped)
 	require.ErrorIs(t, put(s, v, 0, []byte("aaaa")), ErrDropped)
 }
 
-func TestSelfContradictingManifest(t *testing.T) {
+func TestVerifyRejectsManifestWithWrongFileDigest(t *testing.T) {
 	s := &Stage{}
 	m, id := build(t, "aaaabbbb")
 	m.Whole = manifest.Digest{1}
@@ -66,7 +66,7 @@
 	require.NoError(t, err)
 	require.NoError(t, put(s, v, 0, []byte("aaaa")))
 	require.NoError(t, put(s, v, 1, []byte("bbbb")))
-	require.ErrorContains(t, v.Verify(), "digest over the whole")
+	require.ErrorContains(t, v.Verify(), "file digest is")
 	require.False(t, v.Verified())
 }
 
@@ -77,17 +77,17 @@
 	v1, _ := s.Open(oneID, one, nil)
 	require.NoError(t, put(s, v1, 0, []byte("aaaa")))
 	v2, _ := s.Open(twoID, two, nil)
-	assert.True(t, v2.Has(0), "a new version finds what is here")
+	assert.True(t, v2.Has(0), "a new version shares stored chunks")
 	require.NoError(t, put(s, v2, 1, []byte("cccc")))
 	assert.Equal(t, int64(8), s.Bytes())
 	s.Drop(oneID)
-	require.NoError(t, v2.Verify(), "dropping one leaves the other whole")
+	require.NoError(t, v2.Verify(), "dropping one version keeps shared chunks of the other")
 	assert.Equal(t, int64(8), s.Bytes())
 	s.Drop(twoID)
 	assert.Zero(t, s.Bytes())
 }
 
-func TestBudget(t *testing.T) {
+func TestOpenDropsUnwantedVersionsOverBudget(t *testing.T) {
 	s := &Stage{MaxBytes: 16}
 	one, oneID := build(t, "aaaabbbb")
 	two, twoID := build(t, "ccccdddd")
@@ -98,14 +98,14 @@
 	require.NoError(t, err)
 	_, err = s.Open(threeID, three, []manifest.Digest{oneID, twoID})
 	require.ErrorIs(t, err, ErrOverBudget)
-	require.ErrorContains(t, err, "need 24 bytes, the budget is 16", "the refusal says what to raise")
+	require.ErrorContains(t, err, "need 24 bytes, the budget is 16", "the error states the required budget")
 	_, err = s.Open(threeID, three, []manifest.Digest{twoID})
 	require.NoError(t, err)
-	assert.Nil(t, s.Find(oneID), "what nobody wants goes")
+	assert.Nil(t, s.Find(oneID), "the unwanted version is dropped")
 	assert.NotNil(t, s.Find(twoID))
 }
 
-func TestSince(t *testing.T) {
+func TestSinceReturnsChunksAfterCursor(t *testing.T) {
 	s := &Stage{}
 	m, id := build(t, "aaaabbbbaaaa")
 	v, _ := s.Open(id, m, nil)
@@ -114,14 +114,14 @@
 	require.NoError(t, put(s, v, 0, []byte("aaaa")))
 	<-changed
 	next, _ := v.Since(first.Instance, first.Cursor)
-	assert.Equal(t, []uint32{0, 2}, next.Chunks, "equal chunks come together")
+	assert.Equal(t, []uint32{0, 2}, next.Chunks, "equal chunks are gained together")
 	other, _ := v.Since("another", 2)
-	assert.Equal(t, []uint32{0, 2}, other.Chunks, "a cursor of another instance starts anew")
+	assert.Equal(t, []uint32{0, 2}, other.Chunks, "a cursor of another instance counts as 0")
 }
 
-// TestOracle opens, fills, drops and reads versions in any order. Whatever can
-// be read whole must be exactly one declared version.
-func TestOracle(t *testing.T) {
+// Random sequences of open, put and drop must never make a verified version
+// readable that differs from the declared file, nor exceed the budget.
+func TestRandomOperationsServeOnlyDeclaredVersions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		files := []string{"aaaabbbbcccc", "aaaaddddcccc", "eeeeddddaaaa", "ff"}
 		s := &Stage{MaxBytes: int64(rapid.SampledFrom([]int{0, 12, 20}).Draw(t, "budget"))}
@@ -166,9 +166,9 @@
 						total[digest] = len(s.Chunk(digest))
 					}
 					if v.Verify() == nil {
-						var whole bytes.Buffer
-						require.NoError(t, v.WriteAll(&whole))
-						require.Equal(t, file, whole.String())
+						var assembled bytes.Buffer
+						require.NoError(t, v.WriteAll(&assembled))
+						require.Equal(t, file, assembled.String())
 					}
 				}
 				sum := 0
