--- a/daemon/internal/version/activate/activate.go
+++ b/daemon/internal/version/activate/activate.go
@@ -1,11 +1,11 @@
-// Package activate orders an engine to load a version.
+// Package activate sends load orders to an engine. Package install calls it.
 //
-// An order carries the fencing token of the placement that it follows from. An
-// engine that checks fences refuses an order below the highest token it has
-// seen, so an agent that was replaced and wakes cannot undo its successor's
-// order. For an engine that checks nothing the agent itself keeps the fence:
-// it never sends an order below its highest one, and a new agent waits out the
-// time in which an order of its predecessor may still be under way.
+// An order carries the fencing token of the placement that it implements. An
+// engine that checks tokens rejects an order below the highest token that it has
+// seen, so an agent that was replaced and resumes cannot revert an order of its
+// successor. For an engine that does not check tokens, the agent enforces the
+// fence: it never sends an order with a token below its highest one, and a new
+// agent waits until an order of its predecessor can no longer be in progress.
 package activate
 
 import (
@@ -24,46 +24,46 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/helpers"
 )
 
-// ErrFenced means that a higher token has been seen; the order must not be followed.
-var ErrFenced = errors.New("fenced off by a newer order")
+// ErrFenced means that the order has a lower token than an earlier one.
+var ErrFenced = errors.New("fenced by an order with a higher token")
 
-// ErrRefused means that the engine answered that it did not follow the order, so nothing
-// of the order is still under way.
-var ErrRefused = errors.New("the engine refused the order")
+// ErrRefused means that the engine has rejected the order, so the order is not in
+// progress at the engine.
+var ErrRefused = errors.New("engine rejected the order")
 
-// Order tells an engine what to load.
+// Order is a request to an engine to load a version.
 type Order struct {
 	Model    string `json:"model"`
 	Adapter  string `json:"adapter"`
 	Version  string `json:"version"`
 	Manifest string `json:"manifest"`
-	// Weights is where the engine reads the whole file.
+	// Weights is the URL at which the engine reads the file.
 	Weights string `json:"weights"`
 	Size    int64  `json:"size"`
 	Token   uint64 `json:"token"`
 }
 
-// State is what an engine says it holds.
+// State is the version that an engine reports as loaded.
 type State struct {
 	Manifest string `json:"manifest"`
-	// Digest is the digest over the bytes that the engine has read.
+	// Digest is the digest of the bytes that the engine has read.
 	Digest string `json:"digest"`
 	Token  uint64 `json:"token"`
 }
 
-// Engine is the adapter to a model engine.
+// Engine is the client of a model engine.
 type Engine struct {
 	Peer netip.AddrPort
-	// Load sends an order and returns what the engine holds afterwards.
+	// Load sends an order and returns the state of the engine afterwards.
 	Load func(ctx context.Context, order Order) (State, error)
-	// Holds asks what the engine holds now.
+	// Holds returns the current state of the engine.
 	Holds func(ctx context.Context) (State, error)
 }
 
-// maxAnswerBytes bounds an engine's answer.
-const maxAnswerBytes = 1 << 20
+// maxResponseBytes bounds the response body of an engine.
+const maxResponseBytes = 1 << 20
 
-// NewEngine returns the engine at an address.
+// NewEngine returns a client of the engine at an address.
 func NewEngine(address netip.AddrPort, client *http.Client) *Engine {
 	e := &Engine{Peer: address}
 	e.Load = func(ctx context.Context, order Order) (State, error) {
@@ -89,42 +89,44 @@
 		return State{}, fmt.Errorf("engine %s: %w", peer, err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer := io.LimitReader(response.Body, maxAnswerBytes)
+	reply := io.LimitReader(response.Body, maxResponseBytes)
 	switch response.StatusCode {
 	case http.StatusOK:
 	case http.StatusConflict:
 		return State{}, fmt.Errorf("engine %s: %w: %w", peer, ErrRefused, ErrFenced)
 	default:
-		text, _ := io.ReadAll(answer)
-		return State{}, fmt.Errorf("engine %s: %w with %s: %s", peer, ErrRefused, response.Status, bytes.TrimSpace(text))
+		message, _ := io.ReadAll(reply)
+		return State{}, fmt.Errorf("engine %s: %w: %s: %s", peer, ErrRefused, response.Status, bytes.TrimSpace(message))
 	}
 	var state State
-	if err := json.NewDecoder(answer).Decode(&state); err != nil {
-		return State{}, fmt.Errorf("engine %s: read state: %w", peer, err)
+	if err := json.NewDecoder(reply).Decode(&state); err != nil {
+		return State{}, fmt.Errorf("engine %s: decode state: %w", peer, err)
 	}
 	return state, nil
 }
 
-// Fence orders the loads of one engine. Set the fields before use.
+// Fence sends the load orders of one engine and enforces the order of tokens. Set
+// the fields before use.
 type Fence struct {
 	Engine *Engine
-	// NotBefore is when the first order may go out: a new agent holds back
-	// towards an engine that checks no fence. Zero means at once.
+	// NotBefore is the earliest time of the first order, for engines that check
+	// no tokens. Zero means immediately.
 	NotBefore time.Time
-	// Hold is how long an order without an answer may still be under way at an
-	// engine that checks no fence; 0 for one that does.
+	// Hold is how long an order without a response may still be in progress at
+	// an engine that checks no tokens; 0 for an engine that checks them.
 	Hold time.Duration
 	// Now is the clock; nil means clock.Now.
 	Now func() time.Time
 
-	// mu guards highest and heldUntil. It is not held during a load.
+	// mu guards highest and unansweredUntil. It is not held during a load.
 	mu      sync.Mutex
 	highest uint64
-	// heldUntil is when an order without an answer can no longer take effect.
-	heldUntil time.Time
+	// unansweredUntil is when an order without a response can no longer take
+	// effect.
+	unansweredUntil time.Time
 }
 
-// Raise notes a token and reports whether it is the highest seen, or equal.
+// Raise records a token. It returns false for a token below the highest one.
 func (f *Fence) Raise(token uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -137,10 +139,10 @@
 
 func (f *Fence) now() time.Time { return helpers.Now(f.Now) }
 
-// Load orders the engine to load a version and checks that it holds just the
-// declared bytes afterwards.
-func (f *Fence) Load(ctx context.Context, order Order, whole manifest.Digest) error {
-	if err := f.hold(ctx); err != nil {
+// Load orders the engine to load a version and checks the digest that the engine
+// reports for the loaded bytes.
+func (f *Fence) Load(ctx context.Context, order Order, fileDigest manifest.Digest) error {
+	if err := f.waitUnanswered(ctx); err != nil {
 		return err
 	}
 	if !f.Raise(order.Token) {
@@ -148,20 +150,20 @@
 	}
 	state, err := f.Engine.Load(ctx, order)
 	if err != nil {
-		f.noteFailed(err)
+		f.recordFailure(err)
 		return fmt.Errorf("order %d: %w", order.Token, err)
 	}
-	if state.Manifest != order.Manifest || state.Digest != whole.String() {
-		return fmt.Errorf("order %d: engine %s holds version %q with digest %q, not %q with %q",
-			order.Token, f.Engine.Peer, state.Manifest, state.Digest, order.Manifest, whole)
+	if state.Manifest != order.Manifest || state.Digest != fileDigest.String() {
+		return fmt.Errorf("order %d: engine %s holds version %q with digest %q instead of %q with %q",
+			order.Token, f.Engine.Peer, state.Manifest, state.Digest, order.Manifest, fileDigest)
 	}
 	return nil
 }
 
-// hold waits until no other order can still be under way.
-func (f *Fence) hold(ctx context.Context) error {
+// waitUnanswered waits until no earlier order can still be in progress.
+func (f *Fence) waitUnanswered(ctx context.Context) error {
 	f.mu.Lock()
-	until := f.heldUntil
+	until := f.unansweredUntil
 	f.mu.Unlock()
 	if f.NotBefore.After(until) {
 		until = f.NotBefore
@@ -176,12 +178,12 @@
 	return nil
 }
 
-// noteFailed holds back the next order after one without an answer.
-func (f *Fence) noteFailed(err error) {
+// recordFailure delays the next order after an order without a response.
+func (f *Fence) recordFailure(err error) {
 	if f.Hold == 0 || errors.Is(err, ErrRefused) {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.heldUntil = f.now().Add(f.Hold)
+	f.unansweredUntil = f.now().Add(f.Hold)
 }
--- a/daemon/internal/version/activate/activate_test.go
+++ b/daemon/internal/version/activate/activate_test.go
@@ -19,67 +19,69 @@
 	"github.com/wheelcleat/wheelcleat/standin/serve"
 )
 
-// start runs an engine and a place to read weights named by their path.
-func start(t *testing.T, e *engine.Server) (*Fence, func(name string, token uint64) Order) {
+// startEngine runs an engine and a weights server that returns the request path.
+// It returns the fence and a function that creates orders.
+func startEngine(t *testing.T, e *engine.Server) (*Fence, func(name string, token uint64) Order) {
 	t.Helper()
-	beside, err := serve.Loopback(e)
+	server, err := serve.Loopback(e)
 	require.NoError(t, err)
-	t.Cleanup(beside.Close)
+	t.Cleanup(server.Close)
 	weights := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, r.URL.Path) }))
 	t.Cleanup(weights.Close)
-	return &Fence{Engine: NewEngine(beside.Address, http.DefaultClient)}, func(name string, token uint64) Order {
+	return &Fence{Engine: NewEngine(server.Address, http.DefaultClient)}, func(name string, token uint64) Order {
 		return Order{Manifest: name, Weights: weights.URL + "/" + name, Size: int64(len(name) + 1), Token: token}
 	}
 }
 
-func whole(name string) manifest.Digest { return manifest.Sum([]byte("/" + name)) }
+func digestOf(name string) manifest.Digest { return manifest.Sum([]byte("/" + name)) }
 
-func TestLoad(t *testing.T) {
+func TestLoadIsFencedByHighestToken(t *testing.T) {
 	e := &engine.Server{}
-	fence, order := start(t, e)
-	require.NoError(t, fence.Load(t.Context(), order("v1", 3), whole("v1")))
-	require.ErrorIs(t, fence.Load(t.Context(), order("v0", 2), whole("v0")), ErrFenced, "the own fence")
-	assert.Len(t, e.History(), 1, "the engine never saw the older order")
+	fence, order := startEngine(t, e)
+	require.NoError(t, fence.Load(t.Context(), order("v1", 3), digestOf("v1")))
+	require.ErrorIs(t, fence.Load(t.Context(), order("v0", 2), digestOf("v0")), ErrFenced, "the agent enforces the fence")
+	assert.Len(t, e.History(), 1, "the engine does not receive the older order")
 
 	successor := &Fence{Engine: fence.Engine}
-	require.NoError(t, successor.Load(t.Context(), order("v2", 5), whole("v2")))
-	err := fence.Load(t.Context(), order("v1", 4), whole("v1"))
-	require.ErrorIs(t, err, ErrFenced, "a paused agent that wakes cannot undo its successor")
+	require.NoError(t, successor.Load(t.Context(), order("v2", 5), digestOf("v2")))
+	err := fence.Load(t.Context(), order("v1", 4), digestOf("v1"))
+	require.ErrorIs(t, err, ErrFenced, "an agent that resumes cannot revert its successor's order")
 	require.ErrorIs(t, err, ErrRefused)
 	assert.Equal(t, "v2", e.State().Manifest)
 }
 
-func TestWrongBytesAreNotReady(t *testing.T) {
-	fence, order := start(t, &engine.Server{})
-	err := fence.Load(t.Context(), order("v1", 1), whole("v2"))
+func TestLoadFailsOnWrongDigest(t *testing.T) {
+	fence, order := startEngine(t, &engine.Server{})
+	err := fence.Load(t.Context(), order("v1", 1), digestOf("v2"))
 	require.ErrorContains(t, err, "holds version")
 }
 
-// TestHoldTowardsEngineWithoutFence runs on a fake clock.
-func TestHoldTowardsEngineWithoutFence(t *testing.T) {
+// An order without a response may still take effect at an engine that checks no
+// tokens, so the next order must wait.
+func TestLoadWaitsOutUnansweredOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var loads atomic.Int64
-		answer := io.ErrUnexpectedEOF
+		loadErr := io.ErrUnexpectedEOF
 		e := &Engine{Peer: netip.MustParseAddrPort("127.0.0.1:1"), Load: func(_ context.Context, o Order) (State, error) {
 			loads.Add(1)
-			if answer != nil {
-				return State{}, answer
+			if loadErr != nil {
+				return State{}, loadErr
 			}
-			return State{Manifest: o.Manifest, Digest: whole(o.Manifest).String()}, nil
+			return State{Manifest: o.Manifest, Digest: digestOf(o.Manifest).String()}, nil
 		}}
 		started := time.Now()
 		fence := &Fence{Engine: e, Hold: 3 * time.Second, NotBefore: started.Add(3 * time.Second)}
-		require.Error(t, fence.Load(t.Context(), Order{Manifest: "v1", Token: 1}, whole("v1")))
-		assert.Equal(t, 3*time.Second, time.Since(started), "a new agent waits out its predecessor's order")
-		answer = nil
-		require.NoError(t, fence.Load(t.Context(), Order{Manifest: "v1", Token: 1}, whole("v1")))
-		assert.Equal(t, 6*time.Second, time.Since(started), "an order without an answer is waited out")
-		require.NoError(t, fence.Load(t.Context(), Order{Manifest: "v2", Token: 2}, whole("v2")))
+		require.Error(t, fence.Load(t.Context(), Order{Manifest: "v1", Token: 1}, digestOf("v1")))
+		assert.Equal(t, 3*time.Second, time.Since(started), "a new agent waits for its predecessor's order")
+		loadErr = nil
+		require.NoError(t, fence.Load(t.Context(), Order{Manifest: "v1", Token: 1}, digestOf("v1")))
+		assert.Equal(t, 6*time.Second, time.Since(started), "the next order waits after one without a response")
+		require.NoError(t, fence.Load(t.Context(), Order{Manifest: "v2", Token: 2}, digestOf("v2")))
 		assert.Equal(t, 6*time.Second, time.Since(started))
 		assert.Equal(t, int64(3), loads.Load())
-		gone, cancel := context.WithCancel(t.Context())
+		canceled, cancel := context.WithCancel(t.Context())
 		cancel()
 		fence.NotBefore = time.Now().Add(time.Hour)
-		require.ErrorIs(t, fence.Load(gone, Order{Token: 3}, whole("v3")), context.Canceled)
+		require.ErrorIs(t, fence.Load(canceled, Order{Token: 3}, digestOf("v3")), context.Canceled)
 	})
 }
