--- a/daemon/internal/version/share/share.go
+++ b/daemon/internal/version/share/share.go
@@ -1,13 +1,13 @@
-// Package share serves a host's staged chunks: to other agents, and the whole
-// version to the engine beside it.
+// Package share serves staged chunks to other agents, and complete versions to
+// the engine on the same host.
 //
 //	GET /chunks/{digest}?wait=2s      one chunk; 404, or 503 without a free slot
 //	GET /manifests/{digest}           a version's manifest
-//	GET /versions/{digest}/weights    the whole verified file, for the own host
-//	twirp Peer.Have                   the chunks that came since a cursor
+//	GET /versions/{digest}/weights    the verified file, for the local host only
+//	twirp Peer.Have                   the chunks gained since a cursor
 //
-// Uploads take one of a few slots, so that each runs at a useful rate instead
-// of all at a crawl; who finds none free asks another peer.
+// The number of concurrent uploads is limited by slots, so that each upload gets
+// a useful share of the link; a client that gets no slot asks another peer.
 package share
 
 import (
@@ -28,48 +28,47 @@
 )
 
 const (
-	// DefaultSlots is the number of uploads at a time.
+	// DefaultSlots is the number of concurrent uploads.
 	DefaultSlots = 4
-	// slotWait is how long a request waits for a free slot.
-	slotWait = 100 * time.Millisecond
-	// maxChunkWait bounds the wait for a chunk that is not here yet.
+	// slotTimeout is how long a request waits for a free slot.
+	slotTimeout = 100 * time.Millisecond
+	// maxChunkWait bounds the wait for a chunk that is not staged yet.
 	maxChunkWait = 30 * time.Second
 	// maxHaveWait bounds one poll.
 	maxHaveWait = 30 * time.Second
-	// haveEnough is the part of a version's chunks that is worth an answer at
-	// once: a peer is told in about haveEnough answers, however fast the
-	// chunks come. With 64 of them control bytes halve, but news comes so late
-	// that the last host is 4 % later.
-	haveEnough = 128
-	// haveMin and haveMax bound the time in which gained chunks gather.
-	haveMin = 50 * time.Millisecond
-	haveMax = 2 * time.Second
-	// pieceBytes is the piece in which uploads are paced.
-	pieceBytes = 32 << 10
+	// haveBatches is the approximate number of poll responses in which a peer
+	// learns of all chunks of a version. Fewer, larger batches save control
+	// traffic, but peers learn of chunks later.
+	haveBatches = 128
+	// minGather and maxGather bound the time to collect chunks for a response.
+	minGather = 50 * time.Millisecond
+	maxGather = 2 * time.Second
+	// writeSize is the number of bytes per rate-limited write.
+	writeSize = 32 << 10
 )
 
 // Server serves a stage. Set the fields before Register.
 type Server struct {
 	Stage *stage.Stage
-	// Slots varies DefaultSlots; 0 takes it.
+	// Slots is the number of concurrent uploads; 0 means DefaultSlots.
 	Slots int
-	// Upload bounds sent bytes; nil means no bound.
+	// Upload limits the rate of sent bytes; nil means no limit.
 	Upload *rate.Limiter
-	// Fault is asked at each chunk; nil means no faults.
+	// Fault, if set, returns the fault to inject into the next chunk.
 	Fault func() Fault
-	// OnBytes counts sent bytes; nil means nobody does.
+	// OnBytes, if set, is called with the number of bytes sent.
 	OnBytes func(bytes int64)
 
-	// slots are the free uploads within the hall, hallSlots those to other
-	// halls, where whole halls wait for one chunk.
+	// slots limits uploads within the hall, hallSlots uploads to other halls.
+	// They are separate because a whole hall waits for each upload to it.
 	slots, hallSlots chan struct{}
 }
 
-// Fault says what goes wrong with one chunk.
+// Fault is a fault injected into one chunk.
 type Fault struct {
 	// Corrupt flips a bit.
 	Corrupt bool
-	// Stall sends half of the chunk and then nothing.
+	// Stall sends half of the chunk and then nothing until the request ends.
 	Stall bool
 }
 
@@ -88,8 +87,8 @@
 	mux.Handle(peer.PathPrefix(), peer)
 }
 
-// parse reads the digest in a path; it answers the request when there is none.
-func parse(w http.ResponseWriter, r *http.Request) (manifest.Digest, bool) {
+// parseDigest returns the digest in the path, or responds with status 400.
+func parseDigest(w http.ResponseWriter, r *http.Request) (manifest.Digest, bool) {
 	digest, err := manifest.ParseDigest(r.PathValue("digest"))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -98,20 +97,20 @@
 }
 
 func (s *Server) serveChunk(w http.ResponseWriter, r *http.Request) {
-	digest, ok := parse(w, r)
+	digest, ok := parseDigest(w, r)
 	if !ok {
 		return
 	}
-	data := s.await(r, digest)
+	data := s.awaitChunk(r, digest)
 	if data == nil {
-		http.Error(w, "the chunk is not here", http.StatusNotFound)
+		http.Error(w, "the chunk is not staged", http.StatusNotFound)
 		return
 	}
 	slots := s.slots
 	if r.URL.Query().Has("wait") {
 		slots = s.hallSlots
 	}
-	if !takeSlot(r.Context(), slots) {
+	if !acquireSlot(r.Context(), slots) {
 		http.Error(w, "no free upload slot", http.StatusServiceUnavailable)
 		return
 	}
@@ -124,7 +123,7 @@
 	_ = s.send(r.Context(), w, data)
 }
 
-// sendFaulty sends a chunk as a broken host would.
+// sendFaulty sends a chunk with an injected fault.
 func (s *Server) sendFaulty(ctx context.Context, w http.ResponseWriter, data []byte, fault Fault) {
 	if fault.Corrupt && len(data) > 0 {
 		data = bytes.Clone(data)
@@ -139,8 +138,9 @@
 	<-ctx.Done()
 }
 
-// await returns a chunk, waiting for it as long as the request asks.
-func (s *Server) await(r *http.Request, digest manifest.Digest) []byte {
+// awaitChunk returns a chunk, or nil if it is not staged within the wait of the
+// request.
+func (s *Server) awaitChunk(r *http.Request, digest manifest.Digest) []byte {
 	wait, err := time.ParseDuration(r.URL.Query().Get("wait"))
 	if err != nil {
 		return s.Stage.Chunk(digest)
@@ -162,13 +162,14 @@
 	}
 }
 
-func takeSlot(ctx context.Context, slots chan struct{}) bool {
+// acquireSlot reports whether a slot became free within slotTimeout.
+func acquireSlot(ctx context.Context, slots chan struct{}) bool {
 	select {
 	case slots <- struct{}{}:
 		return true
 	default:
 	}
-	timer := time.NewTimer(slotWait)
+	timer := time.NewTimer(slotTimeout)
 	defer timer.Stop()
 	select {
 	case slots <- struct{}{}:
@@ -180,16 +181,16 @@
 	}
 }
 
-// send writes a chunk at the link's pace.
+// send writes a chunk at the rate of the upload limit.
 func (s *Server) send(ctx context.Context, w http.ResponseWriter, data []byte) error {
 	for len(data) > 0 {
-		piece := data[:min(pieceBytes, len(data))]
+		part := data[:min(writeSize, len(data))]
 		if s.Upload != nil {
-			if err := s.Upload.WaitN(ctx, len(piece)); err != nil {
+			if err := s.Upload.WaitN(ctx, len(part)); err != nil {
 				return err
 			}
 		}
-		n, err := w.Write(piece)
+		n, err := w.Write(part)
 		if s.OnBytes != nil {
 			s.OnBytes(int64(n))
 		}
@@ -202,13 +203,13 @@
 }
 
 func (s *Server) serveManifest(w http.ResponseWriter, r *http.Request) {
-	digest, ok := parse(w, r)
+	digest, ok := parseDigest(w, r)
 	if !ok {
 		return
 	}
 	version := s.Stage.Find(digest)
 	if version == nil {
-		http.Error(w, "the version is not staged here", http.StatusNotFound)
+		http.Error(w, "the version is not staged", http.StatusNotFound)
 		return
 	}
 	data, _, err := version.Manifest.Encode()
@@ -220,14 +221,14 @@
 	_, _ = w.Write(data) //nolint:gosec // JSON for another agent, not a page
 }
 
-// serveWeights gives the own host's engine a whole version.
+// serveWeights sends a complete version to the engine on the same host.
 func (s *Server) serveWeights(w http.ResponseWriter, r *http.Request) {
-	digest, ok := parse(w, r)
+	digest, ok := parseDigest(w, r)
 	if !ok {
 		return
 	}
-	if !fromOwnHost(r) {
-		http.Error(w, "whole versions are served to the own host only", http.StatusForbidden)
+	if !fromLocalHost(r) {
+		http.Error(w, "complete versions are served to the local host only", http.StatusForbidden)
 		return
 	}
 	version := s.Stage.Find(digest)
@@ -237,12 +238,12 @@
 	}
 	w.Header().Set("Content-Length", strconv.FormatInt(version.Manifest.Size, 10))
 	if err := version.WriteAll(w); err != nil {
-		panic(http.ErrAbortHandler) // the engine must not take a part for the whole
+		panic(http.ErrAbortHandler) // the engine must not accept a truncated file
 	}
 }
 
-// fromOwnHost reports whether a request comes from the host itself.
-func fromOwnHost(r *http.Request) bool {
+// fromLocalHost reports whether a request comes from the same host.
+func fromLocalHost(r *http.Request) bool {
 	local, ok := r.Context().Value(http.LocalAddrContextKey).(*net.TCPAddr)
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if !ok || err != nil {
@@ -252,10 +253,11 @@
 	return remote.IsLoopback() || remote.Equal(local.IP)
 }
 
-// errNotStaged answers a poll for a version that is not here.
-var errNotStaged = errors.New("the version is not staged here")
+// errNotStaged is the reply to a poll for a version that is not staged.
+var errNotStaged = errors.New("the version is not staged")
 
-// Have waits for chunks of a version that came after the caller's cursor.
+// Have returns the chunks of a version gained after the caller's cursor. It waits
+// for at least one chunk, up to the requested time.
 func (s *Server) Have(ctx context.Context, request *wire.HaveRequest) (*wire.HaveResponse, error) {
 	id, err := manifest.ParseDigest(request.GetManifest())
 	if err != nil {
@@ -283,14 +285,15 @@
 	}
 }
 
-// gather lets further chunks join an answer.
+// gather collects further chunks before a response, so that a fast fetch does not
+// cause a response per chunk.
 func (s *Server) gather(ctx context.Context, version *stage.Version, request *wire.HaveRequest) *wire.HaveResponse {
-	enough := max(len(version.Manifest.Chunks)/haveEnough, 1)
-	usual := time.Duration(enough) * version.UsualGap()
-	timer := time.NewTimer(min(max(usual, haveMin), haveMax))
+	batch := max(len(version.Manifest.Chunks)/haveBatches, 1)
+	expected := time.Duration(batch) * version.UsualGap()
+	timer := time.NewTimer(min(max(expected, minGather), maxGather))
 	defer timer.Stop()
 	gained, changed := version.Since(request.GetInstance(), request.GetCursor())
-	for waiting := true; waiting && len(gained.Chunks) < enough; {
+	for waiting := true; waiting && len(gained.Chunks) < batch; {
 		select {
 		case <-changed:
 		case <-timer.C:
