--- a/daemon/internal/version/install/install.go
+++ b/daemon/internal/version/install/install.go
@@ -1,10 +1,11 @@
-// Package install brings a host to the versions that its order names: fetch,
-// verify, load by fenced order, and only then serve.
+// Package install applies the orders that an agent receives: it fetches and
+// verifies the named versions, has the engine load the version to serve by a
+// fenced order, and only then opens the gate for requests.
 //
-// The version to serve and the one to come are fetched side by side. A fetch
-// goes on across orders that still name its version; one that no order names
-// any more is stopped, and its chunks stay staged while the budget allows,
-// since the next version may share them.
+// The version to serve and the next version are fetched concurrently. A fetch
+// continues across orders that name its version. A fetch whose version is no
+// longer named is stopped; its chunks stay staged while the budget allows, since
+// the next version may share them.
 package install
 
 import (
@@ -29,89 +30,91 @@
 )
 
 const (
-	retryMin = 200 * time.Millisecond
-	retryMax = 5 * time.Second
+	minRetryDelay = 200 * time.Millisecond
+	maxRetryDelay = 5 * time.Second
 )
 
-// Status is what the host says of its versions.
+// Status is the state of the host's versions, as reported to the entries.
 type Status struct {
 	ReadyService  string
 	ReadyManifest string
 	FetchManifest string
 	ChunksHeld    int
 	ChunksTotal   int
-	// FailedManifest is the version whose activation failed last.
+	// FailedManifest is the version whose activation failed most recently.
 	FailedManifest string
 	Failure        string
 }
 
-// Installer follows the orders of one engine. Set the fields before Start.
+// Installer applies the orders for one engine. Set the fields before Start.
 type Installer struct {
 	Stage     *stage.Stage
 	Fetcher   *fetch.Fetcher
 	Fence     *activate.Fence
 	Gate      *gate.Gate
 	Telemetry *telemetry.Telemetry
-	// Weights is the address at which the engine reads whole versions.
+	// Weights is the address at which the engine reads complete versions.
 	Weights netip.AddrPort
-	// OnChange is told when Status changed; nil means nobody is.
+	// OnChange, if set, is called when Status has changed.
 	OnChange func()
 
 	tomb tomb.Tomb
 
-	// mu guards all below. Lock order: mu before the locks of Gate and Stage.
+	// mu guards the fields below. Lock order: mu before the locks of Gate and Stage.
 	mu    sync.Mutex
 	order *wire.Order
 	// orderChanged is closed and replaced with each order.
 	orderChanged chan struct{}
-	// fetches holds the versions being fetched or complete, by name.
-	fetches map[manifest.Digest]*fetching
-	// loaded is the version that the engine was last seen to hold whole.
+	// fetches holds the versions being fetched or complete, by digest.
+	fetches map[manifest.Digest]*fetchState
+	// loaded is the version that the engine last confirmed; zero while unknown.
 	loaded  manifest.Digest
 	failed  manifest.Digest
 	failure string
-	// wake makes the loop look again.
+	// wake triggers the next pass of run.
 	wake chan struct{}
 }
 
-// fetching is one version on its way.
-type fetching struct {
+// fetchState is the fetch of one version.
+type fetchState struct {
 	cancel context.CancelFunc
 	// done is set once the version is staged and verified.
 	done bool
-	// version is set once its manifest is known.
+	// version is set once the manifest has been fetched.
 	version *stage.Version
 }
 
-// Start begins to follow orders.
+// Start starts to apply orders.
 func (i *Installer) Start() {
 	i.mu.Lock()
-	i.setUp()
+	i.initialize()
 	i.mu.Unlock()
 	i.tomb.Go(i.run)
 }
 
-// Stop ends fetches and waits for them. What is served stays served.
+// Stop cancels the fetches and waits for them. The gate stays open for the
+// version that is served.
 func (i *Installer) Stop() {
 	i.tomb.Kill(nil)
 	_ = i.tomb.Wait()
 }
 
-// Done is closed when the installer has ended.
+// Done returns a channel that is closed when the installer has stopped.
 func (i *Installer) Done() <-chan struct{} { return i.tomb.Dead() }
 
-func (i *Installer) setUp() {
+func (i *Installer) initialize() {
 	if i.wake == nil {
 		i.wake = make(chan struct{}, 1)
 		i.orderChanged = make(chan struct{})
-		i.fetches = map[manifest.Digest]*fetching{}
+		i.fetches = map[manifest.Digest]*fetchState{}
 	}
 }
 
-// Order takes the newest order; nil means that the host has none.
+// Order sets the newest order; nil means that the host has none. An order with a
+// token below the highest one is ignored.
 func (i *Installer) Order(order *wire.Order) {
 	i.mu.Lock()
-	i.setUp()
+	i.initialize()
 	if order != nil && !i.Fence.Raise(order.GetToken()) {
 		i.mu.Unlock()
 		return
@@ -120,23 +123,23 @@
 	close(i.orderChanged)
 	i.orderChanged = make(chan struct{})
 	i.mu.Unlock()
-	i.poke()
+	i.wakeLoop()
 }
 
-func (i *Installer) poke() {
+func (i *Installer) wakeLoop() {
 	select {
 	case i.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (i *Installer) changed() {
+func (i *Installer) notifyChange() {
 	if i.OnChange != nil {
 		i.OnChange()
 	}
 }
 
-// Status returns what the host says of its versions now.
+// Status returns the current state of the host's versions.
 func (i *Installer) Status() Status {
 	serving := i.Gate.Serving()
 	i.mu.Lock()
@@ -148,27 +151,29 @@
 	if !i.failed.IsZero() {
 		status.FailedManifest = i.failed.String()
 	}
-	target := i.target()
-	if target == nil {
+	newest := i.newestVersion()
+	if newest == nil {
 		return status
 	}
-	status.FetchManifest = target.GetManifest()
-	id, _ := idOf(target)
+	status.FetchManifest = newest.GetManifest()
+	id, _ := versionID(newest)
 	if f := i.fetches[id]; f != nil && f.version != nil {
 		status.ChunksHeld, status.ChunksTotal = f.version.Progress()
 	}
 	return status
 }
 
-// target returns the newest version that the order names; the caller holds mu.
-func (i *Installer) target() *wire.Version {
+// newestVersion returns the newest version that the order names; the caller holds
+// mu.
+func (i *Installer) newestVersion() *wire.Version {
 	if next := i.order.GetNext(); next != nil {
 		return next
 	}
 	return i.order.GetServe()
 }
 
-// swarm returns the present hosts of a version, for its fetch.
+// swarm returns the hosts of a version for its fetch, and a channel that is closed
+// at the next order.
 func (i *Installer) swarm(id manifest.Digest) (fetch.Swarm, <-chan struct{}) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -191,17 +196,18 @@
 	return peers
 }
 
+// run applies the current order at each wake-up, and retries after errors.
 func (i *Installer) run() error {
 	ctx := i.tomb.Context(nil) //nolint:staticcheck // tomb takes nil for "no parent"
-	waits := backoff.NewExponentialBackOff()
-	waits.InitialInterval, waits.MaxInterval = retryMin, retryMax
+	retryBackoff := backoff.NewExponentialBackOff()
+	retryBackoff.InitialInterval, retryBackoff.MaxInterval = minRetryDelay, maxRetryDelay
 	for {
 		i.startFetches(ctx)
 		var retry <-chan time.Time
 		if err := i.serve(ctx); err != nil {
-			retry = time.After(waits.NextBackOff())
+			retry = time.After(retryBackoff.NextBackOff())
 		} else {
-			waits.Reset()
+			retryBackoff.Reset()
 		}
 		select {
 		case <-i.wake:
@@ -212,13 +218,14 @@
 	}
 }
 
-// startFetches starts what the order names and stops what it does not.
+// startFetches starts fetches of the versions that the order names and cancels all
+// others.
 func (i *Installer) startFetches(ctx context.Context) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	wanted := i.wanted()
 	for id, f := range i.fetches {
-		if !contains(wanted, id) {
+		if !containsID(wanted, id) {
 			f.cancel()
 			delete(i.fetches, id)
 		}
@@ -226,7 +233,7 @@
 	for _, id := range wanted {
 		if i.fetches[id] == nil {
 			fetchCtx, cancel := context.WithCancel(ctx)
-			f := &fetching{cancel: cancel}
+			f := &fetchState{cancel: cancel}
 			i.fetches[id] = f
 			i.tomb.Go(func() error { i.fetch(fetchCtx, id, f); return nil })
 		}
@@ -238,20 +245,20 @@
 func (i *Installer) wanted() []manifest.Digest {
 	var wanted []manifest.Digest
 	for _, v := range []*wire.Version{i.order.GetServe(), i.order.GetNext()} {
-		if id, named := idOf(v); named && !contains(wanted, id) {
+		if id, ok := versionID(v); ok && !containsID(wanted, id) {
 			wanted = append(wanted, id)
 		}
 	}
 	return wanted
 }
 
-// idOf returns a version's name, false where there is none.
-func idOf(v *wire.Version) (manifest.Digest, bool) {
+// versionID returns a version's digest, or false if there is none.
+func versionID(v *wire.Version) (manifest.Digest, bool) {
 	id, err := manifest.ParseDigest(v.GetManifest())
 	return id, err == nil
 }
 
-func contains(ids []manifest.Digest, id manifest.Digest) bool {
+func containsID(ids []manifest.Digest, id manifest.Digest) bool {
 	for _, candidate := range ids {
 		if candidate == id {
 			return true
@@ -260,34 +267,34 @@
 	return false
 }
 
-// fetch brings one version here, however often it takes.
-func (i *Installer) fetch(ctx context.Context, id manifest.Digest, f *fetching) {
-	waits := backoff.NewExponentialBackOff()
-	waits.InitialInterval, waits.MaxInterval = retryMin, retryMax
+// fetch fetches one version and retries until it succeeds or ctx is done.
+func (i *Installer) fetch(ctx context.Context, id manifest.Digest, f *fetchState) {
+	retryBackoff := backoff.NewExponentialBackOff()
+	retryBackoff.InitialInterval, retryBackoff.MaxInterval = minRetryDelay, maxRetryDelay
 	started := time.Now()
 	for ctx.Err() == nil {
 		err := i.fetchOnce(ctx, id, f)
 		if err == nil {
 			i.Telemetry.Decide(telemetry.Decision{
-				Step: "stage", Choice: id.Short(), Reason: "every chunk and the whole are verified",
+				Step: "stage", Choice: id.Short(), Reason: "all chunks and the file digest are verified",
 				Details: map[string]any{"seconds": time.Since(started).Seconds()},
 			})
 			i.mu.Lock()
 			f.done = true
 			i.mu.Unlock()
-			i.poke()
-			i.changed()
+			i.wakeLoop()
+			i.notifyChange()
 			return
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		i.Telemetry.Log.WithError(err).WithField("version", id.Short()).Warn("fetch failed; trying again")
-		helpers.Pause(waits.NextBackOff(), ctx.Done())
+		i.Telemetry.Log.WithError(err).WithField("version", id.Short()).Warn("fetch failed; retrying")
+		helpers.Pause(retryBackoff.NextBackOff(), ctx.Done())
 	}
 }
 
-func (i *Installer) fetchOnce(ctx context.Context, id manifest.Digest, f *fetching) error {
+func (i *Installer) fetchOnce(ctx context.Context, id manifest.Digest, f *fetchState) error {
 	swarm, _ := i.swarm(id)
 	m, err := i.Fetcher.Manifest(ctx, id, swarm)
 	if err != nil {
@@ -298,39 +305,39 @@
 	i.mu.Unlock()
 	version, err := i.Stage.Open(id, m, keep)
 	if err != nil {
-		i.fail(id, err)
+		i.recordFailure(id, err)
 		return err
 	}
 	i.mu.Lock()
 	f.version = version
 	i.mu.Unlock()
-	i.changed()
+	i.notifyChange()
 	err = i.Fetcher.Fetch(ctx, version, func() (fetch.Swarm, <-chan struct{}) { return i.swarm(id) })
 	if err != nil && ctx.Err() == nil && !errors.Is(err, stage.ErrDropped) {
 		if held, total := version.Progress(); held == total {
-			// All chunks are right and the whole is not: the manifest itself
-			// contradicts itself, and no source can mend that.
+			// All chunks match the manifest but the file digest does not, so
+			// the manifest is inconsistent and another source cannot help.
 			i.Stage.Drop(id)
-			i.fail(id, err)
+			i.recordFailure(id, err)
 		}
 	}
 	return err
 }
 
-// fail notes why a version cannot be activated.
-func (i *Installer) fail(id manifest.Digest, err error) {
+// recordFailure records why a version cannot be activated.
+func (i *Installer) recordFailure(id manifest.Digest, err error) {
 	i.mu.Lock()
 	i.failed, i.failure = id, err.Error()
 	i.mu.Unlock()
-	i.changed()
+	i.notifyChange()
 }
 
-// serve brings the engine and the gate to the version to serve, if it is
-// staged. An error asks for another try later.
+// serve loads the version to serve and opens the gate for it, if it is staged.
+// The caller retries after an error.
 func (i *Installer) serve(ctx context.Context) error {
 	i.mu.Lock()
 	order := i.order
-	id, named := idOf(order.GetServe())
+	id, ok := versionID(order.GetServe())
 	staged := false
 	if f := i.fetches[id]; f != nil {
 		staged = f.done
@@ -339,7 +346,7 @@
 	i.mu.Unlock()
 	i.Gate.SetLimit(int(order.GetInFlightLimit()))
 	switch {
-	case !named:
+	case !ok:
 		i.stopServing(order)
 		return nil
 	case loaded == id:
@@ -352,14 +359,14 @@
 	}
 }
 
-// stopServing closes the gate for a host without a version to serve.
+// stopServing closes the gate of a host without a version to serve.
 func (i *Installer) stopServing(order *wire.Order) {
 	if len(i.Gate.Serving().Services) == 0 {
 		return
 	}
 	i.Gate.Open(gate.Serving{})
 	i.Telemetry.Decide(telemetry.Decision{Step: "activate", Choice: "serve nothing", Reason: "the host has no version to serve", Revision: order.GetToken()})
-	i.changed()
+	i.notifyChange()
 }
 
 // openGate admits requests for a version that the engine holds.
@@ -370,16 +377,16 @@
 	}
 	i.Gate.Open(gate.Serving{Services: []string{order.GetService()}, Manifest: id.String()})
 	i.Telemetry.Decide(telemetry.Decision{
-		Step: "activate", Choice: "serve " + id.Short(), Reason: "the engine holds the version whole", Revision: order.GetToken(),
+		Step: "activate", Choice: "serve " + id.Short(), Reason: "the engine has loaded the version", Revision: order.GetToken(),
 		Details: map[string]any{"service": order.GetService(), "version": order.GetServe().GetVersion()},
 	})
-	i.changed()
+	i.notifyChange()
 }
 
-// load waits until no request runs on the old version, orders the new one and
-// opens the gate for it.
+// load waits until no request runs on the old version, orders the engine to load
+// the new one and opens the gate for it.
 func (i *Installer) load(ctx context.Context, order *wire.Order, id manifest.Digest) error {
-	ctx, cancel := i.whileOrdered(ctx, order)
+	ctx, cancel := i.withOrder(ctx, order)
 	defer cancel()
 	version := i.Stage.Find(id)
 	if version == nil || !version.Verified() {
@@ -388,9 +395,9 @@
 	if err := i.Gate.Close(ctx); err != nil {
 		return err
 	}
-	// From here on the engine may hold anything until it has answered.
+	// From here until a response arrives, the state of the engine is unknown.
 	i.mu.Lock()
-	before := i.loaded
+	previous := i.loaded
 	i.loaded = manifest.Digest{}
 	i.mu.Unlock()
 	serve := order.GetServe()
@@ -400,7 +407,7 @@
 		Size:    version.Manifest.Size, Token: order.GetToken(),
 	}, version.Manifest.Whole)
 	if err != nil {
-		i.loadFailed(ctx, order, id, before, err)
+		i.handleLoadFailure(ctx, order, id, previous, err)
 		return err
 	}
 	i.mu.Lock()
@@ -411,9 +418,9 @@
 	return nil
 }
 
-// whileOrdered returns a context that ends when a newer order replaces this
-// one's assignment.
-func (i *Installer) whileOrdered(ctx context.Context, order *wire.Order) (context.Context, context.CancelFunc) {
+// withOrder returns a context that is cancelled when an order with another token
+// replaces this one.
+func (i *Installer) withOrder(ctx context.Context, order *wire.Order) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	i.mu.Lock()
 	changed := i.orderChanged
@@ -438,35 +445,35 @@
 	return ctx, cancel
 }
 
-// holdsTimeout bounds the question what the engine holds.
-const holdsTimeout = 2 * time.Second
+// stateTimeout bounds the query of the engine's state after a failed load.
+const stateTimeout = 2 * time.Second
 
-// loadFailed goes back to the version before, if the engine says that it still
-// holds it.
-func (i *Installer) loadFailed(ctx context.Context, order *wire.Order, id, before manifest.Digest, err error) {
+// handleLoadFailure reopens the gate for the previous version if the engine
+// reports that it still holds it, and closes the gate otherwise.
+func (i *Installer) handleLoadFailure(ctx context.Context, order *wire.Order, id, previous manifest.Digest, err error) {
 	i.Telemetry.Decide(telemetry.Decision{Step: "activate", Choice: "not serve " + id.Short(), Reason: err.Error(), Revision: order.GetToken()})
 	if ctx.Err() == nil {
-		i.fail(id, err)
+		i.recordFailure(id, err)
 	}
 	if !errors.Is(err, activate.ErrRefused) {
-		// The order may still be under way: the engine may turn to the new
-		// version at any moment, so nothing may be routed to it.
+		// The order may still be in progress and the engine may switch to the
+		// new version at any moment, so no request may be routed to it.
 		i.Gate.Open(gate.Serving{})
-		i.changed()
+		i.notifyChange()
 		return
 	}
-	askCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), holdsTimeout)
+	stateCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stateTimeout)
 	defer cancel()
-	state, holdsErr := i.Fence.Engine.Holds(askCtx)
-	version := i.Stage.Find(before)
-	if holdsErr != nil || before.IsZero() || version == nil || state.Manifest != before.String() || state.Digest != version.Manifest.Whole.String() {
+	state, stateErr := i.Fence.Engine.Holds(stateCtx)
+	version := i.Stage.Find(previous)
+	if stateErr != nil || previous.IsZero() || version == nil || state.Manifest != previous.String() || state.Digest != version.Manifest.Whole.String() {
 		i.Gate.Open(gate.Serving{})
-		i.changed()
+		i.notifyChange()
 		return
 	}
 	i.mu.Lock()
-	i.loaded = before
+	i.loaded = previous
 	i.mu.Unlock()
-	i.Gate.Open(gate.Serving{Services: []string{order.GetService()}, Manifest: before.String()})
-	i.changed()
+	i.Gate.Open(gate.Serving{Services: []string{order.GetService()}, Manifest: previous.String()})
+	i.notifyChange()
 }
