--- a/daemon/settings/check.go
+++ b/daemon/settings/check.go
@@ -10,7 +10,7 @@
 	"github.com/wheelcleat/wheelcleat/api"
 )
 
-// Check returns every fault of an entry's settings.
+// Check returns all validation errors of an entry's settings.
 func (e *Entry) Check() []api.FieldError {
 	c := &checker{}
 	c.identity(e.Name, e.Hall)
@@ -26,16 +26,16 @@
 		}
 	}
 	if operators := e.Listen.Operators; len(e.OperatorKeyDigests) == 0 && operators.IsValid() && !operators.Addr().IsLoopback() {
-		c.add("operatorKeyDigests", "missing", "an operators' port off loopback needs at least one key digest")
+		c.add("operatorKeyDigests", "missing", "an operators' port that is not on loopback requires at least one key digest")
 	}
-	c.atLeastZero("requests.maxBodyBytes", float64(e.Requests.MaxBodyBytes))
-	c.atLeastZero("requests.maxHeaderBytes", float64(e.Requests.MaxHeaderBytes))
+	c.notNegative("requests.maxBodyBytes", float64(e.Requests.MaxBodyBytes))
+	c.notNegative("requests.maxHeaderBytes", float64(e.Requests.MaxHeaderBytes))
 	c.duration("drain", e.Drain)
 	c.level(e.Log)
-	return c.faults
+	return c.fieldErrs
 }
 
-// Check returns every fault of an agent's settings.
+// Check returns all validation errors of an agent's settings.
 func (a *Agent) Check() []api.FieldError {
 	c := &checker{}
 	c.identity(a.Name, a.Hall)
@@ -49,39 +49,39 @@
 			c.address("weights.store", a.Weights.Store)
 		}
 		if len(a.Upstream.Services) > 0 {
-			c.add("upstream.services", "an engine names no services", "placement decides; leave the field out")
+			c.add("upstream.services", "not allowed for an engine", "placement assigns the service; leave the field out")
 		}
 	case UpstreamPlain:
 		if len(a.Upstream.Services) == 0 {
-			c.add("upstream.services", "missing", "name the plain services that this host serves")
+			c.add("upstream.services", "missing", "the names of the plain services on this host")
 		}
 	default:
 		c.add("upstream.kind", fmt.Sprintf("unknown kind %q", a.Upstream.Kind), `use "engine" or "plain"`)
 	}
-	c.atLeastZero("weights.stagingBytes", float64(a.Weights.StagingBytes))
-	c.atLeastZero("weights.uploadBytesPerSecond", float64(a.Weights.UploadBytesPerSecond))
-	c.atLeastZero("weights.downloadBytesPerSecond", float64(a.Weights.DownloadBytesPerSecond))
+	c.notNegative("weights.stagingBytes", float64(a.Weights.StagingBytes))
+	c.notNegative("weights.uploadBytesPerSecond", float64(a.Weights.UploadBytesPerSecond))
+	c.notNegative("weights.downloadBytesPerSecond", float64(a.Weights.DownloadBytesPerSecond))
 	c.duration("weights.peerWait", a.Weights.PeerWait)
 	c.duration("upstream.orderHold", a.Upstream.OrderHold)
 	c.duration("drain", a.Drain)
 	c.level(a.Log)
-	return c.faults
+	return c.fieldErrs
 }
 
-// checker collects faults. Each address it is shown must differ from the ones
-// before, because no two of them can be the same port.
+// checker collects validation errors. It also rejects duplicate addresses, since
+// two settings cannot refer to the same port.
 type checker struct {
-	faults []api.FieldError
-	seen   []addressAt
+	fieldErrs []api.FieldError
+	seen      []namedAddress
 }
 
-type addressAt struct {
+type namedAddress struct {
 	path    string
 	address netip.AddrPort
 }
 
 func (c *checker) add(path, problem, hint string) {
-	c.faults = append(c.faults, api.FieldError{Path: path, Problem: problem, Hint: hint})
+	c.fieldErrs = append(c.fieldErrs, api.FieldError{Path: path, Problem: problem, Hint: hint})
 }
 
 func (c *checker) identity(name, hall string) {
@@ -89,27 +89,27 @@
 		c.add("name", "missing", "the host's name in the platform's host list")
 	}
 	if hall == "" {
-		c.add("hall", "missing", "the data hall that the host stands in")
+		c.add("hall", "missing", "the data hall of the host")
 	}
 }
 
 func (c *checker) address(path string, address netip.AddrPort) {
 	if !address.IsValid() {
-		c.add(path, "missing", `an IP number and a port, such as "10.0.0.7:7002"`)
+		c.add(path, "missing", `an IP address and a port, such as "10.0.0.7:7002"`)
 		return
 	}
 	if address.Port() == 0 {
-		return // an ephemeral port equals no other
+		return // ephemeral ports never collide
 	}
 	for _, other := range c.seen {
 		if other.address == address {
-			c.add(path, fmt.Sprintf("%s is the address of %s too", address, other.path), "each address stands once")
+			c.add(path, fmt.Sprintf("%s is already the address of %s", address, other.path), "each address must be unique")
 		}
 	}
-	c.seen = append(c.seen, addressAt{path, address})
+	c.seen = append(c.seen, namedAddress{path, address})
 }
 
-func (c *checker) atLeastZero(path string, value float64) {
+func (c *checker) notNegative(path string, value float64) {
 	if value < 0 {
 		c.add(path, fmt.Sprintf("%g is below 0", value), "leave the field out for the default")
 	}
--- a/daemon/settings/decode.go
+++ b/daemon/settings/decode.go
@@ -14,17 +14,17 @@
 	"github.com/wheelcleat/wheelcleat/api"
 )
 
-// FileError lists every fault of a settings file.
+// FileError lists all errors in a settings file.
 type FileError struct {
-	File   string
-	Faults []api.FieldError
+	File        string
+	FieldErrors []api.FieldError
 }
 
-// Error returns one line per fault, each with the file and the JSON path.
+// Error returns one line per error, each with the file and the JSON path.
 func (e *FileError) Error() string {
-	lines := make([]string, len(e.Faults))
-	for i, fault := range e.Faults {
-		lines[i] = e.File + ": " + fault.Error()
+	lines := make([]string, len(e.FieldErrors))
+	for i, fieldErr := range e.FieldErrors {
+		lines[i] = e.File + ": " + fieldErr.Error()
 	}
 	return strings.Join(lines, "\n")
 }
@@ -37,7 +37,7 @@
 	Loader *Loader
 }
 
-// Role returns the role that the file is for.
+// Role returns the role of the process that the file configures.
 func (f File) Role() Role {
 	switch {
 	case f.Entry != nil:
@@ -51,8 +51,8 @@
 	}
 }
 
-// Load reads and checks a settings file and fills in defaults. A faulty file
-// gives a *FileError.
+// Load reads and validates a settings file and sets defaults. The error for an
+// invalid file is a *FileError.
 func Load(path string) (File, error) {
 	data, err := os.ReadFile(path) //nolint:gosec // the operator names the file
 	if err != nil {
@@ -61,72 +61,72 @@
 	return Parse(path, data)
 }
 
-// Parse is Load on bytes; name stands for the file in errors.
+// Parse is Load for the contents of a file; name is the file name in errors.
 func Parse(name string, data []byte) (File, error) {
 	var file File
-	role, fault := findRole(data)
-	if fault != nil {
-		return file, &FileError{File: name, Faults: []api.FieldError{*fault}}
+	role, fieldErr := parseRole(data)
+	if fieldErr != nil {
+		return file, &FileError{File: name, FieldErrors: []api.FieldError{*fieldErr}}
 	}
-	var faults []api.FieldError
+	var fieldErrs []api.FieldError
 	switch role {
 	case RoleEntry:
 		file.Entry = &Entry{}
-		faults = parse(data, file.Entry)
+		fieldErrs = parseSettings(data, file.Entry)
 	case RoleRouter:
 		file.Router = &Router{}
-		faults = parse(data, file.Router)
+		fieldErrs = parseSettings(data, file.Router)
 	case RoleLoader:
 		file.Loader = &Loader{}
-		faults = parse(data, file.Loader)
+		fieldErrs = parseSettings(data, file.Loader)
 	case RoleAgent:
 		file.Agent = &Agent{}
-		faults = parse(data, file.Agent)
+		fieldErrs = parseSettings(data, file.Agent)
 	}
-	if len(faults) > 0 {
-		return File{}, &FileError{File: name, Faults: faults}
+	if len(fieldErrs) > 0 {
+		return File{}, &FileError{File: name, FieldErrors: fieldErrs}
 	}
 	return file, nil
 }
 
-// roleSettings is what the settings of every role have.
+// roleSettings is implemented by the settings of all roles.
 type roleSettings interface {
 	Check() []api.FieldError
 	SetDefaults()
 }
 
-// parse reads one role's settings, and fills in defaults where they are good.
-func parse(data []byte, target roleSettings) []api.FieldError {
-	if faults := decode(data, target); len(faults) > 0 {
-		return faults
+// parseSettings decodes and validates the settings of one role and sets defaults.
+func parseSettings(data []byte, target roleSettings) []api.FieldError {
+	if fieldErrs := decode(data, target); len(fieldErrs) > 0 {
+		return fieldErrs
 	}
-	faults := target.Check()
+	fieldErrs := target.Check()
 	target.SetDefaults()
-	return faults
+	return fieldErrs
 }
 
-// findRole reads only the role, because it decides the shape of the rest.
-func findRole(data []byte) (Role, *api.FieldError) {
-	var head struct {
+// parseRole decodes only the role, which determines the type of the settings.
+func parseRole(data []byte) (Role, *api.FieldError) {
+	var header struct {
 		Role any `json:"role"`
 	}
-	if err := json.Unmarshal(data, &head); err != nil {
+	if err := json.Unmarshal(data, &header); err != nil {
 		return "", &api.FieldError{Path: "$", Problem: "not a JSON object: " + err.Error(), Hint: "start from 'wheelcleat settings example entry'"}
 	}
-	switch head.Role {
+	switch header.Role {
 	case string(RoleEntry), string(RoleAgent), string(RoleRouter), string(RoleLoader):
-		return Role(fmt.Sprint(head.Role)), nil
+		return Role(fmt.Sprint(header.Role)), nil
 	case nil:
 		return "", &api.FieldError{Path: "role", Problem: "missing", Hint: roleHint}
 	default:
-		return "", &api.FieldError{Path: "role", Problem: fmt.Sprintf("unknown role %v", head.Role), Hint: roleHint}
+		return "", &api.FieldError{Path: "role", Problem: fmt.Sprintf("unknown role %v", header.Role), Hint: roleHint}
 	}
 }
 
 const roleHint = `use "entry", "agent", "router" or "loader"`
 
-// decode reads data into target and returns a fault for each value that does
-// not fit, with its path.
+// decode decodes data into target. It returns an error with the path of each value
+// that does not match the type of target.
 func decode(data []byte, target any) []api.FieldError {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.UseNumber()
@@ -135,12 +135,12 @@
 		return []api.FieldError{{Path: "$", Problem: "not JSON: " + err.Error()}}
 	}
 	if _, err := decoder.Token(); err != io.EOF {
-		return []api.FieldError{{Path: "$", Problem: "more than one JSON value", Hint: "a settings file holds one object"}}
+		return []api.FieldError{{Path: "$", Problem: "more than one JSON value", Hint: "a settings file contains a single object"}}
 	}
 	w := &walker{}
 	w.walk("", document, reflect.TypeOf(target).Elem())
-	if len(w.faults) > 0 {
-		return w.faults
+	if len(w.fieldErrs) > 0 {
+		return w.fieldErrs
 	}
 	if err := json.Unmarshal(data, target); err != nil {
 		return []api.FieldError{{Path: "$", Problem: err.Error()}}
@@ -148,21 +148,21 @@
 	return nil
 }
 
-// walker compares a decoded document with a Go type.
-type walker struct{ faults []api.FieldError }
+// walker compares a decoded JSON document with a Go type and collects errors.
+type walker struct{ fieldErrs []api.FieldError }
 
 var (
-	textType = reflect.TypeFor[encoding.TextUnmarshaler]()
-	jsonType = reflect.TypeFor[json.Unmarshaler]()
+	textUnmarshalerType = reflect.TypeFor[encoding.TextUnmarshaler]()
+	jsonUnmarshalerType = reflect.TypeFor[json.Unmarshaler]()
 )
 
 func (w *walker) add(path, problem, hint string) {
-	w.faults = append(w.faults, api.FieldError{Path: path, Problem: problem, Hint: hint})
+	w.fieldErrs = append(w.fieldErrs, api.FieldError{Path: path, Problem: problem, Hint: hint})
 }
 
 func (w *walker) walk(path string, value any, want reflect.Type) {
 	pointer := reflect.PointerTo(want)
-	if pointer.Implements(textType) || pointer.Implements(jsonType) {
+	if pointer.Implements(textUnmarshalerType) || pointer.Implements(jsonUnmarshalerType) {
 		w.leaf(path, value, want)
 		return
 	}
@@ -196,17 +196,17 @@
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		at := strings.TrimPrefix(path+"."+name, ".")
+		fieldPath := strings.TrimPrefix(path+"."+name, ".")
 		fieldType, ok := known[name]
 		if !ok {
-			w.add(at, "unknown field", "known here: "+knownNames(known))
+			w.add(fieldPath, "unknown field", "known fields: "+knownNames(known))
 			continue
 		}
-		w.walk(at, fields[name], fieldType)
+		w.walk(fieldPath, fields[name], fieldType)
 	}
 }
 
-// leaf decodes one value by itself, so that its error has its path.
+// leaf decodes a single value, so that an error can be reported with its path.
 func (w *walker) leaf(path string, value any, want reflect.Type) {
 	data, err := json.Marshal(value)
 	if err == nil {
@@ -218,9 +218,9 @@
 	hint := ""
 	switch {
 	case strings.Contains(want.String(), "netip"):
-		hint = `an IP number and a port, such as "10.0.0.7:7002"`
+		hint = `an IP address and a port, such as "10.0.0.7:7002"`
 	case want.Kind() == reflect.Int || want.Kind() == reflect.Int64 && want != reflect.TypeFor[api.Duration]():
-		hint = "a whole number without a unit"
+		hint = "an integer without a unit"
 	}
 	problem := strings.TrimPrefix(err.Error(), "json: ")
 	if _, mismatch := err.(*json.UnmarshalTypeError); mismatch { //nolint:errorlint // json returns it unwrapped
--- a/daemon/settings/example.go
+++ b/daemon/settings/example.go
@@ -9,14 +9,14 @@
 	"github.com/wheelcleat/wheelcleat/api"
 )
 
-// exampleHall is the data hall of all examples.
+// exampleHall is the data hall in all examples.
 const exampleHall = "recife"
 
 func loopback(port uint16) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), port)
 }
 
-// ExampleEntry returns settings that pass the check.
+// ExampleEntry returns valid settings of an entry.
 func ExampleEntry() Entry {
 	return Entry{
 		Role:     RoleEntry,
@@ -30,7 +30,7 @@
 	}
 }
 
-// ExampleAgent returns settings that pass the check.
+// ExampleAgent returns valid settings of an agent.
 func ExampleAgent() Agent {
 	return Agent{
 		Role:     RoleAgent,
@@ -45,7 +45,7 @@
 	}
 }
 
-// Example returns an example file for a role.
+// Example returns an example settings file for a role.
 func Example(role Role) ([]byte, error) {
 	var example any
 	switch role {
--- a/daemon/settings/direct.go
+++ b/daemon/settings/router_loader.go
@@ -8,8 +8,8 @@
 	"github.com/wheelcleat/wheelcleat/api"
 )
 
-// Router is the settings file of a router: a process that takes callers'
-// requests and sends them straight to upstreams, where a store lists these.
+// Router is the settings file of a router: a process that accepts requests from
+// callers and sends them directly to the upstreams listed in a store.
 type Router struct {
 	Role   Role         `json:"role"`
 	Name   string       `json:"name"`
@@ -17,66 +17,68 @@
 	Listen RouterListen `json:"listen"`
 	// Store is the address of the store with the configuration and upstreams.
 	Store netip.AddrPort `json:"store"`
-	// Seeds are peers' ports of a few routers, which may be down.
+	// Seeds are the peer addresses of some routers, used to join the gossip; they
+	// may be unreachable.
 	Seeds []netip.AddrPort `json:"seeds,omitempty"`
-	// LoaderPort is the port on which the loaders of all hosts take peers; 0
-	// means that there are none.
+	// LoaderPort is the peer port of the loaders on all hosts; 0 means that there
+	// are no loaders.
 	LoaderPort uint16 `json:"loaderPort,omitempty"`
-	// Regions tells the region of each data hall. Requests that may run in some regions
-	// only go to no hall that is missing here.
+	// Regions maps data halls to regions. Requests that are restricted to some
+	// regions are not sent to halls without an entry.
 	Regions []HallRegion `json:"regions,omitempty"`
 	Bounds  RouterBounds `json:"bounds,omitzero"`
-	// Drain bounds a stop.
+	// Drain limits the time to complete requests when the router stops.
 	Drain api.Duration `json:"drain,omitempty"`
 	Log   Log          `json:"log,omitzero"`
 }
 
-// HallRegion is the region that a data hall stands in.
+// HallRegion assigns a region to a data hall.
 type HallRegion struct {
 	Hall   string `json:"hall"`
 	Region string `json:"region"`
 }
 
-// RegionOf returns the region of a data hall, "" where it is not known.
+// RegionOf returns the region of a data hall, or "" if it has no entry.
 func (r *Router) RegionOf(hall string) string {
-	for _, known := range r.Regions {
-		if known.Hall == hall {
-			return known.Region
+	for _, entry := range r.Regions {
+		if entry.Hall == hall {
+			return entry.Region
 		}
 	}
 	return ""
 }
 
-// RouterListen names the router's ports.
+// RouterListen holds the listen addresses of a router.
 type RouterListen struct {
-	// Callers takes the requests that are routed.
+	// Callers accepts the requests to route.
 	Callers netip.AddrPort `json:"callers"`
-	// Ready answers the balancer whether this router takes callers.
+	// Ready serves the readiness check of the load balancer.
 	Ready netip.AddrPort `json:"ready"`
-	// Peers takes other daemons of the system.
+	// Peers accepts requests from the other daemons of the system.
 	Peers netip.AddrPort `json:"peers"`
-	// Metrics takes /metrics and /healthz.
+	// Metrics serves /metrics and /healthz.
 	Metrics netip.AddrPort `json:"metrics"`
 }
 
-// RouterBounds are the promises that the router keeps.
+// RouterBounds are the time, retry and resource limits that a router has to meet.
 type RouterBounds struct {
-	// VersionApply is the time in which requests must reach a newly declared
+	// VersionApply is the time within which requests must reach a newly declared
 	// version; 0 means 8s.
 	VersionApply api.Duration `json:"versionApply,omitempty"`
-	// Second sends of all routers together stay within RetryRatio of the
-	// requests plus RetrySlack in RetryWindow; 0 means 0.2, 100 and 10s.
+	// RetryRatio, RetrySlack and RetryWindow define the retry budget of all
+	// routers together: within RetryWindow, retries must not exceed RetryRatio
+	// of the requests plus RetrySlack. 0 means 0.2, 100 and 10s.
 	RetryRatio  float64      `json:"retryRatio,omitempty"`
 	RetrySlack  float64      `json:"retrySlack,omitempty"`
 	RetryWindow api.Duration `json:"retryWindow,omitempty"`
-	// LinkMbps is the rate of the host's link in megabits a second; 0 means unknown.
+	// LinkMbps is the rate of the host's link in megabits per second; 0 means unknown.
 	LinkMbps float64 `json:"linkMbps,omitempty"`
-	// MemoryMB is the memory that the process may take, in MiB; 0 means unknown.
+	// MemoryMB is the memory limit of the process in MiB; 0 means unknown.
 	MemoryMB float64 `json:"memoryMb,omitempty"`
 }
 
-// Loader is the settings file of a loader: the process beside an engine that
-// brings it the declared version of its model.
+// Loader is the settings file of a loader: the process on an engine's host that
+// has the engine load the declared version of its model.
 type Loader struct {
 	Role   Role         `json:"role"`
 	Name   string       `json:"name"`
@@ -84,7 +86,7 @@
 	Listen LoaderListen `json:"listen"`
 	// Store is the address of the store with the configuration and upstreams.
 	Store netip.AddrPort `json:"store"`
-	// Engine is the engine on this host, Service the service that it is of.
+	// Engine is the address of the engine on this host, Service its service.
 	Engine  netip.AddrPort `json:"engine"`
 	Service string         `json:"service"`
 	Bounds  LoaderBounds   `json:"bounds,omitzero"`
@@ -92,19 +94,20 @@
 	Log     Log            `json:"log,omitzero"`
 }
 
-// LoaderListen names the loader's ports.
+// LoaderListen holds the listen addresses of a loader.
 type LoaderListen struct {
-	// Peers takes other loaders, which fetch chunks here, and routers.
+	// Peers accepts requests from routers and chunk requests from other loaders.
 	Peers netip.AddrPort `json:"peers"`
-	// Metrics takes /metrics and /healthz.
+	// Metrics serves /metrics and /healthz.
 	Metrics netip.AddrPort `json:"metrics"`
 }
 
-// LoaderBounds are the promises that the loader keeps.
+// LoaderBounds are the time and resource limits that a loader has to meet.
 type LoaderBounds struct {
-	// VersionApply is the time in which a declared version must serve; 0 means 8s.
+	// VersionApply is the time within which the engine must serve a newly
+	// declared version; 0 means 8s.
 	VersionApply api.Duration `json:"versionApply,omitempty"`
-	// LinkMbps is the rate of the host's link in megabits a second; 0 means unknown.
+	// LinkMbps is the rate of the host's link in megabits per second; 0 means unknown.
 	LinkMbps float64 `json:"linkMbps,omitempty"`
 }
 
@@ -117,7 +120,7 @@
 	DefaultDirectDrain  = 8 * time.Second
 )
 
-// SetDefaults fills in what the file left out.
+// SetDefaults sets unset optional fields to their defaults.
 func (r *Router) SetDefaults() {
 	orDefault(&r.Bounds.VersionApply, api.Duration(DefaultVersionApply))
 	orDefault(&r.Bounds.RetryRatio, DefaultRetryRatio)
@@ -127,14 +130,14 @@
 	orDefault(&r.Log.Level, "info")
 }
 
-// SetDefaults fills in what the file left out.
+// SetDefaults sets unset optional fields to their defaults.
 func (l *Loader) SetDefaults() {
 	orDefault(&l.Bounds.VersionApply, api.Duration(DefaultVersionApply))
 	orDefault(&l.Drain, api.Duration(DefaultDirectDrain))
 	orDefault(&l.Log.Level, "info")
 }
 
-// Check returns every fault of a router's settings.
+// Check returns all validation errors of a router's settings.
 func (r *Router) Check() []api.FieldError {
 	c := &checker{}
 	c.identity(r.Name, r.Hall)
@@ -143,23 +146,23 @@
 	c.address("listen.peers", r.Listen.Peers)
 	c.address("listen.metrics", r.Listen.Metrics)
 	c.address("store", r.Store)
-	for i, known := range r.Regions {
-		if known.Hall == "" || known.Region == "" {
-			c.add(fmt.Sprintf("regions[%d]", i), "names no hall or no region", "each entry has both, once for each hall")
+	for i, entry := range r.Regions {
+		if entry.Hall == "" || entry.Region == "" {
+			c.add(fmt.Sprintf("regions[%d]", i), "hall or region is missing", "each entry names a hall and its region")
 		}
 	}
 	c.duration("bounds.versionApply", r.Bounds.VersionApply)
-	c.atLeastZero("bounds.linkMbps", r.Bounds.LinkMbps)
-	c.atLeastZero("bounds.memoryMb", r.Bounds.MemoryMB)
+	c.notNegative("bounds.linkMbps", r.Bounds.LinkMbps)
+	c.notNegative("bounds.memoryMb", r.Bounds.MemoryMB)
 	c.duration("bounds.retryWindow", r.Bounds.RetryWindow)
-	c.atLeastZero("bounds.retryRatio", r.Bounds.RetryRatio)
-	c.atLeastZero("bounds.retrySlack", r.Bounds.RetrySlack)
+	c.notNegative("bounds.retryRatio", r.Bounds.RetryRatio)
+	c.notNegative("bounds.retrySlack", r.Bounds.RetrySlack)
 	c.duration("drain", r.Drain)
 	c.level(r.Log)
-	return c.faults
+	return c.fieldErrs
 }
 
-// Check returns every fault of a loader's settings.
+// Check returns all validation errors of a loader's settings.
 func (l *Loader) Check() []api.FieldError {
 	c := &checker{}
 	c.identity(l.Name, l.Hall)
@@ -168,16 +171,16 @@
 	c.address("store", l.Store)
 	c.address("engine", l.Engine)
 	if l.Service == "" {
-		c.add("service", "missing", "the service that the engine on this host is of")
+		c.add("service", "missing", "the service of the engine on this host")
 	}
 	c.duration("bounds.versionApply", l.Bounds.VersionApply)
-	c.atLeastZero("bounds.linkMbps", l.Bounds.LinkMbps)
+	c.notNegative("bounds.linkMbps", l.Bounds.LinkMbps)
 	c.duration("drain", l.Drain)
 	c.level(l.Log)
-	return c.faults
+	return c.fieldErrs
 }
 
-// ExampleRouter returns settings that pass the check.
+// ExampleRouter returns valid settings of a router.
 func ExampleRouter() Router {
 	r := Router{
 		Role: RoleRouter, Name: "router-1", Hall: exampleHall,
@@ -188,7 +191,7 @@
 	return r
 }
 
-// ExampleLoader returns settings that pass the check.
+// ExampleLoader returns valid settings of a loader.
 func ExampleLoader() Loader {
 	l := Loader{
 		Role: RoleLoader, Name: "host-1", Hall: exampleHall,
--- a/daemon/settings/settings.go
+++ b/daemon/settings/settings.go
@@ -1,11 +1,12 @@
-// Package settings holds the documented settings of each role, reads them
-// strictly from JSON, and checks them before a process opens a port.
+// Package settings defines the settings file of each role, decodes it strictly
+// from JSON and validates it before the process opens a port. The daemon's main
+// package calls it, and the command for examples and tests.
 //
-// A fault in a file is reported with its JSON path and a hint, and all faults
-// are reported together, so that an operator mends a file in one go. The
-// standard decoder stops at the first fault and names no path for unknown
-// fields or for values with a syntax of their own, so decode.go walks the
-// document beside the Go types. A JSON Schema would state the shape twice.
+// All errors in a file are reported at once, each with its JSON path and a hint,
+// so that an operator can fix the file in one pass. The standard decoder stops at
+// the first error and reports no path for unknown fields or for types with their
+// own syntax, so decode.go compares the document with the Go types. A JSON Schema
+// was rejected because it would duplicate these types.
 package settings
 
 import (
@@ -16,10 +17,9 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/helpers"
 )
 
-// Role says what a process does.
+// Role is the role of a process.
 type Role string
 
-// The roles.
 const (
 	RoleEntry  Role = "entry"
 	RoleAgent  Role = "agent"
@@ -32,12 +32,12 @@
 	Role Role `json:"role"`
 	// Name is the entry's name in the host list.
 	Name string `json:"name"`
-	// Hall is the data hall the entry stands in.
+	// Hall is the data hall of the entry's host.
 	Hall     string        `json:"hall"`
 	Listen   EntryListen   `json:"listen"`
 	Platform EntryPlatform `json:"platform"`
 	// OperatorKeyDigests are the hex SHA-256 digests of the operators' bearer
-	// keys. Empty lets anyone in who reaches the port, which is accepted on
+	// keys. If empty, the operators' port needs no key, which is allowed on
 	// loopback only.
 	OperatorKeyDigests []string     `json:"operatorKeyDigests,omitempty"`
 	Requests           Requests     `json:"requests,omitzero"`
@@ -45,27 +45,27 @@
 	Log                Log          `json:"log,omitzero"`
 }
 
-// EntryListen names the entry's ports.
+// EntryListen holds the listen addresses of an entry.
 type EntryListen struct {
-	// Callers takes the calls that are routed.
+	// Callers accepts the requests to route.
 	Callers netip.AddrPort `json:"callers"`
-	// Operators takes the resource API, /metrics, /healthz and /readyz.
+	// Operators serves the resource API, /metrics, /healthz and /readyz.
 	Operators netip.AddrPort `json:"operators"`
-	// Peers takes the other processes of the system.
+	// Peers accepts requests from the other processes of the system.
 	Peers netip.AddrPort `json:"peers"`
 }
 
-// EntryPlatform names the platform's services that an entry uses.
+// EntryPlatform holds the addresses of the platform services of an entry.
 type EntryPlatform struct {
 	KeyValue netip.AddrPort `json:"keyValue"`
 	HostList netip.AddrPort `json:"hostList"`
 }
 
-// Requests bounds what one call may send.
+// Requests holds the size limits of a request.
 type Requests struct {
-	// MaxBodyBytes bounds a call's body; 0 means 64 MiB.
+	// MaxBodyBytes limits the body; 0 means 64 MiB.
 	MaxBodyBytes int64 `json:"maxBodyBytes,omitempty"`
-	// MaxHeaderBytes bounds a call's headers; 0 means 64 KiB.
+	// MaxHeaderBytes limits the headers; 0 means 64 KiB.
 	MaxHeaderBytes int `json:"maxHeaderBytes,omitempty"`
 }
 
@@ -82,42 +82,43 @@
 	Log      Log           `json:"log,omitzero"`
 }
 
-// AgentListen names the agent's port.
+// AgentListen holds the listen address of an agent.
 type AgentListen struct {
-	// Peers takes requests from entries, chunk requests from other agents,
+	// Peers accepts requests from entries, chunk requests from other agents,
 	// /metrics, /healthz and /readyz.
 	Peers netip.AddrPort `json:"peers"`
 }
 
-// AgentPlatform names the platform's services that an agent uses.
+// AgentPlatform holds the addresses of the platform services of an agent.
 type AgentPlatform struct {
 	HostList netip.AddrPort `json:"hostList"`
 }
 
-// Weights says where weights come from and what they may take.
+// Weights holds the sources of weights and the limits for their transfer.
 type Weights struct {
-	// Store is the rate-limited weight store; unset means none.
+	// Store is the address of the rate-limited weight store; unset means none.
 	Store netip.AddrPort `json:"store,omitzero"`
-	// Origin is the origin of weights.
+	// Origin is the address of the origin of weights.
 	Origin netip.AddrPort `json:"origin,omitzero"`
-	// StagingBytes bounds the memory that chunks take; 0 means 2 GiB.
+	// StagingBytes limits the memory for staged chunks; 0 means 2 GiB.
 	StagingBytes int64 `json:"stagingBytes,omitempty"`
-	// UploadBytesPerSecond and DownloadBytesPerSecond bound the host's link
-	// for weights; 0 means no bound.
+	// UploadBytesPerSecond and DownloadBytesPerSecond limit the rate of weight
+	// transfers on the host's link; 0 means no limit.
 	UploadBytesPerSecond   int64 `json:"uploadBytesPerSecond,omitempty"`
 	DownloadBytesPerSecond int64 `json:"downloadBytesPerSecond,omitempty"`
-	// PeerWait is the time that a host waits for peers before it takes a
-	// chunk's primary for dead and goes to the origin in its place; 0 means 2s.
+	// PeerWait is the minimum time without progress after which a host stands
+	// in for a chunk's primary and fetches from the origin; 0 means 2s.
 	PeerWait api.Duration `json:"peerWait,omitempty"`
 }
 
-// UpstreamKind says what stands beside an agent.
+// UpstreamKind is the kind of program that an agent routes to.
 type UpstreamKind string
 
-// The kinds of upstream.
 const (
+	// UpstreamEngine is a model engine, which loads versions.
 	UpstreamEngine UpstreamKind = "engine"
-	UpstreamPlain  UpstreamKind = "plain"
+	// UpstreamPlain is any other service.
+	UpstreamPlain UpstreamKind = "plain"
 )
 
 // Upstream is the program that an agent routes to.
@@ -126,15 +127,16 @@
 	Address netip.AddrPort `json:"address"`
 	// Services names the services of a plain upstream.
 	Services []string `json:"services,omitempty"`
-	// ChecksFence says that an engine refuses orders below its fence. Towards
-	// one that does not, a new agent holds its orders back for OrderHold.
+	// ChecksFence is set for an engine that rejects orders with a fencing token
+	// below its highest one. For other engines, a new agent delays its first
+	// order by OrderHold.
 	ChecksFence bool `json:"checksFence,omitempty"`
-	// OrderHold is the time in which a predecessor's last order may still be
-	// under way; 0 means 3s.
+	// OrderHold is how long the last order of a previous agent may still be in
+	// progress; 0 means 3s.
 	OrderHold api.Duration `json:"orderHold,omitempty"`
 }
 
-// Log says what is logged.
+// Log holds the settings of the log.
 type Log struct {
 	// Level is debug, info, warn or error; empty means info.
 	Level string `json:"level,omitempty"`
@@ -150,7 +152,7 @@
 	DefaultOrderHold      = 3 * time.Second
 )
 
-// SetDefaults fills in what the file left out.
+// SetDefaults sets unset optional fields to their defaults.
 func (e *Entry) SetDefaults() {
 	orDefault(&e.Requests.MaxBodyBytes, DefaultMaxBodyBytes)
 	orDefault(&e.Requests.MaxHeaderBytes, DefaultMaxHeaderBytes)
@@ -158,7 +160,7 @@
 	orDefault(&e.Log.Level, "info")
 }
 
-// SetDefaults fills in what the file left out.
+// SetDefaults sets unset optional fields to their defaults.
 func (a *Agent) SetDefaults() {
 	orDefault(&a.Weights.StagingBytes, DefaultStagingBytes)
 	orDefault(&a.Weights.PeerWait, api.Duration(DefaultPeerWait))
--- a/daemon/settings/settings_test.go
+++ b/daemon/settings/settings_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// edit returns an example file with one change to its JSON document.
+// edit returns an example file after a change to its JSON document.
 func edit(t *testing.T, role Role, change func(map[string]any)) []byte {
 	t.Helper()
 	data, err := Example(role)
@@ -28,7 +28,7 @@
 	return document[name].(map[string]any)
 }
 
-func TestExamplesAreGood(t *testing.T) {
+func TestExamplesPassCheck(t *testing.T) {
 	for _, role := range []Role{RoleEntry, RoleAgent} {
 		data, err := Example(role)
 		require.NoError(t, err)
@@ -43,23 +43,23 @@
 	require.ErrorContains(t, err, "use entry, agent, router or loader")
 }
 
-func TestFaultyFiles(t *testing.T) {
+func TestParseReportsEveryFieldError(t *testing.T) {
 	tests := []struct {
 		name  string
 		role  Role
 		edit  func(map[string]any)
 		lines []string
 	}{
-		{"unknown field", RoleEntry, func(d map[string]any) { d["hal"] = "recife" }, []string{"f.json: hal: unknown field (known here: "}},
+		{"unknown field", RoleEntry, func(d map[string]any) { d["hal"] = "recife" }, []string{"f.json: hal: unknown field (known fields: "}},
 		{"unknown nested field", RoleAgent, func(d map[string]any) { section(d, "upstream")["addr"] = "x" }, []string{"f.json: upstream.addr: unknown field"}},
 		{"number for a duration", RoleEntry, func(d map[string]any) { d["drain"] = 5 }, []string{"f.json: drain: a duration is a string with a unit"}},
 		{"wrong unit", RoleEntry, func(d map[string]any) { d["drain"] = "5 minutes" }, []string{`f.json: drain: "5 minutes" is not a duration`}},
 		{"duration out of bounds", RoleEntry, func(d map[string]any) { d["drain"] = "48h" }, []string{"f.json: drain: 48h0m0s is out of bounds"}},
-		{"missing address", RoleEntry, func(d map[string]any) { delete(section(d, "platform"), "keyValue") }, []string{"f.json: platform.keyValue: missing (an IP number and a port"}},
+		{"missing address", RoleEntry, func(d map[string]any) { delete(section(d, "platform"), "keyValue") }, []string{"f.json: platform.keyValue: missing (an IP address and a port"}},
 		{"host name for an address", RoleEntry, func(d map[string]any) { section(d, "listen")["callers"] = "localhost:7000" }, []string{"f.json: listen.callers: ", "such as"}},
-		{"duplicate address", RoleEntry, func(d map[string]any) { section(d, "listen")["peers"] = "127.0.0.1:7001" }, []string{"f.json: listen.peers: 127.0.0.1:7001 is the address of listen.operators too"}},
+		{"duplicate address", RoleEntry, func(d map[string]any) { section(d, "listen")["peers"] = "127.0.0.1:7001" }, []string{"f.json: listen.peers: 127.0.0.1:7001 is already the address of listen.operators"}},
 		{"wrong type", RoleEntry, func(d map[string]any) { d["name"] = 7 }, []string{"f.json: name: 7 is not a string"}},
-		{"size with a unit", RoleAgent, func(d map[string]any) { section(d, "weights")["stagingBytes"] = "2GiB" }, []string{`f.json: weights.stagingBytes: "2GiB" is not a int64 (a whole number without a unit)`}},
+		{"size with a unit", RoleAgent, func(d map[string]any) { section(d, "weights")["stagingBytes"] = "2GiB" }, []string{`f.json: weights.stagingBytes: "2GiB" is not a int64 (an integer without a unit)`}},
 		{"object expected", RoleEntry, func(d map[string]any) { d["listen"] = "127.0.0.1:1" }, []string{"f.json: listen: 127.0.0.1:1 is not an object"}},
 		{"list expected", RoleAgent, func(d map[string]any) { section(d, "upstream")["services"] = "loans" }, []string{"f.json: upstream.services: loans is not a list"}},
 		{"unknown role", RoleEntry, func(d map[string]any) { d["role"] = "tracker" }, []string{`f.json: role: unknown role tracker (use "entry", "agent", "router" or "loader")`}},
@@ -67,13 +67,13 @@
 		{"unknown level", RoleEntry, func(d map[string]any) { section(d, "log")["level"] = "loud" }, []string{`f.json: log.level: unknown level "loud"`}},
 		{"open operators' port", RoleEntry, func(d map[string]any) { section(d, "listen")["operators"] = "0.0.0.0:7001" }, []string{"f.json: operatorKeyDigests: missing"}},
 		{"plain without services", RoleAgent, func(d map[string]any) { section(d, "upstream")["kind"] = "plain" }, []string{"f.json: upstream.services: missing"}},
-		{"two faults", RoleEntry, func(d map[string]any) { delete(d, "hall"); delete(d, "name") }, []string{"f.json: name: missing", "\nf.json: hall: missing"}},
+		{"two errors", RoleEntry, func(d map[string]any) { delete(d, "hall"); delete(d, "name") }, []string{"f.json: name: missing", "\nf.json: hall: missing"}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			_, err := Parse("f.json", edit(t, test.role, test.edit))
-			var faulty *FileError
-			require.True(t, errors.As(err, &faulty), "%v", err)
+			var fileErr *FileError
+			require.True(t, errors.As(err, &fileErr), "%v", err)
 			for _, line := range test.lines {
 				assert.Contains(t, err.Error(), line)
 			}
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestNotJSON(t *testing.T) {
+func TestParseRejectsInvalidJSON(t *testing.T) {
 	for _, text := range []string{"", "{", "[]", `{"role":"entry"} {}`} {
 		_, err := Parse("f.json", []byte(text))
 		require.ErrorContains(t, err, "f.json: ", "%q", text)
@@ -100,8 +100,8 @@
 			require.True(t, (file.Entry != nil) != (file.Agent != nil))
 			return
 		}
-		var faulty *FileError
-		require.True(t, errors.As(err, &faulty))
-		require.NotEmpty(t, faulty.Faults)
+		var fileErr *FileError
+		require.True(t, errors.As(err, &fileErr))
+		require.NotEmpty(t, fileErr.FieldErrors)
 	})
 }
--- a/daemon/settings/watch.go
+++ b/daemon/settings/watch.go
@@ -7,85 +7,85 @@
 	"gopkg.in/tomb.v2"
 )
 
-// lookEvery is the interval in which the file is looked at.
-const lookEvery = 2 * time.Second
+// pollInterval is the interval between checks of the file.
+const pollInterval = 2 * time.Second
 
-// Changed is a settings file that was read again.
+// Changed is the result of reading the settings file again.
 type Changed struct {
 	File File
 	Err  error
 }
 
-// Watcher reads a settings file again when it changes, with or without a
-// signal. File notification was rejected: not every host has it, and a look at
-// the file's time each two seconds costs nothing.
+// Watcher reloads a settings file when it changes or when ReadAgain is called. It
+// polls the file's modification time and size; file notifications were rejected
+// because they are not available on all hosts.
 type Watcher struct {
-	// Changed delivers each new reading.
+	// Changed delivers the result of each reload.
 	Changed <-chan Changed
 
 	path    string
 	changed chan Changed
-	forced  chan struct{}
-	seen    stamp
+	reload  chan struct{}
+	seen    fileState
 	tomb    tomb.Tomb
 }
 
-// stamp tells two states of a file apart.
-type stamp struct {
+// fileState identifies the contents of a file; it is zero for a missing file.
+type fileState struct {
 	modified time.Time
 	size     int64
 }
 
-// NewWatcher begins to watch a file whose present state is known.
+// NewWatcher starts to watch a file that the caller has already loaded.
 func NewWatcher(path string) *Watcher {
 	changed := make(chan Changed)
-	w := &Watcher{path: path, Changed: changed, changed: changed, forced: make(chan struct{}, 1)}
-	w.seen = w.look()
+	w := &Watcher{path: path, Changed: changed, changed: changed, reload: make(chan struct{}, 1)}
+	w.seen = w.stat()
 	w.tomb.Go(w.run)
 	return w
 }
 
-// ReadAgain reads the file now, even if it looks unchanged.
+// ReadAgain reloads the file now, even if it is unchanged.
 func (w *Watcher) ReadAgain() {
 	select {
-	case w.forced <- struct{}{}:
-	default: // a reading is about to be made
+	case w.reload <- struct{}{}:
+	default: // a reload is already pending
 	}
 }
 
-// Stop ends the watcher and waits for it.
+// Stop stops the watcher and waits for its goroutine.
 func (w *Watcher) Stop() {
 	w.tomb.Kill(nil)
 	_ = w.tomb.Wait()
 }
 
 func (w *Watcher) run() error {
-	ticker := time.NewTicker(lookEvery)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-w.tomb.Dying():
 			return nil
-		case <-w.forced:
+		case <-w.reload:
 			w.read()
 		case <-ticker.C:
-			if w.look() != w.seen {
+			if w.stat() != w.seen {
 				w.read()
 			}
 		}
 	}
 }
 
-func (w *Watcher) look() stamp {
+func (w *Watcher) stat() fileState {
 	info, err := os.Stat(w.path)
 	if err != nil {
-		return stamp{}
+		return fileState{}
 	}
-	return stamp{modified: info.ModTime(), size: info.Size()}
+	return fileState{modified: info.ModTime(), size: info.Size()}
 }
 
 func (w *Watcher) read() {
-	w.seen = w.look()
+	w.seen = w.stat()
 	file, err := Load(w.path)
 	select {
 	case w.changed <- Changed{File: file, Err: err}:
