--- a/daemon/internal/version/fetch/run.go
+++ b/daemon/internal/version/fetch/run.go
@@ -135,7 +135,7 @@
 type chunkUpdate struct {
 	peer   string
 	chunks []uint32
-	// reset is set when the neighbour has staged the version anew, for example
+	// reset is set when the neighbour has staged the version again, for example
 	// after a restart.
 	reset bool
 	err   error
--- a/daemon/internal/version/stage/stage.go
+++ b/daemon/internal/version/stage/stage.go
@@ -46,8 +46,8 @@
 	bytes int64
 	// versions holds the staged versions in the order in which they were opened.
 	versions []*Version
-	// changed is closed and cleared when a chunk is stored; nil while nobody
-	// waits.
+	// changed is closed and cleared when a chunk is stored; nil without
+	// waiters.
 	changed chan struct{}
 }
 
