--- a/daemon/internal/version/fetch/run.go
+++ b/daemon/internal/version/fetch/run.go
@@ -184,7 +184,7 @@
 	var held stage.Gained
 	for {
 		var changed <-chan struct{}
-		held, changed = r.version.Since(held.Instance, held.Cursor)
+		held, changed = r.version.GainedSince(held.Instance, held.Cursor)
 		r.markHeld(held)
 		if int(held.Cursor) == len(r.chunks) {
 			return nil
--- a/daemon/internal/version/share/share.go
+++ b/daemon/internal/version/share/share.go
@@ -271,7 +271,7 @@
 		if version == nil {
 			return nil, twirp.NotFoundError(errNotStaged.Error())
 		}
-		gained, changed := version.Since(request.GetInstance(), request.GetCursor())
+		gained, changed := version.GainedSince(request.GetInstance(), request.GetCursor())
 		if len(gained.Chunks) > 0 || gained.Instance != request.GetInstance() {
 			return s.gather(ctx, version, request), nil
 		}
@@ -289,10 +289,10 @@
 // cause a response per chunk.
 func (s *Server) gather(ctx context.Context, version *stage.Version, request *wire.HaveRequest) *wire.HaveResponse {
 	batch := max(len(version.Manifest.Chunks)/haveBatches, 1)
-	expected := time.Duration(batch) * version.UsualGap()
+	expected := time.Duration(batch) * version.MeanChunkInterval()
 	timer := time.NewTimer(min(max(expected, minGather), maxGather))
 	defer timer.Stop()
-	gained, changed := version.Since(request.GetInstance(), request.GetCursor())
+	gained, changed := version.GainedSince(request.GetInstance(), request.GetCursor())
 	for waiting := true; waiting && len(gained.Chunks) < batch; {
 		select {
 		case <-changed:
@@ -301,7 +301,7 @@
 		case <-ctx.Done():
 			waiting = false
 		}
-		gained, changed = version.Since(request.GetInstance(), request.GetCursor())
+		gained, changed = version.GainedSince(request.GetInstance(), request.GetCursor())
 	}
 	return &wire.HaveResponse{Instance: gained.Instance, Cursor: gained.Cursor, Gained: gained.Chunks}
 }
--- a/daemon/internal/version/stage/stage.go
+++ b/daemon/internal/version/stage/stage.go
@@ -324,8 +324,8 @@
 	return v.heldCount, len(v.held)
 }
 
-// UsualGap returns the mean time between the arrivals of two chunks.
-func (v *Version) UsualGap() time.Duration {
+// MeanChunkInterval returns the mean time between the arrivals of two chunks.
+func (v *Version) MeanChunkInterval() time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.heldCount == 0 {
@@ -334,16 +334,16 @@
 	return time.Since(v.openedAt) / time.Duration(v.heldCount)
 }
 
-// Gained lists the chunks returned by Since, with the cursor for the next call.
+// Gained lists the chunks returned by GainedSince, with the cursor for the next call.
 type Gained struct {
 	Instance string
 	Cursor   uint32
 	Chunks   []uint32
 }
 
-// Since returns the chunks gained after a cursor of an instance, and a channel
+// GainedSince returns the chunks gained after a cursor of an instance, and a channel
 // that is closed at the next change. A cursor of another instance counts as 0.
-func (v *Version) Since(instance string, cursor uint32) (Gained, <-chan struct{}) {
+func (v *Version) GainedSince(instance string, cursor uint32) (Gained, <-chan struct{}) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if instance != v.instance || int(cursor) > len(v.gained) {
--- a/daemon/internal/version/stage/stage_test.go
+++ b/daemon/internal/version/stage/stage_test.go
@@ -105,17 +105,17 @@
 	assert.NotNil(t, s.Find(twoID))
 }
 
-func TestSinceReturnsChunksAfterCursor(t *testing.T) {
+func TestGainedSinceReturnsChunksAfterCursor(t *testing.T) {
 	s := &Stage{}
 	m, id := build(t, "aaaabbbbaaaa")
 	v, _ := s.Open(id, m, nil)
-	first, changed := v.Since("", 0)
+	first, changed := v.GainedSince("", 0)
 	assert.Empty(t, first.Chunks)
 	require.NoError(t, put(s, v, 0, []byte("aaaa")))
 	<-changed
-	next, _ := v.Since(first.Instance, first.Cursor)
+	next, _ := v.GainedSince(first.Instance, first.Cursor)
 	assert.Equal(t, []uint32{0, 2}, next.Chunks, "equal chunks are gained together")
-	other, _ := v.Since("another", 2)
+	other, _ := v.GainedSince("another", 2)
 	assert.Equal(t, []uint32{0, 2}, other.Chunks, "a cursor of another instance counts as 0")
 }
 
