--- a/daemon/agent/agent.go
+++ b/daemon/agent/agent.go
@@ -175,8 +175,8 @@
 	checksFence := p.settings.Upstream.ChecksFence
 	fence := &activate.Fence{Engine: activate.NewEngine(p.settings.Upstream.Address, &http.Client{Transport: p.transport})}
 	if !checksFence {
-		fence.Hold = p.settings.Upstream.OrderHold.Std()
-		fence.NotBefore = time.Now().Add(fence.Hold)
+		fence.OrderHold = p.settings.Upstream.OrderHold.Std()
+		fence.NotBefore = time.Now().Add(fence.OrderHold)
 	}
 	p.installer = &install.Installer{
 		Stage: p.stage, Fetcher: p.fetcher(client), Fence: fence, Gate: p.gate, Telemetry: p.telemetry,
--- a/daemon/internal/version/activate/activate.go
+++ b/daemon/internal/version/activate/activate.go
@@ -56,8 +56,8 @@
 	Peer netip.AddrPort
 	// Load sends an order and returns the state of the engine afterwards.
 	Load func(ctx context.Context, order Order) (State, error)
-	// Holds returns the current state of the engine.
-	Holds func(ctx context.Context) (State, error)
+	// QueryState returns the current state of the engine.
+	QueryState func(ctx context.Context) (State, error)
 }
 
 // maxResponseBytes bounds the response body of an engine.
@@ -73,7 +73,7 @@
 		}
 		return call(ctx, client, http.MethodPost, address, "/admin/load", body)
 	}
-	e.Holds = func(ctx context.Context) (State, error) {
+	e.QueryState = func(ctx context.Context) (State, error) {
 		return call(ctx, client, http.MethodGet, address, "/admin/state", nil)
 	}
 	return e
@@ -112,9 +112,9 @@
 	// NotBefore is the earliest time of the first order, for engines that check
 	// no tokens. Zero means immediately.
 	NotBefore time.Time
-	// Hold is how long an order without a response may still be in progress at
+	// OrderHold is how long an order without a response may still be in progress at
 	// an engine that checks no tokens; 0 for an engine that checks them.
-	Hold time.Duration
+	OrderHold time.Duration
 	// Now is the clock; nil means clock.Now.
 	Now func() time.Time
 
@@ -180,10 +180,10 @@
 
 // recordFailure delays the next order after an order without a response.
 func (f *Fence) recordFailure(err error) {
-	if f.Hold == 0 || errors.Is(err, ErrRefused) {
+	if f.OrderHold == 0 || errors.Is(err, ErrRefused) {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.unansweredUntil = f.now().Add(f.Hold)
+	f.unansweredUntil = f.now().Add(f.OrderHold)
 }
--- a/daemon/internal/version/activate/activate_test.go
+++ b/daemon/internal/version/activate/activate_test.go
@@ -70,7 +70,7 @@
 			return State{Manifest: o.Manifest, Digest: digestOf(o.Manifest).String()}, nil
 		}}
 		started := time.Now()
-		fence := &Fence{Engine: e, Hold: 3 * time.Second, NotBefore: started.Add(3 * time.Second)}
+		fence := &Fence{Engine: e, OrderHold: 3 * time.Second, NotBefore: started.Add(3 * time.Second)}
 		require.Error(t, fence.Load(t.Context(), Order{Manifest: "v1", Token: 1}, digestOf("v1")))
 		assert.Equal(t, 3*time.Second, time.Since(started), "a new agent waits for its predecessor's order")
 		loadErr = nil
--- a/daemon/internal/version/install/install.go
+++ b/daemon/internal/version/install/install.go
@@ -464,7 +464,7 @@
 	}
 	stateCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stateTimeout)
 	defer cancel()
-	state, stateErr := i.Fence.Engine.Holds(stateCtx)
+	state, stateErr := i.Fence.Engine.QueryState(stateCtx)
 	version := i.Stage.Find(previous)
 	if stateErr != nil || previous.IsZero() || version == nil || state.Manifest != previous.String() || state.Digest != version.Manifest.Whole.String() {
 		i.Gate.Open(gate.Serving{})
