--- a/daemon/agent/agent.go
+++ b/daemon/agent/agent.go
@@ -184,7 +184,7 @@
 	}
 	p.follower = &follow.Follower{
 		Host: p.settings.Name, Hall: p.settings.Hall, Entries: entries, Client: client,
-		OnOrder: func(order *wire.Order, _ uint64) { p.installer.Order(order) },
+		OnOrder: func(order *wire.Order, _ uint64) { p.installer.SetOrder(order) },
 	}
 }
 
--- a/daemon/internal/version/install/install.go
+++ b/daemon/internal/version/install/install.go
@@ -110,9 +110,9 @@
 	}
 }
 
-// Order sets the newest order; nil means that the host has none. An order with a
+// SetOrder sets the newest order; nil means that the host has none. An order with a
 // token below the highest one is ignored.
-func (i *Installer) Order(order *wire.Order) {
+func (i *Installer) SetOrder(order *wire.Order) {
 	i.mu.Lock()
 	i.initialize()
 	if order != nil && !i.Fence.Raise(order.GetToken()) {
