--- a/daemon/internal/version/source/source.go
+++ b/daemon/internal/version/source/source.go
@@ -46,10 +46,10 @@
 	Client *http.Client
 	// Download limits the rate of received bytes; nil means no limit.
 	Download *rate.Limiter
-	// StallAfter is the minimum time without a byte after which a transfer is
+	// MinStallTimeout is the minimum time without a byte after which a transfer is
 	// aborted; 0 means 2s. The timeout is longer for peers with long gaps
 	// between reads.
-	StallAfter time.Duration
+	MinStallTimeout time.Duration
 
 	gaps readGaps
 }
@@ -125,8 +125,8 @@
 
 func (l *Link) stallTimeout(peer string) time.Duration {
 	minimum := defaultStallTimeout
-	if l.StallAfter > 0 {
-		minimum = l.StallAfter
+	if l.MinStallTimeout > 0 {
+		minimum = l.MinStallTimeout
 	}
 	return l.gaps.timeout(peer, minimum)
 }
--- a/daemon/internal/version/source/source_test.go
+++ b/daemon/internal/version/source/source_test.go
@@ -39,7 +39,7 @@
 	}))
 	defer server.Close()
 	defer close(release)
-	link := &Link{Client: http.DefaultClient, StallAfter: 20 * time.Millisecond}
+	link := &Link{Client: http.DefaultClient, MinStallTimeout: 20 * time.Millisecond}
 	peer := netip.MustParseAddrPort(server.Listener.Addr().String())
 	_, err := link.FetchChunk(t.Context(), ChunkRequest{Peer: peer, Length: 100})
 	require.ErrorIs(t, err, ErrStalled)
