--- a/cli/internal/soak/fleet.go
+++ b/cli/internal/soak/fleet.go
@@ -383,7 +383,7 @@
 }
 
 // drainLimit is how long a process may take to stop: its own bound and some slack.
-const drainLimit = settings.DefaultDirectDrain + 5*time.Second
+const drainLimit = settings.DefaultRouterLoaderDrain + 5*time.Second
 
 // changeSettings makes the file differ by a millisecond of the retry window, so that
 // every promise stays as it is. It must be called with mu held.
--- a/daemon/cmd/wheelcleatd/main.go
+++ b/daemon/cmd/wheelcleatd/main.go
@@ -130,8 +130,8 @@
 		case <-taken.stop:
 			return
 		case <-taken.reload:
-			watcher.ReadAgain()
-		case result := <-watcher.Changed:
+			watcher.Reload()
+		case result := <-watcher.Reloads:
 			applySettings(p, result)
 		}
 	}
@@ -139,7 +139,7 @@
 
 // applySettings hands changed settings on. Faulty ones are reported and the
 // last good ones stay in force.
-func applySettings(p process, changed settings.Changed) {
+func applySettings(p process, changed settings.ReloadResult) {
 	if changed.Err != nil {
 		fmt.Fprintf(os.Stderr, "settings not taken, the last good ones stay in force: %v\n", changed.Err)
 		return
--- a/daemon/settings/router_loader.go
+++ b/daemon/settings/router_loader.go
@@ -113,11 +113,11 @@
 
 // Defaults of the settings of routers and loaders.
 const (
-	DefaultVersionApply = 8 * time.Second
-	DefaultRetryRatio   = 0.2
-	DefaultRetrySlack   = 100
-	DefaultRetryWindow  = 10 * time.Second
-	DefaultDirectDrain  = 8 * time.Second
+	DefaultVersionApply      = 8 * time.Second
+	DefaultRetryRatio        = 0.2
+	DefaultRetrySlack        = 100
+	DefaultRetryWindow       = 10 * time.Second
+	DefaultRouterLoaderDrain = 8 * time.Second
 )
 
 // SetDefaults sets unset optional fields to their defaults.
@@ -126,14 +126,14 @@
 	orDefault(&r.Bounds.RetryRatio, DefaultRetryRatio)
 	orDefault(&r.Bounds.RetrySlack, DefaultRetrySlack)
 	orDefault(&r.Bounds.RetryWindow, api.Duration(DefaultRetryWindow))
-	orDefault(&r.Drain, api.Duration(DefaultDirectDrain))
+	orDefault(&r.Drain, api.Duration(DefaultRouterLoaderDrain))
 	orDefault(&r.Log.Level, "info")
 }
 
 // SetDefaults sets unset optional fields to their defaults.
 func (l *Loader) SetDefaults() {
 	orDefault(&l.Bounds.VersionApply, api.Duration(DefaultVersionApply))
-	orDefault(&l.Drain, api.Duration(DefaultDirectDrain))
+	orDefault(&l.Drain, api.Duration(DefaultRouterLoaderDrain))
 	orDefault(&l.Log.Level, "info")
 }
 
--- a/daemon/settings/watch.go
+++ b/daemon/settings/watch.go
@@ -10,8 +10,8 @@
 // pollInterval is the interval between checks of the file.
 const pollInterval = 2 * time.Second
 
-// Changed is the result of reading the settings file again.
-type Changed struct {
+// ReloadResult is the result of reading the settings file again.
+type ReloadResult struct {
 	File File
 	Err  error
 }
@@ -20,12 +20,12 @@
 // polls the file's modification time and size; file notifications were rejected
 // because they are not available on all hosts.
 type Watcher struct {
-	// Changed delivers the result of each reload.
-	Changed <-chan Changed
+	// Reloads delivers the result of each reload.
+	Reloads <-chan ReloadResult
 
 	path    string
-	changed chan Changed
-	reload  chan struct{}
+	reloads chan ReloadResult
+	trigger chan struct{}
 	seen    fileState
 	tomb    tomb.Tomb
 }
@@ -38,17 +38,17 @@
 
 // NewWatcher starts to watch a file that the caller has already loaded.
 func NewWatcher(path string) *Watcher {
-	changed := make(chan Changed)
-	w := &Watcher{path: path, Changed: changed, changed: changed, reload: make(chan struct{}, 1)}
+	reloads := make(chan ReloadResult)
+	w := &Watcher{path: path, Reloads: reloads, reloads: reloads, trigger: make(chan struct{}, 1)}
 	w.seen = w.stat()
 	w.tomb.Go(w.run)
 	return w
 }
 
-// ReadAgain reloads the file now, even if it is unchanged.
-func (w *Watcher) ReadAgain() {
+// Reload reloads the file now, even if it is unchanged.
+func (w *Watcher) Reload() {
 	select {
-	case w.reload <- struct{}{}:
+	case w.trigger <- struct{}{}:
 	default: // a reload is already pending
 	}
 }
@@ -66,7 +66,7 @@
 		select {
 		case <-w.tomb.Dying():
 			return nil
-		case <-w.reload:
+		case <-w.trigger:
 			w.read()
 		case <-ticker.C:
 			if w.stat() != w.seen {
@@ -88,7 +88,7 @@
 	w.seen = w.stat()
 	file, err := Load(w.path)
 	select {
-	case w.changed <- Changed{File: file, Err: err}:
+	case w.reloads <- ReloadResult{File: file, Err: err}:
 	case <-w.tomb.Dying():
 	}
 }
