--- a/daemon/internal/version/fetch/fetch.go
+++ b/daemon/internal/version/fetch/fetch.go
@@ -111,6 +111,7 @@
 // Kind is the kind of source of a transfer.
 type Kind string
 
+// Kinds of sources.
 const (
 	FromPeer   Kind = "peer"   // an agent of the local hall
 	FromHall   Kind = "hall"   // an agent of another hall
--- a/daemon/settings/settings.go
+++ b/daemon/settings/settings.go
@@ -20,6 +20,7 @@
 // Role is the role of a process.
 type Role string
 
+// Roles of processes.
 const (
 	RoleEntry  Role = "entry"
 	RoleAgent  Role = "agent"
--- a/daemon/settings/watch.go
+++ b/daemon/settings/watch.go
@@ -16,7 +16,7 @@
 	Err  error
 }
 
-// Watcher reloads a settings file when it changes or when ReadAgain is called. It
+// Watcher reloads a settings file when it changes or when Reload is called. It
 // polls the file's modification time and size; file notifications were rejected
 // because they are not available on all hosts.
 type Watcher struct {
