--- a/daemon/internal/process/balance/balance_test.go
+++ b/daemon/internal/process/balance/balance_test.go
@@ -18,7 +18,7 @@
 	for i := range count {
 		result = append(result, &provider.Upstream{
 			ID: fmt.Sprintf("u%d", i), Address: netip.MustParseAddrPort(fmt.Sprintf("127.0.0.1:%d", i+1)), Places: 16,
-			Models: []provider.Loaded{{Model: "m", Version: 1}},
+			Models: []provider.LoadedModel{{Model: "m", Version: 1}},
 		})
 	}
 	return result
@@ -203,14 +203,14 @@
 func TestReportedVersionOverridesTheRecord(t *testing.T) {
 	pool := &balance.Pool{}
 	candidates := upstreams(2)
-	pool.Report("u1", balance.LoadReport{Models: []provider.Loaded{{Model: "m", Version: 2}}})
+	pool.Report("u1", balance.LoadReport{Models: []provider.LoadedModel{{Model: "m", Version: 2}}})
 	choice, ok := pool.Choose(candidates, balance.Query{Model: "m", MinVersion: 2})
 	require.True(t, ok)
 	assert.Equal(t, "u1", choice.Upstream.ID)
 	choice.Done(balance.Served)
 	counts := map[string]int{}
 	for range 20 {
-		pool.Report("u1", balance.LoadReport{Models: []provider.Loaded{{Model: "m", Version: 2}}})
+		pool.Report("u1", balance.LoadReport{Models: []provider.LoadedModel{{Model: "m", Version: 2}}})
 		preferred, ok := pool.Choose(candidates, balance.Query{Model: "m", PreferredVersion: 2, AvoidWeight: 1})
 		require.True(t, ok)
 		counts[preferred.Upstream.ID]++
@@ -342,7 +342,7 @@
 	assert.Equal(t, 1, choice.Version)
 	assert.Equal(t, 3, choice.Running)
 
-	pool.Report(list[0].ID, balance.LoadReport{Models: []provider.Loaded{{Model: "m", Version: 2}}})
+	pool.Report(list[0].ID, balance.LoadReport{Models: []provider.LoadedModel{{Model: "m", Version: 2}}})
 	now = now.Add(500 * time.Millisecond)
 	pool.ReportLoad(list[0].ID, 3, 0, false)
 	now = now.Add(500 * time.Millisecond)
--- a/daemon/internal/process/replica/breaker_test.go
+++ b/daemon/internal/process/replica/breaker_test.go
@@ -29,7 +29,7 @@
 					return provider.Listing{}, errors.New("gone")
 				}
 				answered.Add(1)
-				return provider.Listing{At: 1}, nil
+				return provider.Listing{Revision: 1}, nil
 			}
 			var all []*replica.Follower
 			for range followers {
--- a/daemon/internal/process/replica/peer_test.go
+++ b/daemon/internal/process/replica/peer_test.go
@@ -68,14 +68,14 @@
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			p.lists++
-			return provider.Listing{At: 1}, nil
+			return provider.Listing{Revision: 1}, nil
 		},
 		Watch: func(_ context.Context, _ string, after provider.Revision, wait time.Duration) (provider.Listing, error) {
 			p.mu.Lock()
 			p.watches++
 			p.mu.Unlock()
 			helpers.Pause(wait, nil)
-			return provider.Listing{At: after}, nil
+			return provider.Listing{Revision: after}, nil
 		},
 	}
 }
@@ -164,7 +164,7 @@
 		assert.Contains(t, p.revisions()[2:], provider.Revision(0))
 		gone := map[string]bool{}
 		for _, entry := range table.EntriesAfter(0).Entries {
-			gone[entry.Key] = entry.Gone
+			gone[entry.Key] = entry.Deleted
 		}
 		assert.Equal(t, map[string]bool{"a": false, "b": true}, gone)
 	})
@@ -246,7 +246,7 @@
 		stored.Store(3)
 		store.ListStale = func(context.Context, string) (provider.Listing, error) {
 			at := provider.Revision(stored.Load())
-			return provider.Listing{At: at, Entries: []provider.Entry{{Key: "v", Revision: at}}}, nil
+			return provider.Listing{Revision: at, Entries: []provider.Entry{{Key: "v", Revision: at}}}, nil
 		}
 		table := &replica.Table{}
 		follower := &replica.Follower{Store: store, Table: table, QueryPeer: p.query, StaleFirstList: true, RecheckInterval: 4 * time.Second}
@@ -300,7 +300,7 @@
 				store := p.store()
 				store.ListStale = func(_ context.Context, prefix string) (provider.Listing, error) {
 					listed[prefix]++
-					return provider.Listing{At: 1}, nil
+					return provider.Listing{Revision: 1}, nil
 				}
 				follower := &replica.Follower{
 					Store: store, Table: &replica.Table{}, QueryPeer: p.query, BootstrapPrefixes: []string{"shard/", "hall/"},
--- a/daemon/internal/process/replica/replica_test.go
+++ b/daemon/internal/process/replica/replica_test.go
@@ -30,9 +30,9 @@
 			revision++
 			entry := provider.Entry{
 				Key: rapid.SampledFrom([]string{"a/1", "a/2", "b/1"}).Draw(t, "key"), Revision: revision,
-				Gone: rapid.Bool().Draw(t, "gone"),
+				Deleted: rapid.Bool().Draw(t, "gone"),
 			}
-			if !entry.Gone {
+			if !entry.Deleted {
 				entry.Value = []byte(fmt.Sprint(revision))
 			}
 			history = append(history, entry)
@@ -56,7 +56,7 @@
 			},
 			"list": func(t *rapid.T) {
 				at := provider.Revision(rapid.IntRange(0, int(revision)).Draw(t, "at"))
-				listing := provider.Listing{At: at}
+				listing := provider.Listing{Revision: at}
 				newest := map[string]provider.Entry{}
 				for _, entry := range history {
 					if entry.Revision <= at {
@@ -64,7 +64,7 @@
 					}
 				}
 				for _, entry := range newest {
-					if !entry.Gone {
+					if !entry.Deleted {
 						listing.Entries = append(listing.Entries, entry)
 					}
 				}
@@ -73,8 +73,8 @@
 					receive(entry)
 				}
 				for key, known := range want {
-					if entry, ok := newest[key]; (!ok || entry.Gone) && !known.Gone && known.Revision <= at {
-						want[key] = provider.Entry{Key: key, Revision: at, Gone: true}
+					if entry, ok := newest[key]; (!ok || entry.Deleted) && !known.Deleted && known.Revision <= at {
+						want[key] = provider.Entry{Key: key, Revision: at, Deleted: true}
 					}
 				}
 			},
@@ -84,7 +84,7 @@
 					got[entry.Key] = entry
 				}
 				for key, entry := range want {
-					require.Equal(t, entry.Gone, got[key].Gone, key)
+					require.Equal(t, entry.Deleted, got[key].Deleted, key)
 					require.Equal(t, entry.Value, got[key].Value, key)
 				}
 			},
@@ -120,18 +120,18 @@
 	table := &replica.Table{}
 	follower := &replica.Follower{Table: table, Prefix: "", Store: s.store(func() provider.Listing {
 		if s.lists.Load() == 1 {
-			return provider.Listing{At: 5, Entries: []provider.Entry{{Key: "a", Revision: 4}, {Key: "b", Revision: 5}}}
+			return provider.Listing{Revision: 5, Entries: []provider.Entry{{Key: "a", Revision: 4}, {Key: "b", Revision: 5}}}
 		}
-		return provider.Listing{At: 9, Entries: []provider.Entry{{Key: "b", Revision: 5}}}
+		return provider.Listing{Revision: 9, Entries: []provider.Entry{{Key: "b", Revision: 5}}}
 	})}
 	follower.Start()
 	defer follower.Stop()
 	s.watches <- func() (provider.Listing, error) { return provider.Listing{}, provider.ErrCompacted }
-	s.watches <- func() (provider.Listing, error) { return provider.Listing{At: 9}, nil }
+	s.watches <- func() (provider.Listing, error) { return provider.Listing{Revision: 9}, nil }
 	assert.Equal(t, int64(2), s.lists.Load())
 	gone := map[string]bool{}
 	for _, entry := range table.EntriesAfter(0).Entries {
-		gone[entry.Key] = entry.Gone
+		gone[entry.Key] = entry.Deleted
 	}
 	assert.Equal(t, map[string]bool{"a": true, "b": false}, gone, "the key removed meanwhile has a tombstone")
 	assert.True(t, follower.Synced())
@@ -141,7 +141,7 @@
 	s := &scriptedStore{watches: make(chan func() (provider.Listing, error))}
 	contacts := make(chan error, 8)
 	follower := &replica.Follower{
-		Table: &replica.Table{}, Store: s.store(func() provider.Listing { return provider.Listing{At: 1} }),
+		Table: &replica.Table{}, Store: s.store(func() provider.Listing { return provider.Listing{Revision: 1} }),
 		OnConnectionChange: func(_ string, lost error) { contacts <- lost },
 	}
 	follower.Start()
@@ -150,7 +150,7 @@
 	s.watches <- func() (provider.Listing, error) { return provider.Listing{}, down }
 	require.ErrorIs(t, <-contacts, down)
 	s.watches <- func() (provider.Listing, error) { return provider.Listing{}, down }
-	s.watches <- func() (provider.Listing, error) { return provider.Listing{At: 1}, nil }
+	s.watches <- func() (provider.Listing, error) { return provider.Listing{Revision: 1}, nil }
 	require.NoError(t, <-contacts, "one call for the loss, one for the recovery")
 }
 
@@ -161,14 +161,14 @@
 	contacts := make(chan error, 8)
 	table := &replica.Table{}
 	follower := &replica.Follower{
-		Table: table, WatchWait: func() time.Duration { return time.Millisecond }, Store: s.store(func() provider.Listing { return provider.Listing{At: 1} }),
+		Table: table, WatchWait: func() time.Duration { return time.Millisecond }, Store: s.store(func() provider.Listing { return provider.Listing{Revision: 1} }),
 		OnConnectionChange: func(_ string, lost error) { contacts <- lost },
 	}
 	follower.Start()
 	defer follower.Stop()
 	require.ErrorIs(t, <-contacts, context.DeadlineExceeded)
 	s.watches <- func() (provider.Listing, error) {
-		return provider.Listing{At: 2, Entries: []provider.Entry{{Key: "a", Revision: 2}}}, nil
+		return provider.Listing{Revision: 2, Entries: []provider.Entry{{Key: "a", Revision: 2}}}, nil
 	}
 	require.NoError(t, <-contacts)
 	assert.Len(t, table.EntriesAfter(0).Entries, 1)
@@ -179,7 +179,7 @@
 func TestReconnectIsRecordedBeforeChangesApply(t *testing.T) {
 	s := &scriptedStore{watches: make(chan func() (provider.Listing, error))}
 	table := &replica.Table{}
-	follower := &replica.Follower{Table: table, Store: s.store(func() provider.Listing { return provider.Listing{At: 1} })}
+	follower := &replica.Follower{Table: table, Store: s.store(func() provider.Listing { return provider.Listing{Revision: 1} })}
 	reconnected := make(chan bool, 8)
 	table.OnChange = func([]provider.Entry) {
 		_, ok := follower.SinceReconnect()
@@ -189,7 +189,7 @@
 	defer follower.Stop()
 	change := func(revision provider.Revision) func() (provider.Listing, error) {
 		return func() (provider.Listing, error) {
-			return provider.Listing{At: revision, Entries: []provider.Entry{{Key: "a", Revision: revision}}}, nil
+			return provider.Listing{Revision: revision, Entries: []provider.Entry{{Key: "a", Revision: revision}}}, nil
 		}
 	}
 	s.watches <- change(2)
--- a/daemon/internal/request/dispatch/place.go
+++ b/daemon/internal/request/dispatch/place.go
@@ -221,7 +221,7 @@
 	if rate <= 0 {
 		return 0
 	}
-	prompt := helpers.OrDefault(q.service.Engine.UsualPrompt, defaultPrompt)
+	prompt := helpers.OrDefault(q.service.Engine.MeanPromptTokens, defaultPrompt)
 	return time.Duration(prompt / rate * float64(time.Second))
 }
 
--- a/daemon/internal/request/dispatch/place_test.go
+++ b/daemon/internal/request/dispatch/place_test.go
@@ -37,15 +37,15 @@
 			{Name: "hasty", Objective: 300 * time.Millisecond, Shares: []provider.Share{{Service: "s", Weight: 1}}},
 			{Name: "patient", Objective: 900 * time.Millisecond, Shares: []provider.Share{{Service: "s", Weight: 1}}},
 		},
-		Services: []provider.Service{{Name: "s", Engine: &provider.EngineSpec{Model: "m", PromptRate: 20000, UsualPrompt: 1000}}},
+		Services: []provider.Service{{Name: "s", Engine: &provider.EngineSpec{Model: "m", PromptRate: 20000, MeanPromptTokens: 1000}}},
 	}
 	records := map[string]provider.Record{"c": {Configuration: configuration}}
 	for i := range engines {
 		id := fmt.Sprint("u", i)
 		records[id] = provider.Record{Upstream: &provider.Upstream{
-			ID: id, Service: "s", Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 8000), Places: 16, Models: []provider.Loaded{{Model: "m", Version: 1}},
+			ID: id, Service: "s", Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 8000), Places: 16, Models: []provider.LoadedModel{{Model: "m", Version: 1}},
 		}}
-		f.pool.Report(id, balance.LoadReport{Models: []provider.Loaded{{Model: "m", Version: 1}}})
+		f.pool.Report(id, balance.LoadReport{Models: []provider.LoadedModel{{Model: "m", Version: 1}}})
 	}
 	compiler := &replica.Compiler{Decode: func(entry provider.Entry) (provider.Record, error) { return records[entry.Key], nil }}
 	var entries []provider.Entry
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -178,10 +178,10 @@
 	p.hosts = follower(p.provider.Prefixes.Upstreams)
 	p.hosts.PollInterval = func() time.Duration { return hostsEvery/2 + rand.N(hostsEvery/2) }
 	p.hosts.QueryPeer, p.hosts.PeerAttempts = p.neighbours.News, nearTries
-	p.routers = follower(p.provider.Prefixes.OfHall(hall, ""))
+	p.routers = follower(p.provider.Prefixes.MembersOfHall(hall, ""))
 	p.routers.PollInterval = p.routersPause
 	p.routers.QueryPeer = p.newNeighbours().News
-	p.routers.BootstrapPrefixes = []string{p.provider.Prefixes.OfHall(hall, readers.Shard(p.current.Load().Name)), p.routers.Prefix}
+	p.routers.BootstrapPrefixes = []string{p.provider.Prefixes.MembersOfHall(hall, readers.Shard(p.current.Load().Name)), p.routers.Prefix}
 	p.routers.BootstrapDone = p.knowsRouter
 }
 
