--- a/daemon/internal/version/share/share.go
+++ b/daemon/internal/version/share/share.go
@@ -103,7 +103,7 @@
 	}
 	data := s.awaitChunk(r, digest)
 	if data == nil {
-		http.Error(w, "the chunk is not staged", http.StatusNotFound)
+		http.Error(w, "the chunk is not here", http.StatusNotFound)
 		return
 	}
 	slots := s.slots
@@ -209,7 +209,7 @@
 	}
 	version := s.Stage.Find(digest)
 	if version == nil {
-		http.Error(w, "the version is not staged", http.StatusNotFound)
+		http.Error(w, "the version is not staged here", http.StatusNotFound)
 		return
 	}
 	data, _, err := version.Manifest.Encode()
@@ -228,7 +228,7 @@
 		return
 	}
 	if !fromLocalHost(r) {
-		http.Error(w, "complete versions are served to the local host only", http.StatusForbidden)
+		http.Error(w, "whole versions are served to the own host only", http.StatusForbidden)
 		return
 	}
 	version := s.Stage.Find(digest)
@@ -254,7 +254,7 @@
 }
 
 // errNotStaged is the reply to a poll for a version that is not staged.
-var errNotStaged = errors.New("the version is not staged")
+var errNotStaged = errors.New("the version is not staged here")
 
 // Have returns the chunks of a version gained after the caller's cursor. It waits
 // for at least one chunk, up to the requested time.
