--- a/daemon/internal/request/account/account.go
+++ b/daemon/internal/request/account/account.go
@@ -1,9 +1,11 @@
-// Package account finds the client account behind a request and holds it to
-// its limits.
+// Package account authenticates the client account of a request and enforces
+// its rate and concurrency limits. The intake of an entry calls it for every
+// request.
 //
-// Limits count per entry. The balancer spreads an account's calls over the
-// entries, so a fleet-wide limit would need shared counters, which the
-// key-value service cannot carry; an operator divides by the number of entries.
+// Limits apply per entry. The load balancer spreads the requests of an account
+// over all entries, so a fleet-wide limit would need shared counters, whose
+// write rate the key-value service cannot sustain; operators divide the limit by
+// the number of entries.
 package account
 
 import (
@@ -21,11 +23,11 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/outcome"
 )
 
-// concurrencyRetry is the time after which a caller over its concurrency may
-// come back.
-const concurrencyRetry = 250 * time.Millisecond
+// concurrencyRetryAfter is the Retry-After value of a request rejected for the
+// account's concurrency limit.
+const concurrencyRetryAfter = 250 * time.Millisecond
 
-// Find returns the account whose key the request carries.
+// Find returns the account that the request's bearer key belongs to.
 func Find(view *tables.View, r *http.Request) (*api.Resource, *outcome.Refusal) {
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
@@ -33,30 +35,30 @@
 	}
 	account := view.AccountByKey[tables.KeyDigest(sha256.Sum256([]byte(key)))]
 	if account == nil {
-		return nil, outcome.NotRun(http.StatusForbidden, outcome.ReasonForbidden, "the key belongs to no client account")
+		return nil, outcome.NotRun(http.StatusForbidden, outcome.ReasonForbidden, "the key matches no client account")
 	}
 	return account, nil
 }
 
-// Limiter holds accounts to their rate and concurrency. The zero value is
+// Limiter enforces the rate and concurrency limits of accounts. The zero value is
 // ready to use.
 //
-// Lock order: mu is the only lock; it is not held while a request runs.
+// mu is the only lock; it is not held while a request runs.
 type Limiter struct {
 	mu     sync.Mutex
 	states map[string]*state
 }
 
-// state is one account's use.
+// state holds the token bucket and the in-flight count of one account.
 type state struct {
-	// revision is the declaration that the limits come from.
+	// revision is the revision of the account resource that rate is built from.
 	revision uint64
-	rate     *rate.Limiter // nil means no bound
+	rate     *rate.Limiter // nil if the rate is unlimited
 	inFlight int
 }
 
-// Enter admits a request and returns the function that it calls when it is
-// over, or a refusal.
+// Enter admits a request or returns a refusal. The caller must call the returned
+// function when the request has ended; further calls have no effect.
 func (l *Limiter) Enter(account *api.Resource, now time.Time) (func(), *outcome.Refusal) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -64,14 +66,14 @@
 	spec := account.Account
 	if spec.Concurrency > 0 && s.inFlight >= spec.Concurrency {
 		return nil, outcome.NotRun(http.StatusTooManyRequests, outcome.ReasonAccountLimit,
-			fmt.Sprintf("account %q runs %d requests here, as many as it may", account.Name, s.inFlight)).Retry(concurrencyRetry)
+			fmt.Sprintf("account %q has reached its concurrency limit: %d requests in flight at this entry", account.Name, s.inFlight)).Retry(concurrencyRetryAfter)
 	}
 	if s.rate != nil {
 		reservation := s.rate.ReserveN(now, 1)
 		if wait := reservation.DelayFrom(now); wait > 0 {
 			reservation.CancelAt(now)
 			return nil, outcome.NotRun(http.StatusTooManyRequests, outcome.ReasonAccountLimit,
-				fmt.Sprintf("account %q is over its rate of %v a second", account.Name, spec.RatePerSecond)).Retry(wait)
+				fmt.Sprintf("account %q exceeds its rate limit of %v requests per second", account.Name, spec.RatePerSecond)).Retry(wait)
 		}
 	}
 	s.inFlight++
@@ -79,8 +81,8 @@
 	return func() { once.Do(func() { l.exit(s) }) }, nil
 }
 
-// state returns an account's use, with limits of its present declaration; the
-// caller holds mu.
+// state returns the state of an account and rebuilds the token bucket if the
+// resource's revision has changed. The caller must hold mu.
 func (l *Limiter) state(account *api.Resource) *state {
 	if l.states == nil {
 		l.states = map[string]*state{}
--- a/daemon/internal/request/account/account_test.go
+++ b/daemon/internal/request/account/account_test.go
@@ -17,7 +17,7 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/outcome"
 )
 
-func TestFind(t *testing.T) {
+func TestFindAuthenticatesBearerKey(t *testing.T) {
 	sum := sha256.Sum256([]byte("secret"))
 	resource := &api.Resource{Kind: api.KindAccount, Name: "a", Account: &api.AccountSpec{KeyDigests: []string{hex.EncodeToString(sum[:])}}}
 	value, err := tables.EncodeResource(resource, 0)
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestLimits(t *testing.T) {
+func TestLimiterEnforcesRateAndConcurrency(t *testing.T) {
 	now := time.Unix(1000, 0)
 	limiter := &Limiter{}
 	a := &api.Resource{Name: "a", Revision: 1, Account: &api.AccountSpec{RatePerSecond: 2, Concurrency: 3}}
@@ -58,21 +58,21 @@
 	leave, refusal := limiter.Enter(a, now)
 	require.Nil(t, refusal)
 	_, refusal = limiter.Enter(a, now)
-	require.NotNil(t, refusal, "over the rate")
+	require.NotNil(t, refusal, "rate limit exceeded")
 	assert.Equal(t, outcome.ReasonAccountLimit, refusal.Reason)
-	assert.Equal(t, 500*time.Millisecond, refusal.RetryAfter, "the time at which it will be let in")
+	assert.Equal(t, 500*time.Millisecond, refusal.RetryAfter, "Retry-After is the time until the next token")
 	_, refusal = limiter.Enter(a, now.Add(refusal.RetryAfter))
 	require.Nil(t, refusal)
 	_, refusal = limiter.Enter(a, now.Add(time.Hour))
-	require.NotNil(t, refusal, "over the concurrency")
+	require.NotNil(t, refusal, "concurrency limit exceeded")
 	leave()
 	leave()
 	_, refusal = limiter.Enter(a, now.Add(time.Hour))
 	require.Nil(t, refusal)
 	raised := &api.Resource{Name: "a", Revision: 2, Account: &api.AccountSpec{}}
 	_, refusal = limiter.Enter(raised, now)
-	require.Nil(t, refusal, "a new declaration is in force at once")
+	require.Nil(t, refusal, "a new revision takes effect at once")
 	other := &api.Resource{Name: "b", Account: &api.AccountSpec{Concurrency: 1}}
 	_, refusal = limiter.Enter(other, now)
-	require.Nil(t, refusal, "accounts do not share limits")
+	require.Nil(t, refusal, "limits are per account")
 }
