--- a/daemon/internal/request/content/content.go
+++ b/daemon/internal/request/content/content.go
@@ -1,10 +1,10 @@
-// Package content names what a request asks for, so that the same request is known again
-// when its caller comes back, at whichever router.
+// Package content computes the digest of a request, by which every router recognizes a
+// retry of the same request. Package quarantine keys its records by it.
 //
-// A caller's id is new with each attempt, so the name is a digest of what the caller sent
-// and of who sent it. Of the content itself nothing can be read from the name, which
-// stands in logs and goes from router to router. The service is left out: a route may be
-// shared out over several.
+// The request id cannot serve as the key, since a client sends a new one with each attempt.
+// The digest covers the account, the method, the host, the target and the body. It reveals
+// nothing of the request, so it may be logged and sent to other routers. The service is not
+// part of it, because a route may split its traffic over several services.
 package content
 
 import (
@@ -15,24 +15,23 @@
 	"github.com/zeebo/blake3"
 )
 
-// size is the length of a name in bytes: the chance that two of a million requests have the
-// same one is 1e-27.
+// size is the length of a digest in bytes.
 const size = 16
 
-// Name is the digest of a request's content. The zero value names none.
+// Name is the digest of a request's content. The zero value means no content.
 type Name [size]byte
 
-// Request is what a name is made of.
+// Request holds the parts of a request that the digest covers.
 type Request struct {
-	// Account is the client account's name, empty where there is none.
+	// Account is the name of the client account, empty if the request has none.
 	Account, Method, Host string
-	// Target is the path with its query, as the caller sent it.
+	// Target is the path and query as received from the client.
 	Target string
 	Body   []byte
 }
 
-// Name returns the request's name. Each part goes in behind its length, so that no two
-// requests have parts that run together alike.
+// Name returns the request's digest. Each part is prefixed with its length, so that moving
+// bytes from one part to the next changes the digest.
 func (r Request) Name() Name {
 	hasher := blake3.New()
 	for _, part := range [][]byte{[]byte(r.Account), []byte(r.Method), []byte(r.Host), []byte(r.Target), r.Body} {
@@ -46,19 +45,19 @@
 	return name
 }
 
-// String returns the name in hex, as logs have it.
+// String returns the digest in hex.
 func (n Name) String() string { return hex.EncodeToString(n[:]) }
 
-// MarshalText and UnmarshalText have the name stand in JSON as in logs.
+// MarshalText encodes the digest in hex.
 func (n Name) MarshalText() ([]byte, error) { return []byte(n.String()), nil }
 
-// UnmarshalText reads what MarshalText wrote.
+// UnmarshalText decodes the output of MarshalText.
 func (n *Name) UnmarshalText(text []byte) error {
 	if len(text) != hex.EncodedLen(size) {
-		return fmt.Errorf("name of a content: %d characters, give %d in hex", len(text), hex.EncodedLen(size))
+		return fmt.Errorf("decode content digest: got %d characters, want %d hex digits", len(text), hex.EncodedLen(size))
 	}
 	if _, err := hex.Decode(n[:], text); err != nil {
-		return fmt.Errorf("name of a content: %w", err)
+		return fmt.Errorf("decode content digest: %w", err)
 	}
 	return nil
 }
--- a/daemon/internal/request/content/content_test.go
+++ b/daemon/internal/request/content/content_test.go
@@ -9,9 +9,9 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/content"
 )
 
-// TestNameTellsRequestsApart: whatever differs makes another name, also where the parts
-// put together are the same.
-func TestNameTellsRequestsApart(t *testing.T) {
+// TestDigestCoversEveryPartSeparately guards against collisions, including those between
+// requests whose concatenated parts are equal.
+func TestDigestCoversEveryPartSeparately(t *testing.T) {
 	base := content.Request{Account: "a", Method: "POST", Host: "h", Target: "/x?y", Body: []byte("body")}
 	others := []content.Request{
 		{Account: "b", Method: "POST", Host: "h", Target: "/x?y", Body: []byte("body")},
@@ -24,17 +24,17 @@
 	for _, other := range others {
 		assert.NotEqual(t, base.Name(), other.Name(), "%+v", other)
 	}
-	again := base
-	assert.Equal(t, base.Name(), again.Name())
+	same := base
+	assert.Equal(t, base.Name(), same.Name())
 }
 
-func TestNameIsReadBack(t *testing.T) {
-	name := content.Request{Body: []byte("x")}.Name()
-	text, err := name.MarshalText()
+func TestDigestTextRoundTrip(t *testing.T) {
+	digest := content.Request{Body: []byte("x")}.Name()
+	text, err := digest.MarshalText()
 	require.NoError(t, err)
-	var read content.Name
-	require.NoError(t, read.UnmarshalText(text))
-	assert.Equal(t, name, read)
-	require.Error(t, read.UnmarshalText([]byte("12")))
-	require.Error(t, read.UnmarshalText([]byte("zz"+string(text[2:]))))
+	var decoded content.Name
+	require.NoError(t, decoded.UnmarshalText(text))
+	assert.Equal(t, digest, decoded)
+	require.Error(t, decoded.UnmarshalText([]byte("12")))
+	require.Error(t, decoded.UnmarshalText([]byte("zz"+string(text[2:]))))
 }
