--- a/daemon/internal/request/holding/holding.go
+++ b/daemon/internal/request/holding/holding.go
@@ -1,14 +1,13 @@
-// Package holding bounds the bytes that a router holds for callers that send or read slowly,
-// and for upstreams that do.
+// Package holding bounds the bytes that a router buffers for slow clients and slow upstreams.
+// The dispatcher wraps request bodies and response bodies with it.
 //
-// The load that it answers: a thousand callers that read a few bytes a second. A router that
-// reads no faster than its caller has the upstream cut an answer that it made, since it waits
-// for a few seconds only; one that reads everything ahead runs out of memory. So a stream is
-// read ahead by a bounded part, all bodies and parts share one budget, and where that is spent
-// the upstream is read no faster than the caller reads.
+// A response is read ahead of the client up to a limit, so that the upstream does not hit its
+// write timeout while the client reads slowly. All buffered request and response bytes count
+// against one budget, which keeps many slow clients from exhausting memory. Once the budget is
+// spent, an upstream is read only as fast as its client reads.
 //
-// Rejected: a bound for each caller alone, which a thousand callers exceed together; cutting
-// the slowest caller, whose answer is made and may still arrive.
+// Rejected: a limit per client only, which many clients together exceed; closing the slowest
+// connection, whose response is complete at the upstream and may still be delivered.
 package holding
 
 import (
@@ -19,19 +18,19 @@
 	"sync/atomic"
 )
 
-// ErrFull says that the budget is spent.
-var ErrFull = errors.New("too many bytes are held for slow callers")
+// ErrFull means that the budget is spent.
+var ErrFull = errors.New("buffer budget for request and response bodies exhausted")
 
-// Budget counts the bytes that are held. The zero value has no bound.
+// Budget limits the number of buffered bytes. The zero value is unlimited.
 type Budget struct {
-	// Most is how many bytes may be held; 0 means any number.
+	// Most is the limit in bytes; 0 means unlimited.
 	Most int64
 
 	held atomic.Int64
 }
 
-// Take counts some bytes, and reports false where they are too many.
-func (b *Budget) Take(n int) bool {
+// Reserve reserves n bytes and reports false, without reserving any, if they exceed the limit.
+func (b *Budget) Reserve(n int) bool {
 	if b.held.Add(int64(n)) > b.Most && b.Most > 0 {
 		b.held.Add(-int64(n))
 		return false
@@ -39,77 +38,80 @@
 	return true
 }
 
-// Give takes bytes back that were counted.
-func (b *Budget) Give(n int) { b.held.Add(-int64(n)) }
+// Release returns n reserved bytes to the budget.
+func (b *Budget) Release(n int) { b.held.Add(-int64(n)) }
 
-// Held returns how many bytes are held.
+// Held returns the number of reserved bytes.
 func (b *Budget) Held() int64 { return b.held.Load() }
 
-// Body reads a caller's body and counts it until Release.
+// Body reads a request body. The bytes read count against the budget until Release.
 type Body struct {
 	Reader io.Reader
 	Budget *Budget
 
-	taken int
+	reserved int
 }
 
-// Read reads a part, and fails with ErrFull where the budget is spent.
+// Read implements io.Reader. It fails with ErrFull if the budget is spent.
 func (b *Body) Read(p []byte) (int, error) {
 	n, err := b.Reader.Read(p)
-	if !b.Budget.Take(n) {
+	if !b.Budget.Reserve(n) {
 		return 0, ErrFull
 	}
-	b.taken += n
+	b.reserved += n
 	return n, err
 }
 
-// Release gives back what was read.
+// Release returns the bytes read to the budget.
 func (b *Body) Release() {
-	b.Budget.Give(b.taken)
-	b.taken = 0
+	b.Budget.Release(b.reserved)
+	b.reserved = 0
 }
 
-// Ahead reads an answer's body ahead of whoever reads it. Read is for one goroutine; Close
-// may be called from any.
+// Ahead is a response body that a goroutine reads ahead of the consumer. Read must not be
+// called concurrently; Close may be called from any goroutine.
 type Ahead struct {
 	body   io.ReadCloser
 	budget *Budget
-	most   int
+	limit  int
 
 	mu sync.Mutex
-	// changed is signalled when a part was read or taken, or Close was called.
+	// changed is broadcast when bytes were buffered or consumed, or Close was called.
 	changed sync.Cond
-	// held is what was read and not taken; the budget counts it.
-	held bytes.Buffer
-	// wanted says that Read waits, so that a part is read even where the budget is spent.
-	wanted, closed bool
-	// err is what ended the body, io.EOF included.
+	// buffer holds the bytes read from the body and not yet consumed; they are reserved in
+	// the budget.
+	buffer bytes.Buffer
+	// waiting is set while Read waits for data. One chunk is then read even if the budget is
+	// spent, since the stream would stall otherwise.
+	waiting, closed bool
+	// err is the error that ended the body, io.EOF included.
 	err error
 }
 
-// partBytes is the most that is read at once.
-const partBytes = 4 << 10
+// chunkBytes is the size of a single read.
+const chunkBytes = 4 << 10
 
-// ReadAhead begins to read a body ahead by some bytes at most. Close ends it.
-func ReadAhead(body io.ReadCloser, budget *Budget, most int) *Ahead {
-	a := &Ahead{body: body, budget: budget, most: most}
+// ReadAhead starts to read ahead of the consumer, buffering at most limit bytes. Close ends
+// it.
+func ReadAhead(body io.ReadCloser, budget *Budget, limit int) *Ahead {
+	a := &Ahead{body: body, budget: budget, limit: limit}
 	a.changed.L = &a.mu
 	go a.run()
 	return a
 }
 
 func (a *Ahead) run() {
-	part := make([]byte, partBytes)
-	for a.mayRead() {
-		n, err := a.body.Read(part)
-		if !a.add(part[:n], err) {
+	chunk := make([]byte, chunkBytes)
+	for a.waitForRoom() {
+		n, err := a.body.Read(chunk)
+		if !a.add(chunk[:n], err) {
 			return
 		}
 	}
 }
 
-// mayRead waits until a part may be read, and reports false once that is never.
-func (a *Ahead) mayRead() bool {
+// waitForRoom waits until a chunk may be read and reports false after Close.
+func (a *Ahead) waitForRoom() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for !a.closed && !a.hasRoom() {
@@ -118,58 +120,59 @@
 	return !a.closed
 }
 
-// hasRoom reports whether a part may be read; the caller holds mu. A part that somebody waits
-// for is counted, but never refused.
+// hasRoom reports whether a chunk may be read. The caller must hold mu. While Read waits on an
+// empty buffer, a chunk is admitted regardless of the limits; it still counts against the
+// budget.
 func (a *Ahead) hasRoom() bool {
-	if a.wanted && a.held.Len() == 0 {
+	if a.waiting && a.buffer.Len() == 0 {
 		return true
 	}
-	return a.held.Len()+partBytes <= a.most && (a.budget.Most == 0 || a.budget.Held()+partBytes <= a.budget.Most)
+	return a.buffer.Len()+chunkBytes <= a.limit && (a.budget.Most == 0 || a.budget.Held()+chunkBytes <= a.budget.Most)
 }
 
-// add takes a part that was read, and reports whether there may be more.
-func (a *Ahead) add(part []byte, err error) bool {
+// add buffers a chunk and reports whether to continue reading.
+func (a *Ahead) add(chunk []byte, err error) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.closed {
 		return false
 	}
-	a.budget.held.Add(int64(len(part)))
-	a.held.Write(part)
+	a.budget.held.Add(int64(len(chunk)))
+	a.buffer.Write(chunk)
 	a.err = err
 	a.changed.Broadcast()
 	return err == nil
 }
 
-// Read returns what was read ahead, and waits where that is nothing.
+// Read returns buffered bytes and waits while there are none.
 func (a *Ahead) Read(p []byte) (int, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for a.held.Len() == 0 {
+	for a.buffer.Len() == 0 {
 		if a.closed {
 			return 0, io.ErrClosedPipe
 		}
 		if a.err != nil {
 			return 0, a.err
 		}
-		a.wanted = true
+		a.waiting = true
 		a.changed.Broadcast()
 		a.changed.Wait()
 	}
-	a.wanted = false
-	n, _ := a.held.Read(p) // it holds something
-	a.budget.Give(n)
+	a.waiting = false
+	n, _ := a.buffer.Read(p) // the buffer is not empty, so there is no error
+	a.budget.Release(n)
 	a.changed.Broadcast()
 	return n, nil
 }
 
-// Close ends the body and drops what was read ahead.
+// Close closes the body and discards the buffered bytes.
 func (a *Ahead) Close() error {
 	a.mu.Lock()
 	if !a.closed {
 		a.closed = true
-		a.budget.Give(a.held.Len())
-		a.held = bytes.Buffer{}
+		a.budget.Release(a.buffer.Len())
+		a.buffer = bytes.Buffer{}
 		a.changed.Broadcast()
 	}
 	a.mu.Unlock()
--- a/daemon/internal/request/holding/holding_test.go
+++ b/daemon/internal/request/holding/holding_test.go
@@ -16,38 +16,38 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/holding"
 )
 
-// sender is a body that counts what was read of it.
-type sender struct {
+// countingBody counts the bytes read from it.
+type countingBody struct {
 	io.Reader
 	read   int
 	closed bool
 }
 
-func (s *sender) Read(p []byte) (int, error) {
-	n, err := s.Reader.Read(p)
-	s.read += n
+func (b *countingBody) Read(p []byte) (int, error) {
+	n, err := b.Reader.Read(p)
+	b.read += n
 	return n, err
 }
 
-func (s *sender) Close() error {
-	s.closed = true
+func (b *countingBody) Close() error {
+	b.closed = true
 	return nil
 }
 
-// TestSlowReadersStayWithinTheBudget: a thousand answers of 64 KB that nobody reads are held
-// to the budget, and each still arrives whole once it is read.
-func TestSlowReadersStayWithinTheBudget(t *testing.T) {
+// TestUnreadResponsesStayWithinBudget guards against memory that grows with the number of slow
+// clients, and against responses truncated by the budget.
+func TestUnreadResponsesStayWithinBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const readersCount, answer, ahead, most = 1000, 64 << 10, 32 << 10, 4 << 20
-		want := bytes.Repeat([]byte("answer "), answer/7)
-		budget := &holding.Budget{Most: most}
+		const readers, responseBytes, limit, budgetBytes = 1000, 64 << 10, 32 << 10, 4 << 20
+		want := bytes.Repeat([]byte("answer "), responseBytes/7)
+		budget := &holding.Budget{Most: budgetBytes}
 		var bodies []*holding.Ahead
-		for range readersCount {
-			bodies = append(bodies, holding.ReadAhead(&sender{Reader: bytes.NewReader(want)}, budget, ahead))
+		for range readers {
+			bodies = append(bodies, holding.ReadAhead(&countingBody{Reader: bytes.NewReader(want)}, budget, limit))
 		}
 		synctest.Wait()
-		// Parts that are read at the same time are seen by each other only once they are there.
-		assert.LessOrEqual(t, budget.Held(), int64(most+readersCount*(4<<10)))
+		// Concurrent reads check the budget before they reserve, so each may exceed it by a chunk.
+		assert.LessOrEqual(t, budget.Held(), int64(budgetBytes+readers*(4<<10)))
 		assert.Positive(t, budget.Held())
 		for _, body := range bodies {
 			got, err := io.ReadAll(body)
@@ -60,42 +60,43 @@
 	})
 }
 
-// TestSenderIsReadAheadOfASlowReader by a bounded part, so that it need not cut its answer.
-func TestSenderIsReadAheadOfASlowReader(t *testing.T) {
+// TestResponseIsReadAheadUpToLimit guards against upstream write timeouts caused by a slow
+// client.
+func TestResponseIsReadAheadUpToLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		budget := &holding.Budget{}
-		long := &sender{Reader: strings.NewReader(strings.Repeat("x", 1<<20))}
-		body := holding.ReadAhead(long, budget, 64<<10)
+		response := &countingBody{Reader: strings.NewReader(strings.Repeat("x", 1<<20))}
+		body := holding.ReadAhead(response, budget, 64<<10)
 		synctest.Wait()
-		assert.Equal(t, 64<<10, long.read)
+		assert.Equal(t, 64<<10, response.read)
 		require.NoError(t, body.Close())
-		assert.True(t, long.closed)
+		assert.True(t, response.closed)
 		synctest.Wait()
-		assert.Zero(t, budget.Held(), "what was read ahead is given back")
+		assert.Zero(t, budget.Held(), "Close returns the buffered bytes to the budget")
 		_, err := body.Read(make([]byte, 1))
 		require.ErrorIs(t, err, io.ErrClosedPipe)
 	})
 }
 
-// TestErrorComesAfterWhatWasReadBeforeIt: an answer that breaks off is passed on as far as it
-// came.
-func TestErrorComesAfterWhatWasReadBeforeIt(t *testing.T) {
+// TestErrorFollowsBufferedBytes guards against dropping the bytes received before a response
+// failed.
+func TestErrorFollowsBufferedBytes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		broke := errors.New("broke off")
-		body := holding.ReadAhead(&sender{Reader: io.MultiReader(strings.NewReader("begin"), &failing{broke})}, &holding.Budget{}, 1<<10)
+		errReset := errors.New("connection reset")
+		body := holding.ReadAhead(&countingBody{Reader: io.MultiReader(strings.NewReader("begin"), &failingReader{errReset})}, &holding.Budget{}, 1<<10)
 		got, err := io.ReadAll(body)
-		require.ErrorIs(t, err, broke)
+		require.ErrorIs(t, err, errReset)
 		assert.Equal(t, "begin", string(got))
 		require.NoError(t, body.Close())
 	})
 }
 
-type failing struct{ err error }
+type failingReader struct{ err error }
 
-func (f *failing) Read([]byte) (int, error) { return 0, f.err }
+func (f *failingReader) Read([]byte) (int, error) { return 0, f.err }
 
-// TestBodiesBeyondTheBudgetAreRefused, and what they took is given back.
-func TestBodiesBeyondTheBudgetAreRefused(t *testing.T) {
+// TestBodyBeyondBudgetIsRejected also checks that Release returns what a rejected body reserved.
+func TestBodyBeyondBudgetIsRejected(t *testing.T) {
 	budget := &holding.Budget{Most: 100}
 	first := &holding.Body{Reader: strings.NewReader(strings.Repeat("a", 80)), Budget: budget}
 	_, err := io.ReadAll(first)
@@ -108,9 +109,9 @@
 	assert.Zero(t, budget.Held())
 }
 
-// TestSmallPartsAreHeldAsTheyAre: a stream that comes in parts of some bytes, as events do, is
-// held in about as many bytes as the budget counts, not in a whole part's for each of them.
-func TestSmallPartsAreHeldAsTheyAre(t *testing.T) {
+// TestSmallReadsUseMemoryInProportion guards against allocating a full chunk for each small read
+// of an event stream, memory that the budget would not count.
+func TestSmallReadsUseMemoryInProportion(t *testing.T) {
 	const event, events, streams = 100, 300, 100
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -119,8 +120,8 @@
 	var bodies []*holding.Ahead
 	synctest.Test(t, func(*testing.T) {
 		for range streams {
-			body := iotest.DataErrReader(io.LimitReader(&inParts{event}, event*events))
-			bodies = append(bodies, holding.ReadAhead(&sender{Reader: body}, budget, 64<<10))
+			body := iotest.DataErrReader(io.LimitReader(&smallReads{event}, event*events))
+			bodies = append(bodies, holding.ReadAhead(&countingBody{Reader: body}, budget, 64<<10))
 		}
 		synctest.Wait()
 	})
@@ -131,7 +132,7 @@
 	runtime.KeepAlive(bodies)
 }
 
-// inParts is a body that never gives more than a few bytes at once.
-type inParts struct{ most int }
+// smallReads is an endless body that returns at most max bytes per read.
+type smallReads struct{ max int }
 
-func (p *inParts) Read(b []byte) (int, error) { return min(p.most, len(b)), nil }
+func (r *smallReads) Read(p []byte) (int, error) { return min(r.max, len(p)), nil }
