--- a/daemon/internal/request/residency/residency.go
+++ b/daemon/internal/request/residency/residency.go
@@ -1,25 +1,25 @@
-// Package residency decides in which regions a request may run.
+// Package residency decides in which regions a request may run. The dispatcher checks every
+// candidate upstream against the rule of the request.
 //
-// A route and an account may each name the regions that data may be served in; where both
-// do, both bind. The load that it answers: a region is cut off or evacuated, and its callers
-// arrive at routers elsewhere. Their requests go home or are refused at once; spare capacity
-// in other regions is no reason to use it.
-//
-// A hall whose region is not known allows nothing that is bound.
+// A route and an account may each restrict the regions that process their data; if both do, a
+// region must be allowed by both. The rule holds also while a region is cut off or evacuated
+// and its clients reach routers in other regions: a request goes to an allowed region or is
+// refused, whatever capacity is free elsewhere. A hall of unknown region is never allowed for a
+// restricted request.
 package residency
 
 import "slices"
 
-// Rule is where a request may run. The zero value binds nothing.
+// Rule restricts the regions that a request may run in. The zero value allows all.
 type Rule struct {
-	// Route and Account are the regions that each allows; empty means all.
+	// Route and Account list the regions that each allows; empty means all.
 	Route, Account []string
 }
 
-// Binds reports whether some regions are not allowed.
+// Binds reports whether the rule restricts the regions.
 func (r Rule) Binds() bool { return len(r.Route) > 0 || len(r.Account) > 0 }
 
-// Allows reports whether the request may run in a region, "" being one that is not known.
+// Allows reports whether the request may run in a region; "" is an unknown region.
 func (r Rule) Allows(region string) bool {
 	return !r.Binds() || region != "" && allows(r.Route, region) && allows(r.Account, region)
 }
--- a/daemon/internal/request/residency/residency_test.go
+++ b/daemon/internal/request/residency/residency_test.go
@@ -8,20 +8,20 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/residency"
 )
 
-func TestBothListsBind(t *testing.T) {
+func TestRegionMustBeAllowedByRouteAndAccount(t *testing.T) {
 	for _, test := range []struct {
 		name           string
 		route, account []string
 		allowed        []string
 	}{
-		{"nothing is named", nil, nil, []string{"north", "south", ""}},
-		{"empty lists name nothing", []string{}, []string{}, []string{"north", "south", ""}},
-		{"the route's", []string{"north"}, nil, []string{"north"}},
-		{"the account's", nil, []string{"south", "west"}, []string{"south"}},
-		{"both, with one in common", []string{"north", "south"}, []string{"south"}, []string{"south"}},
-		{"both, with none in common", []string{"north"}, []string{"south"}, nil},
-		{"a region that there is not", []string{"moon"}, nil, nil},
-		{"a name that is empty", []string{""}, nil, nil},
+		{"no restriction", nil, nil, []string{"north", "south", ""}},
+		{"empty lists are no restriction", []string{}, []string{}, []string{"north", "south", ""}},
+		{"route only", []string{"north"}, nil, []string{"north"}},
+		{"account only", nil, []string{"south", "west"}, []string{"south"}},
+		{"both, with a common region", []string{"north", "south"}, []string{"south"}, []string{"south"}},
+		{"both, without a common region", []string{"north"}, []string{"south"}, nil},
+		{"region without halls", []string{"moon"}, nil, nil},
+		{"empty region name", []string{""}, nil, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			rule := residency.Rule{Route: test.route, Account: test.account}
