--- a/daemon/internal/request/gate/gate.go
+++ b/daemon/internal/request/gate/gate.go
@@ -1,11 +1,14 @@
-// Package gate decides at an agent whether a request may reach the upstream.
+// Package gate is the admission control of an agent: it decides whether a request
+// may reach the upstream.
 //
-// The gate is the one place that knows exactly what the upstream serves, how
-// many requests it runs, and whether the host is leaving. It refuses before the
-// upstream sees a byte, which is what makes "not run" true. A change of version
-// closes the gate, waits for the requests inside, and opens it for the new
-// version, so that no request is answered by another version than it was
-// routed for and none is cut.
+// The gate holds the authoritative state of the host: the version that the upstream
+// serves, the requests in flight, and whether the host is leaving. It refuses a
+// request before the upstream receives a byte, which makes the outcome "not-run"
+// true.
+//
+// Invariant: a request runs only while the version that it was routed for is
+// served. A change of version closes the gate, drains the requests in flight, and
+// opens the gate for the new version, so none of them is cut.
 package gate
 
 import (
@@ -19,44 +22,45 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/outcome"
 )
 
-// busyRetry is the time after which a refused caller may come back.
-const busyRetry = 200 * time.Millisecond
+// busyRetryAfter is the Retry-After value sent at the in-flight limit.
+const busyRetryAfter = 200 * time.Millisecond
 
 // Serving is what an upstream serves.
 type Serving struct {
 	// Services are the names of the services; an engine has at most one.
 	Services []string
-	// Manifest is the version that an engine holds, "" for a plain service.
+	// Manifest identifies the version that an engine has loaded, "" for a plain
+	// service.
 	Manifest string
 }
 
-// Stamp is what a request was routed for.
+// Stamp is the service and the version that a request was routed for.
 type Stamp struct {
 	Service  string
 	Manifest string
 }
 
-// Gate counts the requests inside. The zero value refuses all, because it
-// serves nothing yet.
+// Gate admits requests and counts those in flight. The zero value refuses all
+// requests until Open is called.
 //
-// Lock order: mu is the only lock; it is not held while a request runs.
+// mu is the only lock; it is not held while a request runs.
 type Gate struct {
 	mu      sync.Mutex
 	serving Serving
-	// limit bounds inFlight; 0 means no bound.
+	// limit bounds inFlight; 0 means unlimited.
 	limit    int
 	inFlight int
 	// closed is set while the version changes.
 	closed bool
-	// leaving is set for good once the host leaves.
+	// leaving is never reset.
 	leaving bool
-	// idle is closed when inFlight falls to 0 while someone waits; nil when
-	// nobody does.
+	// idle is closed when inFlight drops to 0; nil while waitIdle has no callers.
 	idle chan struct{}
 }
 
-// Enter admits a request and returns the number of requests inside and the
-// function that the request calls when it is over, or a refusal.
+// Enter admits a request or returns a refusal. It also returns the number of
+// requests in flight. The caller must call the returned function when the request
+// has ended; further calls have no effect.
 func (g *Gate) Enter(stamp Stamp) (int, func(), *outcome.Refusal) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -68,16 +72,16 @@
 	return g.inFlight, func() { once.Do(g.exit) }, nil
 }
 
-// refuse returns why a request may not enter, or nil; the caller holds mu.
+// refuse returns the refusal of a request, or nil to admit it. The caller must hold mu.
 func (g *Gate) refuse(stamp Stamp) *outcome.Refusal {
 	switch {
 	case g.leaving:
 		return outcome.NotRun(http.StatusServiceUnavailable, outcome.ReasonStopping, "the host is leaving")
 	case g.closed || !slices.Contains(g.serving.Services, stamp.Service) || g.serving.Manifest != stamp.Manifest:
-		return outcome.NotRun(http.StatusServiceUnavailable, outcome.ReasonWrongVersion, "the host does not serve the version that the request was routed for")
+		return outcome.NotRun(http.StatusServiceUnavailable, outcome.ReasonWrongVersion, "the host does not serve the service and version that the request was routed for")
 	case g.limit > 0 && g.inFlight >= g.limit:
 		return outcome.NotRun(http.StatusServiceUnavailable, outcome.ReasonBusy,
-			fmt.Sprintf("the host runs %d requests, as many as it may", g.inFlight)).Retry(busyRetry)
+			fmt.Sprintf("the host has reached its limit: %d requests in flight", g.inFlight)).Retry(busyRetryAfter)
 	default:
 		return nil
 	}
@@ -93,22 +97,22 @@
 	}
 }
 
-// InFlight returns the number of requests inside.
+// InFlight returns the number of admitted requests that have not ended.
 func (g *Gate) InFlight() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.inFlight
 }
 
-// Serving returns what the gate admits requests for.
+// Serving returns the argument of the last Open.
 func (g *Gate) Serving() Serving {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.serving
 }
 
-// Serves returns the version that the gate admits requests of a service for,
-// false while it admits none.
+// Serves returns the version that the gate admits requests of a service for, and
+// false if it admits none.
 func (g *Gate) Serves(service string) (string, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -116,15 +120,15 @@
 	return g.serving.Manifest, open
 }
 
-// SetLimit bounds the requests inside; 0 means no bound.
+// SetLimit bounds the requests in flight; 0 means unlimited.
 func (g *Gate) SetLimit(limit int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.limit = limit
 }
 
-// Close refuses new requests and waits until none is inside. When the context
-// ends first, the gate opens again as it was.
+// Close refuses new requests and waits until none is in flight. If the context ends
+// first, the gate reopens for the same version.
 func (g *Gate) Close(ctx context.Context) error {
 	g.mu.Lock()
 	g.closed = true
@@ -133,12 +137,12 @@
 		g.mu.Lock()
 		g.closed = false
 		g.mu.Unlock()
-		return fmt.Errorf("wait for the requests of the old version: %w", err)
+		return fmt.Errorf("drain requests of the previous version: %w", err)
 	}
 	return nil
 }
 
-// Open admits requests for what is now served.
+// Open admits requests for the given services and version.
 func (g *Gate) Open(serving Serving) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -146,7 +150,7 @@
 	g.closed = false
 }
 
-// Leave refuses new requests for good.
+// Leave refuses new requests permanently; a later Open has no effect on it.
 func (g *Gate) Leave() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -160,10 +164,10 @@
 	return g.leaving
 }
 
-// Drain waits until no request is inside. Call Leave first.
+// Drain waits until no request is in flight. Call Leave first.
 func (g *Gate) Drain(ctx context.Context) error {
 	if err := g.waitIdle(ctx); err != nil {
-		return fmt.Errorf("drain: %d requests still run: %w", g.InFlight(), err)
+		return fmt.Errorf("drain: %d requests still in flight: %w", g.InFlight(), err)
 	}
 	return nil
 }
--- a/daemon/internal/request/gate/gate_test.go
+++ b/daemon/internal/request/gate/gate_test.go
@@ -12,7 +12,7 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/outcome"
 )
 
-func TestRefusals(t *testing.T) {
+func TestEnterRefusesWithReason(t *testing.T) {
 	stamp := Stamp{"s", "v1"}
 	tests := []struct {
 		name   string
@@ -20,15 +20,15 @@
 		stamp  Stamp
 		reason outcome.Reason
 	}{
-		{"serves nothing yet", func(*Gate) {}, stamp, outcome.ReasonWrongVersion},
+		{"not opened", func(*Gate) {}, stamp, outcome.ReasonWrongVersion},
 		{"served", func(g *Gate) { g.Open(Serving{[]string{"s"}, "v1"}) }, stamp, ""},
 		{"another version", func(g *Gate) { g.Open(Serving{[]string{"s"}, "v2"}) }, stamp, outcome.ReasonWrongVersion},
 		{"another service", func(g *Gate) { g.Open(Serving{[]string{"t"}, "v1"}) }, stamp, outcome.ReasonWrongVersion},
-		{"no stamp", func(g *Gate) { g.Open(Serving{[]string{"s"}, "v1"}) }, Stamp{}, outcome.ReasonWrongVersion},
+		{"empty stamp", func(g *Gate) { g.Open(Serving{[]string{"s"}, "v1"}) }, Stamp{}, outcome.ReasonWrongVersion},
 		{"leaving", func(g *Gate) { g.Open(Serving{[]string{"s"}, "v1"}); g.Leave() }, stamp, outcome.ReasonStopping},
-		{"changing", func(g *Gate) { g.Open(Serving{[]string{"s"}, "v1"}); _ = g.Close(context.Background()) }, stamp, outcome.ReasonWrongVersion},
-		{"full", func(g *Gate) { g.Open(Serving{[]string{"s"}, "v1"}); g.SetLimit(1); _, _, _ = g.Enter(stamp) }, stamp, outcome.ReasonBusy},
-		{"leaving stays", func(g *Gate) { g.Leave(); g.Open(Serving{[]string{"s"}, "v1"}) }, stamp, outcome.ReasonStopping},
+		{"closed for version change", func(g *Gate) { g.Open(Serving{[]string{"s"}, "v1"}); _ = g.Close(context.Background()) }, stamp, outcome.ReasonWrongVersion},
+		{"at in-flight limit", func(g *Gate) { g.Open(Serving{[]string{"s"}, "v1"}); g.SetLimit(1); _, _, _ = g.Enter(stamp) }, stamp, outcome.ReasonBusy},
+		{"open after leave", func(g *Gate) { g.Leave(); g.Open(Serving{[]string{"s"}, "v1"}) }, stamp, outcome.ReasonStopping},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -39,7 +39,7 @@
 				require.Nil(t, refusal)
 				leave()
 				leave()
-				assert.Zero(t, g.InFlight(), "leaving twice counts once")
+				assert.Zero(t, g.InFlight(), "a second call has no effect")
 				return
 			}
 			require.NotNil(t, refusal)
@@ -49,15 +49,15 @@
 	}
 }
 
-func TestCloseWaitsAndGivesUp(t *testing.T) {
+func TestCloseDrainsOrReopensOnTimeout(t *testing.T) {
 	g := &Gate{}
 	g.Open(Serving{[]string{"s"}, "v1"})
 	_, leave, _ := g.Enter(Stamp{"s", "v1"})
-	gone, cancel := context.WithCancel(t.Context())
+	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
-	require.Error(t, g.Close(gone))
+	require.Error(t, g.Close(canceled))
 	_, second, refusal := g.Enter(Stamp{"s", "v1"})
-	require.Nil(t, refusal, "after giving up the gate is open as before")
+	require.Nil(t, refusal, "the gate reopens for the same version")
 	closed := make(chan error)
 	go func() { closed <- g.Close(t.Context()) }()
 	leave()
@@ -65,23 +65,23 @@
 	require.NoError(t, <-closed)
 }
 
-// TestNoMixedVersions enters, leaves and changes versions in any order. No
-// request may be inside while another version than its own is served.
-func TestNoMixedVersions(t *testing.T) {
+// TestRequestNeverRunsUnderAnotherVersion checks random sequences of admissions,
+// completions and version changes.
+func TestRequestNeverRunsUnderAnotherVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := &Gate{}
-		type inside struct {
+		type admitted struct {
 			stamp Stamp
 			leave func()
 		}
-		var requests []inside
-		ended, cancel := context.WithCancel(context.Background())
+		var requests []admitted
+		canceled, cancel := context.WithCancel(context.Background())
 		cancel()
 		t.Repeat(map[string]func(*rapid.T){
 			"enter": func(t *rapid.T) {
 				stamp := Stamp{"s", rapid.SampledFrom([]string{"v1", "v2"}).Draw(t, "version")}
 				if _, leave, refusal := g.Enter(stamp); refusal == nil {
-					requests = append(requests, inside{stamp, leave})
+					requests = append(requests, admitted{stamp, leave})
 				}
 			},
 			"leave": func(t *rapid.T) {
@@ -92,8 +92,8 @@
 				}
 			},
 			"change version": func(t *rapid.T) {
-				if g.Close(ended) == nil {
-					require.Empty(t, requests, "closed with requests inside")
+				if g.Close(canceled) == nil {
+					require.Empty(t, requests, "closed with requests in flight")
 					g.Open(Serving{[]string{"s"}, rapid.SampledFrom([]string{"v1", "v2"}).Draw(t, "to")})
 				}
 			},
--- a/daemon/internal/request/gate/handler.go
+++ b/daemon/internal/request/gate/handler.go
@@ -17,22 +17,22 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/relay"
 )
 
-// Headers between entry and agent. Callers never see them: each hop drops
-// what its peer sent under these names.
+// Headers between entry and agent. They never reach clients or upstreams: each hop
+// deletes those that it receives.
 const (
 	HeaderService  = "Wheelcleat-Routed-Service"
 	HeaderManifest = "Wheelcleat-Routed-Manifest"
-	// HeaderServes carries, with a refusal for the version, the version that the
-	// host serves now; it is absent while the host admits nothing.
+	// HeaderServes accompanies a wrong-version refusal and carries the version that
+	// the host serves; it is absent while the host admits no requests.
 	HeaderServes = "Wheelcleat-Serves-Manifest"
-	// HeaderInFlight carries the exact number of requests at the host.
+	// HeaderInFlight carries the number of requests in flight at the host.
 	HeaderInFlight = "Wheelcleat-In-Flight"
 )
 
-// PathPrefix is where an agent takes requests; the rest is the upstream's path.
+// PathPrefix precedes the upstream path in requests from entries to agents.
 const PathPrefix = "/route"
 
-// Handler is the agent's end of a request's path.
+// Handler serves the requests that entries route to the agent.
 type Handler struct {
 	Gate      *Gate
 	Name      string
@@ -42,13 +42,13 @@
 	requests  tally.Counter
 }
 
-// Register adds the handler to a mux.
+// Register registers the handler on a mux.
 func (h *Handler) Register(mux *http.ServeMux) {
 	h.requests = h.Telemetry.Scope.Counter("agent_requests")
 	mux.Handle(PathPrefix+"/", h)
 }
 
-// ServeHTTP admits a request and hands it to the upstream.
+// ServeHTTP admits a request and forwards it to the upstream.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	h.requests.Inc(1)
 	stamp := Stamp{Service: r.Header.Get(HeaderService), Manifest: r.Header.Get(HeaderManifest)}
@@ -57,17 +57,17 @@
 	w.Header().Set(api.HeaderHost, h.Name)
 	if refusal != nil {
 		h.log(r, stamp, "refuse", string(refusal.Reason))
-		h.tellVersion(w, stamp, refusal)
+		h.setServedVersion(w, stamp, refusal)
 		refusal.Write(w)
 		return
 	}
 	defer leave()
-	h.hand(w, r, stamp)
+	h.forward(w, r, stamp)
 }
 
-// tellVersion lets the entry come back at once with the version served now,
-// which its view of the hosts may lag behind.
-func (h *Handler) tellVersion(w http.ResponseWriter, stamp Stamp, refusal *outcome.Refusal) {
+// setServedVersion lets the entry retry at once with the version that the host
+// serves, since the entry's view of the hosts may be stale.
+func (h *Handler) setServedVersion(w http.ResponseWriter, stamp Stamp, refusal *outcome.Refusal) {
 	if refusal.Reason != outcome.ReasonWrongVersion {
 		return
 	}
@@ -83,8 +83,8 @@
 	})
 }
 
-// hand sends an admitted request to the upstream.
-func (h *Handler) hand(w http.ResponseWriter, r *http.Request, stamp Stamp) {
+// forward sends an admitted request to the upstream and relays the response.
+func (h *Handler) forward(w http.ResponseWriter, r *http.Request, stamp Stamp) {
 	_ = http.NewResponseController(w).EnableFullDuplex()
 	r.Header.Del(HeaderService)
 	r.Header.Del(HeaderManifest)
@@ -95,50 +95,49 @@
 	}
 	response, err := relay.Send(r.Context(), r, hop) //nolint:bodyclose // relay.Copy closes it
 	if err != nil {
-		h.fail(w, r, stamp, err)
+		h.writeFailure(w, r, stamp, err)
 		return
 	}
-	dropOwnHeaders(response.Header)
+	dropReservedHeaders(response.Header)
 	response.Header.Set(api.HeaderOutcome, string(api.OutcomeDone))
 	response.Header.Set(api.HeaderVersion, stamp.Manifest)
 	relay.CopyHead(w, response)
 	if err := relay.Copy(w, response); err != nil {
 		h.log(r, stamp, "cut", err.Error())
-		panic(http.ErrAbortHandler) // the caller must not take the part for the whole
+		panic(http.ErrAbortHandler) // a normal return would make the truncated response look complete
 	}
 }
 
-// dropOwnHeaders keeps an upstream from speaking in wheelcleat's name.
-func dropOwnHeaders(header http.Header) {
+// dropReservedHeaders prevents an upstream from setting headers that only wheelcleat may set.
+func dropReservedHeaders(header http.Header) {
 	for _, name := range []string{api.HeaderOutcome, api.HeaderVersion, api.HeaderHost, HeaderInFlight, HeaderServes, outcome.HeaderReason} {
 		header.Del(name)
 	}
 }
 
-func (h *Handler) fail(w http.ResponseWriter, r *http.Request, stamp Stamp, err error) {
+func (h *Handler) writeFailure(w http.ResponseWriter, r *http.Request, stamp Stamp, err error) {
 	refusal := Refuse(err, r.Context().Err())
 	h.log(r, stamp, string(refusal.Outcome), refusal.Message)
 	refusal.Write(w)
 }
 
-// unreachableRetry is the time after which a caller may come back when a hop
-// could not be reached.
-const unreachableRetry = time.Second
+// unreachableRetryAfter is the Retry-After value sent when a hop was unreachable.
+const unreachableRetryAfter = time.Second
 
-// Refuse says what a failed hop means for the request: not run where the peer
-// never got it, else unknown.
+// Refuse maps the error of a failed hop to a refusal: not-run if the peer never
+// received the request, else unknown.
 func Refuse(err, contextErr error) *outcome.Refusal {
 	var failure *relay.Failure
-	handedOver := !errors.As(err, &failure) || failure.HandedOver
+	forwarded := !errors.As(err, &failure) || failure.HandedOver
 	expired := contextErr != nil
 	switch {
-	case expired && handedOver:
-		return outcome.Unknown(http.StatusGatewayTimeout, outcome.ReasonDeadline, fmt.Sprintf("the time ran out after the request was handed over: %s", err))
+	case expired && forwarded:
+		return outcome.Unknown(http.StatusGatewayTimeout, outcome.ReasonDeadline, fmt.Sprintf("deadline exceeded after the request was forwarded: %s", err))
 	case expired:
-		return outcome.NotRun(http.StatusServiceUnavailable, outcome.ReasonDeadline, "the time ran out before the request was handed over").Retry(unreachableRetry)
-	case handedOver:
+		return outcome.NotRun(http.StatusServiceUnavailable, outcome.ReasonDeadline, "deadline exceeded before the request was forwarded").Retry(unreachableRetryAfter)
+	case forwarded:
 		return outcome.Unknown(http.StatusBadGateway, outcome.ReasonAnswerLost, err.Error())
 	default:
-		return outcome.NotRun(http.StatusServiceUnavailable, outcome.ReasonUnreachable, err.Error()).Retry(unreachableRetry)
+		return outcome.NotRun(http.StatusServiceUnavailable, outcome.ReasonUnreachable, err.Error()).Retry(unreachableRetryAfter)
 	}
 }
