--- a/daemon/internal/request/route/route.go
+++ b/daemon/internal/request/route/route.go
@@ -1,10 +1,11 @@
-// Package route chooses the upstream for a request.
+// Package route selects the host for a request at an entry.
 //
-// Candidates are the hosts that say they serve the service, are not leaving and
-// not suspect. The own hall goes first; other halls follow only when no host of
-// the own one can take the request. Among the candidates of a hall the one with
-// the least expected load wins: the requests this entry has there, plus what
-// the agent last said that others have, which fades, since it is old.
+// Candidates are the hosts that report the service as ready and are neither leaving
+// nor suspect. Hosts of the entry's own hall are preferred; those of other halls are
+// considered only if no local host is eligible. Among the candidates the one with the
+// lowest expected load is chosen: the requests that this entry has in flight there,
+// plus the requests of other entries that the agent last reported, weighted down as
+// the report ages.
 package route
 
 import (
@@ -22,59 +23,58 @@
 )
 
 const (
-	// reportFade is the time in which an agent's word on its load loses half
-	// of its weight.
-	reportFade = 500 * time.Millisecond
-	// ejectBase is how long a host is left out after its first failure; it
-	// doubles with each further one, up to ejectMax.
+	// reportHalfLife is the time in which the weight of an agent's load report halves.
+	reportHalfLife = 500 * time.Millisecond
+	// ejectBase is how long a host is ejected after its first failure; it doubles
+	// with each consecutive failure, up to ejectMax.
 	ejectBase = 500 * time.Millisecond
 	ejectMax  = 30 * time.Second
-	// ejectShare bounds the share of a service's hosts that may be left out.
-	ejectShare = 0.5
+	// ejectMaxShare bounds the share of a service's hosts that may be ejected.
+	ejectMaxShare = 0.5
 )
 
-// Choice is the upstream that a request goes to.
+// Choice is the host selected for a request.
 type Choice struct {
 	Host    string
 	Hall    string
 	Address netip.AddrPort
-	// Manifest is the version that the host says it serves, "" for plain ones.
+	// Manifest is the version that the host reports as ready, "" for a plain service.
 	Manifest string
-	// Candidates is the number of hosts that could have been chosen.
+	// Candidates is the number of eligible hosts.
 	Candidates int
 	Reason     string
 }
 
-// Router keeps what an entry knows of each upstream from its own requests. The
-// zero value is ready to use.
+// Router selects hosts and tracks the load and failures that this entry observes at
+// each. The zero value is ready to use.
 //
-// Lock order: mu is the only lock; it is not held while a request runs.
+// mu is the only lock; it is not held while a request runs.
 type Router struct {
-	// Hall is the entry's own data hall.
+	// Hall is the data hall of this entry.
 	Hall string
-	// Now is the clock; nil means clock.Now.
+	// Now overrides the clock in tests; nil means clock.Now.
 	Now func() time.Time
 
 	mu        sync.Mutex
 	upstreams map[string]*upstream
 }
 
-// upstream is one host as seen by this entry's requests.
+// upstream is the state of one host as observed by this entry.
 type upstream struct {
 	// inFlight counts this entry's requests at the host.
 	inFlight int
-	// reported is what the agent said of all its requests at reportedAt, less
-	// this entry's own at that time.
+	// reported is the number of requests in flight that the agent reported at
+	// reportedAt, less those of this entry.
 	reported   int
 	reportedAt time.Time
-	// failures counts failures in a row; until ejectedUntil the host is left out.
+	// failures counts consecutive failures. The host is ejected until ejectedUntil.
 	failures     int
 	ejectedUntil time.Time
 }
 
 func (r *Router) now() time.Time { return helpers.Now(r.Now) }
 
-// get returns an upstream's state; the caller holds mu.
+// get returns the state of a host, creating it if needed. The caller must hold mu.
 func (r *Router) get(host string) *upstream {
 	if r.upstreams == nil {
 		r.upstreams = map[string]*upstream{}
@@ -87,29 +87,29 @@
 	return u
 }
 
-// load is the expected number of requests at the host.
+// load returns the expected number of requests in flight at the host.
 func (u *upstream) load(now time.Time) float64 {
 	age := now.Sub(u.reportedAt)
-	if u.reported <= 0 || age > 8*reportFade {
+	if u.reported <= 0 || age > 8*reportHalfLife {
 		return float64(u.inFlight)
 	}
 	weight := 1.0
-	for ; age > reportFade; age -= reportFade {
+	for ; age > reportHalfLife; age -= reportHalfLife {
 		weight /= 2
 	}
 	return float64(u.inFlight) + weight*float64(u.reported)
 }
 
-// Query is what a choice depends on.
+// Query holds the inputs of Choose.
 type Query struct {
 	Service *api.Resource
 	Members *members.View
-	// Tried names the hosts that refused the request already.
+	// Tried names the hosts to exclude because they have refused the request.
 	Tried []string
 }
 
-// Choose returns the upstream for a request, false where there is none. The
-// chosen host counts the request until Done.
+// Choose returns the host for a request, or false if none is eligible. The request
+// counts as in flight at that host until Done.
 func (r *Router) Choose(query Query) (Choice, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -118,15 +118,15 @@
 	if len(candidates) == 0 {
 		return Choice{}, false
 	}
-	best := r.least(candidates, now)
+	best := r.leastLoaded(candidates, now)
 	address, err := netip.ParseAddrPort(best.GetAddress())
 	if err != nil {
 		return Choice{}, false
 	}
 	r.get(best.GetName()).inFlight++
-	reason := "least expected load in the own hall"
+	reason := "lowest expected load in the local hall"
 	if best.GetHall() != r.Hall {
-		reason = "least expected load in another hall; the own one has no host for it"
+		reason = "lowest expected load in a remote hall; no eligible host in the local hall"
 	}
 	return Choice{
 		Host: best.GetName(), Hall: best.GetHall(), Address: address,
@@ -134,35 +134,36 @@
 	}, true
 }
 
-// Again counts one more request at the host of an earlier choice, until Done.
+// Again counts another attempt at the host of an earlier choice as in flight until
+// Done.
 func (r *Router) Again(choice Choice) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.get(choice.Host).inFlight++
 }
 
-// candidates returns the hosts of the own hall that can take the request, or
-// else those of other halls; the caller holds mu.
+// candidates returns the eligible hosts of the own hall or, if there are none, those
+// of other halls. The caller must hold mu.
 func (r *Router) candidates(query Query, now time.Time) []*members.Agent {
-	var own, others []*members.Agent
+	var local, remote []*members.Agent
 	for _, agent := range query.Members.ByService[query.Service.Name] {
 		switch {
 		case agent.GetLeaving() || agent.GetSuspect() || slices.Contains(query.Tried, agent.GetName()):
 		case !placer.Serves(query.Service.Service.Halls, agent.GetHall()):
 		case agent.GetHall() == r.Hall:
-			own = append(own, agent)
+			local = append(local, agent)
 		default:
-			others = append(others, agent)
+			remote = append(remote, agent)
 		}
 	}
-	if own = r.withoutEjected(own, now); len(own) > 0 {
-		return own
+	if local = r.withoutEjected(local, now); len(local) > 0 {
+		return local
 	}
-	return r.withoutEjected(others, now)
+	return r.withoutEjected(remote, now)
 }
 
-// withoutEjected leaves out hosts that failed lately, but never more than
-// ejectShare of them: when most fail, the fault is more likely on this side.
+// withoutEjected filters out ejected hosts, but never more than
+// ejectMaxShare of them: if most fail, the fault is more likely at this entry.
 func (r *Router) withoutEjected(agents []*members.Agent, now time.Time) []*members.Agent {
 	var healthy []*members.Agent
 	for _, agent := range agents {
@@ -170,14 +171,14 @@
 			healthy = append(healthy, agent)
 		}
 	}
-	if float64(len(agents)-len(healthy)) > ejectShare*float64(len(agents)) {
+	if float64(len(agents)-len(healthy)) > ejectMaxShare*float64(len(agents)) {
 		return agents
 	}
 	return healthy
 }
 
-// least returns the candidate with the least load, a random one among equals.
-func (r *Router) least(candidates []*members.Agent, now time.Time) *members.Agent {
+// leastLoaded returns the candidate with the lowest load and breaks ties at random.
+func (r *Router) leastLoaded(candidates []*members.Agent, now time.Time) *members.Agent {
 	start := rand.IntN(len(candidates))
 	best := candidates[start]
 	bestLoad := r.get(best.GetName()).load(now)
@@ -190,22 +191,24 @@
 	return best
 }
 
-// Result is what became of a request at an upstream.
+// Result is the result of an attempt at a host.
 type Result int
 
-// The results.
+// Values of Result.
 const (
-	// ResultAnswered: the upstream answered.
+	// ResultAnswered means that the upstream responded.
 	ResultAnswered Result = iota
-	// ResultRefused: the agent refused before the upstream saw the request.
+	// ResultRefused means that the agent refused before the upstream received the
+	// request.
 	ResultRefused
-	// ResultFailed: no connection, or no answer.
+	// ResultFailed means no connection or no complete response.
 	ResultFailed
-	// ResultCallerGone: the caller left; this says nothing of the upstream.
+	// ResultCallerGone means that the client disconnected, which is no evidence
+	// about the host.
 	ResultCallerGone
 )
 
-// Done ends a request that Choose counted.
+// Done ends an attempt counted by Choose or Again and records its result.
 func (r *Router) Done(host string, result Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -225,7 +228,7 @@
 	}
 }
 
-// Report notes what an agent said of its number of requests.
+// Report records the number of requests in flight that an agent reported.
 func (r *Router) Report(host string, inFlight int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -234,7 +237,7 @@
 	u.reportedAt = r.now()
 }
 
-// Keep drops the state of hosts that are gone.
+// Keep drops the state of hosts that are no longer members and have no requests in flight.
 func (r *Router) Keep(view *members.View) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/daemon/internal/request/route/route_test.go
+++ b/daemon/internal/request/route/route_test.go
@@ -12,117 +12,117 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/members"
 )
 
-// world is a router with a clock and a membership.
-type world struct {
+// fixture is a router with a fake clock and a membership table.
+type fixture struct {
 	router  *Router
 	table   *members.Table
 	now     time.Time
 	service *api.Resource
 }
 
-func newWorld(agents ...*wire.Member) *world {
-	w := &world{table: &members.Table{}, now: time.Unix(1000, 0), service: &api.Resource{Kind: api.KindService, Name: "s", Service: &api.ServiceSpec{}}}
-	w.router = &Router{Hall: "here", Now: func() time.Time { return w.now }}
+func newFixture(agents ...*wire.Member) *fixture {
+	f := &fixture{table: &members.Table{}, now: time.Unix(1000, 0), service: &api.Resource{Kind: api.KindService, Name: "s", Service: &api.ServiceSpec{}}}
+	f.router = &Router{Hall: "here", Now: func() time.Time { return f.now }}
 	for _, agent := range agents {
 		agent.Address, agent.ReadyService, agent.ReadyManifest = "127.0.0.1:1", "s", "v1"
 		if agent.GetHall() == "" {
 			agent.Hall = "here"
 		}
 	}
-	w.table.Merge(agents)
-	return w
+	f.table.Merge(agents)
+	return f
 }
 
-func (w *world) choose(tried ...string) string {
-	choice, _ := w.router.Choose(Query{Service: w.service, Members: w.table.View(), Tried: tried})
+func (f *fixture) choose(tried ...string) string {
+	choice, _ := f.router.Choose(Query{Service: f.service, Members: f.table.View(), Tried: tried})
 	return choice.Host
 }
 
-func TestChoice(t *testing.T) {
+func TestChoosePrefersEligibleHostsOfLocalHall(t *testing.T) {
 	tests := []struct {
 		name   string
 		agents []*wire.Member
 		tried  []string
 		want   string
 	}{
-		{"nobody", nil, nil, ""},
-		{"own hall first", []*wire.Member{{Name: "a"}, {Name: "b", Hall: "there"}}, nil, "a"},
-		{"other hall when the own has none", []*wire.Member{{Name: "a", Leaving: true}, {Name: "b", Hall: "there"}}, nil, "b"},
-		{"other hall when the own refused", []*wire.Member{{Name: "a"}, {Name: "b", Hall: "there"}}, []string{"a"}, "b"},
-		{"not a leaving one", []*wire.Member{{Name: "a", Leaving: true}}, nil, ""},
-		{"not a suspect one", []*wire.Member{{Name: "a", Suspect: true}, {Name: "b"}}, nil, "b"},
-		{"all tried", []*wire.Member{{Name: "a"}}, []string{"a"}, ""},
+		{"no hosts", nil, nil, ""},
+		{"local hall first", []*wire.Member{{Name: "a"}, {Name: "b", Hall: "there"}}, nil, "a"},
+		{"remote hall if no local host is eligible", []*wire.Member{{Name: "a", Leaving: true}, {Name: "b", Hall: "there"}}, nil, "b"},
+		{"remote hall if the local host was tried", []*wire.Member{{Name: "a"}, {Name: "b", Hall: "there"}}, []string{"a"}, "b"},
+		{"leaving host", []*wire.Member{{Name: "a", Leaving: true}}, nil, ""},
+		{"suspect host", []*wire.Member{{Name: "a", Suspect: true}, {Name: "b"}}, nil, "b"},
+		{"all hosts tried", []*wire.Member{{Name: "a"}}, []string{"a"}, ""},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			assert.Equal(t, test.want, newWorld(test.agents...).choose(test.tried...))
+			assert.Equal(t, test.want, newFixture(test.agents...).choose(test.tried...))
 		})
 	}
 }
 
-func TestHallsOfTheService(t *testing.T) {
-	w := newWorld(&wire.Member{Name: "a"}, &wire.Member{Name: "b", Hall: "there"})
-	w.service.Service.Halls = []string{"there"}
-	assert.Equal(t, "b", w.choose())
+func TestChooseRespectsHallsOfService(t *testing.T) {
+	f := newFixture(&wire.Member{Name: "a"}, &wire.Member{Name: "b", Hall: "there"})
+	f.service.Service.Halls = []string{"there"}
+	assert.Equal(t, "b", f.choose())
 }
 
-func TestLeastLoad(t *testing.T) {
-	w := newWorld(&wire.Member{Name: "a"}, &wire.Member{Name: "b"})
+func TestChooseFollowsExpectedLoad(t *testing.T) {
+	f := newFixture(&wire.Member{Name: "a"}, &wire.Member{Name: "b"})
 	counts := map[string]int{}
 	for range 10 {
-		counts[w.choose()]++
+		counts[f.choose()]++
 	}
 	assert.Equal(t, map[string]int{"a": 5, "b": 5}, counts, "requests in flight spread evenly")
 	for range 5 {
-		w.router.Done("b", ResultAnswered)
+		f.router.Done("b", ResultAnswered)
 	}
-	w.router.Report("b", 50) // other entries load it
-	assert.Equal(t, "a", w.choose())
-	w.now = w.now.Add(time.Minute)
-	assert.Equal(t, "b", w.choose(), "an old report fades")
+	f.router.Report("b", 50) // requests of other entries
+	assert.Equal(t, "a", f.choose())
+	f.now = f.now.Add(time.Minute)
+	assert.Equal(t, "b", f.choose(), "an old report loses its weight")
 }
 
-func TestEjection(t *testing.T) {
-	w := newWorld(&wire.Member{Name: "a"}, &wire.Member{Name: "b"}, &wire.Member{Name: "c"})
+func TestFailingHostIsEjected(t *testing.T) {
+	f := newFixture(&wire.Member{Name: "a"}, &wire.Member{Name: "b"}, &wire.Member{Name: "c"})
 	fail := func(host string) {
-		w.router.mu.Lock()
-		w.router.get(host).inFlight++
-		w.router.mu.Unlock()
-		w.router.Done(host, ResultFailed)
+		f.router.mu.Lock()
+		f.router.get(host).inFlight++
+		f.router.mu.Unlock()
+		f.router.Done(host, ResultFailed)
 	}
 	chosen := func() map[string]bool {
 		seen := map[string]bool{}
 		for range 60 {
-			host := w.choose()
+			host := f.choose()
 			seen[host] = true
-			w.router.Done(host, ResultCallerGone)
+			f.router.Done(host, ResultCallerGone)
 		}
 		return seen
 	}
 	fail("a")
 	assert.Equal(t, map[string]bool{"b": true, "c": true}, chosen())
-	w.now = w.now.Add(ejectBase)
-	assert.Len(t, chosen(), 3, "it comes back")
+	f.now = f.now.Add(ejectBase)
+	assert.Len(t, chosen(), 3, "the host is eligible again after ejectBase")
 	for range 20 {
 		fail("a")
 	}
-	w.now = w.now.Add(ejectMax - time.Millisecond)
-	assert.Len(t, chosen(), 2, "repeated failures keep it out longer")
+	f.now = f.now.Add(ejectMax - time.Millisecond)
+	assert.Len(t, chosen(), 2, "consecutive failures extend the ejection")
 	fail("b")
-	assert.Len(t, chosen(), 3, "with most of them failing, none is left out")
-	w.now = w.now.Add(ejectMax)
+	assert.Len(t, chosen(), 3, "no host is ejected if most hosts fail")
+	f.now = f.now.Add(ejectMax)
 	fail("a")
-	w.router.Done(func() string { w.now = w.now.Add(ejectMax); return w.choose() }(), ResultAnswered)
+	f.router.Done(func() string { f.now = f.now.Add(ejectMax); return f.choose() }(), ResultAnswered)
 	assert.Len(t, chosen(), 3)
 }
 
-func TestKeepDropsTheGone(t *testing.T) {
-	w := newWorld(&wire.Member{Name: "a"})
-	require.Equal(t, "a", w.choose())
+func TestKeepDropsFormerMembers(t *testing.T) {
+	f := newFixture(&wire.Member{Name: "a"})
+	require.Equal(t, "a", f.choose())
 	empty := &members.Table{}
-	w.router.Keep(empty.View())
-	assert.Len(t, w.router.upstreams, 1, "still has a request")
-	w.router.Done("a", ResultAnswered)
-	w.router.Keep(empty.View())
-	assert.Empty(t, w.router.upstreams)
+	f.router.Keep(empty.View())
+	assert.Len(t, f.router.upstreams, 1, "a request is still in flight")
+	f.router.Done("a", ResultAnswered)
+	f.router.Keep(empty.View())
+	assert.Empty(t, f.router.upstreams)
 }
