--- a/daemon/internal/request/exchange/events.go
+++ b/daemon/internal/request/exchange/events.go
@@ -8,41 +8,41 @@
 	"strconv"
 )
 
-// maxEvent bounds one event of a stream, in bytes.
-const maxEvent = 1 << 20
+// maxEventBytes bounds the size of one event.
+const maxEventBytes = 1 << 20
 
-// ErrPartialEvent says that a stream ended within an event.
-var ErrPartialEvent = errors.New("the stream ended within an event")
+// ErrPartialEvent means that a stream ended within an event.
+var ErrPartialEvent = errors.New("event stream truncated within an event")
 
-// Event is one whole event of a stream, its closing blank line included.
+// Event is one complete server-sent event, including the blank line that ends it.
 type Event struct {
 	Bytes []byte
-	// ID is the event's number; HasID tells whether it has one.
+	// ID is the numeric event id, valid if HasID is set.
 	ID    int64
 	HasID bool
 }
 
-// Events splits a stream into whole events. It holds no more than one event
-// and what arrived with it.
+// Events splits a stream of server-sent events. It buffers at most one event
+// and the bytes that arrived with it.
 type Events struct {
 	body io.Reader
-	// framed says that the answer's own framing tells where it ends, so that
-	// bytes behind the last event are part of it.
+	// framed means that HTTP framing marks the end of the body, so that bytes after
+	// the last event are known to be complete.
 	framed bool
 	buffer []byte
-	start  int // of what was not handed out yet
+	start  int // offset of the first unread byte in buffer
 	err    error
 }
 
-// NewEvents reads from the body of an answer. Framed answers have a length or
-// come in chunks; the others end with their connection.
+// NewEvents reads events from a response body. A framed response has a
+// Content-Length or is chunked; any other ends when its connection closes.
 func NewEvents(body io.Reader, framed bool) *Events {
 	const firstBuffer = 4 << 10
 	return &Events{body: body, framed: framed, buffer: make([]byte, 0, firstBuffer)}
 }
 
-// Next returns the next whole event; its bytes hold until the next call. The
-// error is io.EOF only where the stream ended well, after a whole event.
+// Next returns the next complete event; its bytes are valid until the next call.
+// The error is io.EOF only if the stream ended at an event boundary.
 func (e *Events) Next() (Event, error) {
 	for {
 		if end := endOfEvent(e.buffer[e.start:]); end > 0 {
@@ -59,14 +59,14 @@
 			e.start = len(e.buffer)
 			return rest, nil
 		}
-		return Event{}, e.ending()
+		return Event{}, e.endError()
 	}
 }
 
-// Buffered reports whether a whole event waits.
+// Buffered reports whether a complete event is buffered.
 func (e *Events) Buffered() bool { return endOfEvent(e.buffer[e.start:]) > 0 }
 
-func (e *Events) ending() error {
+func (e *Events) endError() error {
 	if !errors.Is(e.err, io.EOF) {
 		return e.err
 	}
@@ -82,8 +82,8 @@
 		e.buffer = append(e.buffer[:0], e.buffer[e.start:]...)
 		e.start = 0
 	}
-	if len(e.buffer) > maxEvent {
-		e.err = fmt.Errorf("an event of over %d bytes", maxEvent)
+	if len(e.buffer) > maxEventBytes {
+		e.err = fmt.Errorf("event exceeds %d bytes", maxEventBytes)
 		return
 	}
 	if cap(e.buffer)-len(e.buffer) < chunk {
@@ -94,7 +94,8 @@
 	e.err = err
 }
 
-// endOfEvent returns the length of the first event, blank line included, or 0.
+// endOfEvent returns the length of the first event including its blank line, or 0 if
+// there is no complete event.
 func endOfEvent(data []byte) int {
 	end := 0
 	if at := bytes.Index(data, []byte("\n\n")); at >= 0 {
--- a/daemon/internal/request/exchange/exchange.go
+++ b/daemon/internal/request/exchange/exchange.go
@@ -1,11 +1,11 @@
-// Package exchange sends one request to one upstream and says what became of
-// it.
+// Package exchange sends one request to one upstream and classifies the result. The
+// dispatcher calls it for every attempt and decides on retries by the classification.
 //
-// Everything that may be sent again hangs on one question: can the request have
-// run? Only two things say that it has not: no connection was made, or the
-// upstream itself promised so. All else, a reset, a close, an answer to another
-// request, leaves it unknown. The answer is kept in the type Fate, so that no
-// caller has to read errors.
+// Whether a request may be sent again depends on whether it may have been executed.
+// There are two proofs that it was not: no connection was established, or the response
+// carries the upstream's not-run header. In all other cases (a reset, a closed
+// connection, a response to another request) it may have been executed. The type Fate
+// holds the classification, so that callers need not inspect errors.
 package exchange
 
 import (
@@ -24,85 +24,85 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// Fate is what is known of a request after it was sent.
+// Fate classifies the result of an attempt.
 type Fate int
 
-// The fates. The zero value is the one that permits least.
+// Values of Fate. The zero value permits the fewest retries.
 const (
-	// Unknown means that it may have run, or may run yet.
+	// Unknown means that the request may have been executed or may still be.
 	Unknown Fate = iota
-	// Answered means that the upstream gave the head of an answer of its own.
+	// Answered means that a valid response header was received from the upstream.
 	Answered
-	// Unsent means that no connection was made: it has not run.
+	// Unsent means that no connection was established, so the request was not executed.
 	Unsent
-	// Refused means that the upstream promised that it has not run.
+	// Refused means that the upstream declares that the request was not executed.
 	Refused
-	// Misdirected means the same, because another upstream, or another version,
-	// is at the address.
+	// Misdirected means that the request was not executed because another upstream or
+	// another version serves at the address.
 	Misdirected
 )
 
-// String returns the fate's name in logs.
+// String returns the name used in logs.
 func (f Fate) String() string {
 	return [...]string{"unknown", "answered", "unsent", "refused", "misdirected"}[f]
 }
 
-// NotRun reports whether the request has not run and never will.
+// NotRun reports whether the request was not and will not be executed.
 func (f Fate) NotRun() bool { return f >= Unsent }
 
-// Result is what one send came to. Response is set, with a body to close, only
-// where Fate is Answered.
+// Result is the result of one attempt. Response is set only if Fate is Answered; the
+// caller must close its body.
 type Result struct {
 	Fate     Fate
 	Response *http.Response
 	Err      error
-	// Said is what the answer says of the upstream's limit, where there was an answer of
-	// the upstream's.
+	// Said is the rate limit that the response names, if it comes from the expected
+	// upstream.
 	Said ratelimit.Said
 }
 
-// Errors of answers that are not the upstream's answer to this request.
+// Errors for responses that cannot be attributed to the request and the upstream.
 var (
-	errOtherRequest = errors.New("the answer belongs to another request")
-	errUnsigned     = errors.New("the answer is a success without a signature")
-	errEncoded      = errors.New("the answer is encoded, which was not asked for")
-	errBareRefusal  = errors.New("the upstream refused without the promise that the request has not run")
+	errRequestIDMismatch = errors.New("request id of the response does not match")
+	errUnsigned          = errors.New("successful response lacks the upstream's signature")
+	errEncoded           = errors.New("response has an unrequested Content-Encoding")
+	errUndeclaredRefusal = errors.New("upstream refused the request without declaring it not run")
 )
 
-// Send describes one send.
+// Send describes one attempt.
 type Send struct {
-	// Incoming is the caller's request, whose method, target and headers go on.
+	// Incoming is the client's request; its method, target and headers are forwarded.
 	Incoming *http.Request
 	Body     []byte
 	Upstream *provider.Upstream
-	// Account replaces the account header; empty removes it.
+	// Account is the value of the account header; empty removes the header.
 	Account string
-	// Left is the time that the upstream may take.
+	// Left is the time until the deadline, which the upstream receives in a header.
 	Left time.Duration
-	// Priority is the place in the upstream's queue, 0 to 9; below 0 means none.
+	// Priority is the priority in the upstream's queue, 0 to 9; a negative value omits it.
 	Priority int
-	// Version is the version that the upstream must hold; 0 means any.
+	// Version is the version that the upstream must have loaded; 0 means any.
 	Version int
-	// LastEvent is the event after which a stream goes on; empty keeps the
-	// caller's own.
+	// LastEvent is the id of the event after which a stream resumes; empty keeps the
+	// client's header.
 	LastEvent string
-	// Fresh asks for a connection of its own, for requests that cannot be sent
-	// again if a kept connection turns out to be dead.
+	// Fresh requests a new connection. A request that must not be repeated would be
+	// lost if a pooled keep-alive connection turned out to be closed.
 	Fresh bool
 }
 
-// Client sends requests. Kept and Fresh must be set.
+// Client sends requests to upstreams. Kept and Fresh must be set.
 type Client struct {
 	Headers provider.Headers
-	// Kept reuses connections, Fresh makes one for each request.
+	// Kept pools connections; Fresh opens one for each request.
 	Kept, Fresh http.RoundTripper
 }
 
-// Do sends a request and waits for the head of the answer.
+// Do sends a request and waits for the response header.
 func (c *Client) Do(ctx context.Context, send Send) Result {
 	connected := false
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
-	request := c.request(httptrace.WithClientTrace(ctx, trace), send)
+	request := c.newRequest(httptrace.WithClientTrace(ctx, trace), send)
 	transport := c.Kept
 	if send.Fresh {
 		transport = c.Fresh
@@ -115,29 +115,29 @@
 		}
 		return Result{Fate: fate, Err: fmt.Errorf("send to %s at %s: %w", send.Upstream.ID, send.Upstream.Address, err)}
 	}
-	result := c.judge(send.Incoming, response)
-	result.Said = c.said(result, response.Header)
+	result := c.classify(send.Incoming, response)
+	result.Said = c.advertisedLimit(result, response.Header)
 	if result.Fate != Answered {
 		_ = response.Body.Close()
-		result.Err = fmt.Errorf("answer of %s at %s: %w", send.Upstream.ID, send.Upstream.Address, result.Err)
+		result.Err = fmt.Errorf("response from %s at %s: %w", send.Upstream.ID, send.Upstream.Address, result.Err)
 	}
 	return result
 }
 
-// judge decides from the head what an answer says.
-func (c *Client) judge(incoming *http.Request, response *http.Response) Result {
+// classify classifies a response by its status and headers.
+func (c *Client) classify(incoming *http.Request, response *http.Response) Result {
 	h := &c.Headers
 	if response.Header.Get(h.RequestID) != incoming.Header.Get(h.RequestID) {
-		return Result{Fate: Unknown, Err: errOtherRequest}
+		return Result{Fate: Unknown, Err: errRequestIDMismatch}
 	}
-	promised := response.Header.Get(h.NotRun) != ""
+	declaredNotRun := response.Header.Get(h.NotRun) != ""
 	switch status := response.StatusCode; {
 	case status == http.StatusMisdirectedRequest:
 		return Result{Fate: Misdirected, Err: fmt.Errorf("status %d", status)}
-	case promised:
+	case declaredNotRun:
 		return Result{Fate: Refused, Err: fmt.Errorf("status %d", status)}
 	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests || status == http.StatusRequestTimeout:
-		return Result{Fate: Unknown, Err: errBareRefusal}
+		return Result{Fate: Unknown, Err: errUndeclaredRefusal}
 	case status/100 == 2 && response.Header.Get(h.Signature) == "":
 		return Result{Fate: Unknown, Err: errUnsigned}
 	case status/100 == 2 && response.Header.Get("Content-Encoding") != "":
@@ -149,22 +149,22 @@
 	}
 }
 
-// said reads what an answer says of its upstream's limit. One that another upstream gave,
-// or that belongs to another request and may be old, says nothing. One that is broken may
-// name a limit, but not end one.
-func (c *Client) said(result Result, header http.Header) ratelimit.Said {
-	if result.Fate == Misdirected || errors.Is(result.Err, errOtherRequest) {
+// advertisedLimit parses the rate limit that a response names. It ignores responses of
+// other upstreams, and those to other requests, which may be old. The absence of a limit
+// counts only if the result is known, since an invalid response may lack the header.
+func (c *Client) advertisedLimit(result Result, header http.Header) ratelimit.Said {
+	if result.Fate == Misdirected || errors.Is(result.Err, errRequestIDMismatch) {
 		return ratelimit.Said{}
 	}
-	said := ratelimit.Parse(header.Values(c.Headers.Limit))
-	if result.Fate == Unknown && said.Kind == ratelimit.Unlimited {
+	limit := ratelimit.Parse(header.Values(c.Headers.Limit))
+	if result.Fate == Unknown && limit.Kind == ratelimit.Unlimited {
 		return ratelimit.Said{}
 	}
-	return said
+	return limit
 }
 
-// request builds what the upstream gets.
-func (c *Client) request(ctx context.Context, send Send) *http.Request {
+// newRequest builds the outgoing request.
+func (c *Client) newRequest(ctx context.Context, send Send) *http.Request {
 	in := send.Incoming
 	out := (&http.Request{
 		Method: in.Method, Host: in.Host,
@@ -207,13 +207,12 @@
 		header.Set(h.LastEvent, send.LastEvent)
 	}
 	if _, ok := header["User-Agent"]; !ok {
-		header["User-Agent"] = nil // net/http would add its own
+		header["User-Agent"] = nil // keeps net/http from adding its own
 	}
 }
 
-// target keeps the caller's request target byte for byte. A target that begins
-// with two slashes would be taken for a host, so that one goes through the
-// parsed form.
+// target preserves the client's request target byte for byte. A target that starts
+// with two slashes would be parsed as a host, so it is rebuilt from the parsed URL.
 func target(in *http.Request, to *provider.Upstream) *url.URL {
 	out := &url.URL{Scheme: "http", Host: to.Address.String()}
 	if strings.HasPrefix(in.RequestURI, "/") && !strings.HasPrefix(in.RequestURI, "//") {
@@ -225,13 +224,14 @@
 	return out
 }
 
-// connectionHeaders concern one connection only and are not passed on.
-var connectionHeaders = []string{
+// hopByHopHeaders apply to a single connection and are not forwarded.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length",
 }
 
-// CutConnectionHeaders removes the headers that concern one connection only.
+// CutConnectionHeaders removes hop-by-hop headers, including those that the Connection
+// header names.
 func CutConnectionHeaders(header http.Header) {
 	for _, line := range header["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
@@ -240,7 +240,7 @@
 			}
 		}
 	}
-	for _, name := range connectionHeaders {
+	for _, name := range hopByHopHeaders {
 		header.Del(name)
 	}
 }
--- a/daemon/internal/request/exchange/exchange_test.go
+++ b/daemon/internal/request/exchange/exchange_test.go
@@ -20,10 +20,10 @@
 	Account: "Account", ExpectedUpstream: "Expect-Upstream", ExpectedVersion: "Expect-Version", Priority: "Priority",
 }
 
-// TestWhatAnswersSayOfALimit: any answer of the upstream's own may name one, also a refusal or a
-// broken one; only a sound one ends it; and one of another upstream, or to another request, which
-// may be old, says nothing.
-func TestWhatAnswersSayOfALimit(t *testing.T) {
+// TestLimitIsTakenFromResponsesOfTheUpstream guards against a limit set or lifted by a response
+// of another upstream or to another request, and against one lifted by an invalid response. A
+// refusal or an invalid response may still set a limit.
+func TestLimitIsTakenFromResponsesOfTheUpstream(t *testing.T) {
 	const none, two = "", "2"
 	for name, c := range map[string]struct {
 		limit  string
@@ -32,18 +32,18 @@
 		fate   exchange.Fate
 		want   ratelimit.Kind
 	}{
-		"good, names one":           {two, 200, map[string]string{"Signature": "s"}, exchange.Answered, ratelimit.Limited},
-		"good, names none":          {none, 200, map[string]string{"Signature": "s"}, exchange.Answered, ratelimit.Unlimited},
-		"failure, names one":        {two, 500, nil, exchange.Answered, ratelimit.Limited},
-		"refusal, names one":        {two, 503, map[string]string{"Not-Run": "1"}, exchange.Refused, ratelimit.Limited},
-		"refusal, names none":       {none, 503, map[string]string{"Not-Run": "1"}, exchange.Refused, ratelimit.Unlimited},
-		"bare refusal, names one":   {two, 503, nil, exchange.Unknown, ratelimit.Limited},
-		"bare refusal, names none":  {none, 503, nil, exchange.Unknown, ratelimit.Silent},
-		"unsigned, names none":      {none, 200, nil, exchange.Unknown, ratelimit.Silent},
-		"of another upstream":       {two, 421, nil, exchange.Misdirected, ratelimit.Silent},
-		"to another request":        {two, 200, map[string]string{"Signature": "s", "Id": "other"}, exchange.Unknown, ratelimit.Silent},
-		"to another, names none":    {none, 200, map[string]string{"Signature": "s", "Id": "other"}, exchange.Unknown, ratelimit.Silent},
-		"names what cannot be read": {"x", 200, map[string]string{"Signature": "s"}, exchange.Answered, ratelimit.Silent},
+		"success with limit":               {two, 200, map[string]string{"Signature": "s"}, exchange.Answered, ratelimit.Limited},
+		"success without limit":            {none, 200, map[string]string{"Signature": "s"}, exchange.Answered, ratelimit.Unlimited},
+		"server error with limit":          {two, 500, nil, exchange.Answered, ratelimit.Limited},
+		"declared refusal with limit":      {two, 503, map[string]string{"Not-Run": "1"}, exchange.Refused, ratelimit.Limited},
+		"declared refusal without limit":   {none, 503, map[string]string{"Not-Run": "1"}, exchange.Refused, ratelimit.Unlimited},
+		"undeclared refusal with limit":    {two, 503, nil, exchange.Unknown, ratelimit.Limited},
+		"undeclared refusal without limit": {none, 503, nil, exchange.Unknown, ratelimit.Silent},
+		"unsigned without limit":           {none, 200, nil, exchange.Unknown, ratelimit.Silent},
+		"other upstream with limit":        {two, 421, nil, exchange.Misdirected, ratelimit.Silent},
+		"other request with limit":         {two, 200, map[string]string{"Signature": "s", "Id": "other"}, exchange.Unknown, ratelimit.Silent},
+		"other request without limit":      {none, 200, map[string]string{"Signature": "s", "Id": "other"}, exchange.Unknown, ratelimit.Silent},
+		"success with invalid limit":       {"x", 200, map[string]string{"Signature": "s"}, exchange.Answered, ratelimit.Silent},
 	} {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Id", r.Header.Get("Id"))
