--- /dev/null
+++ b/daemon/internal/request/ratelimit/header.go
@@ -0,0 +1,82 @@
+package ratelimit
+
+import (
+	"math"
+	"strconv"
+	"strings"
+)
+
+// This file parses the header in which a response names its upstream's limit.
+
+// Kind classifies what a response says of the limit.
+type Kind int
+
+// Values of Kind.
+const (
+	// Silent means that nothing is learned: the response is not the upstream's, or its header
+	// is invalid.
+	Silent Kind = iota
+	// Unlimited means that the response names no limit.
+	Unlimited
+	// Limited means that the response names a limit.
+	Limited
+)
+
+// Said is the limit that one response names.
+type Said struct {
+	Kind Kind
+	// PerSecond is the limit in requests per second, 0 or more.
+	PerSecond float64
+	// Unread is the last header value that could not be parsed, truncated; "" if there is none.
+	Unread string
+}
+
+// maxUnreadBytes bounds Unread.
+const maxUnreadBytes = 40
+
+// String returns the limit for logs, "" if the response names none.
+func (s Said) String() string {
+	switch {
+	case s.Unread != "":
+		return "unread " + strconv.Quote(s.Unread)
+	case s.Kind == Limited:
+		return strconv.FormatFloat(s.PerSecond, 'g', -1, 64)
+	default:
+		return ""
+	}
+}
+
+// Parse parses the values of the limit header. Of several limits the lowest counts, since it
+// protects the upstream. A value that is not a decimal number of 0 or more is skipped and
+// neither sets nor lifts a limit.
+func Parse(values []string) Said {
+	if len(values) == 0 {
+		return Said{Kind: Unlimited}
+	}
+	parsed := Said{PerSecond: math.Inf(1)}
+	for _, value := range values {
+		for text := range strings.SplitSeq(value, ",") {
+			parsed.add(strings.TrimSpace(text))
+		}
+	}
+	if parsed.Kind == Silent {
+		parsed.PerSecond = 0
+	}
+	return parsed
+}
+
+func (s *Said) add(text string) {
+	perSecond, err := strconv.ParseFloat(text, 64)
+	if err != nil || !decimal(text) || perSecond < 0 {
+		s.Unread = text[:min(len(text), maxUnreadBytes)]
+		if text == "" {
+			s.Unread = "nothing"
+		}
+		return
+	}
+	s.Kind, s.PerSecond = Limited, min(s.PerSecond, perSecond)
+}
+
+// decimal reports whether a number is in decimal notation. strconv.ParseFloat also accepts
+// "inf", "nan" and hexadecimal numbers.
+func decimal(text string) bool { return strings.Trim(text, "0123456789.+-eE") == "" }
--- a/daemon/internal/request/ratelimit/said_test.go
+++ b/daemon/internal/request/ratelimit/header_test.go
@@ -9,9 +9,9 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/ratelimit"
 )
 
-// TestParse: only decimal numbers of 0 or more are limits, the lowest of several counts, and
-// what cannot be read neither names a limit nor ends one.
-func TestParse(t *testing.T) {
+// TestParseLimitHeader checks that the lowest limit wins and that an invalid value neither sets
+// nor lifts a limit.
+func TestParseLimitHeader(t *testing.T) {
 	for _, c := range []struct {
 		values []string
 		kind   ratelimit.Kind
@@ -33,11 +33,11 @@
 		{[]string{"0x10"}, ratelimit.Silent, 0, `unread "0x10"`},
 		{[]string{"2/s"}, ratelimit.Silent, 0, `unread "2/s"`},
 	} {
-		said := ratelimit.Parse(c.values)
-		assert.Equal(t, c.kind, said.Kind, "%q", c.values)
-		assert.InDelta(t, c.want, said.PerSecond, 0, "%q", c.values)
-		assert.Equal(t, c.text, said.String(), "%q", c.values)
+		parsed := ratelimit.Parse(c.values)
+		assert.Equal(t, c.kind, parsed.Kind, "%q", c.values)
+		assert.InDelta(t, c.want, parsed.PerSecond, 0, "%q", c.values)
+		assert.Equal(t, c.text, parsed.String(), "%q", c.values)
 	}
 	long := ratelimit.Parse([]string{strings.Repeat("x", 1000)})
-	assert.Less(t, len(long.String()), 60, "a long value does not fill the log")
+	assert.Less(t, len(long.String()), 60, "a long value is truncated for the log")
 }
--- a/daemon/internal/request/ratelimit/ratelimit.go
+++ b/daemon/internal/request/ratelimit/ratelimit.go
@@ -1,18 +1,18 @@
-// Package ratelimit decides which requests may go to an upstream that names, in its answers,
-// the requests a second that it takes from all routers together.
+// Package ratelimit enforces the request rates that upstreams name in their responses. A rate
+// is the limit for all routers together. Routers and loaders each keep a Table.
 //
-// One process counts for all routers: the loader beside the upstream, which gives each place
-// there anyhow (package places). Where no loader answers, or there is none, each router takes
-// turns: an equal share of a part of the limit, at times that differ by chance. A turn that is
-// not used in time is over, because hundreds of idle routers would save up a burst.
+// One process counts the requests of all routers: the loader beside the upstream, which grants
+// the places there anyway (package places). If the loader is unresponsive or there is none, each
+// router uses periodic time slots: an equal share of a part of the limit, with a random phase.
+// An unused slot expires, since hundreds of idle routers would otherwise save up a burst.
 //
-// Invariants: the newest answer decides, from whichever process it was heard, and the end of a
-// limit is as old as the request whose answer named none. Loader and turns together stay within
-// what an upstream allows beyond its limit. The package has no clock and no network.
+// Invariants: the newest response decides, whichever process received it. The absence of a limit
+// is as old as the request whose response named none. Loader and time slots together stay within
+// the burst that an upstream tolerates above its limit. The package has no clock and no network.
 //
-// Rejected: one router that counts for upstreams without a loader, of which there are two while
-// views of the fleet differ; a limit kept in the store, whose calls are bounded, and which may be
-// away.
+// Rejected: a router that counts for an upstream without a loader, because routers with
+// different views of the fleet would elect two; a limit in the store, whose call rate is bounded
+// and which may be unreachable.
 package ratelimit
 
 import (
@@ -23,41 +23,43 @@
 )
 
 const (
-	// leastPerSecond is the limit by which those below it are kept.
-	leastPerSecond = 0.2
+	// minPerSecond replaces lower limits, 0 included, so that some requests find out whether
+	// the limit still holds.
+	minPerSecond = 0.2
 	// maxBurst bounds the credit that an idle limiter accumulates.
 	maxBurst = 100 * time.Millisecond
-	// turnLasts is how long a turn may be used.
-	turnLasts = time.Second
-	// longestPeriod bounds the time between two turns.
-	longestPeriod = time.Hour
-	// mostWait bounds the time after which an upstream is tried again, which may have ended
-	// its limit meanwhile.
-	mostWait = 2 * time.Second
-	// endGrace delays the end of a limit, since responses may arrive out of order.
-	endGrace = time.Second
+	// slotDuration is how long a time slot may be used.
+	slotDuration = time.Second
+	// maxPeriod bounds the time between two slots.
+	maxPeriod = time.Hour
+	// maxWait bounds the delay that Allow returns, since the upstream may have lifted its
+	// limit by then.
+	maxWait = 2 * time.Second
+	// liftGrace backdates the absence of a limit, since responses may arrive out of order.
+	liftGrace = time.Second
 	// clockSkew is the difference below which two reports count as equally old.
 	clockSkew = 300 * time.Millisecond
-	// tellEvery and tellStep bound what is told of a limit that changes with each answer: a
-	// change of a quarter, twice a second.
-	tellEvery = 500 * time.Millisecond
-	tellStep  = 0.25
-	// endTold is how long others are told that a limit has ended.
-	endTold = 30 * time.Second
-	// mostKnown bounds the table.
-	mostKnown = 4096
+	// notifyInterval and notifyMinChange, a share of the limit, bound the notifications of a
+	// limit that changes with each response.
+	notifyInterval  = 500 * time.Millisecond
+	notifyMinChange = 0.25
+	// liftedReportTTL is how long a lifted limit is reported.
+	liftedReportTTL = 30 * time.Second
+	// maxUpstreams bounds the table.
+	maxUpstreams = 4096
 )
 
-// Upstream names one start of an upstream: what an earlier one by the same id named is over,
-// and so is what one at another address did.
+// Upstream identifies one run of an upstream. A limit does not carry over to another start
+// time or another address under the same id.
 type Upstream struct {
 	ID      string         `json:"id"`
 	Address netip.AddrPort `json:"address,omitzero"`
-	// Started is zero where it is not told.
+	// Started is zero if unknown.
 	Started time.Time `json:"started,omitzero"`
 }
 
-// key is an upstream as maps know it: the same time may be written in two ways.
+// key is the map key of an upstream. It holds the start time as a number, because time.Time
+// values of the same instant may differ in their location.
 type key struct {
 	id      string
 	address netip.AddrPort
@@ -72,147 +74,150 @@
 	return k
 }
 
-// Note is what is known of an upstream's limit, as one process tells it to another.
+// Note reports an upstream's limit from one process to another.
 type Note struct {
-	// PerSecond is the limit, in requests a second.
+	// PerSecond is the limit in requests per second.
 	PerSecond float64 `json:"perSecond"`
-	// Ended says that there is none any more.
+	// Ended means that the upstream has lifted its limit.
 	Ended bool `json:"ended,omitempty"`
-	// Age is how old that is, in nanoseconds.
+	// Age is the time since the limit was observed, in nanoseconds.
 	Age time.Duration `json:"age"`
 }
 
-// same reports whether two notes say the same, whatever their age.
+// same reports whether two reports agree apart from their age.
 func (n Note) same(other Note) bool { return n.Ended == other.Ended && n.PerSecond == other.PerSecond }
 
-// Change is what a note changed.
+// Change is the effect of an observation or a report on the table.
 type Change struct {
-	// Changed says that another limit holds now, or that none does.
+	// Changed means that the limit was set, changed or lifted.
 	Changed bool
-	// Tell says that others are to hear of it.
+	// Tell means that After must be sent to other processes.
 	Tell bool
-	// Before and After are what was known before, which may be nothing, and by now. Others are
-	// told After, with its age: an end is as old as the request that showed it.
+	// Before is the limit before the change, with Ended set if there was none. After is the
+	// present one; the age of a lifted limit is that of the request whose response lacked it.
 	Before, After Note
 }
 
 // Share is the part of a limit that one process may use.
 type Share struct {
-	// Of is how many processes share it; 1 is who counts alone.
+	// Of is the number of processes that share the limit; 1 means a single counter.
 	Of int
-	// Part is the part of the limit that all of them use, from 0 to 1.
+	// Part is the fraction of the limit that all of them together use, from 0 to 1.
 	Part float64
 }
 
-// The shares.
+// Shares by the process that counts.
 var (
-	// Whole is that of a loader, which counts for all routers.
+	// Whole is the share of a loader, which counts for all routers.
 	Whole = Share{Of: 1, Part: 1}
-	// PastLoader is that of routers whose loader does not answer, Without that of those whose
-	// upstream has none.
+	// PastLoader is the share of routers whose loader is unresponsive. It is small, because
+	// the loader may still grant requests to other routers.
 	PastLoader = Share{Part: 0.25}
-	Without    = Share{Part: 0.7}
+	// Without is the share of routers whose upstream has no loader.
+	Without = Share{Part: 0.7}
 )
 
-// Among returns the share of one of some routers.
+// Among returns the share of a single router out of the given number.
 func (s Share) Among(routers int) Share {
 	s.Of = max(routers, 1)
 	return s
 }
 
-// Table is the limits that a process knows. The zero value is empty and ready to use. It is
-// not safe for use by several goroutines.
+// Table holds the limits of upstreams. The zero value is empty and ready to use. It is not
+// safe for concurrent use.
 type Table struct {
-	// Draw returns a number from 0 to 1 by chance; nil means rand.Float64.
+	// Draw returns a random number in [0, 1); nil means rand.Float64.
 	Draw func() float64
 
 	limits map[key]*limit
 }
 
-// limit is what is known of one upstream's.
+// limit is the state of one upstream's limit.
 type limit struct {
 	upstream Upstream
-	note     Note // its Age is not used, but at
+	note     Note // Age is unset; at holds the time of observation
 	at       time.Time
-	// due is when the next request may go there; zero before the first.
+	// due is the earliest time of the next request; zero before the first.
 	due time.Time
-	// denied counts those that came too early since the last that did not.
+	// denied counts the requests denied since the last allowed one.
 	denied int
-	// told is what others were told last, and toldAt when.
-	told   Note
-	toldAt time.Time
+	// notified is the report last sent to other processes, at notifiedAt.
+	notified   Note
+	notifiedAt time.Time
 }
 
-// Heard takes what an answer says whose request was sent at some time.
+// Heard records what the response to a request sent at the given time says of the limit.
 func (t *Table) Heard(upstream Upstream, said Said, sent, now time.Time) Change {
 	switch said.Kind {
 	case Limited:
-		return t.take(upstream, Note{PerSecond: said.PerSecond}, now, now, 0)
+		return t.update(upstream, Note{PerSecond: said.PerSecond}, now, now, 0)
 	case Unlimited:
-		return t.take(upstream, Note{Ended: true}, sent.Add(-endGrace), now, 0)
+		return t.update(upstream, Note{Ended: true}, sent.Add(-liftGrace), now, 0)
 	default:
 		return Change{}
 	}
 }
 
-// Told takes what another process knows.
+// Told merges the report of another process.
 func (t *Table) Told(upstream Upstream, note Note, now time.Time) Change {
-	return t.take(upstream, note, now.Add(-max(note.Age, 0)), now, clockSkew)
+	return t.update(upstream, note, now.Add(-max(note.Age, 0)), now, clockSkew)
 }
 
-// take takes what was so at some time. What says the same as is known is no news unless it is
-// newer by more than some time.
-func (t *Table) take(upstream Upstream, note Note, at, now time.Time, slack time.Duration) Change {
-	known := t.limits[upstream.key()]
-	if known == nil {
+// update applies what was observed at the given time unless the table holds something newer. An
+// equal limit refreshes the time of observation only if it is newer by more than slack, so that
+// reports passed back and forth do not keep a limit alive.
+func (t *Table) update(upstream Upstream, note Note, at, now time.Time, slack time.Duration) Change {
+	held := t.limits[upstream.key()]
+	if held == nil {
 		if note.Ended {
 			return Change{}
 		}
-		known = t.add(upstream, at)
-	} else if !at.After(known.at) {
+		held = t.add(upstream, at)
+	} else if !at.After(held.at) {
 		return Change{}
 	}
-	if note.same(known.note) {
-		if at.Sub(known.at) > slack {
-			known.at = at
+	if note.same(held.note) {
+		if at.Sub(held.at) > slack {
+			held.at = at
 		}
 		return Change{}
 	}
-	change := Change{Changed: true, Before: known.note}
-	known.note, known.at = note, at
-	change.After, change.Tell = known.noted(now), known.tell(now)
+	change := Change{Changed: true, Before: held.note}
+	held.note, held.at = note, at
+	change.After, change.Tell = held.report(now), held.notifyDue(now)
 	return change
 }
 
-// tell reports whether others are to hear of what is known, and notes that they do.
-func (l *limit) tell(now time.Time) bool {
-	turned := l.note.Ended != l.told.Ended
-	if !turned && now.Sub(l.toldAt) < tellEvery {
+// notifyDue reports whether to notify other processes and, if so, records the notification. It
+// is always due when a limit is first named or lifted.
+func (l *limit) notifyDue(now time.Time) bool {
+	switched := l.note.Ended != l.notified.Ended
+	if !switched && now.Sub(l.notifiedAt) < notifyInterval {
 		return false
 	}
-	if !turned && math.Abs(l.note.PerSecond-l.told.PerSecond) < tellStep*l.told.PerSecond {
+	if !switched && math.Abs(l.note.PerSecond-l.notified.PerSecond) < notifyMinChange*l.notified.PerSecond {
 		return false
 	}
-	l.told, l.toldAt = l.note, now
+	l.notified, l.notifiedAt = l.note, now
 	return true
 }
 
-// add makes room for an upstream that has named no limit so far.
+// add inserts an upstream without a limit and evicts the oldest one from a full table.
 func (t *Table) add(upstream Upstream, at time.Time) *limit {
 	if t.limits == nil {
 		t.limits = map[key]*limit{}
 	}
-	if len(t.limits) >= mostKnown {
-		t.dropOldest()
+	if len(t.limits) >= maxUpstreams {
+		t.evictOldest()
 	}
 	none := Note{Ended: true}
-	made := &limit{upstream: upstream, note: none, told: none, at: at}
-	t.limits[upstream.key()] = made
-	return made
+	created := &limit{upstream: upstream, note: none, notified: none, at: at}
+	t.limits[upstream.key()] = created
+	return created
 }
 
-// dropOldest makes room by what was heard of longest ago.
-func (t *Table) dropOldest() {
+// evictOldest removes the limit that was observed longest ago.
+func (t *Table) evictOldest() {
 	var oldest key
 	var at time.Time
 	for k, l := range t.limits {
@@ -223,29 +228,29 @@
 	delete(t.limits, oldest)
 }
 
-// Known returns what is to be told of an upstream, false where it never named a limit, or
-// ended it long ago.
+// Known returns the report of an upstream's limit, or false if the upstream never named a limit
+// or lifted it longer than liftedReportTTL ago.
 func (t *Table) Known(upstream Upstream, now time.Time) (Note, bool) {
-	known := t.limits[upstream.key()]
-	if known == nil || known.note.Ended && now.Sub(known.at) > endTold {
+	held := t.limits[upstream.key()]
+	if held == nil || held.note.Ended && now.Sub(held.at) > liftedReportTTL {
 		return Note{}, false
 	}
-	return known.noted(now), true
+	return held.report(now), true
 }
 
-func (l *limit) noted(now time.Time) Note {
+func (l *limit) report(now time.Time) Note {
 	note := l.note
 	note.Age = max(now.Sub(l.at), 0)
 	return note
 }
 
-// Named is what is known of one upstream.
+// Named is the report of one upstream's limit.
 type Named struct {
 	Upstream Upstream `json:"upstream"`
 	Note
 }
 
-// All returns what is to be told of all upstreams.
+// All returns the reports of all upstreams.
 func (t *Table) All(now time.Time) []Named {
 	all := make([]Named, 0, len(t.limits))
 	for _, l := range t.limits {
@@ -258,67 +263,68 @@
 
 // Limited reports whether an upstream has a limit.
 func (t *Table) Limited(upstream Upstream) bool {
-	known := t.limits[upstream.key()]
-	return known != nil && !known.note.Ended
+	held := t.limits[upstream.key()]
+	return held != nil && !held.note.Ended
 }
 
-// Allow reports whether a request may go to an upstream now, by some share of its limit, and
-// counts it. Else it returns after what time to ask again.
+// Allow reports whether a request may be sent to an upstream now by the given share of its
+// limit, and counts the request if so. Otherwise it returns the delay before the next try.
 func (t *Table) Allow(upstream Upstream, share Share, now time.Time) (wait time.Duration, ok bool) {
-	known := t.limits[upstream.key()]
-	if known == nil || known.note.Ended {
+	held := t.limits[upstream.key()]
+	if held == nil || held.note.Ended {
 		return 0, true
 	}
-	period := periodOf(known.note.PerSecond, share)
+	period := periodOf(held.note.PerSecond, share)
 	if share.Of > 1 {
-		known.turn(period, now, t.draw)
+		held.advanceSlot(period, now, t.draw)
 	} else {
-		known.catchUp(period, now)
+		held.advanceBucket(period, now)
 	}
-	if known.due.After(now) {
-		known.denied++
-		return known.wait(period, share, now), false
+	if held.due.After(now) {
+		held.denied++
+		return held.wait(period, share, now), false
 	}
-	known.due, known.denied = known.due.Add(period), 0
+	held.due, held.denied = held.due.Add(period), 0
 	return 0, true
 }
 
-// periodOf is the time between two requests by a share of a limit.
+// periodOf returns the time between two requests by a share of a limit.
 func periodOf(perSecond float64, share Share) time.Duration {
-	rate := max(perSecond, leastPerSecond) * share.Part / float64(share.Of)
-	return time.Duration(min(float64(time.Second)/rate, float64(longestPeriod)))
+	rate := max(perSecond, minPerSecond) * share.Part / float64(share.Of)
+	return time.Duration(min(float64(time.Second)/rate, float64(maxPeriod)))
 }
 
-// catchUp moves the next request of who counts alone: what was not used is lost but for a
-// little, and a limit that rose counts at once.
-func (l *limit) catchUp(period time.Duration, now time.Time) {
-	if least := now.Add(-maxBurst); l.due.Before(least) {
-		l.due = least
+// advanceBucket bounds the time of the next request of a single counter. The lower bound caps
+// the credit of an idle limiter at maxBurst; the upper bound applies a raised limit at once.
+func (l *limit) advanceBucket(period time.Duration, now time.Time) {
+	if earliest := now.Add(-maxBurst); l.due.Before(earliest) {
+		l.due = earliest
 	}
-	if most := now.Add(period); l.due.After(most) {
-		l.due = most
+	if latest := now.Add(period); l.due.After(latest) {
+		l.due = latest
 	}
 }
 
-// turn moves the next turn: the first comes by chance, and one that was not used is over.
-func (l *limit) turn(period time.Duration, now time.Time, draw func() float64) {
+// advanceSlot moves the next time slot. The first slot gets a random phase, which spreads the
+// routers; expired slots are skipped.
+func (l *limit) advanceSlot(period time.Duration, now time.Time, draw func() float64) {
 	if l.due.IsZero() || l.due.After(now.Add(period)) {
 		l.due = now.Add(time.Duration(draw() * float64(period)))
 		return
 	}
-	if over := now.Sub(l.due) - turnLasts; over > 0 && period > 0 {
-		l.due = l.due.Add((over/period + 1) * period)
+	if late := now.Sub(l.due) - slotDuration; late > 0 && period > 0 {
+		l.due = l.due.Add((late/period + 1) * period)
 	}
 }
 
-// wait is after what time to ask again. Who counts for others has them come one after the
-// other.
+// wait returns the delay before the next try. A single counter adds a period for each request
+// denied before, so that the denied requests do not all return at once.
 func (l *limit) wait(period time.Duration, share Share, now time.Time) time.Duration {
 	wait := l.due.Sub(now)
 	if share.Of == 1 {
-		wait += time.Duration(min(l.denied-1, int(mostWait/max(period, 1)))) * period
+		wait += time.Duration(min(l.denied-1, int(maxWait/max(period, 1)))) * period
 	}
-	return min(wait, mostWait)
+	return min(wait, maxWait)
 }
 
 func (t *Table) draw() float64 {
--- /dev/null
+++ b/daemon/internal/request/ratelimit/warmup.go
@@ -0,0 +1,64 @@
+package ratelimit
+
+import "time"
+
+// This file limits requests to upstreams during warm-up. For some seconds after its start an
+// upstream sustains only a low request rate and collapses above it. When a hall recovers, its
+// upstreams are idle as well as cold, and load balancing would direct all routers to them.
+//
+// The warm-up limit is counted in the same way as a limit named in responses, by the loader or
+// by router shares. The two are kept in separate tables, because a response without a limit
+// lifts a named limit but not the warm-up limit.
+
+// maxCold bounds the warm-up time that a single report may claim.
+const maxCold = 5 * time.Minute
+
+// Cold reports that an upstream is warming up.
+type Cold struct {
+	// PerSecond is the request rate that it sustains, Left the remaining warm-up time.
+	PerSecond float64
+	Left      time.Duration
+}
+
+// Warming holds the warm-up limits of upstreams. The zero value is empty and ready to use. It is
+// not safe for concurrent use.
+type Warming struct {
+	limits Table
+	// until is the end of each upstream's warm-up.
+	until map[key]time.Time
+}
+
+// Told records that an upstream is warming up. Of several reported ends the latest counts.
+func (w *Warming) Told(upstream Upstream, cold Cold, now time.Time) {
+	if cold.Left <= 0 || cold.PerSecond <= 0 {
+		return
+	}
+	if w.until == nil {
+		w.until = map[key]time.Time{}
+	}
+	w.expire(now)
+	if until := now.Add(min(cold.Left, maxCold)); until.After(w.until[upstream.key()]) {
+		w.until[upstream.key()] = until
+	}
+	w.limits.Told(upstream, Note{PerSecond: cold.PerSecond}, now)
+}
+
+// expire drops upstreams whose warm-up has ended.
+func (w *Warming) expire(now time.Time) {
+	for k, until := range w.until {
+		if !until.After(now) {
+			delete(w.until, k)
+			delete(w.limits.limits, k)
+		}
+	}
+}
+
+// Allow reports whether a request may be sent to an upstream now by the given share of its
+// warm-up limit, and counts the request if so. Otherwise it returns the delay before the next
+// try.
+func (w *Warming) Allow(upstream Upstream, share Share, now time.Time) (wait time.Duration, ok bool) {
+	if !w.until[upstream.key()].After(now) {
+		return 0, true
+	}
+	return w.limits.Allow(upstream, share, now)
+}
