--- a/daemon/internal/request/admission/admission.go
+++ b/daemon/internal/request/admission/admission.go
@@ -1,38 +1,27 @@
-// Package admission decides how loaded an engine may be for a request to be let in.
+// Package admission computes how loaded an engine may be to accept a request. The dispatcher sends
+// the computed limit with each query for a place, an execution slot of an engine, and the loader
+// beside the engine grants or denies the place by it.
 //
-// The load that it answers: some hundred engines that get as much as they bear, or a
-// tenth to a half more for longer than a few seconds. An engine reads prompts between
-// the tokens of what runs, so a first byte takes the own prompt, those that wait before
-// it, and a pass of the tokens of all that run after each one or two of them. With
-// prompts of 900 tokens at 14 tokens a millisecond and passes of 70 ms that was measured
-// as 0.21 s where nothing waits (5 in 100 later than 0.5 s), 0.30 s behind one (15 in
-// 100), 0.36 s behind two (23), and 0.46 s where all eight places are taken (42). A
-// queue that is let grow makes all of its requests late and serves not one more.
+// An engine reads prompts between the decoding passes of the requests that it runs. The time to
+// the first byte of a request therefore grows with every prompt queued before its own. A queue
+// that is allowed to grow makes all of its requests late without raising the throughput. So a
+// request is admitted only if its first byte is likely to meet the objective: no more prompts wait
+// than are read in time, and the request needs no place beyond those of the engine, or one that is
+// freed soon. The first queries of a search look for an engine with an empty queue.
 //
-// So a request is let in where its first byte is likely to be in time: where no more wait
-// than are read meanwhile, and no place beyond those of the engine is needed or that one is
-// soon free. The first questions look for an engine where nothing waits.
+// A search queries several engines, since a full engine answers within a millisecond and one of a
+// few mostly has a free place unless the whole fleet is saturated.
 //
-// Eight engines are asked, because a full one says so in a millisecond and one of eight
-// mostly is not, up to all that a fleet bears. With five and no place beyond, a fleet of 45
-// engines refuses 8 in 100 callers at its full load and 14 at 1.1 times that; with these 2
-// and 10, of which 1 and 6 are more than an oracle must (package lab; worth 0.883 and 0.808
-// before, 0.957 and 0.862 with these, 0.973 and 0.923 the best in turn).
+// A retry of a refused request is likely to be late already. It gets only places that first
+// attempts leave free. In a sustained overload each admitted retry would otherwise make a first
+// attempt late, which would then be retried in turn.
 //
-// A caller that was refused and comes back is late already. It gets the places that
-// callers who can still be in time leave: in an overload that lasts each that is let in
-// would make another late, who comes back in turn. With 1.3 times what engines bear 81 in
-// 100 are served in time instead of 64, and 16 are refused twice instead of 12; in a
-// burst of 3 s 93 instead of 89, and 6 instead of 3 (the lab of this package, 40 engines).
+// All routes of a service share one limit. With limits per route, the route that tolerates the
+// longest wait would occupy every place of a full engine.
 //
-// All routes of a service have the same limit: were each to have its own, the route that
-// bears a longer wait would take every place of a full engine before the others may.
-//
-// Rejected, by the labs: places beyond those of an engine, more of them the less it was
-// full lately (0.63 of the worth in an overload of 1.3 where this had 0.67, before who
-// comes back was told apart); letting in whoever comes back (0.45); two places beyond
-// wherever they are asked for (0.666 at 1.25 times what 45 engines bear, where this has
-// 0.732); ten questions (0.732, and two more calls a request).
+// Rejected: more overcommitted places the less an engine was full lately, equal treatment of
+// retries, and two overcommitted places at once, all of which make more requests late in a
+// sustained overload; more queries per search, which cost calls without serving more requests.
 package admission
 
 import (
@@ -42,155 +31,156 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/places"
 )
 
-// Ways are the parts of a search for a place that are open to measurement.
+// Ways configures the search for an engine.
 type Ways struct {
-	// Questions is how many engines are asked for a place before a request is given up as
-	// not to be begun in time.
+	// Questions is the maximum number of engines queried before a request is refused.
 	Questions int
-	// Each is how many engines are asked for a place where none waits, then as many for one
-	// behind one, and so on.
+	// Each is the number of queries per step. The first step accepts only an engine with an
+	// empty queue; each further step accepts one more waiting request.
 	Each int
-	// Beyond is how many requests may be let in beyond the places of an engine, by the
-	// later questions.
+	// Beyond is the maximum number of requests that the later queries may admit beyond the
+	// places of an engine.
 	Beyond int
-	// BackLeaves is the part of an engine's places that callers who came back leave free.
+	// BackLeaves is the fraction of an engine's places that retries leave free.
 	BackLeaves float64
 }
 
-// StandingWays are the ones that are kept.
+// StandingWays returns the default configuration.
 func StandingWays() Ways { return Ways{Questions: 8, Each: 2, Beyond: 1, BackLeaves: 0.25} }
 
 const (
-	// passShare is by how much longer the reading of a prompt takes because of the passes
-	// between: an engine of 8 places 1.6, one of 16 the same.
-	passShare = 1.6
-	// ownUnits is how many such times pass until the first byte where nothing waits: the
-	// pass under way, and the own prompt.
-	ownUnits = 2
-	// By news of loads alone a request may wait for a part of the objective: mostPatience
-	// where no place was free for up to seldomFull of the time, and leastPatience from
-	// oftenFull on, because others follow the same news.
-	mostPatience, leastPatience = 1.0, 0.3
-	seldomFull, oftenFull       = 0.2, 0.6
-	// beyondPart is the part of the objective within which the first byte of a request must
-	// be likely that is let in beyond the places of an engine.
-	beyondPart = 0.7
-	// keptFree is how many places are counted as taken where only news of loads is known:
-	// by requests that other routers send before this one hears of them.
-	keptFree = 2
-	// reservePerRank is how many places of an engine are left to the next more urgent
-	// requests while places are scarce, and maxReserve how many at most.
+	// passFactor is the factor by which interleaved decoding passes extend the reading of a
+	// prompt on a full engine.
+	passFactor = 1.6
+	// minReads is the time to the first byte on an engine with an empty queue, in such reading
+	// times: the pass under way and the request's own prompt.
+	minReads = 2
+	// If only load reports are known, a request may wait for a fraction of the objective. It
+	// falls from maxWaitFraction at a saturation of lowSaturation to minWaitFraction at
+	// highSaturation, since other routers follow the same reports.
+	maxWaitFraction, minWaitFraction = 1.0, 0.3
+	lowSaturation, highSaturation    = 0.2, 0.6
+	// overcommitFraction is the fraction of the objective within which the first byte of a
+	// request admitted beyond the places of an engine must be likely.
+	overcommitFraction = 0.7
+	// reportLagPlaces is the number of places assumed in use beyond a load report: by requests
+	// that other routers have sent since.
+	reportLagPlaces = 2
+	// reservePerRank is the number of places per priority rank that a request leaves free on
+	// each engine for more urgent ones while places are scarce, maxReserve the maximum.
 	reservePerRank = 2
 	maxReserve     = 4
 )
 
-// Unlimited lets a request in anywhere.
+// Unlimited admits a request to any engine.
 var Unlimited = places.Limit{Waiting: math.MaxInt32, Taken: math.MaxInt32}
 
-// Service is what is known of a service's engines.
+// Service describes the engines of a service.
 type Service struct {
-	// Places is how many requests an engine runs at once.
+	// Places is the number of requests that an engine runs at once.
 	Places int
-	// ReadTime is how long an engine takes to read a usual prompt, 0 where not known.
+	// ReadTime is how long an engine takes to read a typical prompt, 0 if unknown.
 	ReadTime time.Duration
-	// PlaceEvery is how often one of a full engine's places is freed.
+	// PlaceEvery is the average time between two places freed on a full engine.
 	PlaceEvery time.Duration
-	// Objective is the shortest of the service's routes, 0 where none has one.
+	// Objective is the shortest first-byte objective of the service's routes, 0 if none has one.
 	Objective time.Duration
-	// Full is the share of the time, lately, in which no place was free.
+	// Full is the recent share of time in which no place was free.
 	Full float64
 }
 
-// Request is what counts of a request.
+// Request describes the request to admit.
 type Request struct {
-	// Rank is its place among the priorities of the service, 0 for the most urgent.
+	// Rank is the rank of the request among the priorities of the service, 0 for the most
+	// urgent.
 	Rank int
-	// Returned says that its caller was refused before.
+	// Returned means that the client retries after a refusal.
 	Returned bool
-	// Sent says that it was sent before. What was done for it would be lost, so it takes
-	// any place at last.
+	// Sent means that the request was sent to an engine before. Refusing it would waste the
+	// work done, so its last query is unlimited.
 	Sent bool
 }
 
-// Reserve is how many places of each engine a request leaves to more urgent ones.
+// Reserve returns the number of places that a request leaves free on each engine for more urgent
+// ones.
 func Reserve(s Service, r Request) int {
-	if s.Full < seldomFull {
+	if s.Full < lowSaturation {
 		return 0
 	}
 	return min(r.Rank*reservePerRank, maxReserve)
 }
 
-// Lasts is how long a request is likely to hold a place of an engine, from how long
-// requests hold one on average lately, the tokens of the answer, and those of a usual one.
-// An engine that is soon to take a version gives its places to those that are done by then.
+// Lasts returns the expected time for which a request holds a place, from the recent average and
+// the ratio of its answer tokens to those of a typical answer. An engine that is about to load a
+// version admits only requests that are expected to end before.
 func Lasts(s Service, occupied time.Duration, answer, usual float64) time.Duration {
 	if usual <= 0 {
 		return occupied
 	}
-	return time.Duration(float64(occupied)*answer/usual) + ownUnits*s.ReadTime
+	return time.Duration(float64(occupied)*answer/usual) + minReads*s.ReadTime
 }
 
-// Limit is how loaded an engine may be that is asked after some others. Last says that
-// no other one will be.
-func (w Ways) Limit(s Service, r Request, asked int, last bool) places.Limit {
+// Limit returns the maximum load of an engine that is queried after some others have denied the
+// request. Last means that no further engine will be queried.
+func (w Ways) Limit(s Service, r Request, queried int, last bool) places.Limit {
 	free := max(0, s.Places-1-Reserve(s, r))
 	switch {
 	case last && (r.Sent || s.Objective <= 0):
 		return Unlimited
 	case r.Returned && !r.Sent:
-		return places.Limit{Taken: max(0, free-w.returnedFree(s))}
+		return places.Limit{Taken: max(0, free-w.retryReserve(s))}
 	case last:
-		return places.Limit{Waiting: s.mayWait(), Taken: free + w.beyond(s)}
+		return places.Limit{Waiting: s.maxWaiting(), Taken: free + w.overcommit(s)}
 	default:
-		step := asked / max(w.Each, 1)
-		return places.Limit{Waiting: min(step, s.mayWait()), Taken: free + min(step, w.beyond(s))}
+		step := queried / max(w.Each, 1)
+		return places.Limit{Waiting: min(step, s.maxWaiting()), Taken: free + min(step, w.overcommit(s))}
 	}
 }
 
-// beyond is how many may be let in beyond the places of an engine: as many as have one in
-// time. An engine of 12 places with one more does not stand with a place empty until the
-// next pass; one of 8 frees a place so seldom that who waits for it is late.
-func (w Ways) beyond(s Service) int {
+// overcommit returns the number of requests that may be admitted beyond the places of an engine.
+// It keeps places from standing empty until the next pass. An engine that frees places too slowly
+// gets none, since the waiting request would be late.
+func (w Ways) overcommit(s Service) int {
 	if s.PlaceEvery <= 0 {
 		return 0
 	}
-	spare := time.Duration(beyondPart*float64(s.Objective)) - ownUnits*s.unit()
+	spare := time.Duration(overcommitFraction*float64(s.Objective)) - minReads*s.busyReadTime()
 	return max(0, min(w.Beyond, int(spare/s.PlaceEvery)))
 }
 
-// returnedFree is how many places of each engine a request that came back leaves to others.
-func (w Ways) returnedFree(s Service) int { return int(w.BackLeaves * float64(s.Places)) }
+// retryReserve returns the number of places of each engine that a retry leaves free.
+func (w Ways) retryReserve(s Service) int { return int(w.BackLeaves * float64(s.Places)) }
 
-// mayWait is how many may wait at an engine for a request to be in time behind them.
-func (s Service) mayWait() int {
-	unit := s.unit()
-	if unit <= 0 {
+// maxWaiting returns the queue length behind which a request still meets the objective.
+func (s Service) maxWaiting() int {
+	read := s.busyReadTime()
+	if read <= 0 {
 		return 1
 	}
-	return int(max(0, s.Objective-ownUnits*unit) / unit)
+	return int(max(0, s.Objective-minReads*read) / read)
 }
 
-// unit is how long an engine takes for a usual prompt between passes.
-func (s Service) unit() time.Duration { return time.Duration(passShare * float64(s.ReadTime)) }
+// busyReadTime returns the time to read a typical prompt on a full engine.
+func (s Service) busyReadTime() time.Duration { return time.Duration(passFactor * float64(s.ReadTime)) }
 
-// Overloaded reports, where only news of an engine's load is known, whether a request
-// would wait there so long that its first byte would be late.
+// Overloaded reports whether a request would probably miss its objective at an engine whose load
+// is known only from a report.
 func Overloaded(s Service, r Request, load places.Load) bool {
 	if r.Sent || s.Objective <= 0 || s.Places == 0 {
 		return false
 	}
-	taken := load.Running + load.Waiting + 1
+	inUse := load.Running + load.Waiting + 1
 	if r.Returned {
-		taken += StandingWays().returnedFree(s)
+		inUse += StandingWays().retryReserve(s)
 	}
-	beyond := max(0, taken+keptFree+Reserve(s, r)-s.Places)
-	wait := time.Duration(load.Waiting)*s.ReadTime + time.Duration(beyond)*s.PlaceEvery
-	return wait > time.Duration(patience(s.Full)*float64(s.Objective))
+	excess := max(0, inUse+reportLagPlaces+Reserve(s, r)-s.Places)
+	wait := time.Duration(load.Waiting)*s.ReadTime + time.Duration(excess)*s.PlaceEvery
+	return wait > time.Duration(waitFraction(s.Full)*float64(s.Objective))
 }
 
-// patience is the part of the objective that a request may wait, where no place was free
-// for some share of the time.
-func patience(full float64) float64 {
-	part := (full - seldomFull) / (oftenFull - seldomFull)
-	return mostPatience - (mostPatience-leastPatience)*min(max(part, 0), 1)
+// waitFraction returns the fraction of the objective that a request may wait at a given
+// saturation.
+func waitFraction(saturation float64) float64 {
+	x := (saturation - lowSaturation) / (highSaturation - lowSaturation)
+	return maxWaitFraction - (maxWaitFraction-minWaitFraction)*min(max(x, 0), 1)
 }
--- a/daemon/internal/request/admission/admission_test.go
+++ b/daemon/internal/request/admission/admission_test.go
@@ -11,28 +11,28 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/admission"
 )
 
-// now is the policy of the package; untilNow is the one before, whose last limit went by
-// the whole objective.
+// current is the policy of the package. baseline is an earlier policy, whose last query admits a
+// wait of up to the whole objective.
 var (
-	now      = policy{questions: admission.StandingWays().Questions, limit: admission.StandingWays().Limit}
-	untilNow = policy{questions: 3, limit: func(s admission.Service, _ admission.Request, asked int, last bool) places.Limit {
+	current  = policy{queries: admission.StandingWays().Questions, limit: admission.StandingWays().Limit}
+	baseline = policy{queries: 3, limit: func(s admission.Service, _ admission.Request, queried int, last bool) places.Limit {
 		free := s.Places - 1
 		if !last {
-			return places.Limit{Waiting: asked, Taken: free}
+			return places.Limit{Waiting: queried, Taken: free}
 		}
 		part := min(max((s.Full-0.2)/0.4, 0), 1)
 		wait := (1 - 0.7*part) * float64(s.Objective)
-		return places.Limit{Waiting: max(asked, int(wait/float64(s.ReadTime))), Taken: free + int(wait/float64(s.PlaceEvery))}
+		return places.Limit{Waiting: max(queried, int(wait/float64(s.ReadTime))), Taken: free + int(wait/float64(s.PlaceEvery))}
 	}}
 )
 
-// patterns are loads, in parts of what the engines bear.
+// patterns are request rates over time as fractions of the engines' capacity.
 var patterns = map[string]func(now time.Duration) float64{
-	"half":       func(time.Duration) float64 { return 0.5 },
-	"nearly all": func(time.Duration) float64 { return 0.9 },
-	"all":        func(time.Duration) float64 { return 1 },
-	"lasting":    func(time.Duration) float64 { return 1.3 },
-	"twice":      func(time.Duration) float64 { return 2 },
+	"half":           func(time.Duration) float64 { return 0.5 },
+	"below capacity": func(time.Duration) float64 { return 0.9 },
+	"all":            func(time.Duration) float64 { return 1 },
+	"lasting":        func(time.Duration) float64 { return 1.3 },
+	"twice":          func(time.Duration) float64 { return 2 },
 	"burst": func(now time.Duration) float64 {
 		if now > 8*time.Second && now < 11*time.Second {
 			return 1.7
@@ -41,25 +41,25 @@
 	},
 }
 
-// TestLoadsAreBorneBetter replays each load before a fleet of engines. What callers get is
-// no less than with the limits before on any, and far more where an overload lasts.
-func TestLoadsAreBorneBetter(t *testing.T) {
+// TestPolicyBeatsBaselineUnderOverload simulates each pattern on a fleet of engines. It guards
+// against a policy that serves less than the baseline on any pattern, or that does not serve
+// markedly more in an overload.
+func TestPolicyBeatsBaselineUnderOverload(t *testing.T) {
 	const noise = 0.005
 	gains := map[string]float64{"lasting": 0.12, "twice": 0.1, "burst": 0.02}
 	for name, rate := range patterns {
 		t.Run(name, func(t *testing.T) {
-			got, before := play(now, rate), play(untilNow, rate)
-			t.Logf("worth %.3f (%.3f), in time %.3f (%.3f), late %.3f (%.3f), refused again %.3f (%.3f)",
-				got.worth(), before.worth(), got.inTime, before.inTime, got.late, before.late, got.again, before.again)
-			assert.GreaterOrEqual(t, got.worth(), before.worth()+gains[name]-noise)
+			got, base := simulate(current, rate), simulate(baseline, rate)
+			t.Logf("score %.3f (baseline %.3f), in time %.3f (%.3f), late %.3f (%.3f), refused twice %.3f (%.3f)",
+				got.score(), base.score(), got.inTime, base.inTime, got.late, base.late, got.refusedTwice, base.refusedTwice)
+			assert.GreaterOrEqual(t, got.score(), base.score()+gains[name]-noise)
 		})
 	}
 }
 
-// TestLimitsNeverFall: a request asks for no better a place than before, never for one
-// farther beyond those of the engine than the ways say, and who comes back for one that
-// others leave.
-func TestLimitsNeverFall(t *testing.T) {
+// TestLimitsGrowWithinOvercommit checks that the limits of a search never decrease, stay within the
+// overcommit, and are lower for a retry.
+func TestLimitsGrowWithinOvercommit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := admission.Service{
 			Places: rapid.IntRange(4, 64).Draw(t, "places"), Full: rapid.Float64Range(0, 1).Draw(t, "full"),
@@ -67,34 +67,34 @@
 			Objective: time.Duration(rapid.IntRange(1, 2000).Draw(t, "objective")) * time.Millisecond,
 		}
 		r := admission.Request{Rank: rapid.IntRange(0, 5).Draw(t, "rank")}
-		taken := 0
+		inUse := 0
 		ways := admission.StandingWays()
-		for asked := range ways.Questions {
-			limit := ways.Limit(s, r, asked, asked == ways.Questions-1)
-			assert.GreaterOrEqual(t, limit.Taken, taken)
+		for queried := range ways.Questions {
+			limit := ways.Limit(s, r, queried, queried == ways.Questions-1)
+			assert.GreaterOrEqual(t, limit.Taken, inUse)
 			assert.Less(t, limit.Taken, s.Places+ways.Beyond)
-			taken = limit.Taken
-			back := ways.Limit(s, admission.Request{Rank: r.Rank, Returned: true}, asked, false)
-			assert.LessOrEqual(t, back.Waiting, limit.Waiting)
-			assert.Less(t, back.Taken, taken+1)
+			inUse = limit.Taken
+			retry := ways.Limit(s, admission.Request{Rank: r.Rank, Returned: true}, queried, false)
+			assert.LessOrEqual(t, retry.Waiting, limit.Waiting)
+			assert.Less(t, retry.Taken, inUse+1)
 		}
 		r.Sent, r.Returned = true, true
-		assert.Equal(t, admission.Unlimited, ways.Limit(s, r, 0, true), "what was done for it would be lost")
+		assert.Equal(t, admission.Unlimited, ways.Limit(s, r, 0, true), "a request sent before is admitted by any engine")
 	})
 }
 
-// TestPlacesAreLeftToRanksWhenScarce, and only then: else a part of each engine would stand
-// empty for most accounts.
-func TestPlacesAreLeftToRanksWhenScarce(t *testing.T) {
-	less := admission.Request{Rank: 1}
-	assert.Zero(t, admission.Reserve(admission.Service{Full: 0.1}, less))
-	assert.Positive(t, admission.Reserve(admission.Service{Full: 0.5}, less))
+// TestPlacesAreReservedOnlyWhenScarce guards against places that stand empty while all accounts
+// have the same priority or no engine is full.
+func TestPlacesAreReservedOnlyWhenScarce(t *testing.T) {
+	lessUrgent := admission.Request{Rank: 1}
+	assert.Zero(t, admission.Reserve(admission.Service{Full: 0.1}, lessUrgent))
+	assert.Positive(t, admission.Reserve(admission.Service{Full: 0.5}, lessUrgent))
 	assert.Zero(t, admission.Reserve(admission.Service{Full: 0.5}, admission.Request{}))
 }
 
-// TestMoreWaitsInShortPeaks: by news alone the same wait is refused only where places have
-// been taken for some time.
-func TestMoreWaitsInShortPeaks(t *testing.T) {
+// TestLongerWaitIsAllowedInShortPeaks checks that the same reported load counts as an overload only
+// after engines have been full for some time.
+func TestLongerWaitIsAllowedInShortPeaks(t *testing.T) {
 	s := admission.Service{Places: 16, PlaceEvery: 100 * time.Millisecond, Objective: 400 * time.Millisecond}
 	load := places.Load{Running: 15}
 	assert.False(t, admission.Overloaded(s, admission.Request{}, load))
@@ -103,26 +103,25 @@
 	assert.False(t, admission.Overloaded(s, admission.Request{Sent: true}, load))
 }
 
-// TestLastsFollowsTheAnswer that the caller expects, from how long requests hold a place.
-func TestLastsFollowsTheAnswer(t *testing.T) {
+func TestExpectedHoldTimeScalesWithAnswerTokens(t *testing.T) {
 	s := admission.Service{ReadTime: 50 * time.Millisecond}
 	assert.Equal(t, 1100*time.Millisecond, admission.Lasts(s, time.Second, 90, 90))
 	assert.Equal(t, 2100*time.Millisecond, admission.Lasts(s, time.Second, 180, 90))
-	assert.Equal(t, time.Second, admission.Lasts(s, time.Second, 180, 0), "nothing tells of a usual one")
+	assert.Equal(t, time.Second, admission.Lasts(s, time.Second, 180, 0), "the typical answer is unknown")
 }
 
-// TestAVersionIsBorne replays engines that take a version one after the other, within 4 s,
-// at 0.97 of what they bear. None cuts what runs. Where each closes ahead of its turn to
-// what would run on, fewer callers are refused than where it takes all until then.
-func TestAVersionIsBorne(t *testing.T) {
-	const lessRefused = 0.015
+// TestClosingBeforeLoadReducesRefusals simulates engines that load a version one after the other
+// close to capacity. An engine that rejects requests likely to run past its scheduled load time
+// drains faster than one that accepts all until then.
+func TestClosingBeforeLoadReducesRefusals(t *testing.T) {
+	const minReduction = 0.015
 	rate := func(time.Duration) float64 { return 0.97 }
-	closing, until := now, now
-	closing.version = version{first: 8 * time.Second, last: 12 * time.Second, ahead: 1600 * time.Millisecond}
-	until.version = version{first: 8 * time.Second, last: 12 * time.Second}
-	got, before := play(closing, rate), play(until, rate)
-	t.Logf("worth %.3f (%.3f), in time %.3f (%.3f), late %.3f (%.3f), refused %.3f (%.3f), again %.3f (%.3f)",
-		got.worth(), before.worth(), got.inTime, before.inTime, got.late, before.late, got.refused, before.refused, got.again, before.again)
-	assert.Less(t, got.again+got.refused, before.again+before.refused-lessRefused)
-	assert.Greater(t, got.worth(), before.worth())
+	closing, open := current, current
+	closing.rollout = rollout{first: 8 * time.Second, last: 12 * time.Second, closeBefore: 1600 * time.Millisecond}
+	open.rollout = rollout{first: 8 * time.Second, last: 12 * time.Second}
+	got, base := simulate(closing, rate), simulate(open, rate)
+	t.Logf("score %.3f (without closing %.3f), in time %.3f (%.3f), late %.3f (%.3f), refused once %.3f (%.3f), twice %.3f (%.3f)",
+		got.score(), base.score(), got.inTime, base.inTime, got.late, base.late, got.refused, base.refused, got.refusedTwice, base.refusedTwice)
+	assert.Less(t, got.refusedTwice+got.refused, base.refusedTwice+base.refused-minReduction)
+	assert.Greater(t, got.score(), base.score())
 }
--- a/daemon/internal/request/admission/callers.go
+++ b/daemon/internal/request/admission/callers.go
@@ -9,88 +9,84 @@
 )
 
 const (
-	// callersKept is how long what was seen of a route counts, callersRemembered how many
-	// of its callers, and callersLeast how many must have been seen.
-	callersKept       = 30 * time.Second
-	callersRemembered = 64
-	callersLeast      = 8
-	// longestRank is the rank, from above, of the time that counts as a route's longest,
-	// as a part of the callers remembered: a few may name far longer ones.
-	longestRank = 0.05
-	// shortShare is the part of callers that may have little time while nobody is refused:
-	// they would be taken for callers who came back in an overload. shortWeight is what one
-	// more caller counts in it.
-	shortShare, shortWeight = 0.1, 0.02
-	// commonShare is the part that must have more time while that is not known, longShare
-	// the same where that is the route's declared time.
-	commonShare, longShare = 0.5, 0.125
-	// calmAfter is when all have come back whom this process refused.
+	// routeTTL is how long the samples of an unused route are kept, maxSamples the number of
+	// samples per route, and minSamples the number from which they count.
+	routeTTL   = 30 * time.Second
+	maxSamples = 64
+	minSamples = 8
+	// longestQuantile is the upper quantile of the samples that counts as a route's longest
+	// timeout, since a few clients may send far longer ones.
+	longestQuantile = 0.05
+	// maxShortShare is the share of short remaining times, sampled while no request is refused,
+	// above which retries cannot be told from first attempts. shortWeight is the weight of one
+	// sample in the moving average.
+	maxShortShare, shortWeight = 0.1, 0.02
+	// minLongShare is the share of samples above the threshold that is required while no calm
+	// samples exist, minDeclaredShare the same if the threshold stems from the declared timeout.
+	minLongShare, minDeclaredShare = 0.5, 0.125
+	// calmAfter is the time after a refusal by which its retry has arrived.
 	calmAfter = LongestReturn + 600*time.Millisecond
-	// clockError is how far times that callers tell may be off.
-	clockError = 50 * time.Millisecond
+	// timeoutError is the assumed error of the remaining times that clients send.
+	timeoutError = 50 * time.Millisecond
 )
 
-// Seen is what tells who came back.
+// Seen describes an arriving request.
 type Seen struct {
-	// Route names the route.
+	// Route is the name of the route.
 	Route string
-	// Left is the time that the caller still has.
+	// Left is the time until the client's deadline.
 	Left time.Duration
-	// Most is the time that the operator gives requests of the route, 0 where not declared.
+	// Most is the route's declared timeout, 0 if there is none.
 	Most time.Duration
 }
 
-// Callers tells callers that come back from those that come for the first time, by the
-// time that they still have: a caller takes the time until it gives up off with each try,
-// and nobody who was refused comes back before ShortestReturn. So whoever has within that
-// of the longest time of a route's callers comes for the first time. With first times that
-// differ by 15 in 100, at 1.25 times what 45 engines bear, this knows 2,912 of 2,914 callers
-// who came back, takes 13 of 14,173 others for one, and 77 in 100 streams are served in time;
-// asking for the same time of all knows none of them, and 60 are (lines of 40 routers).
+// Callers recognizes retries of refused requests by the time until the client's deadline. The
+// timeout of a client includes its retries, and no refused client retries before ShortestReturn. A
+// request is therefore a first attempt if its remaining time is within ShortestReturn of the
+// longest timeout on its route, and a likely retry otherwise.
 //
-// The longest time is that of the callers seen. Until some came while nobody was refused it
-// is the route's declared time, if some callers have it: right after a start all may come
-// back together.
+// The longest timeout is taken from sampled requests. Until some were sampled while no request was
+// refused, it is at least the route's declared timeout, provided that some requests have that much
+// time. Right after a start all arriving requests may be retries, whose remaining times would pass
+// for full timeouts.
 //
-// Where callers of a route name times from the start that differ by more nobody counts as
-// come back. The zero value is ready to use.
+// If the timeouts of first attempts on a route differ too much, no request is classified as a
+// retry. The zero value is ready to use.
 type Callers struct {
-	// Now is the clock; nil means clock.Now.
+	// Now overrides the clock in tests; nil means clock.Now.
 	Now func() time.Time
 
-	mu     sync.Mutex
-	routes map[string]*routeCallers
-	swept  time.Time
-	// refused is when this process last refused a caller, or was first asked: others may have
-	// refused before.
-	refused time.Time
+	mu      sync.Mutex
+	routes  map[string]*routeSamples
+	sweptAt time.Time
+	// refusedAt is when this process last refused a request. It starts at the first request,
+	// since another process may have refused requests before.
+	refusedAt time.Time
 }
 
-// routeCallers is what was seen of one route; Callers.mu guards it.
-type routeCallers struct {
-	// left are the times of the callers seen last, next the place of the oldest once there
-	// are callersRemembered.
-	left []time.Duration
-	next int
-	// longest is the time that nearly all have at most; worked out anew for each
-	// callersLeast of them.
+// routeSamples holds the samples of one route; Callers.mu guards it.
+type routeSamples struct {
+	// remaining is a ring of the latest remaining times; next is the index of the oldest once
+	// it is full.
+	remaining []time.Duration
+	next      int
+	// longest is the longest timeout apart from outliers, recomputed every minSamples samples.
 	longest time.Duration
-	// calm counts the callers while nobody was refused, short is the part of them that had
-	// little time.
-	calm  int
-	short float64
-	seen  time.Time
+	// calm counts the samples taken while no request was refused, and short is the moving share
+	// of them with a short remaining time.
+	calm   int
+	short  float64
+	seenAt time.Time
 }
 
-// Refused takes that a caller was refused.
+// Refused records that a request was refused.
 func (c *Callers) Refused() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.refused = helpers.Now(c.Now)
+	c.refusedAt = helpers.Now(c.Now)
 }
 
-// Returned takes what is seen of a caller, and reports whether it is likely to have been
-// refused before.
+// Returned samples a request and reports whether it is probably a retry of a refused one.
 func (c *Callers) Returned(seen Seen) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -98,91 +94,91 @@
 	c.sweep(now)
 	r := c.routes[seen.Route]
 	if r == nil {
-		r = &routeCallers{}
+		r = &routeSamples{}
 		c.routes[seen.Route] = r
 	}
-	r.seen = now
-	r.remember(seen.Left)
-	least := r.least(seen.Most)
-	isShort := seen.Left < least
-	if now.Sub(c.refused) > calmAfter {
-		r.noteCalm(isShort)
+	r.seenAt = now
+	r.add(seen.Left)
+	threshold := r.threshold(seen.Most)
+	isShort := seen.Left < threshold
+	if now.Sub(c.refusedAt) > calmAfter {
+		r.addCalm(isShort)
 	}
-	return isShort && r.tells(least, seen.Most)
+	return isShort && r.conclusive(threshold, seen.Most)
 }
 
-// least is the time that a caller of the first time has at least.
-func (r *routeCallers) least(most time.Duration) time.Duration {
+// threshold returns the remaining time from which a request is a first attempt.
+func (r *routeSamples) threshold(declared time.Duration) time.Duration {
 	longest := r.longest
-	if !r.known() {
-		longest = max(longest, most)
+	if !r.calibrated() {
+		longest = max(longest, declared)
 	}
-	return longest - min(ShortestReturn, longest/mostWait) + clockError
+	return longest - min(ShortestReturn, longest/maxWaitDivisor) + timeoutError
 }
 
-// known reports whether callers were seen while nobody was refused.
-func (r *routeCallers) known() bool { return r.calm >= callersLeast }
+// calibrated reports whether enough requests were sampled while none was refused.
+func (r *routeSamples) calibrated() bool { return r.calm >= minSamples }
 
-// tells reports whether callers with less than some time are likely to have come back.
-func (r *routeCallers) tells(least, most time.Duration) bool {
+// conclusive reports whether a remaining time below the threshold identifies a retry.
+func (r *routeSamples) conclusive(threshold, declared time.Duration) bool {
 	switch {
-	case r.known():
-		return r.short <= shortShare
-	case r.longest < most:
-		return r.share(least) >= longShare
+	case r.calibrated():
+		return r.short <= maxShortShare
+	case r.longest < declared:
+		return r.shareFrom(threshold) >= minDeclaredShare
 	default:
-		return r.share(least) >= commonShare
+		return r.shareFrom(threshold) >= minLongShare
 	}
 }
 
-// remember takes the time that one more caller has.
-func (r *routeCallers) remember(left time.Duration) {
-	if len(r.left) < callersRemembered {
-		r.left = append(r.left, left)
+// add samples the remaining time of a request.
+func (r *routeSamples) add(remaining time.Duration) {
+	if len(r.remaining) < maxSamples {
+		r.remaining = append(r.remaining, remaining)
 	} else {
-		r.left[r.next] = left
+		r.remaining[r.next] = remaining
 	}
-	r.next = (r.next + 1) % callersRemembered
-	if r.next%callersLeast == 0 {
-		sorted := slices.Sorted(slices.Values(r.left))
-		r.longest = sorted[len(sorted)-1-int(longestRank*float64(len(sorted)))]
+	r.next = (r.next + 1) % maxSamples
+	if r.next%minSamples == 0 {
+		sorted := slices.Sorted(slices.Values(r.remaining))
+		r.longest = sorted[len(sorted)-1-int(longestQuantile*float64(len(sorted)))]
 	}
 }
 
-// noteCalm takes whether a caller had little time while nobody was refused. As long as few
-// are known each counts as much as the others.
-func (r *routeCallers) noteCalm(isShort bool) {
+// addCalm samples whether a request had a short remaining time while none was refused. The first
+// samples are weighted equally.
+func (r *routeSamples) addCalm(isShort bool) {
 	r.calm++
-	seen := 0.0
+	sample := 0.0
 	if isShort {
-		seen = 1
+		sample = 1
 	}
-	r.short += max(shortWeight, 1/float64(r.calm)) * (seen - r.short)
+	r.short += max(shortWeight, 1/float64(r.calm)) * (sample - r.short)
 }
 
-// share is the part of the callers remembered that have some time or more.
-func (r *routeCallers) share(least time.Duration) float64 {
+// shareFrom returns the share of the sampled remaining times at or above the threshold.
+func (r *routeSamples) shareFrom(threshold time.Duration) float64 {
 	count := 0
-	for _, left := range r.left {
-		if left >= least {
+	for _, remaining := range r.remaining {
+		if remaining >= threshold {
 			count++
 		}
 	}
-	return float64(count) / float64(len(r.left))
+	return float64(count) / float64(len(r.remaining))
 }
 
-// sweep forgets routes that were not asked for of late.
+// sweep drops routes without requests for routeTTL.
 func (c *Callers) sweep(now time.Time) {
 	if c.routes == nil {
-		c.routes = map[string]*routeCallers{}
-		c.refused = now
+		c.routes = map[string]*routeSamples{}
+		c.refusedAt = now
 	}
-	if now.Sub(c.swept) < callersKept {
+	if now.Sub(c.sweptAt) < routeTTL {
 		return
 	}
-	c.swept = now
+	c.sweptAt = now
 	for name, r := range c.routes {
-		if now.Sub(r.seen) > callersKept {
+		if now.Sub(r.seenAt) > routeTTL {
 			delete(c.routes, name)
 		}
 	}
--- a/daemon/internal/request/admission/search.go
+++ b/daemon/internal/request/admission/search.go
@@ -2,32 +2,33 @@
 
 import "github.com/wheelcleat/wheelcleat/daemon/internal/connection/places"
 
-// MostSilent is how many loaders may give no answer to one request: each takes 50 ms of a
-// time to the first byte of some hundred.
+// MostSilent is the number of unresponsive loaders after which a search ends, since each costs a
+// call timeout of the request's time to the first byte.
 const MostSilent = 3
 
-// mostLimited is how many engines may say that their limit is used up, in parts of the
-// questions: none of these costs the request a question, but where most engines of a large
-// fleet name limits a request would ask hundreds, a millisecond or two each.
-const mostLimited = 2
+// maxLimitedFactor times the maximum number of queries is the number of engines at their rate
+// limit after which a search ends. They do not count as queries, so a search could otherwise visit
+// hundreds of them.
+const maxLimitedFactor = 2
 
-// Search is one request's search for a place: how many engines may be asked, and with which
-// limits. Service and Request must be set.
+// Search counts the queries of one request's search for an engine and gives the limit of each.
+// Service and Request must be set.
 type Search struct {
 	Service Service
 	Request Request
-	// Ways vary the search; the zero value means StandingWays.
+	// Ways configures the search; the zero value means StandingWays.
 	Ways Ways
 
-	// denied and silent count the engines that gave no place and those that did not answer.
-	denied, silent int
-	// limited counts those whose limit is used up.
+	// denied counts the engines that denied a place, unresponsive the loaders that did not
+	// answer.
+	denied, unresponsive int
+	// limited counts the engines at their rate limit.
 	limited int
-	// spare says that one that gave none had a place.
-	spare bool
+	// sawFree is set if an engine denied the request although it had a free place.
+	sawFree bool
 }
 
-// ways returns those of the search.
+// ways returns the configuration of the search.
 func (s *Search) ways() Ways {
 	if s.Ways == (Ways{}) {
 		return StandingWays()
@@ -35,35 +36,34 @@
 	return s.Ways
 }
 
-// Over reports whether no further engine is to be asked.
+// Over reports whether the search ends without querying another engine.
 func (s *Search) Over() bool {
-	return s.denied+s.silent >= s.ways().Questions || s.silent >= MostSilent || s.TooLimited()
+	return s.denied+s.unresponsive >= s.ways().Questions || s.unresponsive >= MostSilent || s.TooLimited()
 }
 
-// TooLimited reports whether so many engines have used up their limits that no further one is
-// to be asked.
-func (s *Search) TooLimited() bool { return s.limited >= mostLimited*s.ways().Questions }
+// TooLimited reports whether the search ends because too many engines are at their rate limit.
+func (s *Search) TooLimited() bool { return s.limited >= maxLimitedFactor*s.ways().Questions }
 
-// Limit is how loaded the next engine may be. Only says that there is no other one.
+// Limit returns the maximum load of the next engine. Only means that no other engine remains.
 func (s *Search) Limit(only bool) places.Limit {
-	last := only || s.denied+s.silent+1 >= s.ways().Questions
+	last := only || s.denied+s.unresponsive+1 >= s.ways().Questions
 	return s.ways().Limit(s.Service, s.Request, s.denied, last)
 }
 
-// Denied takes that an engine gave no place, and its load.
+// Denied records that an engine with the given load denied a place.
 func (s *Search) Denied(load places.Load) {
 	s.denied++
-	s.spare = s.spare || load.Running+load.Waiting < s.Service.Places
+	s.sawFree = s.sawFree || load.Running+load.Waiting < s.Service.Places
 }
 
-// Limited takes that an engine's limit is used up.
+// Limited records that an engine is at its rate limit.
 func (s *Search) Limited() { s.limited++ }
 
-// Silent takes that an engine's loader did not answer.
-func (s *Search) Silent() { s.silent++ }
+// Silent records that a loader did not answer.
+func (s *Search) Silent() { s.unresponsive++ }
 
-// Asked returns how many engines gave no place and how many did not answer.
-func (s *Search) Asked() (denied, silent int) { return s.denied, s.silent }
+// Asked returns the number of engines that denied a place and that of unresponsive loaders.
+func (s *Search) Asked() (denied, unresponsive int) { return s.denied, s.unresponsive }
 
-// AllFull reports whether all engines that gave no place had none.
-func (s *Search) AllFull() bool { return !s.spare }
+// AllFull reports whether none of the engines that denied a place had a free one.
+func (s *Search) AllFull() bool { return !s.sawFree }
