--- a/daemon/internal/connection/evidence/evidence_test.go
+++ b/daemon/internal/connection/evidence/evidence_test.go
@@ -20,7 +20,7 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/quarantine"
 )
 
-var deadly = content.Request{Body: []byte("deadly")}.Name()
+var deadly = content.Request{Body: []byte("deadly")}.Digest()
 
 func noted(upstreams ...string) quarantine.Note {
 	note := quarantine.Note{Content: deadly}
--- a/daemon/internal/request/content/content.go
+++ b/daemon/internal/request/content/content.go
@@ -18,8 +18,8 @@
 // size is the length of a digest in bytes.
 const size = 16
 
-// Name is the digest of a request's content. The zero value means no content.
-type Name [size]byte
+// Digest is the digest of a request's content. The zero value means no content.
+type Digest [size]byte
 
 // Request holds the parts of a request that the digest covers.
 type Request struct {
@@ -30,9 +30,9 @@
 	Body   []byte
 }
 
-// Name returns the request's digest. Each part is prefixed with its length, so that moving
+// Digest returns the request's digest. Each part is prefixed with its length, so that moving
 // bytes from one part to the next changes the digest.
-func (r Request) Name() Name {
+func (r Request) Digest() Digest {
 	hasher := blake3.New()
 	for _, part := range [][]byte{[]byte(r.Account), []byte(r.Method), []byte(r.Host), []byte(r.Target), r.Body} {
 		var length [8]byte
@@ -40,23 +40,23 @@
 		_, _ = hasher.Write(length[:])
 		_, _ = hasher.Write(part)
 	}
-	var name Name
-	copy(name[:], hasher.Sum(nil))
-	return name
+	var digest Digest
+	copy(digest[:], hasher.Sum(nil))
+	return digest
 }
 
 // String returns the digest in hex.
-func (n Name) String() string { return hex.EncodeToString(n[:]) }
+func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
 // MarshalText encodes the digest in hex.
-func (n Name) MarshalText() ([]byte, error) { return []byte(n.String()), nil }
+func (d Digest) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
 // UnmarshalText decodes the output of MarshalText.
-func (n *Name) UnmarshalText(text []byte) error {
+func (d *Digest) UnmarshalText(text []byte) error {
 	if len(text) != hex.EncodedLen(size) {
 		return fmt.Errorf("decode content digest: got %d characters, want %d hex digits", len(text), hex.EncodedLen(size))
 	}
-	if _, err := hex.Decode(n[:], text); err != nil {
+	if _, err := hex.Decode(d[:], text); err != nil {
 		return fmt.Errorf("decode content digest: %w", err)
 	}
 	return nil
--- a/daemon/internal/request/content/content_test.go
+++ b/daemon/internal/request/content/content_test.go
@@ -22,17 +22,17 @@
 		{Account: "a", Method: "POST", Host: "h", Target: "/x?yb", Body: []byte("ody")},
 	}
 	for _, other := range others {
-		assert.NotEqual(t, base.Name(), other.Name(), "%+v", other)
+		assert.NotEqual(t, base.Digest(), other.Digest(), "%+v", other)
 	}
 	same := base
-	assert.Equal(t, base.Name(), same.Name())
+	assert.Equal(t, base.Digest(), same.Digest())
 }
 
 func TestDigestTextRoundTrip(t *testing.T) {
-	digest := content.Request{Body: []byte("x")}.Name()
+	digest := content.Request{Body: []byte("x")}.Digest()
 	text, err := digest.MarshalText()
 	require.NoError(t, err)
-	var decoded content.Name
+	var decoded content.Digest
 	require.NoError(t, decoded.UnmarshalText(text))
 	assert.Equal(t, digest, decoded)
 	require.Error(t, decoded.UnmarshalText([]byte("12")))
--- a/daemon/internal/request/dispatch/admit.go
+++ b/daemon/internal/request/dispatch/admit.go
@@ -145,10 +145,10 @@
 }
 
 // contentName names what is asked for.
-func (q *request) contentName() content.Name {
+func (q *request) contentName() content.Digest {
 	return content.Request{
 		Account: q.accountName(), Method: q.Method, Host: q.Host, Target: q.RequestURI, Body: q.body,
-	}.Name()
+	}.Digest()
 }
 
 // callerPatience is the time that the caller waits.
--- a/daemon/internal/request/dispatch/broken.go
+++ b/daemon/internal/request/dispatch/broken.go
@@ -19,7 +19,7 @@
 // have ended, and the request may be the cause.
 type Break struct {
 	Request  string
-	Content  content.Name
+	Content  content.Digest
 	Upstream *provider.Upstream
 	// After is the time since the request was sent there.
 	After time.Duration
--- a/daemon/internal/request/dispatch/dispatch.go
+++ b/daemon/internal/request/dispatch/dispatch.go
@@ -65,8 +65,8 @@
 	// Admit says what may be done with a content under which upstreams ended, as a request
 	// comes, and Judge the same of one that was let in. Whole is told of each content that
 	// was answered whole. All may be nil.
-	Admit, Judge func(content.Name) quarantine.Verdict
-	Whole        func(content.Name)
+	Admit, Judge func(content.Digest) quarantine.Verdict
+	Whole        func(content.Digest)
 	// Over is closed shortly before a process that stops cuts its callers. Nil means never.
 	Over <-chan struct{}
 	// Report is told once of each request that ended.
@@ -86,7 +86,7 @@
 type Story struct {
 	ID, Route, Service, Account string
 	// Content names what was asked for; it is the same each time the caller comes back.
-	Content content.Name
+	Content content.Digest
 	Started time.Time
 	// FirstByte is when the answer's head went out; zero if none did.
 	FirstByte time.Time
--- a/daemon/internal/request/dispatch/hold_test.go
+++ b/daemon/internal/request/dispatch/hold_test.go
@@ -20,7 +20,7 @@
 	return &request{
 		Dispatcher: &Dispatcher{
 			Pool: &balance.Pool{}, Budget: &Budget{Slack: 100, Window: time.Minute},
-			Judge: func(content.Name) quarantine.Verdict { return *verdict },
+			Judge: func(content.Digest) quarantine.Verdict { return *verdict },
 		},
 		Request: httptest.NewRequest("GET", "/", nil), story: &Story{}, sent: 1,
 		route: &provider.Route{Mode: provider.ModeSafe, MaxAttempts: 3}, service: &provider.Service{Name: "s"},
--- a/daemon/internal/request/quarantine/quarantine.go
+++ b/daemon/internal/request/quarantine/quarantine.go
@@ -108,8 +108,8 @@
 
 // Note reports the crashes or the clearing of a content from one router to another.
 type Note struct {
-	Content content.Name `json:"content"`
-	Ends    []End        `json:"ends,omitempty"`
+	Content content.Digest `json:"content"`
+	Ends    []End          `json:"ends,omitempty"`
 	// Cleared means that the content had a complete response or that an operator lifted its
 	// quarantine.
 	Cleared bool `json:"cleared,omitempty"`
@@ -123,10 +123,10 @@
 // Table holds the crashes of contents as one router has received them. The zero value is empty
 // and ready to use. It is not safe for concurrent use.
 type Table struct {
-	contents map[content.Name]*record
+	contents map[content.Digest]*record
 	// succeeded holds the contents with complete responses since rotatedAt, succeededBefore
 	// those of the preceding generation.
-	succeeded, succeededBefore map[content.Name]time.Time
+	succeeded, succeededBefore map[content.Digest]time.Time
 	rotatedAt                  time.Time
 }
 
@@ -233,10 +233,10 @@
 
 // clear drops the crashes of a content and reports whether there were any. It creates a record if
 // there is none, because crash reports may be in transit.
-func (t *Table) clear(name content.Name, now time.Time) bool {
-	r := t.contents[name]
+func (t *Table) clear(digest content.Digest, now time.Time) bool {
+	r := t.contents[digest]
 	if r == nil {
-		r = t.add(name, now)
+		r = t.add(digest, now)
 	}
 	changed, dropped := len(r.crashes) > 0, slices.Concat(r.crashes, r.cleared)
 	*r = record{lastAt: now, cleared: dropped[:min(len(dropped), maxCrashes)], clearedAt: now}
@@ -244,25 +244,25 @@
 }
 
 // Whole records that a content had a complete response.
-func (t *Table) Whole(name content.Name, now time.Time) {
+func (t *Table) Whole(digest content.Digest, now time.Time) {
 	if t.succeeded == nil || len(t.succeeded) >= maxSuccesses || now.Sub(t.rotatedAt) >= successTTL {
-		t.succeeded, t.succeededBefore, t.rotatedAt = map[content.Name]time.Time{}, t.succeeded, now
+		t.succeeded, t.succeededBefore, t.rotatedAt = map[content.Digest]time.Time{}, t.succeeded, now
 	}
-	t.succeeded[name] = now
+	t.succeeded[digest] = now
 }
 
 // succeededRecently reports whether a content had a complete response within successTTL.
-func (t *Table) succeededRecently(name content.Name, now time.Time) bool {
-	at, ok := t.succeeded[name]
+func (t *Table) succeededRecently(digest content.Digest, now time.Time) bool {
+	at, ok := t.succeeded[digest]
 	if !ok {
-		at, ok = t.succeededBefore[name]
+		at, ok = t.succeededBefore[digest]
 	}
 	return ok && now.Sub(at) < successTTL
 }
 
 // Sent is an attempt during which the upstream crashed.
 type Sent struct {
-	Content  content.Name
+	Content  content.Digest
 	Upstream string
 	// Started is the start time of the upstream, At the time at which the request was sent.
 	Started, At time.Time
@@ -300,9 +300,9 @@
 
 // Admit returns the verdict on a request that has just arrived. After a quarantine has expired,
 // one request at a time is admitted as a trial, at the router for which mayTry is set.
-func (t *Table) Admit(name content.Name, mayTry bool, now time.Time) Verdict {
-	verdict := t.Judge(name, now)
-	r := t.contents[name]
+func (t *Table) Admit(digest content.Digest, mayTry bool, now time.Time) Verdict {
+	verdict := t.Judge(digest, now)
+	r := t.contents[digest]
 	if r == nil || !r.expired {
 		return verdict
 	}
@@ -314,8 +314,8 @@
 }
 
 // Judge returns the present verdict on a request that was admitted before.
-func (t *Table) Judge(name content.Name, now time.Time) Verdict {
-	r := t.contents[name]
+func (t *Table) Judge(digest content.Digest, now time.Time) Verdict {
+	r := t.contents[digest]
 	if r == nil {
 		return Free
 	}
@@ -331,9 +331,9 @@
 }
 
 // Note returns the report of a content.
-func (t *Table) Note(name content.Name) Note {
-	note := Note{Content: name}
-	if r := t.contents[name]; r != nil {
+func (t *Table) Note(digest content.Digest) Note {
+	note := Note{Content: digest}
+	if r := t.contents[digest]; r != nil {
 		for _, crash := range r.crashes {
 			note.Ends = append(note.Ends, crash.End)
 		}
@@ -344,42 +344,42 @@
 // Notes returns the reports of all contents with crashes.
 func (t *Table) Notes() []Note {
 	notes := make([]Note, 0, len(t.contents))
-	for name, r := range t.contents {
+	for digest, r := range t.contents {
 		if len(r.crashes) > 0 {
-			notes = append(notes, t.Note(name))
+			notes = append(notes, t.Note(digest))
 		}
 	}
 	return notes
 }
 
 // add inserts a record and evicts others from a full table.
-func (t *Table) add(name content.Name, now time.Time) *record {
+func (t *Table) add(digest content.Digest, now time.Time) *record {
 	if t.contents == nil {
-		t.contents = map[content.Name]*record{}
+		t.contents = map[content.Digest]*record{}
 	}
 	if len(t.contents) >= maxContents {
 		t.evict(now)
 	}
 	r := &record{}
-	t.contents[name] = r
+	t.contents[digest] = r
 	return r
 }
 
 // evict drops records without crashes and, if the table is still full, the eighth with the
 // shallowest crashes, older ones first. Evicting an eighth at once amortizes the sort.
 func (t *Table) evict(now time.Time) {
-	maps.DeleteFunc(t.contents, func(_ content.Name, r *record) bool {
+	maps.DeleteFunc(t.contents, func(_ content.Digest, r *record) bool {
 		r.expire(now)
 		return len(r.crashes) == 0
 	})
 	if len(t.contents) < maxContents {
 		return
 	}
-	names := slices.SortedFunc(maps.Keys(t.contents), func(a, b content.Name) int {
+	digests := slices.SortedFunc(maps.Keys(t.contents), func(a, b content.Digest) int {
 		one, other := t.contents[a], t.contents[b]
 		return cmp.Or(cmp.Compare(one.depth(), other.depth()), one.lastAt.Compare(other.lastAt))
 	})
-	for _, name := range names[:maxContents/8] {
-		delete(t.contents, name)
+	for _, digest := range digests[:maxContents/8] {
+		delete(t.contents, digest)
 	}
 }
--- a/daemon/internal/request/quarantine/quarantine_test.go
+++ b/daemon/internal/request/quarantine/quarantine_test.go
@@ -15,10 +15,10 @@
 
 var start = time.Unix(1000, 0)
 
-func digest(number int) content.Name {
-	var name content.Name
-	binary.BigEndian.PutUint64(name[:], uint64(number))
-	return name
+func digest(number int) content.Digest {
+	var d content.Digest
+	binary.BigEndian.PutUint64(d[:], uint64(number))
+	return d
 }
 
 func crash(upstream string, started int64, depth int) quarantine.End {
@@ -226,11 +226,11 @@
 	for i := range 4 {
 		table.Whole(popular, now)
 		now = now.Add(30 * time.Millisecond)
-		for _, name := range []content.Name{popular, crashing} {
-			observed, counts := table.End(quarantine.Sent{Content: name, Upstream: fmt.Sprint("u", i), At: now.Add(-10 * time.Millisecond)}, now)
-			assert.Equal(t, name == crashing, counts)
+		for _, suspect := range []content.Digest{popular, crashing} {
+			observed, counts := table.End(quarantine.Sent{Content: suspect, Upstream: fmt.Sprint("u", i), At: now.Add(-10 * time.Millisecond)}, now)
+			assert.Equal(t, suspect == crashing, counts)
 			if counts {
-				table.Take(quarantine.Note{Content: name, Ends: []quarantine.End{observed}}, now)
+				table.Take(quarantine.Note{Content: suspect, Ends: []quarantine.End{observed}}, now)
 			}
 		}
 	}
--- a/daemon/internal/request/quarantine/simulation_test.go
+++ b/daemon/internal/request/quarantine/simulation_test.go
@@ -28,7 +28,7 @@
 
 // request is a client's request at one router.
 type request struct {
-	content  content.Name
+	content  content.Digest
 	router   int
 	attempts int // remaining
 	retries  int // remaining, by the client
@@ -69,11 +69,11 @@
 
 func (f *fleet) time() time.Time { return time.Unix(1000, 0).Add(f.now) }
 
-func (f *fleet) newContent() content.Name {
-	var name content.Name
+func (f *fleet) newContent() content.Digest {
+	var digest content.Digest
 	f.contents++
-	binary.BigEndian.PutUint64(name[:], f.contents)
-	return name
+	binary.BigEndian.PutUint64(digest[:], f.contents)
+	return digest
 }
 
 // admit sends a new request to a random router.
--- a/daemon/router/recorder.go
+++ b/daemon/router/recorder.go
@@ -139,7 +139,7 @@
 
 // verdictNotKept writes one line where a verdict could not be put into the store: routers
 // that start later hear of it from others only.
-func (r *recorder) verdictNotKept(name content.Name, err error) {
+func (r *recorder) verdictNotKept(name content.Digest, err error) {
 	r.log.WithFields(log.Fields{"content": name, "reason": err.Error()}).Warn("verdict on a content not kept in the store")
 }
 
--- a/daemon/router/suspects.go
+++ b/daemon/router/suspects.go
@@ -52,7 +52,7 @@
 }
 
 // judge says what may be done with a content.
-func (s *suspects) judge(name content.Name) quarantine.Verdict {
+func (s *suspects) judge(name content.Digest) quarantine.Verdict {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Judge(name, clock.Now())
@@ -60,7 +60,7 @@
 
 // admit says what may be done with a content as a request comes; mayTry is asked only where
 // one was held back.
-func (s *suspects) admit(name content.Name, mayTry func(content.Name) bool) quarantine.Verdict {
+func (s *suspects) admit(name content.Digest, mayTry func(content.Digest) bool) quarantine.Verdict {
 	if s.judge(name) == quarantine.Free {
 		return quarantine.Free
 	}
@@ -91,7 +91,7 @@
 }
 
 // whole notes that a content was answered whole, and reports whether ends stand against it.
-func (s *suspects) whole(name content.Name) bool {
+func (s *suspects) whole(name content.Digest) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.table.Whole(name, clock.Now())
@@ -107,7 +107,7 @@
 	return s.table.End(sent, now)
 }
 
-func (s *suspects) note(name content.Name) quarantine.Note {
+func (s *suspects) note(name content.Digest) quarantine.Note {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Note(name)
@@ -147,13 +147,13 @@
 }
 
 // admitContent says what may be done with a content as a request comes.
-func (p *Process) admitContent(name content.Name) quarantine.Verdict {
+func (p *Process) admitContent(name content.Digest) quarantine.Verdict {
 	return p.suspects.admit(name, p.tries)
 }
 
 // tries reports whether it falls to this router to send a content again that was held back
 // long enough: to one of all, so that one upstream is risked.
-func (p *Process) tries(name content.Name) bool {
+func (p *Process) tries(name content.Digest) bool {
 	own := p.current.Load().Name
 	names := []string{own}
 	for member := range p.compiler.View().Members {
@@ -165,7 +165,7 @@
 }
 
 // answeredWhole clears a content.
-func (p *Process) answeredWhole(name content.Name) {
+func (p *Process) answeredWhole(name content.Digest) {
 	if p.suspects.whole(name) {
 		p.tell(quarantine.Note{Content: name, Cleared: true}, sourceOwn)
 	}
@@ -194,7 +194,7 @@
 }
 
 // keepVerdict writes what is known of a content to the store, again while that is away.
-func (p *Process) keepVerdict(name content.Name) {
+func (p *Process) keepVerdict(name content.Digest) {
 	if p.provider.EncodeSuspect == nil {
 		return
 	}
@@ -208,7 +208,7 @@
 	}
 }
 
-func (p *Process) writeVerdict(name content.Name) error {
+func (p *Process) writeVerdict(name content.Digest) error {
 	ctx, cancel := context.WithTimeout(context.Background(), suspectTimeout)
 	defer cancel()
 	known := p.suspects.note(name)
@@ -279,7 +279,7 @@
 
 // lift clears a content at an operator's wish, here and everywhere.
 func (p *Process) lift(w http.ResponseWriter, r bunrouter.Request) error {
-	var name content.Name
+	var name content.Digest
 	if err := name.UnmarshalText([]byte(r.Param("content"))); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return nil
