--- a/daemon/internal/connection/evidence/bench_test.go
+++ b/daemon/internal/connection/evidence/bench_test.go
@@ -22,9 +22,9 @@
 	const routers = 400
 	var told atomic.Int64
 	all := make(chan struct{}, 1)
-	known := &evidence.Known[quarantine.Note]{
-		All: func() []quarantine.Note { return nil }, Of: func([]quarantine.Note) []quarantine.Note { return nil },
-		Take: func([]quarantine.Note) {
+	known := &evidence.Known[quarantine.Report]{
+		All: func() []quarantine.Report { return nil }, Of: func([]quarantine.Report) []quarantine.Report { return nil },
+		Take: func([]quarantine.Report) {
 			if told.Add(1)%routers == 0 {
 				all <- struct{}{}
 			}
@@ -36,10 +36,10 @@
 		b.Cleanup(server.Close)
 		peers = append(peers, netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://")))
 	}
-	teller := &evidence.Teller[quarantine.Note]{
+	teller := &evidence.Teller[quarantine.Report]{
 		Path:   evidence.SuspectsPath,
 		Client: &http.Client{Transport: dial.NewHostTransport(dial.Direct, time.Minute)},
-		Peers:  func() []netip.AddrPort { return peers }, Take: func([]quarantine.Note, netip.AddrPort) {},
+		Peers:  func() []netip.AddrPort { return peers }, Take: func([]quarantine.Report, netip.AddrPort) {},
 	}
 	teller.Start()
 	b.Cleanup(teller.Stop)
--- a/daemon/internal/connection/evidence/evidence_test.go
+++ b/daemon/internal/connection/evidence/evidence_test.go
@@ -22,8 +22,8 @@
 
 var deadly = content.Request{Body: []byte("deadly")}.Digest()
 
-func noted(upstreams ...string) quarantine.Note {
-	note := quarantine.Note{Content: deadly}
+func noted(upstreams ...string) quarantine.Report {
+	note := quarantine.Report{Content: deadly}
 	for _, upstream := range upstreams {
 		depth := map[string]int{"a": 1, "b": 2, "c": 3}[upstream]
 		note.Ends = append(note.Ends, quarantine.End{Upstream: upstream, Depth: depth})
@@ -43,9 +43,9 @@
 func startPeer(t *testing.T) *peer {
 	t.Helper()
 	p := &peer{}
-	known := &evidence.Known[quarantine.Note]{
+	known := &evidence.Known[quarantine.Report]{
 		All:  p.notes,
-		Of:   func([]quarantine.Note) []quarantine.Note { return p.notes() },
+		Of:   func([]quarantine.Report) []quarantine.Report { return p.notes() },
 		Take: p.take,
 	}
 	pages := bunrouter.New()
@@ -70,13 +70,13 @@
 	return p.fails >= 0
 }
 
-func (p *peer) notes() []quarantine.Note {
+func (p *peer) notes() []quarantine.Report {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.table.Notes()
+	return p.table.Reports()
 }
 
-func (p *peer) take(notes []quarantine.Note) {
+func (p *peer) take(notes []quarantine.Report) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, note := range notes {
@@ -90,12 +90,12 @@
 	return p.table.Judge(deadly, time.Now())
 }
 
-func startTeller(t *testing.T, own *peer, others ...netip.AddrPort) *evidence.Teller[quarantine.Note] {
+func startTeller(t *testing.T, own *peer, others ...netip.AddrPort) *evidence.Teller[quarantine.Report] {
 	t.Helper()
-	teller := &evidence.Teller[quarantine.Note]{
+	teller := &evidence.Teller[quarantine.Report]{
 		Path:   evidence.SuspectsPath,
 		Client: http.DefaultClient, Peers: func() []netip.AddrPort { return others },
-		Take: func(notes []quarantine.Note, _ netip.AddrPort) { own.take(notes) },
+		Take: func(notes []quarantine.Report, _ netip.AddrPort) { own.take(notes) },
 	}
 	teller.Start()
 	t.Cleanup(teller.Stop)
@@ -126,9 +126,9 @@
 // learns of those before.
 func TestWhoMissedNewsHearsOfItInTheAnswer(t *testing.T) {
 	own, other := &peer{}, startPeer(t)
-	other.take([]quarantine.Note{noted("b", "c")})
+	other.take([]quarantine.Report{noted("b", "c")})
 	teller := startTeller(t, own, other.address)
-	own.take([]quarantine.Note{noted("a")})
+	own.take([]quarantine.Report{noted("a")})
 	require.True(t, teller.Tell(noted("a")))
 	await(t, "it holds the content back", func() bool { return own.judge() == quarantine.Held })
 }
@@ -136,12 +136,12 @@
 // TestAStartingRouterAsks: it has all that another knows, although nobody tells it anything.
 func TestAStartingRouterAsks(t *testing.T) {
 	own, other := &peer{}, startPeer(t)
-	other.take([]quarantine.Note{noted("a", "b", "c")})
-	teller := &evidence.Teller[quarantine.Note]{
+	other.take([]quarantine.Report{noted("a", "b", "c")})
+	teller := &evidence.Teller[quarantine.Report]{
 		Path:   evidence.SuspectsPath,
 		Client: http.DefaultClient, Peers: func() []netip.AddrPort { return nil },
 		Peer: func() (netip.AddrPort, bool) { return other.address, true },
-		Take: func(notes []quarantine.Note, _ netip.AddrPort) { own.take(notes) },
+		Take: func(notes []quarantine.Report, _ netip.AddrPort) { own.take(notes) },
 	}
 	teller.Start()
 	t.Cleanup(teller.Stop)
@@ -154,10 +154,10 @@
 	asked := make(chan struct{}, 1)
 	client := &http.Client{Transport: silent{asked}}
 	failed := make(chan error, 1)
-	teller := &evidence.Teller[quarantine.Note]{
+	teller := &evidence.Teller[quarantine.Report]{
 		Path:   evidence.SuspectsPath,
 		Client: client, Peers: func() []netip.AddrPort { return []netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:1")} },
-		Take: func([]quarantine.Note, netip.AddrPort) {}, OnFailed: func(_ netip.AddrPort, err error) { failed <- err },
+		Take: func([]quarantine.Report, netip.AddrPort) {}, OnFailed: func(_ netip.AddrPort, err error) { failed <- err },
 	}
 	assert.False(t, teller.Tell(noted("a")), "not started")
 	teller.Start()
--- a/daemon/internal/request/quarantine/quarantine.go
+++ b/daemon/internal/request/quarantine/quarantine.go
@@ -106,8 +106,8 @@
 	return e.Upstream == other.Upstream && e.Started.Equal(other.Started)
 }
 
-// Note reports the crashes or the clearing of a content from one router to another.
-type Note struct {
+// Report reports the crashes or the clearing of a content from one router to another.
+type Report struct {
 	Content content.Digest `json:"content"`
 	Ends    []End          `json:"ends,omitempty"`
 	// Cleared means that the content had a complete response or that an operator lifted its
@@ -116,7 +116,7 @@
 }
 
 // Deep reports whether a crash reaches quarantineDepth, also if the quarantine has expired.
-func (n Note) Deep() bool {
+func (n Report) Deep() bool {
 	return slices.ContainsFunc(n.Ends, func(end End) bool { return end.Depth >= quarantineDepth })
 }
 
@@ -176,20 +176,20 @@
 }
 
 // Take merges a report of this or another router and reports whether the table changed.
-func (t *Table) Take(note Note, now time.Time) bool {
-	if note.Cleared {
-		return t.clear(note.Content, now)
+func (t *Table) Take(report Report, now time.Time) bool {
+	if report.Cleared {
+		return t.clear(report.Content, now)
 	}
-	if len(note.Ends) == 0 {
+	if len(report.Ends) == 0 {
 		return false
 	}
-	r := t.contents[note.Content]
+	r := t.contents[report.Content]
 	if r == nil {
-		r = t.add(note.Content, now)
+		r = t.add(report.Content, now)
 	}
 	r.expire(now)
 	before, changed := r.depth(), false
-	for _, end := range note.Ends {
+	for _, end := range report.Ends {
 		changed = r.merge(end, now) || changed
 	}
 	if before < quarantineDepth && r.depth() >= quarantineDepth {
@@ -330,26 +330,26 @@
 	}
 }
 
-// Note returns the report of a content.
-func (t *Table) Note(digest content.Digest) Note {
-	note := Note{Content: digest}
+// Report returns the report of a content.
+func (t *Table) Report(digest content.Digest) Report {
+	report := Report{Content: digest}
 	if r := t.contents[digest]; r != nil {
 		for _, crash := range r.crashes {
-			note.Ends = append(note.Ends, crash.End)
+			report.Ends = append(report.Ends, crash.End)
 		}
 	}
-	return note
+	return report
 }
 
-// Notes returns the reports of all contents with crashes.
-func (t *Table) Notes() []Note {
-	notes := make([]Note, 0, len(t.contents))
+// Reports returns the reports of all contents with crashes.
+func (t *Table) Reports() []Report {
+	reports := make([]Report, 0, len(t.contents))
 	for digest, r := range t.contents {
 		if len(r.crashes) > 0 {
-			notes = append(notes, t.Note(digest))
+			reports = append(reports, t.Report(digest))
 		}
 	}
-	return notes
+	return reports
 }
 
 // add inserts a record and evicts others from a full table.
--- a/daemon/internal/request/quarantine/quarantine_test.go
+++ b/daemon/internal/request/quarantine/quarantine_test.go
@@ -25,8 +25,8 @@
 	return quarantine.End{Upstream: upstream, Started: time.UnixMilli(started), Depth: depth}
 }
 
-func report(number int, crashes ...quarantine.End) quarantine.Note {
-	return quarantine.Note{Content: digest(number), Ends: crashes}
+func report(number int, crashes ...quarantine.End) quarantine.Report {
+	return quarantine.Report{Content: digest(number), Ends: crashes}
 }
 
 // attribute returns the crash of an attempt, which must count against the content.
@@ -53,14 +53,14 @@
 	assert.True(t, table.Take(report(1, crash("b", 1, 3)), start), "greater depth at another router")
 	assert.Equal(t, quarantine.Held, table.Judge(digest(1), start))
 	assert.Equal(t, quarantine.Free, table.Judge(digest(2), start))
-	assert.Len(t, table.Note(digest(1)).Ends, 3)
-	assert.True(t, table.Note(digest(1)).Deep())
+	assert.Len(t, table.Report(digest(1)).Ends, 3)
+	assert.True(t, table.Report(digest(1)).Deep())
 	assert.False(t, report(2, crash("a", 1, 2)).Deep())
 
-	assert.True(t, table.Take(quarantine.Note{Content: digest(1), Cleared: true}, start))
-	assert.False(t, table.Take(quarantine.Note{Content: digest(1), Cleared: true}, start))
+	assert.True(t, table.Take(quarantine.Report{Content: digest(1), Cleared: true}, start))
+	assert.False(t, table.Take(quarantine.Report{Content: digest(1), Cleared: true}, start))
 	assert.Equal(t, quarantine.Free, table.Judge(digest(1), start))
-	assert.Empty(t, table.Notes())
+	assert.Empty(t, table.Reports())
 }
 
 // TestSimultaneousCrashesHaveDepthOne guards against quarantining a popular request that ran on
@@ -139,7 +139,7 @@
 	assert.Equal(t, quarantine.Once, table.Admit(digest(1), true, now))
 	now = now.Add(10 * time.Second)
 	assert.Equal(t, quarantine.Once, table.Admit(digest(1), true, now), "the previous trial had no result")
-	table.Take(quarantine.Note{Content: digest(1), Cleared: true}, now)
+	table.Take(quarantine.Report{Content: digest(1), Cleared: true}, now)
 	assert.Equal(t, quarantine.Free, table.Admit(digest(1), false, now))
 
 	table.Take(report(2, crash("a", 1, 1), crash("b", 1, 2)), now)
@@ -157,15 +157,15 @@
 		table.Take(report(i, crash("a", 1, 1)), start.Add(time.Duration(i)*time.Millisecond))
 	}
 	assert.Equal(t, quarantine.Held, table.Judge(digest(0), start.Add(many*time.Millisecond)))
-	assert.LessOrEqual(t, len(table.Notes()), 4096)
-	assert.Equal(t, []quarantine.End{crash("a", 1, 1)}, table.Note(digest(many)).Ends, "the newest content is kept")
+	assert.LessOrEqual(t, len(table.Reports()), 4096)
+	assert.Equal(t, []quarantine.End{crash("a", 1, 1)}, table.Report(digest(many)).Ends, "the newest content is kept")
 }
 
 // TestTablesConverge checks that tables that merged the same reports agree, whatever the order and
 // the number of duplicates.
 func TestTablesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		reports := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) quarantine.Note {
+		reports := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) quarantine.Report {
 			crashes := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) quarantine.End {
 				return crash(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "upstream"), rapid.Int64Range(1, 2).Draw(t, "started"), rapid.IntRange(1, 3).Draw(t, "depth"))
 			}), 1, 3).Draw(t, "ends")
@@ -180,7 +180,7 @@
 		}
 		for number := range 4 {
 			assert.Equal(t, first.Judge(digest(number), start), second.Judge(digest(number), start))
-			assert.ElementsMatch(t, first.Note(digest(number)).Ends, second.Note(digest(number)).Ends)
+			assert.ElementsMatch(t, first.Report(digest(number)).Ends, second.Report(digest(number)).Ends)
 		}
 	})
 }
@@ -192,13 +192,13 @@
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	crashes := []quarantine.End{crash("a", 1, 1), crash("b", 1, 2), crash("c", 1, 3)}
 	table.Take(report(1, crashes[:2]...), at(0))
-	assert.True(t, table.Take(quarantine.Note{Content: digest(1), Cleared: true}, at(10)))
-	assert.Empty(t, table.Note(digest(1)).Ends)
+	assert.True(t, table.Take(quarantine.Report{Content: digest(1), Cleared: true}, at(10)))
+	assert.Empty(t, table.Report(digest(1)).Ends)
 	for _, stale := range crashes {
 		assert.False(t, table.Take(report(1, stale), at(300)), "the crash of %s was known, or is deeper than any since the clearing can be", stale.Upstream)
 	}
 	assert.Equal(t, quarantine.Free, table.Judge(digest(1), at(300)))
-	assert.Empty(t, table.Notes())
+	assert.Empty(t, table.Reports())
 
 	next := attribute(table, quarantine.Sent{Content: digest(1), Upstream: "a", Started: time.UnixMilli(1), At: at(400)}, at(500))
 	assert.Equal(t, quarantine.End{Upstream: "a", Started: time.UnixMilli(1), Again: 1, Depth: 1}, next, "a new crash under the same registration")
@@ -209,11 +209,11 @@
 	assert.Equal(t, quarantine.Held, table.Judge(digest(1), at(600)))
 
 	uninformed := &quarantine.Table{}
-	assert.False(t, uninformed.Take(quarantine.Note{Content: digest(1), Cleared: true}, at(10)), "no crashes to clear")
+	assert.False(t, uninformed.Take(quarantine.Report{Content: digest(1), Cleared: true}, at(10)), "no crashes to clear")
 	assert.False(t, uninformed.Take(report(1, crashes[2]), at(300)), "deeper than any crash since the clearing can be")
 	later := &quarantine.Table{}
 	later.Take(report(1, crashes[:2]...), at(0))
-	later.Take(quarantine.Note{Content: digest(1), Cleared: true}, at(10))
+	later.Take(quarantine.Report{Content: digest(1), Cleared: true}, at(10))
 	assert.True(t, later.Take(report(1, crashes[2]), at(60_000)), "a clearing expires")
 }
 
@@ -230,7 +230,7 @@
 			observed, counts := table.End(quarantine.Sent{Content: suspect, Upstream: fmt.Sprint("u", i), At: now.Add(-10 * time.Millisecond)}, now)
 			assert.Equal(t, suspect == crashing, counts)
 			if counts {
-				table.Take(quarantine.Note{Content: suspect, Ends: []quarantine.End{observed}}, now)
+				table.Take(quarantine.Report{Content: suspect, Ends: []quarantine.End{observed}}, now)
 			}
 		}
 	}
--- a/daemon/internal/request/quarantine/simulation_test.go
+++ b/daemon/internal/request/quarantine/simulation_test.go
@@ -59,7 +59,7 @@
 type delivery struct {
 	at     time.Duration
 	router int
-	report quarantine.Note
+	report quarantine.Report
 }
 
 type delayed struct {
@@ -143,7 +143,7 @@
 			Content: r.content, Upstream: fmt.Sprint("e", engine), Started: time.Unix(f.started[engine], 0),
 			At: time.Unix(1000, 0).Add(r.sent),
 		}, f.time())
-		report := quarantine.Note{Content: r.content, Ends: []quarantine.End{observed}}
+		report := quarantine.Report{Content: r.content, Ends: []quarantine.End{observed}}
 		for router := range routers {
 			at := f.now
 			if router != r.router {
@@ -191,7 +191,7 @@
 				crashes = true
 				remaining = append(remaining, r)
 			default:
-				f.tables[r.router].Take(quarantine.Note{Content: r.content, Cleared: true}, f.time())
+				f.tables[r.router].Take(quarantine.Report{Content: r.content, Cleared: true}, f.time())
 			}
 		}
 		f.running[engine] = remaining
--- a/daemon/router/ends_test.go
+++ b/daemon/router/ends_test.go
@@ -257,7 +257,7 @@
 	}
 	response, err := http.Get("http://" + f.routers[0].Listen.Peers.String() + "/suspects")
 	require.NoError(t, err)
-	var known evidence.Message[quarantine.Note]
+	var known evidence.Message[quarantine.Report]
 	require.NoError(t, json.NewDecoder(response.Body).Decode(&known))
 	require.NoError(t, response.Body.Close())
 	require.Len(t, known.Notes, 1)
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -104,7 +104,7 @@
 	// tells the other routers.
 	probe    *livenessprobe.Probe
 	suspects *suspects
-	teller   *evidence.Teller[quarantine.Note]
+	teller   *evidence.Teller[quarantine.Report]
 	// limits are those that upstreams named, and limitTeller tells the other routers.
 	limits      *limits
 	limitTeller *evidence.Teller[ratelimit.Named]
--- a/daemon/router/suspects.go
+++ b/daemon/router/suspects.go
@@ -74,19 +74,19 @@
 type change struct {
 	// before and after are the verdicts, and known what is known of the content by now.
 	before, after quarantine.Verdict
-	known         quarantine.Note
+	known         quarantine.Report
 	// wasDeep says that the content had been held back before.
 	wasDeep bool
 }
 
 // take takes a note, and reports false where it changes no verdict.
-func (s *suspects) take(note quarantine.Note) (change, bool) {
+func (s *suspects) take(note quarantine.Report) (change, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Now()
-	c := change{before: s.table.Judge(note.Content, now), wasDeep: s.table.Note(note.Content).Deep()}
+	c := change{before: s.table.Judge(note.Content, now), wasDeep: s.table.Report(note.Content).Deep()}
 	news := s.table.Take(note, now)
-	c.after, c.known = s.table.Judge(note.Content, now), s.table.Note(note.Content)
+	c.after, c.known = s.table.Judge(note.Content, now), s.table.Report(note.Content)
 	return c, news && c.before != c.after
 }
 
@@ -95,7 +95,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.table.Whole(name, clock.Now())
-	return len(s.table.Note(name).Ends) > 0
+	return len(s.table.Report(name).Ends) > 0
 }
 
 // end names the end of the upstream of a broken send, and reports whether it counts.
@@ -107,22 +107,22 @@
 	return s.table.End(sent, now)
 }
 
-func (s *suspects) note(name content.Digest) quarantine.Note {
+func (s *suspects) note(name content.Digest) quarantine.Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table.Note(name)
+	return s.table.Report(name)
 }
 
-func (s *suspects) all() []quarantine.Note {
+func (s *suspects) all() []quarantine.Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table.Notes()
+	return s.table.Reports()
 }
 
 // of returns what is known of the contents of some notes, but of those that are cleared:
 // whoever tells so would take it for news.
-func (s *suspects) of(notes []quarantine.Note) []quarantine.Note {
-	var known []quarantine.Note
+func (s *suspects) of(notes []quarantine.Report) []quarantine.Report {
+	var known []quarantine.Report
 	for _, note := range notes {
 		if own := s.note(note.Content); !note.Cleared && len(own.Ends) > 0 {
 			known = append(known, own)
@@ -143,7 +143,7 @@
 	if !counts {
 		return
 	}
-	p.tell(quarantine.Note{Content: b.Content, Ends: []quarantine.End{end}}, sourceOwn)
+	p.tell(quarantine.Report{Content: b.Content, Ends: []quarantine.End{end}}, sourceOwn)
 }
 
 // admitContent says what may be done with a content as a request comes.
@@ -167,12 +167,12 @@
 // answeredWhole clears a content.
 func (p *Process) answeredWhole(name content.Digest) {
 	if p.suspects.whole(name) {
-		p.tell(quarantine.Note{Content: name, Cleared: true}, sourceOwn)
+		p.tell(quarantine.Report{Content: name, Cleared: true}, sourceOwn)
 	}
 }
 
 // tell takes a note of this router's own and tells the others.
-func (p *Process) tell(note quarantine.Note, from source) {
+func (p *Process) tell(note quarantine.Report, from source) {
 	p.learn(note, from, netip.AddrPort{})
 	if !p.teller.Tell(note) {
 		p.recorder.notTold()
@@ -181,7 +181,7 @@
 
 // learn takes a note. A verdict that this router helped to reach goes to the store, for
 // routers that start later.
-func (p *Process) learn(note quarantine.Note, from source, peer netip.AddrPort) {
+func (p *Process) learn(note quarantine.Report, from source, peer netip.AddrPort) {
 	c, changed := p.suspects.take(note)
 	if !changed {
 		return
@@ -229,7 +229,7 @@
 
 // takeSuspect takes what the store holds of a content.
 func (p *Process) takeSuspect(value []byte) error {
-	var note quarantine.Note
+	var note quarantine.Report
 	if err := json.Unmarshal(value, &note); err != nil {
 		return err
 	}
@@ -238,10 +238,10 @@
 }
 
 // newTeller prepares the telling of other routers.
-func (p *Process) newTeller(client *http.Client) *evidence.Teller[quarantine.Note] {
-	return &evidence.Teller[quarantine.Note]{
+func (p *Process) newTeller(client *http.Client) *evidence.Teller[quarantine.Report] {
+	return &evidence.Teller[quarantine.Report]{
 		Client: client, Path: evidence.SuspectsPath, Peers: p.otherRouters, Peer: p.peer, OnFailed: p.recorder.routerNotTold,
-		Take: func(notes []quarantine.Note, peer netip.AddrPort) {
+		Take: func(notes []quarantine.Report, peer netip.AddrPort) {
 			for _, note := range notes {
 				p.learn(note, sourceAnswer, peer)
 			}
@@ -264,9 +264,9 @@
 // suspectPages hands out what is known, takes what others tell, and lets operators lift
 // what stands against a content.
 func (p *Process) suspectPages(pages *bunrouter.Router) {
-	known := &evidence.Known[quarantine.Note]{
+	known := &evidence.Known[quarantine.Report]{
 		All: p.suspects.all, Of: p.suspects.of,
-		Take: func(notes []quarantine.Note) {
+		Take: func(notes []quarantine.Report) {
 			for _, note := range notes {
 				p.learn(note, sourceRouter, netip.AddrPort{})
 			}
@@ -288,7 +288,7 @@
 		http.Error(w, "no upstream is known to have ended under this content", http.StatusNotFound)
 		return nil
 	}
-	p.tell(quarantine.Note{Content: name, Cleared: true}, sourceLifted)
+	p.tell(quarantine.Report{Content: name, Cleared: true}, sourceLifted)
 	w.WriteHeader(http.StatusNoContent)
 	return nil
 }
