--- a/daemon/internal/connection/evidence/evidence_test.go
+++ b/daemon/internal/connection/evidence/evidence_test.go
@@ -26,7 +26,7 @@
 	note := quarantine.Report{Content: deadly}
 	for _, upstream := range upstreams {
 		depth := map[string]int{"a": 1, "b": 2, "c": 3}[upstream]
-		note.Ends = append(note.Ends, quarantine.End{Upstream: upstream, Depth: depth})
+		note.Crashes = append(note.Crashes, quarantine.Crash{Upstream: upstream, Depth: depth})
 	}
 	return note
 }
--- a/daemon/internal/request/quarantine/quarantine.go
+++ b/daemon/internal/request/quarantine/quarantine.go
@@ -16,7 +16,7 @@
 // router sends the request once, as a trial. A further crash renews the quarantine for longer, and
 // a complete response clears the content. A content that recently had a complete response is not
 // blamed for a crash, since a popular request may run on each of several upstreams that crashing
-// requests end in turn.
+// requests crash in turn.
 //
 // Invariant: a cleared content stays cleared. Crashes known at the clearing, and those deeper than
 // any that can have occurred since, are ignored for longer than a message takes to arrive.
@@ -85,31 +85,33 @@
 // String returns the name used in logs.
 func (v Verdict) String() string { return [...]string{"free", "once", "held"}[v] }
 
-// End is the crash of an upstream while it ran a content.
-type End struct {
+// Crash is the failure of an upstream while it ran a content.
+type Crash struct {
 	// Upstream is the id of the upstream. Started is its start time, zero if unknown; a
 	// restarted upstream may crash again under the same id.
 	Upstream string    `json:"upstream"`
 	Started  time.Time `json:"started,omitzero"`
-	// Again counts earlier crashes with the same id and start time. They differ although the
+	// Recurrence counts earlier crashes with the same id and start time. They differ although the
 	// router may not have read the registration of the restarted upstream yet.
-	Again int `json:"again,omitempty"`
+	Recurrence int `json:"again,omitempty"`
 	// Depth is one more than that of the deepest earlier crash; see the package comment.
 	Depth int `json:"depth"`
 }
 
 // equal reports whether two reports mean the same crash. Their depths may differ, since routers
 // may have received different earlier crashes.
-func (e End) equal(other End) bool { return e.sameRegistration(other) && e.Again == other.Again }
+func (e Crash) equal(other Crash) bool {
+	return e.sameRegistration(other) && e.Recurrence == other.Recurrence
+}
 
-func (e End) sameRegistration(other End) bool {
+func (e Crash) sameRegistration(other Crash) bool {
 	return e.Upstream == other.Upstream && e.Started.Equal(other.Started)
 }
 
 // Report reports the crashes or the clearing of a content from one router to another.
 type Report struct {
 	Content content.Digest `json:"content"`
-	Ends    []End          `json:"ends,omitempty"`
+	Crashes []Crash        `json:"ends,omitempty"`
 	// Cleared means that the content had a complete response or that an operator lifted its
 	// quarantine.
 	Cleared bool `json:"cleared,omitempty"`
@@ -117,7 +119,7 @@
 
 // Deep reports whether a crash reaches quarantineDepth, also if the quarantine has expired.
 func (n Report) Deep() bool {
-	return slices.ContainsFunc(n.Ends, func(end End) bool { return end.Depth >= quarantineDepth })
+	return slices.ContainsFunc(n.Crashes, func(crash Crash) bool { return crash.Depth >= quarantineDepth })
 }
 
 // Table holds the crashes of contents as one router has received them. The zero value is empty
@@ -132,7 +134,7 @@
 
 // observedCrash is a crash with the time at which this router received it.
 type observedCrash struct {
-	End
+	Crash
 	at time.Time
 }
 
@@ -154,12 +156,12 @@
 }
 
 // predatesClearing reports whether a crash occurred before the last clearing.
-func (r *record) predatesClearing(end End, now time.Time) bool {
+func (r *record) predatesClearing(crash Crash, now time.Time) bool {
 	if r.clearedAt.IsZero() || now.Sub(r.clearedAt) > clearedTTL {
 		return false
 	}
-	dropped := slices.ContainsFunc(r.cleared, func(c observedCrash) bool { return c.equal(end) })
-	return dropped || end.Depth > r.depth()+1
+	dropped := slices.ContainsFunc(r.cleared, func(c observedCrash) bool { return c.equal(crash) })
+	return dropped || crash.Depth > r.depth()+1
 }
 
 // depth returns the depth of the deepest crash. It is capped below quarantineDepth once the
@@ -180,7 +182,7 @@
 	if report.Cleared {
 		return t.clear(report.Content, now)
 	}
-	if len(report.Ends) == 0 {
+	if len(report.Crashes) == 0 {
 		return false
 	}
 	r := t.contents[report.Content]
@@ -189,8 +191,8 @@
 	}
 	r.expire(now)
 	before, changed := r.depth(), false
-	for _, end := range report.Ends {
-		changed = r.merge(end, now) || changed
+	for _, crash := range report.Crashes {
+		changed = r.merge(crash, now) || changed
 	}
 	if before < quarantineDepth && r.depth() >= quarantineDepth {
 		r.duration = min(max(initialQuarantine, quarantineGrowth*r.duration), maxQuarantine)
@@ -201,21 +203,21 @@
 // merge merges one crash and reports whether the record changed. A greater depth of a crash
 // already held is a change, since the reporting router had received more crashes. A full record
 // accepts only crashes deeper than all that it holds.
-func (r *record) merge(end End, now time.Time) bool {
-	i := slices.IndexFunc(r.crashes, func(c observedCrash) bool { return c.equal(end) })
+func (r *record) merge(crash Crash, now time.Time) bool {
+	i := slices.IndexFunc(r.crashes, func(c observedCrash) bool { return c.equal(crash) })
 	switch {
-	case r.predatesClearing(end, now):
+	case r.predatesClearing(crash, now):
 		return false
-	case i >= 0 && r.crashes[i].Depth >= end.Depth:
+	case i >= 0 && r.crashes[i].Depth >= crash.Depth:
 		return false
 	case i >= 0:
-		r.crashes[i].Depth = end.Depth
-	case len(r.crashes) >= maxCrashes && end.Depth <= r.depth():
+		r.crashes[i].Depth = crash.Depth
+	case len(r.crashes) >= maxCrashes && crash.Depth <= r.depth():
 		return false
 	default:
-		r.crashes = append(r.crashes, observedCrash{end, now})
+		r.crashes = append(r.crashes, observedCrash{crash, now})
 	}
-	r.expired = r.expired && end.Depth < quarantineDepth
+	r.expired = r.expired && crash.Depth < quarantineDepth
 	r.lastAt = now
 	return true
 }
@@ -268,34 +270,34 @@
 	Started, At time.Time
 }
 
-// End returns the crash of an upstream during an attempt, as observed now, and reports whether
+// Attribute returns the crash of an upstream during an attempt, as observed now, and reports whether
 // it counts against the content. A crash with the same id and start time that was received before
 // the attempt is a different one.
-func (t *Table) End(sent Sent, now time.Time) (End, bool) {
-	end := End{Upstream: sent.Upstream, Started: sent.Started, Depth: 1}
+func (t *Table) Attribute(sent Sent, now time.Time) (Crash, bool) {
+	crash := Crash{Upstream: sent.Upstream, Started: sent.Started, Depth: 1}
 	if t.succeededRecently(sent.Content, now) {
-		return end, false
+		return crash, false
 	}
 	r := t.contents[sent.Content]
 	if r == nil {
-		return end, true
+		return crash, true
 	}
 	r.expire(now)
 	for _, earlier := range r.crashes {
 		sentAfter := earlier.at.Before(sent.At)
-		if sentAfter && earlier.sameRegistration(end) {
-			end.Again = max(end.Again, earlier.Again+1)
+		if sentAfter && earlier.sameRegistration(crash) {
+			crash.Recurrence = max(crash.Recurrence, earlier.Recurrence+1)
 		}
 		if sentAfter || now.Sub(earlier.at) > simultaneousWindow {
-			end.Depth = max(end.Depth, min(earlier.Depth, r.depth())+1)
+			crash.Depth = max(crash.Depth, min(earlier.Depth, r.depth())+1)
 		}
 	}
 	for _, earlier := range r.cleared {
-		if earlier.at.Before(sent.At) && earlier.sameRegistration(end) {
-			end.Again = max(end.Again, earlier.Again+1)
+		if earlier.at.Before(sent.At) && earlier.sameRegistration(crash) {
+			crash.Recurrence = max(crash.Recurrence, earlier.Recurrence+1)
 		}
 	}
-	return end, true
+	return crash, true
 }
 
 // Admit returns the verdict on a request that has just arrived. After a quarantine has expired,
@@ -335,7 +337,7 @@
 	report := Report{Content: digest}
 	if r := t.contents[digest]; r != nil {
 		for _, crash := range r.crashes {
-			report.Ends = append(report.Ends, crash.End)
+			report.Crashes = append(report.Crashes, crash.Crash)
 		}
 	}
 	return report
--- a/daemon/internal/request/quarantine/quarantine_test.go
+++ b/daemon/internal/request/quarantine/quarantine_test.go
@@ -21,17 +21,17 @@
 	return d
 }
 
-func crash(upstream string, started int64, depth int) quarantine.End {
-	return quarantine.End{Upstream: upstream, Started: time.UnixMilli(started), Depth: depth}
+func crash(upstream string, started int64, depth int) quarantine.Crash {
+	return quarantine.Crash{Upstream: upstream, Started: time.UnixMilli(started), Depth: depth}
 }
 
-func report(number int, crashes ...quarantine.End) quarantine.Report {
-	return quarantine.Report{Content: digest(number), Ends: crashes}
+func report(number int, crashes ...quarantine.Crash) quarantine.Report {
+	return quarantine.Report{Content: digest(number), Crashes: crashes}
 }
 
 // attribute returns the crash of an attempt, which must count against the content.
-func attribute(table *quarantine.Table, sent quarantine.Sent, now time.Time) quarantine.End {
-	observed, counts := table.End(sent, now)
+func attribute(table *quarantine.Table, sent quarantine.Sent, now time.Time) quarantine.Crash {
+	observed, counts := table.Attribute(sent, now)
 	if !counts {
 		panic("the crash does not count against the content")
 	}
@@ -53,7 +53,7 @@
 	assert.True(t, table.Take(report(1, crash("b", 1, 3)), start), "greater depth at another router")
 	assert.Equal(t, quarantine.Held, table.Judge(digest(1), start))
 	assert.Equal(t, quarantine.Free, table.Judge(digest(2), start))
-	assert.Len(t, table.Report(digest(1)).Ends, 3)
+	assert.Len(t, table.Report(digest(1)).Crashes, 3)
 	assert.True(t, table.Report(digest(1)).Deep())
 	assert.False(t, report(2, crash("a", 1, 2)).Deep())
 
@@ -107,13 +107,13 @@
 	first := attribute(table, sent(0, 1), at(1))
 	assert.Equal(t, crash("a", 1, 1), first)
 	table.Take(report(1, first), at(1))
-	assert.Zero(t, attribute(table, sent(1, 1), at(1)).Again, "sent before the crash was received")
+	assert.Zero(t, attribute(table, sent(1, 1), at(1)).Recurrence, "sent before the crash was received")
 	second := attribute(table, sent(2, 1), at(3))
-	assert.Equal(t, 1, second.Again)
+	assert.Equal(t, 1, second.Recurrence)
 	assert.True(t, table.Take(report(1, second), at(3)))
 	assert.Equal(t, quarantine.Once, table.Judge(digest(1), at(3)))
-	assert.Equal(t, 2, attribute(table, sent(4, 1), at(5)).Again)
-	assert.Zero(t, attribute(table, sent(4, 2), at(5)).Again)
+	assert.Equal(t, 2, attribute(table, sent(4, 1), at(5)).Recurrence)
+	assert.Zero(t, attribute(table, sent(4, 2), at(5)).Recurrence)
 }
 
 // TestQuarantineExpiresIntoTrialAndGrows checks that one router tries the content once after each
@@ -158,7 +158,7 @@
 	}
 	assert.Equal(t, quarantine.Held, table.Judge(digest(0), start.Add(many*time.Millisecond)))
 	assert.LessOrEqual(t, len(table.Reports()), 4096)
-	assert.Equal(t, []quarantine.End{crash("a", 1, 1)}, table.Report(digest(many)).Ends, "the newest content is kept")
+	assert.Equal(t, []quarantine.Crash{crash("a", 1, 1)}, table.Report(digest(many)).Crashes, "the newest content is kept")
 }
 
 // TestTablesConverge checks that tables that merged the same reports agree, whatever the order and
@@ -166,7 +166,7 @@
 func TestTablesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		reports := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) quarantine.Report {
-			crashes := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) quarantine.End {
+			crashes := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) quarantine.Crash {
 				return crash(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "upstream"), rapid.Int64Range(1, 2).Draw(t, "started"), rapid.IntRange(1, 3).Draw(t, "depth"))
 			}), 1, 3).Draw(t, "ends")
 			return report(rapid.IntRange(1, 3).Draw(t, "content"), crashes...)
@@ -180,7 +180,7 @@
 		}
 		for number := range 4 {
 			assert.Equal(t, first.Judge(digest(number), start), second.Judge(digest(number), start))
-			assert.ElementsMatch(t, first.Report(digest(number)).Ends, second.Report(digest(number)).Ends)
+			assert.ElementsMatch(t, first.Report(digest(number)).Crashes, second.Report(digest(number)).Crashes)
 		}
 	})
 }
@@ -190,10 +190,10 @@
 func TestDelayedReportsDoNotUndoClearing(t *testing.T) {
 	table := &quarantine.Table{}
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	crashes := []quarantine.End{crash("a", 1, 1), crash("b", 1, 2), crash("c", 1, 3)}
+	crashes := []quarantine.Crash{crash("a", 1, 1), crash("b", 1, 2), crash("c", 1, 3)}
 	table.Take(report(1, crashes[:2]...), at(0))
 	assert.True(t, table.Take(quarantine.Report{Content: digest(1), Cleared: true}, at(10)))
-	assert.Empty(t, table.Report(digest(1)).Ends)
+	assert.Empty(t, table.Report(digest(1)).Crashes)
 	for _, stale := range crashes {
 		assert.False(t, table.Take(report(1, stale), at(300)), "the crash of %s was known, or is deeper than any since the clearing can be", stale.Upstream)
 	}
@@ -201,7 +201,7 @@
 	assert.Empty(t, table.Reports())
 
 	next := attribute(table, quarantine.Sent{Content: digest(1), Upstream: "a", Started: time.UnixMilli(1), At: at(400)}, at(500))
-	assert.Equal(t, quarantine.End{Upstream: "a", Started: time.UnixMilli(1), Again: 1, Depth: 1}, next, "a new crash under the same registration")
+	assert.Equal(t, quarantine.Crash{Upstream: "a", Started: time.UnixMilli(1), Recurrence: 1, Depth: 1}, next, "a new crash under the same registration")
 	assert.True(t, table.Take(report(1, next), at(500)))
 	for depth := 2; depth <= 3; depth++ {
 		assert.True(t, table.Take(report(1, crash("d", int64(depth), depth)), at(500+depth)), "crashes after the clearing count")
@@ -227,10 +227,10 @@
 		table.Whole(popular, now)
 		now = now.Add(30 * time.Millisecond)
 		for _, suspect := range []content.Digest{popular, crashing} {
-			observed, counts := table.End(quarantine.Sent{Content: suspect, Upstream: fmt.Sprint("u", i), At: now.Add(-10 * time.Millisecond)}, now)
+			observed, counts := table.Attribute(quarantine.Sent{Content: suspect, Upstream: fmt.Sprint("u", i), At: now.Add(-10 * time.Millisecond)}, now)
 			assert.Equal(t, suspect == crashing, counts)
 			if counts {
-				table.Take(quarantine.Report{Content: suspect, Ends: []quarantine.End{observed}}, now)
+				table.Take(quarantine.Report{Content: suspect, Crashes: []quarantine.Crash{observed}}, now)
 			}
 		}
 	}
@@ -238,6 +238,6 @@
 	assert.Equal(t, quarantine.Held, table.Judge(crashing, now))
 
 	now = now.Add(4 * time.Second)
-	_, counts := table.End(quarantine.Sent{Content: popular, Upstream: "u9", At: now}, now)
+	_, counts := table.Attribute(quarantine.Sent{Content: popular, Upstream: "u9", At: now}, now)
 	assert.True(t, counts, "the exoneration expires")
 }
--- a/daemon/internal/request/quarantine/simulation_test.go
+++ b/daemon/internal/request/quarantine/simulation_test.go
@@ -143,7 +143,7 @@
 			Content: r.content, Upstream: fmt.Sprint("e", engine), Started: time.Unix(f.started[engine], 0),
 			At: time.Unix(1000, 0).Add(r.sent),
 		}, f.time())
-		report := quarantine.Report{Content: r.content, Ends: []quarantine.End{observed}}
+		report := quarantine.Report{Content: r.content, Crashes: []quarantine.Crash{observed}}
 		for router := range routers {
 			at := f.now
 			if router != r.router {
--- a/daemon/router/recorder.go
+++ b/daemon/router/recorder.go
@@ -124,7 +124,7 @@
 	r.scope.Tagged(map[string]string{"verdict": c.after.String()}).Counter("content_verdicts").Inc(1)
 	fields := log.Fields{
 		fieldDecision: "quarantine", "content": c.known.Content, "verdict": c.after.String(), "before": c.before.String(),
-		"ends": c.known.Ends, "from": from,
+		"ends": c.known.Crashes, "from": from,
 	}
 	if peer.IsValid() {
 		fields["peer"] = peer
--- a/daemon/router/suspects.go
+++ b/daemon/router/suspects.go
@@ -95,16 +95,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.table.Whole(name, clock.Now())
-	return len(s.table.Report(name).Ends) > 0
+	return len(s.table.Report(name).Crashes) > 0
 }
 
 // end names the end of the upstream of a broken send, and reports whether it counts.
-func (s *suspects) end(b dispatch.Break) (quarantine.End, bool) {
+func (s *suspects) end(b dispatch.Break) (quarantine.Crash, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Now()
 	sent := quarantine.Sent{Content: b.Content, Upstream: b.Upstream.ID, Started: b.Upstream.Started, At: now.Add(-b.After)}
-	return s.table.End(sent, now)
+	return s.table.Attribute(sent, now)
 }
 
 func (s *suspects) note(name content.Digest) quarantine.Report {
@@ -124,7 +124,7 @@
 func (s *suspects) of(notes []quarantine.Report) []quarantine.Report {
 	var known []quarantine.Report
 	for _, note := range notes {
-		if own := s.note(note.Content); !note.Cleared && len(own.Ends) > 0 {
+		if own := s.note(note.Content); !note.Cleared && len(own.Crashes) > 0 {
 			known = append(known, own)
 		}
 	}
@@ -143,7 +143,7 @@
 	if !counts {
 		return
 	}
-	p.tell(quarantine.Report{Content: b.Content, Ends: []quarantine.End{end}}, sourceOwn)
+	p.tell(quarantine.Report{Content: b.Content, Crashes: []quarantine.Crash{end}}, sourceOwn)
 }
 
 // admitContent says what may be done with a content as a request comes.
@@ -212,7 +212,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), suspectTimeout)
 	defer cancel()
 	known := p.suspects.note(name)
-	known.Cleared = len(known.Ends) == 0
+	known.Cleared = len(known.Crashes) == 0
 	value, err := json.Marshal(known)
 	if err != nil {
 		return err
@@ -284,7 +284,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return nil
 	}
-	if known := p.suspects.note(name); len(known.Ends) == 0 {
+	if known := p.suspects.note(name); len(known.Crashes) == 0 {
 		http.Error(w, "no upstream is known to have ended under this content", http.StatusNotFound)
 		return nil
 	}
