--- a/daemon/internal/request/quarantine/quarantine.go
+++ b/daemon/internal/request/quarantine/quarantine.go
@@ -69,7 +69,7 @@
 	maxCrashes = 16
 )
 
-// Verdict states whether and how a request may be sent.
+// Verdict states whether and how a request may be attempt.
 type Verdict int
 
 // Values of Verdict.
@@ -78,7 +78,7 @@
 	Free Verdict = iota
 	// Once means a single attempt, without retry or hedge.
 	Once
-	// Held means quarantined: the request is not sent.
+	// Held means quarantined: the request is not attempt.
 	Held
 )
 
@@ -262,29 +262,29 @@
 	return ok && now.Sub(at) < successTTL
 }
 
-// Sent is an attempt during which the upstream crashed.
-type Sent struct {
+// Attempt is an attempt during which the upstream crashed.
+type Attempt struct {
 	Content  content.Digest
 	Upstream string
-	// Started is the start time of the upstream, At the time at which the request was sent.
-	Started, At time.Time
+	// Started is the start time of the upstream, SentAt the time at which the request was attempt.
+	Started, SentAt time.Time
 }
 
 // Attribute returns the crash of an upstream during an attempt, as observed now, and reports whether
 // it counts against the content. A crash with the same id and start time that was received before
 // the attempt is a different one.
-func (t *Table) Attribute(sent Sent, now time.Time) (Crash, bool) {
-	crash := Crash{Upstream: sent.Upstream, Started: sent.Started, Depth: 1}
-	if t.succeededRecently(sent.Content, now) {
+func (t *Table) Attribute(attempt Attempt, now time.Time) (Crash, bool) {
+	crash := Crash{Upstream: attempt.Upstream, Started: attempt.Started, Depth: 1}
+	if t.succeededRecently(attempt.Content, now) {
 		return crash, false
 	}
-	r := t.contents[sent.Content]
+	r := t.contents[attempt.Content]
 	if r == nil {
 		return crash, true
 	}
 	r.expire(now)
 	for _, earlier := range r.crashes {
-		sentAfter := earlier.at.Before(sent.At)
+		sentAfter := earlier.at.Before(attempt.SentAt)
 		if sentAfter && earlier.sameRegistration(crash) {
 			crash.Recurrence = max(crash.Recurrence, earlier.Recurrence+1)
 		}
@@ -293,7 +293,7 @@
 		}
 	}
 	for _, earlier := range r.cleared {
-		if earlier.at.Before(sent.At) && earlier.sameRegistration(crash) {
+		if earlier.at.Before(attempt.SentAt) && earlier.sameRegistration(crash) {
 			crash.Recurrence = max(crash.Recurrence, earlier.Recurrence+1)
 		}
 	}
--- a/daemon/internal/request/quarantine/quarantine_test.go
+++ b/daemon/internal/request/quarantine/quarantine_test.go
@@ -30,7 +30,7 @@
 }
 
 // attribute returns the crash of an attempt, which must count against the content.
-func attribute(table *quarantine.Table, sent quarantine.Sent, now time.Time) quarantine.Crash {
+func attribute(table *quarantine.Table, sent quarantine.Attempt, now time.Time) quarantine.Crash {
 	observed, counts := table.Attribute(sent, now)
 	if !counts {
 		panic("the crash does not count against the content")
@@ -71,13 +71,13 @@
 	now := start
 	for i := range upstreams {
 		now = now.Add(5 * time.Millisecond)
-		observed := attribute(table, quarantine.Sent{Content: digest(1), Upstream: fmt.Sprint("u", i), At: start}, now)
+		observed := attribute(table, quarantine.Attempt{Content: digest(1), Upstream: fmt.Sprint("u", i), SentAt: start}, now)
 		assert.Equal(t, 1, observed.Depth)
 		table.Take(report(1, observed), now)
 	}
 	assert.Equal(t, quarantine.Free, table.Judge(digest(1), now))
 	now = now.Add(time.Second)
-	next := attribute(table, quarantine.Sent{Content: digest(1), Upstream: "v", At: now}, now)
+	next := attribute(table, quarantine.Attempt{Content: digest(1), Upstream: "v", SentAt: now}, now)
 	assert.Equal(t, 2, next.Depth)
 	assert.True(t, table.Take(report(1, next), now), "a full record accepts a deeper crash")
 	assert.Equal(t, quarantine.Once, table.Judge(digest(1), now))
@@ -89,7 +89,7 @@
 	table := &quarantine.Table{}
 	now := start
 	for depth, want := range []quarantine.Verdict{quarantine.Free, quarantine.Once, quarantine.Held} {
-		sent := quarantine.Sent{Content: digest(1), Upstream: fmt.Sprint("u", depth), At: now.Add(time.Millisecond)}
+		sent := quarantine.Attempt{Content: digest(1), Upstream: fmt.Sprint("u", depth), SentAt: now.Add(time.Millisecond)}
 		now = now.Add(2 * time.Millisecond)
 		table.Take(report(1, attribute(table, sent, now)), now)
 		assert.Equal(t, want, table.Judge(digest(1), now))
@@ -101,8 +101,8 @@
 func TestCrashAfterRestartUnderStaleRegistrationIsDistinct(t *testing.T) {
 	table := &quarantine.Table{}
 	at := func(seconds int) time.Time { return start.Add(time.Duration(seconds) * time.Second) }
-	sent := func(seconds int, started int64) quarantine.Sent {
-		return quarantine.Sent{Content: digest(1), Upstream: "a", Started: time.UnixMilli(started), At: at(seconds)}
+	sent := func(seconds int, started int64) quarantine.Attempt {
+		return quarantine.Attempt{Content: digest(1), Upstream: "a", Started: time.UnixMilli(started), SentAt: at(seconds)}
 	}
 	first := attribute(table, sent(0, 1), at(1))
 	assert.Equal(t, crash("a", 1, 1), first)
@@ -130,7 +130,7 @@
 		assert.Equal(t, quarantine.Once, table.Admit(digest(1), true, now))
 		assert.Equal(t, quarantine.Held, table.Admit(digest(1), true, now), "one at a time")
 		assert.Equal(t, quarantine.Once, table.Judge(digest(1), now), "the admitted trial continues")
-		observed := attribute(table, quarantine.Sent{Content: digest(1), Upstream: fmt.Sprint("d", round), At: now}, now.Add(time.Second))
+		observed := attribute(table, quarantine.Attempt{Content: digest(1), Upstream: fmt.Sprint("d", round), SentAt: now}, now.Add(time.Second))
 		assert.Equal(t, 3, observed.Depth)
 		table.Take(report(1, observed), now)
 		assert.Equal(t, quarantine.Held, table.Judge(digest(1), now))
@@ -200,7 +200,7 @@
 	assert.Equal(t, quarantine.Free, table.Judge(digest(1), at(300)))
 	assert.Empty(t, table.Reports())
 
-	next := attribute(table, quarantine.Sent{Content: digest(1), Upstream: "a", Started: time.UnixMilli(1), At: at(400)}, at(500))
+	next := attribute(table, quarantine.Attempt{Content: digest(1), Upstream: "a", Started: time.UnixMilli(1), SentAt: at(400)}, at(500))
 	assert.Equal(t, quarantine.Crash{Upstream: "a", Started: time.UnixMilli(1), Recurrence: 1, Depth: 1}, next, "a new crash under the same registration")
 	assert.True(t, table.Take(report(1, next), at(500)))
 	for depth := 2; depth <= 3; depth++ {
@@ -227,7 +227,7 @@
 		table.Whole(popular, now)
 		now = now.Add(30 * time.Millisecond)
 		for _, suspect := range []content.Digest{popular, crashing} {
-			observed, counts := table.Attribute(quarantine.Sent{Content: suspect, Upstream: fmt.Sprint("u", i), At: now.Add(-10 * time.Millisecond)}, now)
+			observed, counts := table.Attribute(quarantine.Attempt{Content: suspect, Upstream: fmt.Sprint("u", i), SentAt: now.Add(-10 * time.Millisecond)}, now)
 			assert.Equal(t, suspect == crashing, counts)
 			if counts {
 				table.Take(quarantine.Report{Content: suspect, Crashes: []quarantine.Crash{observed}}, now)
@@ -238,6 +238,6 @@
 	assert.Equal(t, quarantine.Held, table.Judge(crashing, now))
 
 	now = now.Add(4 * time.Second)
-	_, counts := table.Attribute(quarantine.Sent{Content: popular, Upstream: "u9", At: now}, now)
+	_, counts := table.Attribute(quarantine.Attempt{Content: popular, Upstream: "u9", SentAt: now}, now)
 	assert.True(t, counts, "the exoneration expires")
 }
--- a/daemon/internal/request/quarantine/simulation_test.go
+++ b/daemon/internal/request/quarantine/simulation_test.go
@@ -139,9 +139,9 @@
 	interrupted := f.running[engine]
 	f.running[engine] = nil
 	for _, r := range interrupted {
-		observed := attribute(&f.tables[r.router], quarantine.Sent{
+		observed := attribute(&f.tables[r.router], quarantine.Attempt{
 			Content: r.content, Upstream: fmt.Sprint("e", engine), Started: time.Unix(f.started[engine], 0),
-			At: time.Unix(1000, 0).Add(r.sent),
+			SentAt: time.Unix(1000, 0).Add(r.sent),
 		}, f.time())
 		report := quarantine.Report{Content: r.content, Crashes: []quarantine.Crash{observed}}
 		for router := range routers {
--- a/daemon/router/suspects.go
+++ b/daemon/router/suspects.go
@@ -103,7 +103,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Now()
-	sent := quarantine.Sent{Content: b.Content, Upstream: b.Upstream.ID, Started: b.Upstream.Started, At: now.Add(-b.After)}
+	sent := quarantine.Attempt{Content: b.Content, Upstream: b.Upstream.ID, Started: b.Upstream.Started, SentAt: now.Add(-b.After)}
 	return s.table.Attribute(sent, now)
 }
 
