--- a/daemon/internal/connection/evidence/evidence_test.go
+++ b/daemon/internal/connection/evidence/evidence_test.go
@@ -87,7 +87,7 @@
 func (p *peer) judge() quarantine.Verdict {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.table.Judge(deadly, time.Now())
+	return p.table.Verdict(deadly, time.Now())
 }
 
 func startTeller(t *testing.T, own *peer, others ...netip.AddrPort) *evidence.Teller[quarantine.Report] {
@@ -118,7 +118,7 @@
 	require.True(t, teller.Tell(noted("a")))
 	require.True(t, teller.Tell(noted("b", "c")))
 	for _, p := range []*peer{second, third} {
-		await(t, "it holds the content back", func() bool { return p.judge() == quarantine.Held })
+		await(t, "it holds the content back", func() bool { return p.judge() == quarantine.Quarantined })
 	}
 }
 
@@ -130,7 +130,7 @@
 	teller := startTeller(t, own, other.address)
 	own.take([]quarantine.Report{noted("a")})
 	require.True(t, teller.Tell(noted("a")))
-	await(t, "it holds the content back", func() bool { return own.judge() == quarantine.Held })
+	await(t, "it holds the content back", func() bool { return own.judge() == quarantine.Quarantined })
 }
 
 // TestAStartingRouterAsks: it has all that another knows, although nobody tells it anything.
@@ -145,7 +145,7 @@
 	}
 	teller.Start()
 	t.Cleanup(teller.Stop)
-	await(t, "it holds the content back", func() bool { return own.judge() == quarantine.Held })
+	await(t, "it holds the content back", func() bool { return own.judge() == quarantine.Quarantined })
 }
 
 // TestAStopWaitsForNobody: a router that does not answer keeps no other from its stop, and
--- a/daemon/internal/request/dispatch/admit.go
+++ b/daemon/internal/request/dispatch/admit.go
@@ -43,7 +43,7 @@
 		return false
 	}
 	q.story.Content = q.contentName()
-	if q.Admit != nil && q.Admit(q.story.Content) == quarantine.Held {
+	if q.Admit != nil && q.Admit(q.story.Content) == quarantine.Quarantined {
 		q.hold()
 		return false
 	}
--- a/daemon/internal/request/dispatch/dispatch.go
+++ b/daemon/internal/request/dispatch/dispatch.go
@@ -326,7 +326,7 @@
 	if fate == exchange.Answered || len(q.tried) >= maxTried {
 		return false
 	}
-	if verdict := q.verdict(); verdict == quarantine.Held || verdict == quarantine.Once && fate == exchange.Unknown {
+	if verdict := q.verdict(); verdict == quarantine.Quarantined || verdict == quarantine.SingleAttempt && fate == exchange.Unknown {
 		return false
 	}
 	if fate == exchange.Unsent {
--- a/daemon/internal/request/dispatch/hold.go
+++ b/daemon/internal/request/dispatch/hold.go
@@ -11,7 +11,7 @@
 // verdict says what may be done with the request's content by now.
 func (q *request) verdict() quarantine.Verdict {
 	if q.Judge == nil {
-		return quarantine.Free
+		return quarantine.Unrestricted
 	}
 	return q.Judge(q.story.Content)
 }
@@ -25,7 +25,7 @@
 // endHeld ends sends that have not begun once their content is held back. Without it a
 // caller who comes twice a second ends 5.3 engines of 20 and not 4.5, because visits overlap.
 func (q *request) endHeld(sends ...*sending) {
-	if q.verdict() == quarantine.Held {
+	if q.verdict() == quarantine.Quarantined {
 		endAll(errHeld, sends...)
 	}
 }
--- a/daemon/internal/request/dispatch/hold_test.go
+++ b/daemon/internal/request/dispatch/hold_test.go
@@ -32,21 +32,21 @@
 func TestVerdictsBoundSends(t *testing.T) {
 	fates := []exchange.Fate{exchange.Unknown, exchange.Unsent, exchange.Refused, exchange.Misdirected}
 	for verdict, want := range map[quarantine.Verdict][]bool{
-		quarantine.Free: {true, true, true, true},
-		quarantine.Once: {false, true, true, true},
-		quarantine.Held: {false, false, false, false},
+		quarantine.Unrestricted:  {true, true, true, true},
+		quarantine.SingleAttempt: {false, true, true, true},
+		quarantine.Quarantined:   {false, false, false, false},
 	} {
 		q := heldRequest(&verdict)
 		for i, fate := range fates {
 			assert.Equal(t, want[i], q.mayRepeat(fate), "%s after %s", verdict, fate)
 		}
-		assert.Equal(t, verdict == quarantine.Free, q.mayHaveSecond(), "%s", verdict)
+		assert.Equal(t, verdict == quarantine.Unrestricted, q.mayHaveSecond(), "%s", verdict)
 	}
 }
 
 // TestWhatHasNotBegunIsTakenBack once its content is held back, and says why.
 func TestWhatHasNotBegunIsTakenBack(t *testing.T) {
-	verdict := quarantine.Once
+	verdict := quarantine.SingleAttempt
 	q := heldRequest(&verdict)
 	ctx, cancel := context.WithCancelCause(context.Background())
 	waiting := &sending{cancel: cancel}
@@ -56,7 +56,7 @@
 
 	q.endHeld(waiting, begun, nil)
 	assert.NoError(t, ctx.Err())
-	verdict = quarantine.Held
+	verdict = quarantine.Quarantined
 	q.endHeld(waiting, begun, nil)
 	assert.ErrorIs(t, context.Cause(ctx), errHeld)
 	assert.NoError(t, begunContext.Err())
--- a/daemon/internal/request/dispatch/send.go
+++ b/daemon/internal/request/dispatch/send.go
@@ -201,7 +201,7 @@
 // mayHaveSecond reports whether the request, which is under way, may go to another
 // upstream too.
 func (q *request) mayHaveSecond() bool {
-	return q.repeatable() && q.sent < q.route.MaxAttempts && len(q.tried) < maxTried && q.verdict() == quarantine.Free
+	return q.repeatable() && q.sent < q.route.MaxAttempts && len(q.tried) < maxTried && q.verdict() == quarantine.Unrestricted
 }
 
 // beginSecond sends the request to another upstream if one has a place, which is asked for
--- a/daemon/internal/request/quarantine/quarantine.go
+++ b/daemon/internal/request/quarantine/quarantine.go
@@ -74,12 +74,12 @@
 
 // Values of Verdict.
 const (
-	// Free means that the route alone decides.
-	Free Verdict = iota
-	// Once means a single attempt, without retry or hedge.
-	Once
-	// Held means quarantined: the request is not attempt.
-	Held
+	// Unrestricted means that the route alone decides.
+	Unrestricted Verdict = iota
+	// SingleAttempt means a single attempt, without retry or hedge.
+	SingleAttempt
+	// Quarantined means quarantined: the request is not attempt.
+	Quarantined
 )
 
 // String returns the name used in logs.
@@ -91,8 +91,8 @@
 	// restarted upstream may crash again under the same id.
 	Upstream string    `json:"upstream"`
 	Started  time.Time `json:"started,omitzero"`
-	// Recurrence counts earlier crashes with the same id and start time. They differ although the
-	// router may not have read the registration of the restarted upstream yet.
+	// Recurrence counts earlier crashes with the same id and start time. They are distinct
+	// crashes, seen by a router that has not yet read the new start time of the upstream.
 	Recurrence int `json:"again,omitempty"`
 	// Depth is one more than that of the deepest earlier crash; see the package comment.
 	Depth int `json:"depth"`
@@ -100,12 +100,11 @@
 
 // equal reports whether two reports mean the same crash. Their depths may differ, since routers
 // may have received different earlier crashes.
-func (e Crash) equal(other Crash) bool {
-	return e.sameRegistration(other) && e.Recurrence == other.Recurrence
-}
+func (c Crash) equal(other Crash) bool { return c.sameID(other) && c.Recurrence == other.Recurrence }
 
-func (e Crash) sameRegistration(other Crash) bool {
-	return e.Upstream == other.Upstream && e.Started.Equal(other.Started)
+// sameID reports whether two crashes have the same upstream id and start time.
+func (c Crash) sameID(other Crash) bool {
+	return c.Upstream == other.Upstream && c.Started.Equal(other.Started)
 }
 
 // Report reports the crashes or the clearing of a content from one router to another.
@@ -118,8 +117,8 @@
 }
 
 // Deep reports whether a crash reaches quarantineDepth, also if the quarantine has expired.
-func (n Report) Deep() bool {
-	return slices.ContainsFunc(n.Crashes, func(crash Crash) bool { return crash.Depth >= quarantineDepth })
+func (r Report) Deep() bool {
+	return slices.ContainsFunc(r.Crashes, func(crash Crash) bool { return crash.Depth >= quarantineDepth })
 }
 
 // Table holds the crashes of contents as one router has received them. The zero value is empty
@@ -285,7 +284,7 @@
 	r.expire(now)
 	for _, earlier := range r.crashes {
 		sentAfter := earlier.at.Before(attempt.SentAt)
-		if sentAfter && earlier.sameRegistration(crash) {
+		if sentAfter && earlier.sameID(crash) {
 			crash.Recurrence = max(crash.Recurrence, earlier.Recurrence+1)
 		}
 		if sentAfter || now.Sub(earlier.at) > simultaneousWindow {
@@ -293,7 +292,7 @@
 		}
 	}
 	for _, earlier := range r.cleared {
-		if earlier.at.Before(attempt.SentAt) && earlier.sameRegistration(crash) {
+		if earlier.at.Before(attempt.SentAt) && earlier.sameID(crash) {
 			crash.Recurrence = max(crash.Recurrence, earlier.Recurrence+1)
 		}
 	}
@@ -303,32 +302,32 @@
 // Admit returns the verdict on a request that has just arrived. After a quarantine has expired,
 // one request at a time is admitted as a trial, at the router for which mayTry is set.
 func (t *Table) Admit(digest content.Digest, mayTry bool, now time.Time) Verdict {
-	verdict := t.Judge(digest, now)
+	verdict := t.Verdict(digest, now)
 	r := t.contents[digest]
 	if r == nil || !r.expired {
 		return verdict
 	}
 	if !mayTry || now.Sub(r.trialAt) < trialTimeout {
-		return Held
+		return Quarantined
 	}
 	r.trialAt = now
-	return Once
+	return SingleAttempt
 }
 
-// Judge returns the present verdict on a request that was admitted before.
-func (t *Table) Judge(digest content.Digest, now time.Time) Verdict {
+// Verdict returns the present verdict on a request that was admitted before.
+func (t *Table) Verdict(digest content.Digest, now time.Time) Verdict {
 	r := t.contents[digest]
 	if r == nil {
-		return Free
+		return Unrestricted
 	}
 	r.expire(now)
 	switch depth := r.depth(); {
 	case depth >= quarantineDepth:
-		return Held
+		return Quarantined
 	case depth >= singleAttemptDepth:
-		return Once
+		return SingleAttempt
 	default:
-		return Free
+		return Unrestricted
 	}
 }
 
--- a/daemon/internal/request/quarantine/quarantine_test.go
+++ b/daemon/internal/request/quarantine/quarantine_test.go
@@ -42,24 +42,24 @@
 // that the crash of a restarted upstream counts separately.
 func TestVerdictFollowsDepth(t *testing.T) {
 	table := &quarantine.Table{}
-	assert.Equal(t, quarantine.Free, table.Judge(digest(1), start))
+	assert.Equal(t, quarantine.Unrestricted, table.Verdict(digest(1), start))
 	assert.True(t, table.Take(report(1, crash("a", 1, 1)), start))
 	assert.False(t, table.Take(report(1, crash("a", 1, 1), crash("a", 1, 1)), start), "duplicate report")
-	assert.Equal(t, quarantine.Free, table.Judge(digest(1), start))
+	assert.Equal(t, quarantine.Unrestricted, table.Verdict(digest(1), start))
 	assert.True(t, table.Take(report(1, crash("a", 1, 1), crash("a", 2, 2)), start))
-	assert.Equal(t, quarantine.Once, table.Judge(digest(1), start))
+	assert.Equal(t, quarantine.SingleAttempt, table.Verdict(digest(1), start))
 	assert.True(t, table.Take(report(1, crash("b", 1, 2)), start))
-	assert.Equal(t, quarantine.Once, table.Judge(digest(1), start), "no greater depth")
+	assert.Equal(t, quarantine.SingleAttempt, table.Verdict(digest(1), start), "no greater depth")
 	assert.True(t, table.Take(report(1, crash("b", 1, 3)), start), "greater depth at another router")
-	assert.Equal(t, quarantine.Held, table.Judge(digest(1), start))
-	assert.Equal(t, quarantine.Free, table.Judge(digest(2), start))
+	assert.Equal(t, quarantine.Quarantined, table.Verdict(digest(1), start))
+	assert.Equal(t, quarantine.Unrestricted, table.Verdict(digest(2), start))
 	assert.Len(t, table.Report(digest(1)).Crashes, 3)
 	assert.True(t, table.Report(digest(1)).Deep())
 	assert.False(t, report(2, crash("a", 1, 2)).Deep())
 
 	assert.True(t, table.Take(quarantine.Report{Content: digest(1), Cleared: true}, start))
 	assert.False(t, table.Take(quarantine.Report{Content: digest(1), Cleared: true}, start))
-	assert.Equal(t, quarantine.Free, table.Judge(digest(1), start))
+	assert.Equal(t, quarantine.Unrestricted, table.Verdict(digest(1), start))
 	assert.Empty(t, table.Reports())
 }
 
@@ -75,12 +75,12 @@
 		assert.Equal(t, 1, observed.Depth)
 		table.Take(report(1, observed), now)
 	}
-	assert.Equal(t, quarantine.Free, table.Judge(digest(1), now))
+	assert.Equal(t, quarantine.Unrestricted, table.Verdict(digest(1), now))
 	now = now.Add(time.Second)
 	next := attribute(table, quarantine.Attempt{Content: digest(1), Upstream: "v", SentAt: now}, now)
 	assert.Equal(t, 2, next.Depth)
 	assert.True(t, table.Take(report(1, next), now), "a full record accepts a deeper crash")
-	assert.Equal(t, quarantine.Once, table.Judge(digest(1), now))
+	assert.Equal(t, quarantine.SingleAttempt, table.Verdict(digest(1), now))
 }
 
 // TestRapidRetriesGrowDepth guards against taking crashes for simultaneous when a client retries
@@ -88,11 +88,11 @@
 func TestRapidRetriesGrowDepth(t *testing.T) {
 	table := &quarantine.Table{}
 	now := start
-	for depth, want := range []quarantine.Verdict{quarantine.Free, quarantine.Once, quarantine.Held} {
+	for depth, want := range []quarantine.Verdict{quarantine.Unrestricted, quarantine.SingleAttempt, quarantine.Quarantined} {
 		sent := quarantine.Attempt{Content: digest(1), Upstream: fmt.Sprint("u", depth), SentAt: now.Add(time.Millisecond)}
 		now = now.Add(2 * time.Millisecond)
 		table.Take(report(1, attribute(table, sent, now)), now)
-		assert.Equal(t, want, table.Judge(digest(1), now))
+		assert.Equal(t, want, table.Verdict(digest(1), now))
 	}
 }
 
@@ -111,7 +111,7 @@
 	second := attribute(table, sent(2, 1), at(3))
 	assert.Equal(t, 1, second.Recurrence)
 	assert.True(t, table.Take(report(1, second), at(3)))
-	assert.Equal(t, quarantine.Once, table.Judge(digest(1), at(3)))
+	assert.Equal(t, quarantine.SingleAttempt, table.Verdict(digest(1), at(3)))
 	assert.Equal(t, 2, attribute(table, sent(4, 1), at(5)).Recurrence)
 	assert.Zero(t, attribute(table, sent(4, 2), at(5)).Recurrence)
 }
@@ -124,27 +124,27 @@
 	table.Take(report(1, crash("a", 1, 1), crash("b", 1, 2), crash("c", 1, 3)), now)
 	for round, duration := range []time.Duration{15 * time.Second, time.Minute, 4 * time.Minute} {
 		now = now.Add(duration - time.Second)
-		assert.Equal(t, quarantine.Held, table.Admit(digest(1), true, now))
+		assert.Equal(t, quarantine.Quarantined, table.Admit(digest(1), true, now))
 		now = now.Add(time.Second)
-		assert.Equal(t, quarantine.Held, table.Admit(digest(1), false, now), "the trial belongs to another router")
-		assert.Equal(t, quarantine.Once, table.Admit(digest(1), true, now))
-		assert.Equal(t, quarantine.Held, table.Admit(digest(1), true, now), "one at a time")
-		assert.Equal(t, quarantine.Once, table.Judge(digest(1), now), "the admitted trial continues")
+		assert.Equal(t, quarantine.Quarantined, table.Admit(digest(1), false, now), "the trial belongs to another router")
+		assert.Equal(t, quarantine.SingleAttempt, table.Admit(digest(1), true, now))
+		assert.Equal(t, quarantine.Quarantined, table.Admit(digest(1), true, now), "one at a time")
+		assert.Equal(t, quarantine.SingleAttempt, table.Verdict(digest(1), now), "the admitted trial continues")
 		observed := attribute(table, quarantine.Attempt{Content: digest(1), Upstream: fmt.Sprint("d", round), SentAt: now}, now.Add(time.Second))
 		assert.Equal(t, 3, observed.Depth)
 		table.Take(report(1, observed), now)
-		assert.Equal(t, quarantine.Held, table.Judge(digest(1), now))
+		assert.Equal(t, quarantine.Quarantined, table.Verdict(digest(1), now))
 	}
 	now = now.Add(16 * time.Minute)
-	assert.Equal(t, quarantine.Once, table.Admit(digest(1), true, now))
+	assert.Equal(t, quarantine.SingleAttempt, table.Admit(digest(1), true, now))
 	now = now.Add(10 * time.Second)
-	assert.Equal(t, quarantine.Once, table.Admit(digest(1), true, now), "the previous trial had no result")
+	assert.Equal(t, quarantine.SingleAttempt, table.Admit(digest(1), true, now), "the previous trial had no result")
 	table.Take(quarantine.Report{Content: digest(1), Cleared: true}, now)
-	assert.Equal(t, quarantine.Free, table.Admit(digest(1), false, now))
+	assert.Equal(t, quarantine.Unrestricted, table.Admit(digest(1), false, now))
 
 	table.Take(report(2, crash("a", 1, 1), crash("b", 1, 2)), now)
-	assert.Equal(t, quarantine.Once, table.Admit(digest(2), false, now), "not quarantined")
-	assert.Equal(t, quarantine.Free, table.Judge(digest(2), now.Add(10*time.Minute)), "a suspicion expires")
+	assert.Equal(t, quarantine.SingleAttempt, table.Admit(digest(2), false, now), "not quarantined")
+	assert.Equal(t, quarantine.Unrestricted, table.Verdict(digest(2), now.Add(10*time.Minute)), "a suspicion expires")
 }
 
 // TestEvictionKeepsQuarantinedContents guards against a client that lifts a quarantine by sending
@@ -156,7 +156,7 @@
 	for i := 1; i <= many; i++ {
 		table.Take(report(i, crash("a", 1, 1)), start.Add(time.Duration(i)*time.Millisecond))
 	}
-	assert.Equal(t, quarantine.Held, table.Judge(digest(0), start.Add(many*time.Millisecond)))
+	assert.Equal(t, quarantine.Quarantined, table.Verdict(digest(0), start.Add(many*time.Millisecond)))
 	assert.LessOrEqual(t, len(table.Reports()), 4096)
 	assert.Equal(t, []quarantine.Crash{crash("a", 1, 1)}, table.Report(digest(many)).Crashes, "the newest content is kept")
 }
@@ -179,7 +179,7 @@
 			second.Take(r, start)
 		}
 		for number := range 4 {
-			assert.Equal(t, first.Judge(digest(number), start), second.Judge(digest(number), start))
+			assert.Equal(t, first.Verdict(digest(number), start), second.Verdict(digest(number), start))
 			assert.ElementsMatch(t, first.Report(digest(number)).Crashes, second.Report(digest(number)).Crashes)
 		}
 	})
@@ -197,7 +197,7 @@
 	for _, stale := range crashes {
 		assert.False(t, table.Take(report(1, stale), at(300)), "the crash of %s was known, or is deeper than any since the clearing can be", stale.Upstream)
 	}
-	assert.Equal(t, quarantine.Free, table.Judge(digest(1), at(300)))
+	assert.Equal(t, quarantine.Unrestricted, table.Verdict(digest(1), at(300)))
 	assert.Empty(t, table.Reports())
 
 	next := attribute(table, quarantine.Attempt{Content: digest(1), Upstream: "a", Started: time.UnixMilli(1), SentAt: at(400)}, at(500))
@@ -206,7 +206,7 @@
 	for depth := 2; depth <= 3; depth++ {
 		assert.True(t, table.Take(report(1, crash("d", int64(depth), depth)), at(500+depth)), "crashes after the clearing count")
 	}
-	assert.Equal(t, quarantine.Held, table.Judge(digest(1), at(600)))
+	assert.Equal(t, quarantine.Quarantined, table.Verdict(digest(1), at(600)))
 
 	uninformed := &quarantine.Table{}
 	assert.False(t, uninformed.Take(quarantine.Report{Content: digest(1), Cleared: true}, at(10)), "no crashes to clear")
@@ -234,8 +234,8 @@
 			}
 		}
 	}
-	assert.Equal(t, quarantine.Free, table.Judge(popular, now))
-	assert.Equal(t, quarantine.Held, table.Judge(crashing, now))
+	assert.Equal(t, quarantine.Unrestricted, table.Verdict(popular, now))
+	assert.Equal(t, quarantine.Quarantined, table.Verdict(crashing, now))
 
 	now = now.Add(4 * time.Second)
 	_, counts := table.Attribute(quarantine.Attempt{Content: popular, Upstream: "u9", SentAt: now}, now)
--- a/daemon/internal/request/quarantine/simulation_test.go
+++ b/daemon/internal/request/quarantine/simulation_test.go
@@ -84,19 +84,19 @@
 }
 
 // send sends an admitted request to a free engine if the verdict of its router allows it.
-func (f *fleet) send(r *request) { f.sendWith(r, f.tables[r.router].Judge(r.content, f.time())) }
+func (f *fleet) send(r *request) { f.sendWith(r, f.tables[r.router].Verdict(r.content, f.time())) }
 
 func (f *fleet) sendWith(r *request, verdict quarantine.Verdict) {
 	switch {
-	case verdict == quarantine.Held && !r.crashing:
+	case verdict == quarantine.Quarantined && !r.crashing:
 		f.bystandersHeld++
 		return
-	case verdict == quarantine.Held:
+	case verdict == quarantine.Quarantined:
 		return
-	case verdict == quarantine.Once && r.attempts < maxAttempts:
+	case verdict == quarantine.SingleAttempt && r.attempts < maxAttempts:
 		f.fail(r)
 		return
-	case verdict == quarantine.Once:
+	case verdict == quarantine.SingleAttempt:
 		r.attempts = 1
 	}
 	for range 5 {
@@ -217,7 +217,7 @@
 // content has been quarantined since.
 func (f *fleet) cancelled(r *request) bool {
 	begin := r.until - crashTime
-	return r.crashing && f.now < begin && f.tables[r.router].Judge(r.content, f.time()) == quarantine.Held
+	return r.crashing && f.now < begin && f.tables[r.router].Verdict(r.content, f.time()) == quarantine.Quarantined
 }
 
 // simulate sends the crashing request at intervals among random others.
--- a/daemon/router/recorder.go
+++ b/daemon/router/recorder.go
@@ -130,7 +130,7 @@
 		fields["peer"] = peer
 	}
 	entry := r.log.WithFields(fields)
-	if c.after == quarantine.Held {
+	if c.after == quarantine.Quarantined {
 		entry.Warn("verdict on a content changed")
 		return
 	}
--- a/daemon/router/suspects.go
+++ b/daemon/router/suspects.go
@@ -55,14 +55,14 @@
 func (s *suspects) judge(name content.Digest) quarantine.Verdict {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table.Judge(name, clock.Now())
+	return s.table.Verdict(name, clock.Now())
 }
 
 // admit says what may be done with a content as a request comes; mayTry is asked only where
 // one was held back.
 func (s *suspects) admit(name content.Digest, mayTry func(content.Digest) bool) quarantine.Verdict {
-	if s.judge(name) == quarantine.Free {
-		return quarantine.Free
+	if s.judge(name) == quarantine.Unrestricted {
+		return quarantine.Unrestricted
 	}
 	own := mayTry(name)
 	s.mu.Lock()
@@ -84,9 +84,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Now()
-	c := change{before: s.table.Judge(note.Content, now), wasDeep: s.table.Report(note.Content).Deep()}
+	c := change{before: s.table.Verdict(note.Content, now), wasDeep: s.table.Report(note.Content).Deep()}
 	news := s.table.Take(note, now)
-	c.after, c.known = s.table.Judge(note.Content, now), s.table.Report(note.Content)
+	c.after, c.known = s.table.Verdict(note.Content, now), s.table.Report(note.Content)
 	return c, news && c.before != c.after
 }
 
@@ -187,7 +187,7 @@
 		return
 	}
 	p.recorder.verdict(c, from, peer)
-	held := c.after == quarantine.Held || c.wasDeep // the store has it since it was held back
+	held := c.after == quarantine.Quarantined || c.wasDeep // the store has it since it was held back
 	if held && from != sourceRouter && from != sourceStore {
 		go p.keepVerdict(note.Content)
 	}
