--- a/daemon/internal/connection/evidence/evidence_test.go
+++ b/daemon/internal/connection/evidence/evidence_test.go
@@ -80,7 +80,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, note := range notes {
-		p.table.Take(note, time.Now())
+		p.table.Merge(note, time.Now())
 	}
 }
 
--- a/daemon/internal/request/quarantine/quarantine.go
+++ b/daemon/internal/request/quarantine/quarantine.go
@@ -116,8 +116,8 @@
 	Cleared bool `json:"cleared,omitempty"`
 }
 
-// Deep reports whether a crash reaches quarantineDepth, also if the quarantine has expired.
-func (r Report) Deep() bool {
+// ReachesQuarantine reports whether a crash reaches quarantineDepth, also if the quarantine has expired.
+func (r Report) ReachesQuarantine() bool {
 	return slices.ContainsFunc(r.Crashes, func(crash Crash) bool { return crash.Depth >= quarantineDepth })
 }
 
@@ -176,8 +176,8 @@
 	return deepest
 }
 
-// Take merges a report of this or another router and reports whether the table changed.
-func (t *Table) Take(report Report, now time.Time) bool {
+// Merge merges a report of this or another router and reports whether the table changed.
+func (t *Table) Merge(report Report, now time.Time) bool {
 	if report.Cleared {
 		return t.clear(report.Content, now)
 	}
@@ -244,8 +244,8 @@
 	return changed
 }
 
-// Whole records that a content had a complete response.
-func (t *Table) Whole(digest content.Digest, now time.Time) {
+// RecordSuccess records that a content had a complete response.
+func (t *Table) RecordSuccess(digest content.Digest, now time.Time) {
 	if t.succeeded == nil || len(t.succeeded) >= maxSuccesses || now.Sub(t.rotatedAt) >= successTTL {
 		t.succeeded, t.succeededBefore, t.rotatedAt = map[content.Digest]time.Time{}, t.succeeded, now
 	}
--- a/daemon/internal/request/quarantine/quarantine_test.go
+++ b/daemon/internal/request/quarantine/quarantine_test.go
@@ -43,22 +43,22 @@
 func TestVerdictFollowsDepth(t *testing.T) {
 	table := &quarantine.Table{}
 	assert.Equal(t, quarantine.Unrestricted, table.Verdict(digest(1), start))
-	assert.True(t, table.Take(report(1, crash("a", 1, 1)), start))
-	assert.False(t, table.Take(report(1, crash("a", 1, 1), crash("a", 1, 1)), start), "duplicate report")
+	assert.True(t, table.Merge(report(1, crash("a", 1, 1)), start))
+	assert.False(t, table.Merge(report(1, crash("a", 1, 1), crash("a", 1, 1)), start), "duplicate report")
 	assert.Equal(t, quarantine.Unrestricted, table.Verdict(digest(1), start))
-	assert.True(t, table.Take(report(1, crash("a", 1, 1), crash("a", 2, 2)), start))
+	assert.True(t, table.Merge(report(1, crash("a", 1, 1), crash("a", 2, 2)), start))
 	assert.Equal(t, quarantine.SingleAttempt, table.Verdict(digest(1), start))
-	assert.True(t, table.Take(report(1, crash("b", 1, 2)), start))
+	assert.True(t, table.Merge(report(1, crash("b", 1, 2)), start))
 	assert.Equal(t, quarantine.SingleAttempt, table.Verdict(digest(1), start), "no greater depth")
-	assert.True(t, table.Take(report(1, crash("b", 1, 3)), start), "greater depth at another router")
+	assert.True(t, table.Merge(report(1, crash("b", 1, 3)), start), "greater depth at another router")
 	assert.Equal(t, quarantine.Quarantined, table.Verdict(digest(1), start))
 	assert.Equal(t, quarantine.Unrestricted, table.Verdict(digest(2), start))
 	assert.Len(t, table.Report(digest(1)).Crashes, 3)
-	assert.True(t, table.Report(digest(1)).Deep())
-	assert.False(t, report(2, crash("a", 1, 2)).Deep())
+	assert.True(t, table.Report(digest(1)).ReachesQuarantine())
+	assert.False(t, report(2, crash("a", 1, 2)).ReachesQuarantine())
 
-	assert.True(t, table.Take(quarantine.Report{Content: digest(1), Cleared: true}, start))
-	assert.False(t, table.Take(quarantine.Report{Content: digest(1), Cleared: true}, start))
+	assert.True(t, table.Merge(quarantine.Report{Content: digest(1), Cleared: true}, start))
+	assert.False(t, table.Merge(quarantine.Report{Content: digest(1), Cleared: true}, start))
 	assert.Equal(t, quarantine.Unrestricted, table.Verdict(digest(1), start))
 	assert.Empty(t, table.Reports())
 }
@@ -73,13 +73,13 @@
 		now = now.Add(5 * time.Millisecond)
 		observed := attribute(table, quarantine.Attempt{Content: digest(1), Upstream: fmt.Sprint("u", i), SentAt: start}, now)
 		assert.Equal(t, 1, observed.Depth)
-		table.Take(report(1, observed), now)
+		table.Merge(report(1, observed), now)
 	}
 	assert.Equal(t, quarantine.Unrestricted, table.Verdict(digest(1), now))
 	now = now.Add(time.Second)
 	next := attribute(table, quarantine.Attempt{Content: digest(1), Upstream: "v", SentAt: now}, now)
 	assert.Equal(t, 2, next.Depth)
-	assert.True(t, table.Take(report(1, next), now), "a full record accepts a deeper crash")
+	assert.True(t, table.Merge(report(1, next), now), "a full record accepts a deeper crash")
 	assert.Equal(t, quarantine.SingleAttempt, table.Verdict(digest(1), now))
 }
 
@@ -91,7 +91,7 @@
 	for depth, want := range []quarantine.Verdict{quarantine.Unrestricted, quarantine.SingleAttempt, quarantine.Quarantined} {
 		sent := quarantine.Attempt{Content: digest(1), Upstream: fmt.Sprint("u", depth), SentAt: now.Add(time.Millisecond)}
 		now = now.Add(2 * time.Millisecond)
-		table.Take(report(1, attribute(table, sent, now)), now)
+		table.Merge(report(1, attribute(table, sent, now)), now)
 		assert.Equal(t, want, table.Verdict(digest(1), now))
 	}
 }
@@ -106,11 +106,11 @@
 	}
 	first := attribute(table, sent(0, 1), at(1))
 	assert.Equal(t, crash("a", 1, 1), first)
-	table.Take(report(1, first), at(1))
+	table.Merge(report(1, first), at(1))
 	assert.Zero(t, attribute(table, sent(1, 1), at(1)).Recurrence, "sent before the crash was received")
 	second := attribute(table, sent(2, 1), at(3))
 	assert.Equal(t, 1, second.Recurrence)
-	assert.True(t, table.Take(report(1, second), at(3)))
+	assert.True(t, table.Merge(report(1, second), at(3)))
 	assert.Equal(t, quarantine.SingleAttempt, table.Verdict(digest(1), at(3)))
 	assert.Equal(t, 2, attribute(table, sent(4, 1), at(5)).Recurrence)
 	assert.Zero(t, attribute(table, sent(4, 2), at(5)).Recurrence)
@@ -121,7 +121,7 @@
 func TestQuarantineExpiresIntoTrialAndGrows(t *testing.T) {
 	table := &quarantine.Table{}
 	now := start
-	table.Take(report(1, crash("a", 1, 1), crash("b", 1, 2), crash("c", 1, 3)), now)
+	table.Merge(report(1, crash("a", 1, 1), crash("b", 1, 2), crash("c", 1, 3)), now)
 	for round, duration := range []time.Duration{15 * time.Second, time.Minute, 4 * time.Minute} {
 		now = now.Add(duration - time.Second)
 		assert.Equal(t, quarantine.Quarantined, table.Admit(digest(1), true, now))
@@ -132,17 +132,17 @@
 		assert.Equal(t, quarantine.SingleAttempt, table.Verdict(digest(1), now), "the admitted trial continues")
 		observed := attribute(table, quarantine.Attempt{Content: digest(1), Upstream: fmt.Sprint("d", round), SentAt: now}, now.Add(time.Second))
 		assert.Equal(t, 3, observed.Depth)
-		table.Take(report(1, observed), now)
+		table.Merge(report(1, observed), now)
 		assert.Equal(t, quarantine.Quarantined, table.Verdict(digest(1), now))
 	}
 	now = now.Add(16 * time.Minute)
 	assert.Equal(t, quarantine.SingleAttempt, table.Admit(digest(1), true, now))
 	now = now.Add(10 * time.Second)
 	assert.Equal(t, quarantine.SingleAttempt, table.Admit(digest(1), true, now), "the previous trial had no result")
-	table.Take(quarantine.Report{Content: digest(1), Cleared: true}, now)
+	table.Merge(quarantine.Report{Content: digest(1), Cleared: true}, now)
 	assert.Equal(t, quarantine.Unrestricted, table.Admit(digest(1), false, now))
 
-	table.Take(report(2, crash("a", 1, 1), crash("b", 1, 2)), now)
+	table.Merge(report(2, crash("a", 1, 1), crash("b", 1, 2)), now)
 	assert.Equal(t, quarantine.SingleAttempt, table.Admit(digest(2), false, now), "not quarantined")
 	assert.Equal(t, quarantine.Unrestricted, table.Verdict(digest(2), now.Add(10*time.Minute)), "a suspicion expires")
 }
@@ -151,10 +151,10 @@
 // thousands of other contents, and against unbounded growth of the table.
 func TestEvictionKeepsQuarantinedContents(t *testing.T) {
 	table := &quarantine.Table{}
-	table.Take(report(0, crash("a", 1, 1), crash("b", 1, 2), crash("c", 1, 3)), start)
+	table.Merge(report(0, crash("a", 1, 1), crash("b", 1, 2), crash("c", 1, 3)), start)
 	const many = 10000
 	for i := 1; i <= many; i++ {
-		table.Take(report(i, crash("a", 1, 1)), start.Add(time.Duration(i)*time.Millisecond))
+		table.Merge(report(i, crash("a", 1, 1)), start.Add(time.Duration(i)*time.Millisecond))
 	}
 	assert.Equal(t, quarantine.Quarantined, table.Verdict(digest(0), start.Add(many*time.Millisecond)))
 	assert.LessOrEqual(t, len(table.Reports()), 4096)
@@ -173,10 +173,10 @@
 		}), 1, 20).Draw(t, "notes")
 		first, second := &quarantine.Table{}, &quarantine.Table{}
 		for _, r := range reports {
-			first.Take(r, start)
+			first.Merge(r, start)
 		}
 		for _, r := range rapid.Permutation(append(reports, reports...)).Draw(t, "order") {
-			second.Take(r, start)
+			second.Merge(r, start)
 		}
 		for number := range 4 {
 			assert.Equal(t, first.Verdict(digest(number), start), second.Verdict(digest(number), start))
@@ -191,30 +191,30 @@
 	table := &quarantine.Table{}
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	crashes := []quarantine.Crash{crash("a", 1, 1), crash("b", 1, 2), crash("c", 1, 3)}
-	table.Take(report(1, crashes[:2]...), at(0))
-	assert.True(t, table.Take(quarantine.Report{Content: digest(1), Cleared: true}, at(10)))
+	table.Merge(report(1, crashes[:2]...), at(0))
+	assert.True(t, table.Merge(quarantine.Report{Content: digest(1), Cleared: true}, at(10)))
 	assert.Empty(t, table.Report(digest(1)).Crashes)
 	for _, stale := range crashes {
-		assert.False(t, table.Take(report(1, stale), at(300)), "the crash of %s was known, or is deeper than any since the clearing can be", stale.Upstream)
+		assert.False(t, table.Merge(report(1, stale), at(300)), "the crash of %s was known, or is deeper than any since the clearing can be", stale.Upstream)
 	}
 	assert.Equal(t, quarantine.Unrestricted, table.Verdict(digest(1), at(300)))
 	assert.Empty(t, table.Reports())
 
 	next := attribute(table, quarantine.Attempt{Content: digest(1), Upstream: "a", Started: time.UnixMilli(1), SentAt: at(400)}, at(500))
 	assert.Equal(t, quarantine.Crash{Upstream: "a", Started: time.UnixMilli(1), Recurrence: 1, Depth: 1}, next, "a new crash under the same registration")
-	assert.True(t, table.Take(report(1, next), at(500)))
+	assert.True(t, table.Merge(report(1, next), at(500)))
 	for depth := 2; depth <= 3; depth++ {
-		assert.True(t, table.Take(report(1, crash("d", int64(depth), depth)), at(500+depth)), "crashes after the clearing count")
+		assert.True(t, table.Merge(report(1, crash("d", int64(depth), depth)), at(500+depth)), "crashes after the clearing count")
 	}
 	assert.Equal(t, quarantine.Quarantined, table.Verdict(digest(1), at(600)))
 
 	uninformed := &quarantine.Table{}
-	assert.False(t, uninformed.Take(quarantine.Report{Content: digest(1), Cleared: true}, at(10)), "no crashes to clear")
-	assert.False(t, uninformed.Take(report(1, crashes[2]), at(300)), "deeper than any crash since the clearing can be")
+	assert.False(t, uninformed.Merge(quarantine.Report{Content: digest(1), Cleared: true}, at(10)), "no crashes to clear")
+	assert.False(t, uninformed.Merge(report(1, crashes[2]), at(300)), "deeper than any crash since the clearing can be")
 	later := &quarantine.Table{}
-	later.Take(report(1, crashes[:2]...), at(0))
-	later.Take(quarantine.Report{Content: digest(1), Cleared: true}, at(10))
-	assert.True(t, later.Take(report(1, crashes[2]), at(60_000)), "a clearing expires")
+	later.Merge(report(1, crashes[:2]...), at(0))
+	later.Merge(quarantine.Report{Content: digest(1), Cleared: true}, at(10))
+	assert.True(t, later.Merge(report(1, crashes[2]), at(60_000)), "a clearing expires")
 }
 
 // TestCompleteResponseExoneratesContent guards against quarantining a popular request that ran on
@@ -224,13 +224,13 @@
 	table := &quarantine.Table{}
 	now := start
 	for i := range 4 {
-		table.Whole(popular, now)
+		table.RecordSuccess(popular, now)
 		now = now.Add(30 * time.Millisecond)
 		for _, suspect := range []content.Digest{popular, crashing} {
 			observed, counts := table.Attribute(quarantine.Attempt{Content: suspect, Upstream: fmt.Sprint("u", i), SentAt: now.Add(-10 * time.Millisecond)}, now)
 			assert.Equal(t, suspect == crashing, counts)
 			if counts {
-				table.Take(quarantine.Report{Content: suspect, Crashes: []quarantine.Crash{observed}}, now)
+				table.Merge(quarantine.Report{Content: suspect, Crashes: []quarantine.Crash{observed}}, now)
 			}
 		}
 	}
--- a/daemon/internal/request/quarantine/simulation_test.go
+++ b/daemon/internal/request/quarantine/simulation_test.go
@@ -170,7 +170,7 @@
 			remaining = append(remaining, d)
 			continue
 		}
-		f.tables[d.router].Take(d.report, f.time())
+		f.tables[d.router].Merge(d.report, f.time())
 	}
 	f.inTransit = remaining
 }
@@ -191,7 +191,7 @@
 				crashes = true
 				remaining = append(remaining, r)
 			default:
-				f.tables[r.router].Take(quarantine.Report{Content: r.content, Cleared: true}, f.time())
+				f.tables[r.router].Merge(quarantine.Report{Content: r.content, Cleared: true}, f.time())
 			}
 		}
 		f.running[engine] = remaining
--- a/daemon/router/suspects.go
+++ b/daemon/router/suspects.go
@@ -84,8 +84,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Now()
-	c := change{before: s.table.Verdict(note.Content, now), wasDeep: s.table.Report(note.Content).Deep()}
-	news := s.table.Take(note, now)
+	c := change{before: s.table.Verdict(note.Content, now), wasDeep: s.table.Report(note.Content).ReachesQuarantine()}
+	news := s.table.Merge(note, now)
 	c.after, c.known = s.table.Verdict(note.Content, now), s.table.Report(note.Content)
 	return c, news && c.before != c.after
 }
@@ -94,7 +94,7 @@
 func (s *suspects) whole(name content.Digest) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.table.Whole(name, clock.Now())
+	s.table.RecordSuccess(name, clock.Now())
 	return len(s.table.Report(name).Crashes) > 0
 }
 
