--- a/daemon/internal/request/gate/gate.go
+++ b/daemon/internal/request/gate/gate.go
@@ -34,8 +34,8 @@
 	Manifest string
 }
 
-// Stamp is the service and the version that a request was routed for.
-type Stamp struct {
+// Target is the service and the version that a request was routed for.
+type Target struct {
 	Service  string
 	Manifest string
 }
@@ -58,13 +58,13 @@
 	idle chan struct{}
 }
 
-// Enter admits a request or returns a refusal. It also returns the number of
+// Admit admits a request or returns a refusal. It also returns the number of
 // requests in flight. The caller must call the returned function when the request
 // has ended; further calls have no effect.
-func (g *Gate) Enter(stamp Stamp) (int, func(), *outcome.Refusal) {
+func (g *Gate) Admit(target Target) (int, func(), *outcome.Refusal) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if refusal := g.refuse(stamp); refusal != nil {
+	if refusal := g.refuse(target); refusal != nil {
 		return g.inFlight, nil, refusal
 	}
 	g.inFlight++
@@ -73,11 +73,11 @@
 }
 
 // refuse returns the refusal of a request, or nil to admit it. The caller must hold mu.
-func (g *Gate) refuse(stamp Stamp) *outcome.Refusal {
+func (g *Gate) refuse(target Target) *outcome.Refusal {
 	switch {
 	case g.leaving:
 		return outcome.NotRun(http.StatusServiceUnavailable, outcome.ReasonStopping, "the host is leaving")
-	case g.closed || !slices.Contains(g.serving.Services, stamp.Service) || g.serving.Manifest != stamp.Manifest:
+	case g.closed || !slices.Contains(g.serving.Services, target.Service) || g.serving.Manifest != target.Manifest:
 		return outcome.NotRun(http.StatusServiceUnavailable, outcome.ReasonWrongVersion, "the host does not serve the service and version that the request was routed for")
 	case g.limit > 0 && g.inFlight >= g.limit:
 		return outcome.NotRun(http.StatusServiceUnavailable, outcome.ReasonBusy,
--- a/daemon/internal/request/gate/gate_test.go
+++ b/daemon/internal/request/gate/gate_test.go
@@ -13,28 +13,28 @@
 )
 
 func TestEnterRefusesWithReason(t *testing.T) {
-	stamp := Stamp{"s", "v1"}
+	target := Target{"s", "v1"}
 	tests := []struct {
 		name   string
 		set    func(*Gate)
-		stamp  Stamp
+		target Target
 		reason outcome.Reason
 	}{
-		{"not opened", func(*Gate) {}, stamp, outcome.ReasonWrongVersion},
-		{"served", func(g *Gate) { g.Open(Serving{[]string{"s"}, "v1"}) }, stamp, ""},
-		{"another version", func(g *Gate) { g.Open(Serving{[]string{"s"}, "v2"}) }, stamp, outcome.ReasonWrongVersion},
-		{"another service", func(g *Gate) { g.Open(Serving{[]string{"t"}, "v1"}) }, stamp, outcome.ReasonWrongVersion},
-		{"empty stamp", func(g *Gate) { g.Open(Serving{[]string{"s"}, "v1"}) }, Stamp{}, outcome.ReasonWrongVersion},
-		{"leaving", func(g *Gate) { g.Open(Serving{[]string{"s"}, "v1"}); g.Leave() }, stamp, outcome.ReasonStopping},
-		{"closed for version change", func(g *Gate) { g.Open(Serving{[]string{"s"}, "v1"}); _ = g.Close(context.Background()) }, stamp, outcome.ReasonWrongVersion},
-		{"at in-flight limit", func(g *Gate) { g.Open(Serving{[]string{"s"}, "v1"}); g.SetLimit(1); _, _, _ = g.Enter(stamp) }, stamp, outcome.ReasonBusy},
-		{"open after leave", func(g *Gate) { g.Leave(); g.Open(Serving{[]string{"s"}, "v1"}) }, stamp, outcome.ReasonStopping},
+		{"not opened", func(*Gate) {}, target, outcome.ReasonWrongVersion},
+		{"served", func(g *Gate) { g.Open(Serving{[]string{"s"}, "v1"}) }, target, ""},
+		{"another version", func(g *Gate) { g.Open(Serving{[]string{"s"}, "v2"}) }, target, outcome.ReasonWrongVersion},
+		{"another service", func(g *Gate) { g.Open(Serving{[]string{"t"}, "v1"}) }, target, outcome.ReasonWrongVersion},
+		{"empty stamp", func(g *Gate) { g.Open(Serving{[]string{"s"}, "v1"}) }, Target{}, outcome.ReasonWrongVersion},
+		{"leaving", func(g *Gate) { g.Open(Serving{[]string{"s"}, "v1"}); g.Leave() }, target, outcome.ReasonStopping},
+		{"closed for version change", func(g *Gate) { g.Open(Serving{[]string{"s"}, "v1"}); _ = g.Close(context.Background()) }, target, outcome.ReasonWrongVersion},
+		{"at in-flight limit", func(g *Gate) { g.Open(Serving{[]string{"s"}, "v1"}); g.SetLimit(1); _, _, _ = g.Admit(target) }, target, outcome.ReasonBusy},
+		{"open after leave", func(g *Gate) { g.Leave(); g.Open(Serving{[]string{"s"}, "v1"}) }, target, outcome.ReasonStopping},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			g := &Gate{}
 			test.set(g)
-			_, leave, refusal := g.Enter(test.stamp)
+			_, leave, refusal := g.Admit(test.target)
 			if test.reason == "" {
 				require.Nil(t, refusal)
 				leave()
@@ -52,11 +52,11 @@
 func TestCloseDrainsOrReopensOnTimeout(t *testing.T) {
 	g := &Gate{}
 	g.Open(Serving{[]string{"s"}, "v1"})
-	_, leave, _ := g.Enter(Stamp{"s", "v1"})
+	_, leave, _ := g.Admit(Target{"s", "v1"})
 	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
 	require.Error(t, g.Close(canceled))
-	_, second, refusal := g.Enter(Stamp{"s", "v1"})
+	_, second, refusal := g.Admit(Target{"s", "v1"})
 	require.Nil(t, refusal, "the gate reopens for the same version")
 	closed := make(chan error)
 	go func() { closed <- g.Close(t.Context()) }()
@@ -71,17 +71,17 @@
 	rapid.Check(t, func(t *rapid.T) {
 		g := &Gate{}
 		type admitted struct {
-			stamp Stamp
-			leave func()
+			target Target
+			leave  func()
 		}
 		var requests []admitted
 		canceled, cancel := context.WithCancel(context.Background())
 		cancel()
 		t.Repeat(map[string]func(*rapid.T){
 			"enter": func(t *rapid.T) {
-				stamp := Stamp{"s", rapid.SampledFrom([]string{"v1", "v2"}).Draw(t, "version")}
-				if _, leave, refusal := g.Enter(stamp); refusal == nil {
-					requests = append(requests, admitted{stamp, leave})
+				target := Target{"s", rapid.SampledFrom([]string{"v1", "v2"}).Draw(t, "version")}
+				if _, leave, refusal := g.Admit(target); refusal == nil {
+					requests = append(requests, admitted{target, leave})
 				}
 			},
 			"leave": func(t *rapid.T) {
@@ -100,7 +100,7 @@
 			"": func(t *rapid.T) {
 				require.Equal(t, len(requests), g.InFlight())
 				for _, r := range requests {
-					require.Equal(t, g.Serving().Manifest, r.stamp.Manifest)
+					require.Equal(t, g.Serving().Manifest, r.target.Manifest)
 				}
 			},
 		})
--- a/daemon/internal/request/gate/handler.go
+++ b/daemon/internal/request/gate/handler.go
@@ -51,40 +51,40 @@
 // ServeHTTP admits a request and forwards it to the upstream.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	h.requests.Inc(1)
-	stamp := Stamp{Service: r.Header.Get(HeaderService), Manifest: r.Header.Get(HeaderManifest)}
-	inFlight, leave, refusal := h.Gate.Enter(stamp)
+	target := Target{Service: r.Header.Get(HeaderService), Manifest: r.Header.Get(HeaderManifest)}
+	inFlight, leave, refusal := h.Gate.Admit(target)
 	w.Header().Set(HeaderInFlight, strconv.Itoa(inFlight))
 	w.Header().Set(api.HeaderHost, h.Name)
 	if refusal != nil {
-		h.log(r, stamp, "refuse", string(refusal.Reason))
-		h.setServedVersion(w, stamp, refusal)
+		h.log(r, target, "refuse", string(refusal.Reason))
+		h.setServedVersion(w, target, refusal)
 		refusal.Write(w)
 		return
 	}
 	defer leave()
-	h.forward(w, r, stamp)
+	h.forward(w, r, target)
 }
 
 // setServedVersion lets the entry retry at once with the version that the host
 // serves, since the entry's view of the hosts may be stale.
-func (h *Handler) setServedVersion(w http.ResponseWriter, stamp Stamp, refusal *outcome.Refusal) {
+func (h *Handler) setServedVersion(w http.ResponseWriter, target Target, refusal *outcome.Refusal) {
 	if refusal.Reason != outcome.ReasonWrongVersion {
 		return
 	}
-	if manifest, open := h.Gate.Serves(stamp.Service); open {
+	if manifest, open := h.Gate.Serves(target.Service); open {
 		w.Header().Set(HeaderServes, manifest)
 	}
 }
 
-func (h *Handler) log(r *http.Request, stamp Stamp, choice, reason string) {
+func (h *Handler) log(r *http.Request, target Target, choice, reason string) {
 	h.Telemetry.Decide(telemetry.Decision{
 		Step: "admit", Choice: choice, Reason: reason,
-		Details: map[string]any{"request": r.Header.Get(api.HeaderRequestID), "service": stamp.Service, "manifest": stamp.Manifest},
+		Details: map[string]any{"request": r.Header.Get(api.HeaderRequestID), "service": target.Service, "manifest": target.Manifest},
 	})
 }
 
 // forward sends an admitted request to the upstream and relays the response.
-func (h *Handler) forward(w http.ResponseWriter, r *http.Request, stamp Stamp) {
+func (h *Handler) forward(w http.ResponseWriter, r *http.Request, target Target) {
 	_ = http.NewResponseController(w).EnableFullDuplex()
 	r.Header.Del(HeaderService)
 	r.Header.Del(HeaderManifest)
@@ -95,15 +95,15 @@
 	}
 	response, err := relay.Send(r.Context(), r, hop) //nolint:bodyclose // relay.Copy closes it
 	if err != nil {
-		h.writeFailure(w, r, stamp, err)
+		h.writeFailure(w, r, target, err)
 		return
 	}
 	dropReservedHeaders(response.Header)
 	response.Header.Set(api.HeaderOutcome, string(api.OutcomeDone))
-	response.Header.Set(api.HeaderVersion, stamp.Manifest)
+	response.Header.Set(api.HeaderVersion, target.Manifest)
 	relay.CopyHead(w, response)
 	if err := relay.Copy(w, response); err != nil {
-		h.log(r, stamp, "cut", err.Error())
+		h.log(r, target, "cut", err.Error())
 		panic(http.ErrAbortHandler) // a normal return would make the truncated response look complete
 	}
 }
@@ -115,18 +115,18 @@
 	}
 }
 
-func (h *Handler) writeFailure(w http.ResponseWriter, r *http.Request, stamp Stamp, err error) {
-	refusal := Refuse(err, r.Context().Err())
-	h.log(r, stamp, string(refusal.Outcome), refusal.Message)
+func (h *Handler) writeFailure(w http.ResponseWriter, r *http.Request, target Target, err error) {
+	refusal := HopRefusal(err, r.Context().Err())
+	h.log(r, target, string(refusal.Outcome), refusal.Message)
 	refusal.Write(w)
 }
 
 // unreachableRetryAfter is the Retry-After value sent when a hop was unreachable.
 const unreachableRetryAfter = time.Second
 
-// Refuse maps the error of a failed hop to a refusal: not-run if the peer never
+// HopRefusal maps the error of a failed hop to a refusal: not-run if the peer never
 // received the request, else unknown.
-func Refuse(err, contextErr error) *outcome.Refusal {
+func HopRefusal(err, contextErr error) *outcome.Refusal {
 	var failure *relay.Failure
 	forwarded := !errors.As(err, &failure) || failure.HandedOver
 	expired := contextErr != nil
--- a/daemon/internal/request/intake/intake.go
+++ b/daemon/internal/request/intake/intake.go
@@ -338,7 +338,7 @@
 	if errors.As(err, &tooLarge) {
 		return outcome.Unknown(http.StatusRequestEntityTooLarge, outcome.ReasonTooLarge, fmt.Sprintf("the body may take %d bytes", tooLarge.Limit)), true
 	}
-	refusal := gate.Refuse(err, ctx.Err())
+	refusal := gate.HopRefusal(err, ctx.Err())
 	final := refusal.Outcome != api.OutcomeNotRun || ctx.Err() != nil
 	return refusal, final
 }
--- a/daemon/internal/request/quarantine/quarantine.go
+++ b/daemon/internal/request/quarantine/quarantine.go
@@ -265,7 +265,7 @@
 type Attempt struct {
 	Content  content.Digest
 	Upstream string
-	// Started is the start time of the upstream, SentAt the time at which the request was attempt.
+	// Started is the start time of the upstream, SentAt the time at which the request was sent.
 	Started, SentAt time.Time
 }
 
