--- a/daemon/internal/request/account/account.go
+++ b/daemon/internal/request/account/account.go
@@ -57,9 +57,9 @@
 	inFlight int
 }
 
-// Enter admits a request or returns a refusal. The caller must call the returned
+// Admit admits a request or returns a refusal. The caller must call the returned
 // function when the request has ended; further calls have no effect.
-func (l *Limiter) Enter(account *api.Resource, now time.Time) (func(), *outcome.Refusal) {
+func (l *Limiter) Admit(account *api.Resource, now time.Time) (func(), *outcome.Refusal) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.state(account)
--- a/daemon/internal/request/intake/intake.go
+++ b/daemon/internal/request/intake/intake.go
@@ -177,7 +177,7 @@
 	if p.r.ContentLength > p.handler.MaxBodyBytes {
 		return outcome.NotRun(http.StatusRequestEntityTooLarge, outcome.ReasonTooLarge, fmt.Sprintf("the body may take %d bytes", p.handler.MaxBodyBytes))
 	}
-	leave, refusal := p.handler.Accounts.Enter(client, now)
+	leave, refusal := p.handler.Accounts.Admit(client, now)
 	if refusal != nil {
 		return refusal
 	}
