--- a/daemon/internal/request/gate/gate.go
+++ b/daemon/internal/request/gate/gate.go
@@ -81,7 +81,7 @@
 		return outcome.NotRun(http.StatusServiceUnavailable, outcome.ReasonWrongVersion, "the host does not serve the service and version that the request was routed for")
 	case g.limit > 0 && g.inFlight >= g.limit:
 		return outcome.NotRun(http.StatusServiceUnavailable, outcome.ReasonBusy,
-			fmt.Sprintf("the host has reached its limit: %d requests in flight", g.inFlight)).Retry(busyRetryAfter)
+			fmt.Sprintf("the host has reached its limit: %d requests in flight", g.inFlight)).WithRetryAfter(busyRetryAfter)
 	default:
 		return nil
 	}
--- a/daemon/internal/request/gate/handler.go
+++ b/daemon/internal/request/gate/handler.go
@@ -134,10 +134,10 @@
 	case expired && forwarded:
 		return outcome.Unknown(http.StatusGatewayTimeout, outcome.ReasonDeadline, fmt.Sprintf("deadline exceeded after the request was forwarded: %s", err))
 	case expired:
-		return outcome.NotRun(http.StatusServiceUnavailable, outcome.ReasonDeadline, "deadline exceeded before the request was forwarded").Retry(unreachableRetryAfter)
+		return outcome.NotRun(http.StatusServiceUnavailable, outcome.ReasonDeadline, "deadline exceeded before the request was forwarded").WithRetryAfter(unreachableRetryAfter)
 	case forwarded:
 		return outcome.Unknown(http.StatusBadGateway, outcome.ReasonAnswerLost, err.Error())
 	default:
-		return outcome.NotRun(http.StatusServiceUnavailable, outcome.ReasonUnreachable, err.Error()).Retry(unreachableRetryAfter)
+		return outcome.NotRun(http.StatusServiceUnavailable, outcome.ReasonUnreachable, err.Error()).WithRetryAfter(unreachableRetryAfter)
 	}
 }
--- a/daemon/internal/request/intake/intake.go
+++ b/daemon/internal/request/intake/intake.go
@@ -261,7 +261,7 @@
 		return last
 	}
 	return outcome.NotRun(http.StatusServiceUnavailable, outcome.ReasonNoUpstream,
-		fmt.Sprintf("no host serves %q now", p.service.Name)).Retry(noUpstreamRetry)
+		fmt.Sprintf("no host serves %q now", p.service.Name)).WithRetryAfter(noUpstreamRetry)
 }
 
 // keepBody reads a small repeatable body, so that it can be sent again.
@@ -360,9 +360,9 @@
 	reason := outcome.Reason(response.Header.Get(outcome.HeaderReason))
 	refusal := outcome.NotRun(http.StatusServiceUnavailable, reason, fmt.Sprintf("host %s refused it (%s)", choice.Host, reason))
 	if seconds, err := strconv.Atoi(response.Header.Get("Retry-After")); err == nil {
-		return refusal.Retry(time.Duration(seconds) * time.Second)
+		return refusal.WithRetryAfter(time.Duration(seconds) * time.Second)
 	}
-	return refusal.Retry(noUpstreamRetry)
+	return refusal.WithRetryAfter(noUpstreamRetry)
 }
 
 // stream writes an answer as it comes. An answer that breaks off ends the
--- a/daemon/internal/request/outcome/outcome.go
+++ b/daemon/internal/request/outcome/outcome.go
@@ -68,8 +68,8 @@
 	return &Refusal{Status: status, Outcome: api.OutcomeUnknown, Reason: reason, Message: message}
 }
 
-// Retry sets RetryAfter and returns the refusal.
-func (r *Refusal) Retry(after time.Duration) *Refusal {
+// WithRetryAfter sets RetryAfter and returns the refusal.
+func (r *Refusal) WithRetryAfter(after time.Duration) *Refusal {
 	r.RetryAfter = after
 	return r
 }
