--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -242,7 +242,7 @@
 	for {
 		select {
 		case <-ticker.C:
-			p.router.Keep(p.members.View())
+			p.router.Prune(p.members.View())
 		case <-p.done:
 			return
 		}
--- a/daemon/internal/request/intake/intake.go
+++ b/daemon/internal/request/intake/intake.go
@@ -250,7 +250,7 @@
 	}
 	choice := *p.again
 	p.again = nil
-	router.Again(choice)
+	router.CountAttempt(choice)
 	return choice, true
 }
 
@@ -331,7 +331,7 @@
 	callerGone := p.r.Context().Err() != nil
 	result := route.ResultFailed
 	if callerGone {
-		result = route.ResultCallerGone
+		result = route.ResultCanceled
 	}
 	p.handler.Router.Done(choice.Host, result)
 	var tooLarge *http.MaxBytesError
@@ -376,7 +376,7 @@
 	switch {
 	case err == nil:
 	case relay.IsCallerGone(err) || p.r.Context().Err() != nil:
-		result = route.ResultCallerGone
+		result = route.ResultCanceled
 	default:
 		result = route.ResultFailed
 	}
--- a/daemon/internal/request/route/route.go
+++ b/daemon/internal/request/route/route.go
@@ -134,9 +134,9 @@
 	}, true
 }
 
-// Again counts another attempt at the host of an earlier choice as in flight until
+// CountAttempt counts another attempt at the host of an earlier choice as in flight until
 // Done.
-func (r *Router) Again(choice Choice) {
+func (r *Router) CountAttempt(choice Choice) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.get(choice.Host).inFlight++
@@ -203,9 +203,9 @@
 	ResultRefused
 	// ResultFailed means no connection or no complete response.
 	ResultFailed
-	// ResultCallerGone means that the client disconnected, which is no evidence
+	// ResultCanceled means that the client disconnected, which is no evidence
 	// about the host.
-	ResultCallerGone
+	ResultCanceled
 )
 
 // Done ends an attempt counted by Choose or Again and records its result.
@@ -224,7 +224,7 @@
 			wait = min(ejectBase<<(u.failures-1), ejectMax)
 		}
 		u.ejectedUntil = r.now().Add(wait)
-	case ResultRefused, ResultCallerGone:
+	case ResultRefused, ResultCanceled:
 	}
 }
 
@@ -237,8 +237,8 @@
 	u.reportedAt = r.now()
 }
 
-// Keep drops the state of hosts that are no longer members and have no requests in flight.
-func (r *Router) Keep(view *members.View) {
+// Prune drops the state of hosts that are no longer members and have no requests in flight.
+func (r *Router) Prune(view *members.View) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for host, u := range r.upstreams {
--- a/daemon/internal/request/route/route_test.go
+++ b/daemon/internal/request/route/route_test.go
@@ -95,7 +95,7 @@
 		for range 60 {
 			host := f.choose()
 			seen[host] = true
-			f.router.Done(host, ResultCallerGone)
+			f.router.Done(host, ResultCanceled)
 		}
 		return seen
 	}
@@ -116,13 +116,13 @@
 	assert.Len(t, chosen(), 3)
 }
 
-func TestKeepDropsFormerMembers(t *testing.T) {
+func TestPruneDropsFormerMembers(t *testing.T) {
 	f := newFixture(&wire.Member{Name: "a"})
 	require.Equal(t, "a", f.choose())
 	empty := &members.Table{}
-	f.router.Keep(empty.View())
+	f.router.Prune(empty.View())
 	assert.Len(t, f.router.upstreams, 1, "a request is still in flight")
 	f.router.Done("a", ResultAnswered)
-	f.router.Keep(empty.View())
+	f.router.Prune(empty.View())
 	assert.Empty(t, f.router.upstreams)
 }
