--- a/daemon/internal/connection/places/ask.go
+++ b/daemon/internal/connection/places/ask.go
@@ -43,8 +43,8 @@
 	Waiting int  `json:"waiting"`
 	Loading bool `json:"loading,omitempty"`
 	// Wait is in milliseconds, Limit what the loader knows of the engine's limit.
-	Wait  int64           `json:"wait,omitempty"`
-	Limit *ratelimit.Note `json:"limit,omitempty"`
+	Wait  int64             `json:"wait,omitempty"`
+	Limit *ratelimit.Report `json:"limit,omitempty"`
 }
 
 // Answer is what a loader says.
@@ -53,7 +53,7 @@
 	// Given says that the place is the router's.
 	Given bool
 	// Limit is what the loader knows of the engine's limit, nil for nothing.
-	Limit *ratelimit.Note
+	Limit *ratelimit.Report
 }
 
 // Handler answers questions from a ledger. OnAnswer is called after each.
@@ -122,7 +122,7 @@
 }
 
 // parseKnown reads what a router knows of the engine's limit.
-func parseKnown(query url.Values) (*ratelimit.Note, error) {
+func parseKnown(query url.Values) (*ratelimit.Report, error) {
 	text := query.Get(knownParam)
 	if text == "" {
 		return nil, nil //nolint:nilnil // nothing is known
@@ -131,9 +131,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", ageParam, err)
 	}
-	note := &ratelimit.Note{Age: time.Duration(age) * time.Millisecond}
+	note := &ratelimit.Report{Age: time.Duration(age) * time.Millisecond}
 	if text == endedValue {
-		note.Ended = true
+		note.Lifted = true
 		return note, nil
 	}
 	said := ratelimit.Parse([]string{text})
@@ -193,7 +193,7 @@
 		return text
 	}
 	limit := endedValue
-	if !q.Known.Ended {
+	if !q.Known.Lifted {
 		limit = strconv.FormatFloat(q.Known.PerSecond, 'f', -1, 64)
 	}
 	return text + "&" + knownParam + "=" + limit + "&" + ageParam + "=" + strconv.FormatInt(q.Known.Age.Milliseconds(), 10)
--- a/daemon/internal/connection/places/ledger.go
+++ b/daemon/internal/connection/places/ledger.go
@@ -52,7 +52,7 @@
 	// Engine is the start of the engine that the place is to be at, and Known what the router
 	// knows of its limit, nil for nothing.
 	Engine ratelimit.Upstream
-	Known  *ratelimit.Note
+	Known  *ratelimit.Report
 	// Cold says that the router takes the engine for cold, nil where it does not.
 	Cold *ratelimit.Cold
 }
@@ -151,10 +151,10 @@
 }
 
 // Known returns what is known of an engine's limit, nil for nothing.
-func (l *Ledger) Known(engine ratelimit.Upstream) *ratelimit.Note {
+func (l *Ledger) Known(engine ratelimit.Upstream) *ratelimit.Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	note, ok := l.limits.Known(engine, helpers.Now(l.Now))
+	note, ok := l.limits.Report(engine, helpers.Now(l.Now))
 	if !ok {
 		return nil
 	}
--- a/daemon/internal/connection/places/places_test.go
+++ b/daemon/internal/connection/places/places_test.go
@@ -182,7 +182,7 @@
 	ledger.Observe(places.Load{}, true)
 	address := serve(t, places.Handler(ledger, func(places.Answer) {}))
 	client := &places.Client{Client: http.DefaultClient}
-	ask := func(engine ratelimit.Upstream, known *ratelimit.Note) places.Answer {
+	ask := func(engine ratelimit.Upstream, known *ratelimit.Report) places.Answer {
 		c.now = c.now.Add(settled)
 		ledger.Observe(places.Load{}, true)
 		answer, err := client.Ask(context.Background(), address, places.Question{Limit: places.Limit{Taken: 3}, Engine: engine, Known: known})
@@ -191,10 +191,10 @@
 	}
 	engine := ratelimit.Upstream{ID: "u/1 &", Started: time.Unix(0, 12345)}
 	assert.Nil(t, ask(engine, nil).Limit)
-	assert.True(t, ask(engine, &ratelimit.Note{PerSecond: 0.5, Age: 20 * time.Millisecond}).Given)
+	assert.True(t, ask(engine, &ratelimit.Report{PerSecond: 0.5, Age: 20 * time.Millisecond}).Given)
 	unaware := ask(engine, nil)
 	assert.False(t, unaware.Given)
-	assert.Equal(t, &ratelimit.Note{PerSecond: 0.5, Age: 20*time.Millisecond + settled}, unaware.Limit)
+	assert.Equal(t, &ratelimit.Report{PerSecond: 0.5, Age: 20*time.Millisecond + settled}, unaware.Limit)
 	assert.Positive(t, unaware.Wait)
 	later := ask(engine, nil)
 	assert.Greater(t, later.Wait, unaware.Wait, "whoever asks next is told to come after the one before")
@@ -202,7 +202,7 @@
 	again := engine
 	again.Started = time.Unix(0, 54321)
 	assert.True(t, ask(again, nil).Given)
-	assert.True(t, ask(engine, &ratelimit.Note{Ended: true}).Given)
+	assert.True(t, ask(engine, &ratelimit.Report{Lifted: true}).Given)
 	assert.True(t, ask(engine, nil).Given)
 
 	for _, query := range []string{"&limit=x&age=1", "&limit=-1&age=1", "&limit=1", "&limit=1&age=x"} {
--- a/daemon/internal/request/gate/gate_test.go
+++ b/daemon/internal/request/gate/gate_test.go
@@ -24,7 +24,7 @@
 		{"served", func(g *Gate) { g.Open(Serving{[]string{"s"}, "v1"}) }, target, ""},
 		{"another version", func(g *Gate) { g.Open(Serving{[]string{"s"}, "v2"}) }, target, outcome.ReasonWrongVersion},
 		{"another service", func(g *Gate) { g.Open(Serving{[]string{"t"}, "v1"}) }, target, outcome.ReasonWrongVersion},
-		{"empty stamp", func(g *Gate) { g.Open(Serving{[]string{"s"}, "v1"}) }, Target{}, outcome.ReasonWrongVersion},
+		{"empty target", func(g *Gate) { g.Open(Serving{[]string{"s"}, "v1"}) }, Target{}, outcome.ReasonWrongVersion},
 		{"leaving", func(g *Gate) { g.Open(Serving{[]string{"s"}, "v1"}); g.Leave() }, target, outcome.ReasonStopping},
 		{"closed for version change", func(g *Gate) { g.Open(Serving{[]string{"s"}, "v1"}); _ = g.Close(context.Background()) }, target, outcome.ReasonWrongVersion},
 		{"at in-flight limit", func(g *Gate) { g.Open(Serving{[]string{"s"}, "v1"}); g.SetLimit(1); _, _, _ = g.Admit(target) }, target, outcome.ReasonBusy},
--- a/daemon/internal/request/ratelimit/ratelimit.go
+++ b/daemon/internal/request/ratelimit/ratelimit.go
@@ -74,18 +74,20 @@
 	return k
 }
 
-// Note reports an upstream's limit from one process to another.
-type Note struct {
+// Report reports an upstream's limit from one process to another.
+type Report struct {
 	// PerSecond is the limit in requests per second.
 	PerSecond float64 `json:"perSecond"`
-	// Ended means that the upstream has lifted its limit.
-	Ended bool `json:"ended,omitempty"`
+	// Lifted means that the upstream has lifted its limit.
+	Lifted bool `json:"ended,omitempty"`
 	// Age is the time since the limit was observed, in nanoseconds.
 	Age time.Duration `json:"age"`
 }
 
 // same reports whether two reports agree apart from their age.
-func (n Note) same(other Note) bool { return n.Ended == other.Ended && n.PerSecond == other.PerSecond }
+func (n Report) same(other Report) bool {
+	return n.Lifted == other.Lifted && n.PerSecond == other.PerSecond
+}
 
 // Change is the effect of an observation or a report on the table.
 type Change struct {
@@ -95,7 +97,7 @@
 	Tell bool
 	// Before is the limit before the change, with Ended set if there was none. After is the
 	// present one; the age of a lifted limit is that of the request whose response lacked it.
-	Before, After Note
+	Before, After Report
 }
 
 // Share is the part of a limit that one process may use.
@@ -135,14 +137,14 @@
 // limit is the state of one upstream's limit.
 type limit struct {
 	upstream Upstream
-	note     Note // Age is unset; at holds the time of observation
+	report   Report // Age is unset; at holds the time of observation
 	at       time.Time
 	// due is the earliest time of the next request; zero before the first.
 	due time.Time
 	// denied counts the requests denied since the last allowed one.
 	denied int
 	// notified is the report last sent to other processes, at notifiedAt.
-	notified   Note
+	notified   Report
 	notifiedAt time.Time
 }
 
@@ -150,55 +152,55 @@
 func (t *Table) Heard(upstream Upstream, said Said, sent, now time.Time) Change {
 	switch said.Kind {
 	case Limited:
-		return t.update(upstream, Note{PerSecond: said.PerSecond}, now, now, 0)
+		return t.update(upstream, Report{PerSecond: said.PerSecond}, now, now, 0)
 	case Unlimited:
-		return t.update(upstream, Note{Ended: true}, sent.Add(-liftGrace), now, 0)
+		return t.update(upstream, Report{Lifted: true}, sent.Add(-liftGrace), now, 0)
 	default:
 		return Change{}
 	}
 }
 
 // Told merges the report of another process.
-func (t *Table) Told(upstream Upstream, note Note, now time.Time) Change {
-	return t.update(upstream, note, now.Add(-max(note.Age, 0)), now, clockSkew)
+func (t *Table) Told(upstream Upstream, report Report, now time.Time) Change {
+	return t.update(upstream, report, now.Add(-max(report.Age, 0)), now, clockSkew)
 }
 
 // update applies what was observed at the given time unless the table holds something newer. An
 // equal limit refreshes the time of observation only if it is newer by more than slack, so that
 // reports passed back and forth do not keep a limit alive.
-func (t *Table) update(upstream Upstream, note Note, at, now time.Time, slack time.Duration) Change {
+func (t *Table) update(upstream Upstream, report Report, at, now time.Time, slack time.Duration) Change {
 	held := t.limits[upstream.key()]
 	if held == nil {
-		if note.Ended {
+		if report.Lifted {
 			return Change{}
 		}
 		held = t.add(upstream, at)
 	} else if !at.After(held.at) {
 		return Change{}
 	}
-	if note.same(held.note) {
+	if report.same(held.report) {
 		if at.Sub(held.at) > slack {
 			held.at = at
 		}
 		return Change{}
 	}
-	change := Change{Changed: true, Before: held.note}
-	held.note, held.at = note, at
-	change.After, change.Tell = held.report(now), held.notifyDue(now)
+	change := Change{Changed: true, Before: held.report}
+	held.report, held.at = report, at
+	change.After, change.Tell = held.reportAt(now), held.notifyDue(now)
 	return change
 }
 
 // notifyDue reports whether to notify other processes and, if so, records the notification. It
 // is always due when a limit is first named or lifted.
 func (l *limit) notifyDue(now time.Time) bool {
-	switched := l.note.Ended != l.notified.Ended
+	switched := l.report.Lifted != l.notified.Lifted
 	if !switched && now.Sub(l.notifiedAt) < notifyInterval {
 		return false
 	}
-	if !switched && math.Abs(l.note.PerSecond-l.notified.PerSecond) < notifyMinChange*l.notified.PerSecond {
+	if !switched && math.Abs(l.report.PerSecond-l.notified.PerSecond) < notifyMinChange*l.notified.PerSecond {
 		return false
 	}
-	l.notified, l.notifiedAt = l.note, now
+	l.notified, l.notifiedAt = l.report, now
 	return true
 }
 
@@ -210,8 +212,8 @@
 	if len(t.limits) >= maxUpstreams {
 		t.evictOldest()
 	}
-	none := Note{Ended: true}
-	created := &limit{upstream: upstream, note: none, notified: none, at: at}
+	none := Report{Lifted: true}
+	created := &limit{upstream: upstream, report: none, notified: none, at: at}
 	t.limits[upstream.key()] = created
 	return created
 }
@@ -228,34 +230,34 @@
 	delete(t.limits, oldest)
 }
 
-// Known returns the report of an upstream's limit, or false if the upstream never named a limit
+// Report returns the report of an upstream's limit, or false if the upstream never named a limit
 // or lifted it longer than liftedReportTTL ago.
-func (t *Table) Known(upstream Upstream, now time.Time) (Note, bool) {
+func (t *Table) Report(upstream Upstream, now time.Time) (Report, bool) {
 	held := t.limits[upstream.key()]
-	if held == nil || held.note.Ended && now.Sub(held.at) > liftedReportTTL {
-		return Note{}, false
+	if held == nil || held.report.Lifted && now.Sub(held.at) > liftedReportTTL {
+		return Report{}, false
 	}
-	return held.report(now), true
+	return held.reportAt(now), true
 }
 
-func (l *limit) report(now time.Time) Note {
-	note := l.note
-	note.Age = max(now.Sub(l.at), 0)
-	return note
+func (l *limit) reportAt(now time.Time) Report {
+	report := l.report
+	report.Age = max(now.Sub(l.at), 0)
+	return report
 }
 
-// Named is the report of one upstream's limit.
-type Named struct {
+// UpstreamReport is the report of one upstream's limit.
+type UpstreamReport struct {
 	Upstream Upstream `json:"upstream"`
-	Note
+	Report
 }
 
-// All returns the reports of all upstreams.
-func (t *Table) All(now time.Time) []Named {
-	all := make([]Named, 0, len(t.limits))
+// Reports returns the reports of all upstreams.
+func (t *Table) Reports(now time.Time) []UpstreamReport {
+	all := make([]UpstreamReport, 0, len(t.limits))
 	for _, l := range t.limits {
-		if note, ok := t.Known(l.upstream, now); ok {
-			all = append(all, Named{l.upstream, note})
+		if report, ok := t.Report(l.upstream, now); ok {
+			all = append(all, UpstreamReport{l.upstream, report})
 		}
 	}
 	return all
@@ -264,17 +266,17 @@
 // Limited reports whether an upstream has a limit.
 func (t *Table) Limited(upstream Upstream) bool {
 	held := t.limits[upstream.key()]
-	return held != nil && !held.note.Ended
+	return held != nil && !held.report.Lifted
 }
 
 // Allow reports whether a request may be sent to an upstream now by the given share of its
 // limit, and counts the request if so. Otherwise it returns the delay before the next try.
 func (t *Table) Allow(upstream Upstream, share Share, now time.Time) (wait time.Duration, ok bool) {
 	held := t.limits[upstream.key()]
-	if held == nil || held.note.Ended {
+	if held == nil || held.report.Lifted {
 		return 0, true
 	}
-	period := periodOf(held.note.PerSecond, share)
+	period := periodOf(held.report.PerSecond, share)
 	if share.Of > 1 {
 		held.advanceSlot(period, now, t.draw)
 	} else {
--- a/daemon/internal/request/ratelimit/ratelimit_test.go
+++ b/daemon/internal/request/ratelimit/ratelimit_test.go
@@ -168,26 +168,26 @@
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	assert.False(t, table.Heard(engine, unlimited, at(0), at(1)).Changed, "an upstream that never named a limit")
 	change := table.Heard(engine, limited(2), at(0), at(100))
-	assert.True(t, change.Changed && change.Tell && change.Before.Ended)
+	assert.True(t, change.Changed && change.Tell && change.Before.Lifted)
 	assert.False(t, table.Heard(engine, unlimited, at(50), at(300)).Changed, "response to a request sent before the limit was named")
 	assert.True(t, table.Limited(engine))
 
 	var other ratelimit.Table
 	other.Heard(engine, limited(2), at(0), at(100))
-	note, ok := table.Known(engine, at(400))
+	report, ok := table.Report(engine, at(400))
 	assert.True(t, ok)
-	assert.Equal(t, 300*time.Millisecond, note.Age)
+	assert.Equal(t, 300*time.Millisecond, report.Age)
 	for ms := 400; ms < 4000; ms += 10 { // each report takes 10 ms each way
-		note, _ = other.Known(engine, at(ms))
-		other.Told(engine, note, at(ms+10))
+		report, _ = other.Report(engine, at(ms))
+		other.Told(engine, report, at(ms+10))
 	}
 	assert.False(t, other.Heard(engine, unlimited, at(450), at(3000)).Changed, "within the grace period")
 	lifted := other.Heard(engine, unlimited, at(1450), at(4000))
 	assert.True(t, lifted.Changed && lifted.Tell, "request sent after the limit was named")
 	assert.Equal(t, 3550*time.Millisecond, lifted.After.Age, "the report carries its age")
 
-	assert.True(t, table.Told(engine, ratelimit.Note{Ended: true, Age: 10 * time.Millisecond}, at(5000)).Changed)
-	assert.False(t, table.Told(engine, ratelimit.Note{PerSecond: 2, Age: time.Second}, at(5000)).Changed, "older than the lifting")
+	assert.True(t, table.Told(engine, ratelimit.Report{Lifted: true, Age: 10 * time.Millisecond}, at(5000)).Changed)
+	assert.False(t, table.Told(engine, ratelimit.Report{PerSecond: 2, Age: time.Second}, at(5000)).Changed, "older than the lifting")
 	assert.True(t, table.Heard(engine, limited(2), at(4000), at(5100)).Changed)
 
 	assert.False(t, table.Heard(engine, ratelimit.Said{Unread: "x"}, at(6000), at(6001)).Changed, "an invalid value leaves the limit unchanged")
@@ -262,5 +262,5 @@
 	for i := range 10_000 {
 		table.Heard(ratelimit.Upstream{ID: fmt.Sprint(i)}, limited(1), start, start.Add(time.Duration(i)))
 	}
-	assert.LessOrEqual(t, len(table.All(start)), 4096)
+	assert.LessOrEqual(t, len(table.Reports(start)), 4096)
 }
--- a/daemon/internal/request/ratelimit/warmup.go
+++ b/daemon/internal/request/ratelimit/warmup.go
@@ -40,7 +40,7 @@
 	if until := now.Add(min(cold.Left, maxCold)); until.After(w.until[upstream.key()]) {
 		w.until[upstream.key()] = until
 	}
-	w.limits.Told(upstream, Note{PerSecond: cold.PerSecond}, now)
+	w.limits.Told(upstream, Report{PerSecond: cold.PerSecond}, now)
 }
 
 // expire drops upstreams whose warm-up has ended.
--- a/daemon/lab/engine.go
+++ b/daemon/lab/engine.go
@@ -106,14 +106,14 @@
 
 // known is what routers know of the engine's limit: they tell each other within milliseconds,
 // so here all know at once.
-func (e *engine) known() *ratelimit.Note {
+func (e *engine) known() *ratelimit.Report {
 	switch limits := e.play.Pattern.Limits; {
 	case limits == nil:
 		return nil
 	case e.limited():
-		return &ratelimit.Note{PerSecond: limits.PerSecond}
+		return &ratelimit.Report{PerSecond: limits.PerSecond}
 	default:
-		return &ratelimit.Note{Ended: true}
+		return &ratelimit.Report{Lifted: true}
 	}
 }
 
--- a/daemon/lab/limit.go
+++ b/daemon/lab/limit.go
@@ -241,14 +241,14 @@
 			if !r.play.reach(r.hall, other.hall) {
 				return
 			}
-			for _, named := range other.table.All(r.play.now()) {
-				r.told(named.Upstream, named.Note)
+			for _, named := range other.table.Reports(r.play.now()) {
+				r.told(named.Upstream, named.Report)
 			}
 		})
 	}
 }
 
-func (r *limitRouter) told(upstream ratelimit.Upstream, note ratelimit.Note) {
+func (r *limitRouter) told(upstream ratelimit.Upstream, note ratelimit.Report) {
 	if r.table.Told(upstream, note, r.play.now()).Changed {
 		r.pool.Hold(upstream.ID, 0)
 	}
@@ -291,10 +291,10 @@
 		}
 		return r.table.Allow(key, ratelimit.PastLoader.Among(routers), now)
 	}
-	if note, known := r.table.Known(key, now); known {
+	if note, known := r.table.Report(key, now); known {
 		u.loader.Told(key, note, now)
 	}
-	if note, known := u.loader.Known(key, now); known {
+	if note, known := u.loader.Report(key, now); known {
 		r.told(key, note)
 	}
 	return u.loader.Allow(key, ratelimit.Whole, now)
--- a/daemon/router/limit_test.go
+++ b/daemon/router/limit_test.go
@@ -204,9 +204,9 @@
 }
 
 // limitsOf returns the limits that a router knows, as others see it.
-func limitsOf(t *testing.T, set settings.Router) []ratelimit.Named {
+func limitsOf(t *testing.T, set settings.Router) []ratelimit.UpstreamReport {
 	t.Helper()
-	all, err := evidence.All[ratelimit.Named](t.Context(), http.DefaultClient, set.Listen.Peers, evidence.LimitsPath)
+	all, err := evidence.All[ratelimit.UpstreamReport](t.Context(), http.DefaultClient, set.Listen.Peers, evidence.LimitsPath)
 	require.NoError(t, err)
 	return all
 }
@@ -217,7 +217,7 @@
 	f := fleetOf(t, "1.5", 0)
 	knows := func(set settings.Router, ended bool) bool {
 		all := limitsOf(t, set)
-		return len(all) == 1 && all[0].Upstream.ID == "u1" && all[0].Ended == ended && (ended || all[0].PerSecond == 1.5)
+		return len(all) == 1 && all[0].Upstream.ID == "u1" && all[0].Lifted == ended && (ended || all[0].PerSecond == 1.5)
 	}
 	for i := 0; f.needy.count() == 0; i++ {
 		call(t, f.routers[0], fmt.Sprint("first-", i), "GET", "/safe/x", "")
@@ -257,7 +257,7 @@
 	}
 	all := limitsOf(t, f.routers[0])
 	require.Len(t, all, 1)
-	assert.False(t, all[0].Ended)
+	assert.False(t, all[0].Lifted)
 	assert.GreaterOrEqual(t, all[0].PerSecond, 1.0)
 	assert.Equal(t, "u1", all[0].Upstream.ID)
 }
--- a/daemon/router/limits.go
+++ b/daemon/router/limits.go
@@ -53,16 +53,16 @@
 		change = table.Heard(upstream, heard.Said, heard.Sent, now)
 	})
 	p.limitChanged(limitNews{upstream: upstream, change: change, from: sourceOwn, request: heard.Request})
-	if change.Tell && !p.limitTeller.Tell(ratelimit.Named{Upstream: upstream, Note: change.After}) {
+	if change.Tell && !p.limitTeller.Tell(ratelimit.UpstreamReport{Upstream: upstream, Report: change.After}) {
 		p.recorder.notTold()
 	}
 }
 
 // told takes what another process knows of a limit.
-func (p *Process) told(named ratelimit.Named, from source, peer netip.AddrPort) {
+func (p *Process) told(named ratelimit.UpstreamReport, from source, peer netip.AddrPort) {
 	var change ratelimit.Change
 	p.limits.do(func(table *ratelimit.Table, now time.Time) {
-		change = table.Told(named.Upstream, named.Note, now)
+		change = table.Told(named.Upstream, named.Report, now)
 	})
 	p.limitChanged(limitNews{upstream: named.Upstream, change: change, from: from, peer: peer})
 }
@@ -128,7 +128,7 @@
 	upstream := startOf(engine)
 	question := places.Question{Limit: limit, Engine: ratelimit.Upstream{ID: upstream.ID, Started: upstream.Started}}
 	p.limits.do(func(table *ratelimit.Table, now time.Time) {
-		if note, known := table.Known(upstream, now); known {
+		if note, known := table.Report(upstream, now); known {
 			question.Known = &note
 		}
 		question.Cold = p.coldness(engine, now)
@@ -139,8 +139,8 @@
 	case err != nil:
 		return answer.Load, false, err
 	case answer.Limit != nil:
-		p.told(ratelimit.Named{Upstream: upstream, Note: *answer.Limit}, sourceLoader, loader)
-	case question.Known != nil && !question.Known.Ended:
+		p.told(ratelimit.UpstreamReport{Upstream: upstream, Report: *answer.Limit}, sourceLoader, loader)
+	case question.Known != nil && !question.Known.Lifted:
 		return answer.Load, false, errNotCounted
 	}
 	if answer.Wait > 0 {
@@ -150,14 +150,14 @@
 }
 
 // newLimitTeller prepares the telling of other routers.
-func (p *Process) newLimitTeller(client *http.Client) *evidence.Teller[ratelimit.Named] {
-	return &evidence.Teller[ratelimit.Named]{
+func (p *Process) newLimitTeller(client *http.Client) *evidence.Teller[ratelimit.UpstreamReport] {
+	return &evidence.Teller[ratelimit.UpstreamReport]{
 		Client: client, Path: evidence.LimitsPath, Peers: p.otherRouters, Peer: p.peer, OnFailed: p.recorder.routerNotTold,
-		Take: func(all []ratelimit.Named, peer netip.AddrPort) { p.takeLimits(all, sourceAnswer, peer) },
+		Take: func(all []ratelimit.UpstreamReport, peer netip.AddrPort) { p.takeLimits(all, sourceAnswer, peer) },
 	}
 }
 
-func (p *Process) takeLimits(all []ratelimit.Named, from source, peer netip.AddrPort) {
+func (p *Process) takeLimits(all []ratelimit.UpstreamReport, from source, peer netip.AddrPort) {
 	for _, named := range all {
 		p.told(named, from, peer)
 	}
@@ -165,26 +165,26 @@
 
 // limitPages hands out the limits that are known, and takes what others tell.
 func (p *Process) limitPages(pages *bunrouter.Router) {
-	known := &evidence.Known[ratelimit.Named]{
+	known := &evidence.Known[ratelimit.UpstreamReport]{
 		All: p.allLimits, Of: p.limitsOf,
-		Take: func(all []ratelimit.Named) { p.takeLimits(all, sourceRouter, netip.AddrPort{}) },
+		Take: func(all []ratelimit.UpstreamReport) { p.takeLimits(all, sourceRouter, netip.AddrPort{}) },
 	}
 	pages.Compat().GET(evidence.LimitsPath, known.ServeAll)
 	pages.Compat().POST(evidence.LimitsPath, known.ServeTold)
 }
 
-func (p *Process) allLimits() (all []ratelimit.Named) {
-	p.limits.do(func(table *ratelimit.Table, now time.Time) { all = table.All(now) })
+func (p *Process) allLimits() (all []ratelimit.UpstreamReport) {
+	p.limits.do(func(table *ratelimit.Table, now time.Time) { all = table.Reports(now) })
 	return all
 }
 
 // limitsOf returns what is known of the upstreams of some notes.
-func (p *Process) limitsOf(notes []ratelimit.Named) []ratelimit.Named {
-	var known []ratelimit.Named
+func (p *Process) limitsOf(notes []ratelimit.UpstreamReport) []ratelimit.UpstreamReport {
+	var known []ratelimit.UpstreamReport
 	p.limits.do(func(table *ratelimit.Table, now time.Time) {
 		for _, named := range notes {
-			if note, ok := table.Known(named.Upstream, now); ok {
-				known = append(known, ratelimit.Named{Upstream: named.Upstream, Note: note})
+			if note, ok := table.Report(named.Upstream, now); ok {
+				known = append(known, ratelimit.UpstreamReport{Upstream: named.Upstream, Report: note})
 			}
 		}
 	})
--- a/daemon/router/recorder.go
+++ b/daemon/router/recorder.go
@@ -196,8 +196,8 @@
 }
 
 // limitText is a limit in requests a second of all routers, or "none".
-func limitText(note ratelimit.Note) string {
-	if note.Ended {
+func limitText(note ratelimit.Report) string {
+	if note.Lifted {
 		return "none"
 	}
 	return strconv.FormatFloat(note.PerSecond, 'g', -1, 64)
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -107,7 +107,7 @@
 	teller   *evidence.Teller[quarantine.Report]
 	// limits are those that upstreams named, and limitTeller tells the other routers.
 	limits      *limits
-	limitTeller *evidence.Teller[ratelimit.Named]
+	limitTeller *evidence.Teller[ratelimit.UpstreamReport]
 	// enginesAt holds the ids of the engines on each host. It is replaced when
 	// the list changes, and read for each line of a loader.
 	enginesAt atomic.Pointer[map[netip.Addr][]string]
