--- a/daemon/internal/request/dispatch/dispatch.go
+++ b/daemon/internal/request/dispatch/dispatch.go
@@ -79,7 +79,7 @@
 	Upstream *provider.Upstream
 	// Sent is when the request went out.
 	Sent time.Time
-	Said ratelimit.Said
+	Said ratelimit.ResponseLimit
 }
 
 // Story is what happened to one request, for logs and metrics.
@@ -358,7 +358,7 @@
 		Upstream: choice.Upstream.ID, Address: choice.Upstream.Address, At: started.Sub(q.story.Started), Took: clock.Since(started), Fate: result.Fate.String(),
 		Version: choice.Version, InFlight: choice.InFlight, Candidates: choice.Candidates,
 		Waiting: choice.Waiting, Beyond: choice.Beyond, Running: choice.Running, Age: choice.Age,
-		Door: q.doors[choice.Upstream.ID], Limit: result.Said.String(),
+		Door: q.doors[choice.Upstream.ID], Limit: result.Limit.String(),
 	}
 	if result.Err != nil {
 		q.broken(&try, result.Err)
--- a/daemon/internal/request/dispatch/send.go
+++ b/daemon/internal/request/dispatch/send.go
@@ -61,7 +61,7 @@
 	go func() {
 		result := q.Client.Do(ctx, send)
 		if q.Heard != nil {
-			q.Heard(Heard{Request: q.story.ID, Upstream: choice.Upstream, Sent: s.started, Said: result.Said})
+			q.Heard(Heard{Request: q.story.ID, Upstream: choice.Upstream, Sent: s.started, Said: result.Limit})
 		}
 		if !s.settled.CompareAndSwap(false, true) && result.Fate == exchange.Answered {
 			_ = result.Response.Body.Close()
--- a/daemon/internal/request/exchange/exchange.go
+++ b/daemon/internal/request/exchange/exchange.go
@@ -56,9 +56,9 @@
 	Fate     Fate
 	Response *http.Response
 	Err      error
-	// Said is the rate limit that the response names, if it comes from the expected
+	// Limit is the rate limit that the response names, if it comes from the expected
 	// upstream.
-	Said ratelimit.Said
+	Limit ratelimit.ResponseLimit
 }
 
 // Errors for responses that cannot be attributed to the request and the upstream.
@@ -116,7 +116,7 @@
 		return Result{Fate: fate, Err: fmt.Errorf("send to %s at %s: %w", send.Upstream.ID, send.Upstream.Address, err)}
 	}
 	result := c.classify(send.Incoming, response)
-	result.Said = c.advertisedLimit(result, response.Header)
+	result.Limit = c.advertisedLimit(result, response.Header)
 	if result.Fate != Answered {
 		_ = response.Body.Close()
 		result.Err = fmt.Errorf("response from %s at %s: %w", send.Upstream.ID, send.Upstream.Address, result.Err)
@@ -152,13 +152,13 @@
 // advertisedLimit parses the rate limit that a response names. It ignores responses of
 // other upstreams, and those to other requests, which may be old. The absence of a limit
 // counts only if the result is known, since an invalid response may lack the header.
-func (c *Client) advertisedLimit(result Result, header http.Header) ratelimit.Said {
+func (c *Client) advertisedLimit(result Result, header http.Header) ratelimit.ResponseLimit {
 	if result.Fate == Misdirected || errors.Is(result.Err, errRequestIDMismatch) {
-		return ratelimit.Said{}
+		return ratelimit.ResponseLimit{}
 	}
 	limit := ratelimit.Parse(header.Values(c.Headers.Limit))
 	if result.Fate == Unknown && limit.Kind == ratelimit.Unlimited {
-		return ratelimit.Said{}
+		return ratelimit.ResponseLimit{}
 	}
 	return limit
 }
--- a/daemon/internal/request/exchange/exchange_test.go
+++ b/daemon/internal/request/exchange/exchange_test.go
@@ -38,12 +38,12 @@
 		"declared refusal with limit":      {two, 503, map[string]string{"Not-Run": "1"}, exchange.Refused, ratelimit.Limited},
 		"declared refusal without limit":   {none, 503, map[string]string{"Not-Run": "1"}, exchange.Refused, ratelimit.Unlimited},
 		"undeclared refusal with limit":    {two, 503, nil, exchange.Unknown, ratelimit.Limited},
-		"undeclared refusal without limit": {none, 503, nil, exchange.Unknown, ratelimit.Silent},
-		"unsigned without limit":           {none, 200, nil, exchange.Unknown, ratelimit.Silent},
-		"other upstream with limit":        {two, 421, nil, exchange.Misdirected, ratelimit.Silent},
-		"other request with limit":         {two, 200, map[string]string{"Signature": "s", "Id": "other"}, exchange.Unknown, ratelimit.Silent},
-		"other request without limit":      {none, 200, map[string]string{"Signature": "s", "Id": "other"}, exchange.Unknown, ratelimit.Silent},
-		"success with invalid limit":       {"x", 200, map[string]string{"Signature": "s"}, exchange.Answered, ratelimit.Silent},
+		"undeclared refusal without limit": {none, 503, nil, exchange.Unknown, ratelimit.Unspecified},
+		"unsigned without limit":           {none, 200, nil, exchange.Unknown, ratelimit.Unspecified},
+		"other upstream with limit":        {two, 421, nil, exchange.Misdirected, ratelimit.Unspecified},
+		"other request with limit":         {two, 200, map[string]string{"Signature": "s", "Id": "other"}, exchange.Unknown, ratelimit.Unspecified},
+		"other request without limit":      {none, 200, map[string]string{"Signature": "s", "Id": "other"}, exchange.Unknown, ratelimit.Unspecified},
+		"success with invalid limit":       {"x", 200, map[string]string{"Signature": "s"}, exchange.Answered, ratelimit.Unspecified},
 	} {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Id", r.Header.Get("Id"))
@@ -62,7 +62,7 @@
 			Incoming: incoming, Upstream: &provider.Upstream{ID: "u", Address: netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))}, Priority: -1,
 		})
 		assert.Equal(t, c.fate, result.Fate, "%s: %v", name, result.Err)
-		assert.Equal(t, c.want, result.Said.Kind, name)
+		assert.Equal(t, c.want, result.Limit.Kind, name)
 		if result.Response != nil {
 			_ = result.Response.Body.Close()
 		}
--- a/daemon/internal/request/ratelimit/header.go
+++ b/daemon/internal/request/ratelimit/header.go
@@ -13,32 +13,32 @@
 
 // Values of Kind.
 const (
-	// Silent means that nothing is learned: the response is not the upstream's, or its header
+	// Unspecified means that nothing is learned: the response is not the upstream's, or its header
 	// is invalid.
-	Silent Kind = iota
+	Unspecified Kind = iota
 	// Unlimited means that the response names no limit.
 	Unlimited
 	// Limited means that the response names a limit.
 	Limited
 )
 
-// Said is the limit that one response names.
-type Said struct {
+// ResponseLimit is the limit that one response names.
+type ResponseLimit struct {
 	Kind Kind
 	// PerSecond is the limit in requests per second, 0 or more.
 	PerSecond float64
-	// Unread is the last header value that could not be parsed, truncated; "" if there is none.
-	Unread string
+	// Invalid is the last header value that could not be parsed, truncated; "" if there is none.
+	Invalid string
 }
 
-// maxUnreadBytes bounds Unread.
-const maxUnreadBytes = 40
+// maxInvalidBytes bounds Unread.
+const maxInvalidBytes = 40
 
 // String returns the limit for logs, "" if the response names none.
-func (s Said) String() string {
+func (s ResponseLimit) String() string {
 	switch {
-	case s.Unread != "":
-		return "unread " + strconv.Quote(s.Unread)
+	case s.Invalid != "":
+		return "unread " + strconv.Quote(s.Invalid)
 	case s.Kind == Limited:
 		return strconv.FormatFloat(s.PerSecond, 'g', -1, 64)
 	default:
@@ -49,28 +49,28 @@
 // Parse parses the values of the limit header. Of several limits the lowest counts, since it
 // protects the upstream. A value that is not a decimal number of 0 or more is skipped and
 // neither sets nor lifts a limit.
-func Parse(values []string) Said {
+func Parse(values []string) ResponseLimit {
 	if len(values) == 0 {
-		return Said{Kind: Unlimited}
+		return ResponseLimit{Kind: Unlimited}
 	}
-	parsed := Said{PerSecond: math.Inf(1)}
+	parsed := ResponseLimit{PerSecond: math.Inf(1)}
 	for _, value := range values {
 		for text := range strings.SplitSeq(value, ",") {
 			parsed.add(strings.TrimSpace(text))
 		}
 	}
-	if parsed.Kind == Silent {
+	if parsed.Kind == Unspecified {
 		parsed.PerSecond = 0
 	}
 	return parsed
 }
 
-func (s *Said) add(text string) {
+func (s *ResponseLimit) add(text string) {
 	perSecond, err := strconv.ParseFloat(text, 64)
 	if err != nil || !decimal(text) || perSecond < 0 {
-		s.Unread = text[:min(len(text), maxUnreadBytes)]
+		s.Invalid = text[:min(len(text), maxInvalidBytes)]
 		if text == "" {
-			s.Unread = "nothing"
+			s.Invalid = "nothing"
 		}
 		return
 	}
--- a/daemon/internal/request/ratelimit/header_test.go
+++ b/daemon/internal/request/ratelimit/header_test.go
@@ -25,13 +25,13 @@
 		{[]string{"5", "2"}, ratelimit.Limited, 2, "2"},
 		{[]string{"5, 2"}, ratelimit.Limited, 2, "2"},
 		{[]string{"5, x"}, ratelimit.Limited, 5, `unread "x"`},
-		{[]string{""}, ratelimit.Silent, 0, `unread "nothing"`},
-		{[]string{"-1"}, ratelimit.Silent, 0, `unread "-1"`},
-		{[]string{"nan"}, ratelimit.Silent, 0, `unread "nan"`},
-		{[]string{"inf"}, ratelimit.Silent, 0, `unread "inf"`},
-		{[]string{"1e999"}, ratelimit.Silent, 0, `unread "1e999"`},
-		{[]string{"0x10"}, ratelimit.Silent, 0, `unread "0x10"`},
-		{[]string{"2/s"}, ratelimit.Silent, 0, `unread "2/s"`},
+		{[]string{""}, ratelimit.Unspecified, 0, `unread "nothing"`},
+		{[]string{"-1"}, ratelimit.Unspecified, 0, `unread "-1"`},
+		{[]string{"nan"}, ratelimit.Unspecified, 0, `unread "nan"`},
+		{[]string{"inf"}, ratelimit.Unspecified, 0, `unread "inf"`},
+		{[]string{"1e999"}, ratelimit.Unspecified, 0, `unread "1e999"`},
+		{[]string{"0x10"}, ratelimit.Unspecified, 0, `unread "0x10"`},
+		{[]string{"2/s"}, ratelimit.Unspecified, 0, `unread "2/s"`},
 	} {
 		parsed := ratelimit.Parse(c.values)
 		assert.Equal(t, c.kind, parsed.Kind, "%q", c.values)
--- a/daemon/internal/request/ratelimit/ratelimit.go
+++ b/daemon/internal/request/ratelimit/ratelimit.go
@@ -149,10 +149,10 @@
 }
 
 // Heard records what the response to a request sent at the given time says of the limit.
-func (t *Table) Heard(upstream Upstream, said Said, sent, now time.Time) Change {
-	switch said.Kind {
+func (t *Table) Heard(upstream Upstream, limit ResponseLimit, sent, now time.Time) Change {
+	switch limit.Kind {
 	case Limited:
-		return t.update(upstream, Report{PerSecond: said.PerSecond}, now, now, 0)
+		return t.update(upstream, Report{PerSecond: limit.PerSecond}, now, now, 0)
 	case Unlimited:
 		return t.update(upstream, Report{Lifted: true}, sent.Add(-liftGrace), now, 0)
 	default:
--- a/daemon/internal/request/ratelimit/ratelimit_test.go
+++ b/daemon/internal/request/ratelimit/ratelimit_test.go
@@ -39,11 +39,11 @@
 	return highest
 }
 
-func limited(perSecond float64) ratelimit.Said {
-	return ratelimit.Said{Kind: ratelimit.Limited, PerSecond: perSecond}
+func limited(perSecond float64) ratelimit.ResponseLimit {
+	return ratelimit.ResponseLimit{Kind: ratelimit.Limited, PerSecond: perSecond}
 }
 
-var unlimited = ratelimit.Said{Kind: ratelimit.Unlimited}
+var unlimited = ratelimit.ResponseLimit{Kind: ratelimit.Unlimited}
 
 // load describes routers that compete for one upstream and honour the delays that Allow returns.
 type load struct {
@@ -190,7 +190,7 @@
 	assert.False(t, table.Told(engine, ratelimit.Report{PerSecond: 2, Age: time.Second}, at(5000)).Changed, "older than the lifting")
 	assert.True(t, table.Heard(engine, limited(2), at(4000), at(5100)).Changed)
 
-	assert.False(t, table.Heard(engine, ratelimit.Said{Unread: "x"}, at(6000), at(6001)).Changed, "an invalid value leaves the limit unchanged")
+	assert.False(t, table.Heard(engine, ratelimit.ResponseLimit{Invalid: "x"}, at(6000), at(6001)).Changed, "an invalid value leaves the limit unchanged")
 	assert.True(t, table.Limited(engine))
 }
 
--- a/daemon/lab/limit.go
+++ b/daemon/lab/limit.go
@@ -316,21 +316,21 @@
 }
 
 // says is what an answer names.
-func (u *limitUpstream) says(p *limitPlay) ratelimit.Said {
+func (u *limitUpstream) says(p *limitPlay) ratelimit.ResponseLimit {
 	u.answers++
 	now := p.events.now
 	switch {
 	case !u.limited || now < limitFrom || now >= limitTo || p.Fault == LimitFlapping && now%time.Second >= time.Second/2:
-		return ratelimit.Said{Kind: ratelimit.Unlimited}
+		return ratelimit.ResponseLimit{Kind: ratelimit.Unlimited}
 	case p.Fault == LimitGarbled && u.answers%2 == 0:
 		return ratelimit.Parse([]string{"x"})
 	default:
-		return ratelimit.Said{Kind: ratelimit.Limited, PerSecond: p.PerSecond}
+		return ratelimit.ResponseLimit{Kind: ratelimit.Limited, PerSecond: p.PerSecond}
 	}
 }
 
 // heard takes what an answer says, and tells the others.
-func (r *limitRouter) heard(u *limitUpstream, said ratelimit.Said, sent time.Duration) {
+func (r *limitRouter) heard(u *limitUpstream, said ratelimit.ResponseLimit, sent time.Duration) {
 	p, key := r.play, ratelimit.Upstream{ID: u.record.ID}
 	change := r.table.Heard(key, said, start.Add(sent), p.now())
 	if change.Changed {
--- a/daemon/router/limits.go
+++ b/daemon/router/limits.go
@@ -44,7 +44,7 @@
 // heard takes what an answer says of its upstream's limit, and tells the others what is new.
 func (p *Process) heard(heard dispatch.Heard) {
 	p.recorder.limitSaid(heard)
-	if heard.Said.Kind == ratelimit.Silent {
+	if heard.Said.Kind == ratelimit.Unspecified {
 		return
 	}
 	upstream := startOf(heard.Upstream)
--- a/daemon/router/recorder.go
+++ b/daemon/router/recorder.go
@@ -162,7 +162,7 @@
 	if heard.Said.Kind == ratelimit.Limited {
 		r.scope.Counter("answers_naming_limits").Inc(1)
 	}
-	if heard.Said.Unread == "" {
+	if heard.Said.Invalid == "" {
 		return
 	}
 	r.scope.Counter("limits_unread").Inc(1)
