--- a/daemon/internal/connection/places/ledger.go
+++ b/daemon/internal/connection/places/ledger.go
@@ -139,12 +139,12 @@
 // learn takes what a router knows of the engine; the caller holds mu.
 func (l *Ledger) learn(question Question) {
 	if question.Cold != nil {
-		l.warming.Told(question.Engine, *question.Cold, helpers.Now(l.Now))
+		l.warming.Merge(question.Engine, *question.Cold, helpers.Now(l.Now))
 	}
 	if question.Known == nil {
 		return
 	}
-	change := l.limits.Told(question.Engine, *question.Known, helpers.Now(l.Now))
+	change := l.limits.Merge(question.Engine, *question.Known, helpers.Now(l.Now))
 	if change.Changed && l.OnLimit != nil {
 		l.OnLimit(question.Engine, change)
 	}
--- a/daemon/internal/request/ratelimit/ratelimit.go
+++ b/daemon/internal/request/ratelimit/ratelimit.go
@@ -93,11 +93,11 @@
 type Change struct {
 	// Changed means that the limit was set, changed or lifted.
 	Changed bool
-	// Tell means that After must be sent to other processes.
-	Tell bool
-	// Before is the limit before the change, with Ended set if there was none. After is the
+	// Notify means that After must be sent to other processes.
+	Notify bool
+	// Previous is the limit before the change, with Ended set if there was none. Current is the
 	// present one; the age of a lifted limit is that of the request whose response lacked it.
-	Before, After Report
+	Previous, Current Report
 }
 
 // Share is the part of a limit that one process may use.
@@ -148,8 +148,8 @@
 	notifiedAt time.Time
 }
 
-// Heard records what the response to a request sent at the given time says of the limit.
-func (t *Table) Heard(upstream Upstream, limit ResponseLimit, sent, now time.Time) Change {
+// Observe records what the response to a request sent at the given time says of the limit.
+func (t *Table) Observe(upstream Upstream, limit ResponseLimit, sent, now time.Time) Change {
 	switch limit.Kind {
 	case Limited:
 		return t.update(upstream, Report{PerSecond: limit.PerSecond}, now, now, 0)
@@ -160,8 +160,8 @@
 	}
 }
 
-// Told merges the report of another process.
-func (t *Table) Told(upstream Upstream, report Report, now time.Time) Change {
+// Merge merges the report of another process.
+func (t *Table) Merge(upstream Upstream, report Report, now time.Time) Change {
 	return t.update(upstream, report, now.Add(-max(report.Age, 0)), now, clockSkew)
 }
 
@@ -184,9 +184,9 @@
 		}
 		return Change{}
 	}
-	change := Change{Changed: true, Before: held.report}
+	change := Change{Changed: true, Previous: held.report}
 	held.report, held.at = report, at
-	change.After, change.Tell = held.reportAt(now), held.notifyDue(now)
+	change.Current, change.Notify = held.reportAt(now), held.notifyDue(now)
 	return change
 }
 
--- a/daemon/internal/request/ratelimit/ratelimit_test.go
+++ b/daemon/internal/request/ratelimit/ratelimit_test.go
@@ -78,12 +78,12 @@
 	const duration, step, sendProbability = time.Minute, 20 * time.Millisecond, 0.2
 	random := rand.New(rand.NewPCG(l.seed, 1))
 	loader := &ratelimit.Table{Draw: random.Float64}
-	loader.Heard(engine, limited(l.perSecond), start, start)
+	loader.Observe(engine, limited(l.perSecond), start, start)
 	own := make([]*ratelimit.Table, l.routers)
 	next := make([]time.Duration, l.routers)
 	for i := range own {
 		own[i] = &ratelimit.Table{Draw: random.Float64}
-		own[i].Heard(engine, limited(l.perSecond), start, start)
+		own[i].Observe(engine, limited(l.perSecond), start, start)
 	}
 	var sends []time.Duration
 	for at := time.Duration(0); at < duration; at += step {
@@ -150,7 +150,7 @@
 	tables := make([]ratelimit.Table, l.routers)
 	sent := 0
 	for i := range tables {
-		tables[i].Heard(engine, limited(1), start, start)
+		tables[i].Observe(engine, limited(1), start, start)
 		for at := time.Duration(0); at < window; at += 10 * time.Millisecond {
 			if _, ok := tables[i].Allow(engine, ratelimit.Whole, start.Add(at)); ok {
 				sent++
@@ -166,31 +166,31 @@
 func TestNewestObservationWins(t *testing.T) {
 	var table ratelimit.Table
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	assert.False(t, table.Heard(engine, unlimited, at(0), at(1)).Changed, "an upstream that never named a limit")
-	change := table.Heard(engine, limited(2), at(0), at(100))
-	assert.True(t, change.Changed && change.Tell && change.Before.Lifted)
-	assert.False(t, table.Heard(engine, unlimited, at(50), at(300)).Changed, "response to a request sent before the limit was named")
+	assert.False(t, table.Observe(engine, unlimited, at(0), at(1)).Changed, "an upstream that never named a limit")
+	change := table.Observe(engine, limited(2), at(0), at(100))
+	assert.True(t, change.Changed && change.Notify && change.Previous.Lifted)
+	assert.False(t, table.Observe(engine, unlimited, at(50), at(300)).Changed, "response to a request sent before the limit was named")
 	assert.True(t, table.Limited(engine))
 
 	var other ratelimit.Table
-	other.Heard(engine, limited(2), at(0), at(100))
+	other.Observe(engine, limited(2), at(0), at(100))
 	report, ok := table.Report(engine, at(400))
 	assert.True(t, ok)
 	assert.Equal(t, 300*time.Millisecond, report.Age)
 	for ms := 400; ms < 4000; ms += 10 { // each report takes 10 ms each way
 		report, _ = other.Report(engine, at(ms))
-		other.Told(engine, report, at(ms+10))
+		other.Merge(engine, report, at(ms+10))
 	}
-	assert.False(t, other.Heard(engine, unlimited, at(450), at(3000)).Changed, "within the grace period")
-	lifted := other.Heard(engine, unlimited, at(1450), at(4000))
-	assert.True(t, lifted.Changed && lifted.Tell, "request sent after the limit was named")
-	assert.Equal(t, 3550*time.Millisecond, lifted.After.Age, "the report carries its age")
+	assert.False(t, other.Observe(engine, unlimited, at(450), at(3000)).Changed, "within the grace period")
+	lifted := other.Observe(engine, unlimited, at(1450), at(4000))
+	assert.True(t, lifted.Changed && lifted.Notify, "request sent after the limit was named")
+	assert.Equal(t, 3550*time.Millisecond, lifted.Current.Age, "the report carries its age")
 
-	assert.True(t, table.Told(engine, ratelimit.Report{Lifted: true, Age: 10 * time.Millisecond}, at(5000)).Changed)
-	assert.False(t, table.Told(engine, ratelimit.Report{PerSecond: 2, Age: time.Second}, at(5000)).Changed, "older than the lifting")
-	assert.True(t, table.Heard(engine, limited(2), at(4000), at(5100)).Changed)
+	assert.True(t, table.Merge(engine, ratelimit.Report{Lifted: true, Age: 10 * time.Millisecond}, at(5000)).Changed)
+	assert.False(t, table.Merge(engine, ratelimit.Report{PerSecond: 2, Age: time.Second}, at(5000)).Changed, "older than the lifting")
+	assert.True(t, table.Observe(engine, limited(2), at(4000), at(5100)).Changed)
 
-	assert.False(t, table.Heard(engine, ratelimit.ResponseLimit{Invalid: "x"}, at(6000), at(6001)).Changed, "an invalid value leaves the limit unchanged")
+	assert.False(t, table.Observe(engine, ratelimit.ResponseLimit{Invalid: "x"}, at(6000), at(6001)).Changed, "an invalid value leaves the limit unchanged")
 	assert.True(t, table.Limited(engine))
 }
 
@@ -198,7 +198,7 @@
 // upstream.
 func TestRestartOrNewAddressClearsLimit(t *testing.T) {
 	var table ratelimit.Table
-	table.Heard(engine, limited(1), start, start)
+	table.Observe(engine, limited(1), start, start)
 	restarted, moved := engine, engine
 	restarted.Started = start.Add(time.Second)
 	moved.Address = netip.MustParseAddrPort("10.0.0.1:80")
@@ -207,7 +207,7 @@
 	assert.False(t, table.Limited(moved))
 	local := engine
 	local.Started = restarted.Started.In(time.FixedZone("x", 3600))
-	table.Heard(restarted, limited(1), start, start)
+	table.Observe(restarted, limited(1), start, start)
 	assert.True(t, table.Limited(local), "the same instant in another time zone")
 }
 
@@ -219,19 +219,19 @@
 	now := start
 	for i := range 1000 {
 		now = now.Add(time.Millisecond)
-		if table.Heard(engine, limited(2+float64(i%7)), now, now).Tell {
+		if table.Observe(engine, limited(2+float64(i%7)), now, now).Notify {
 			notified++
 		}
 	}
 	assert.LessOrEqual(t, notified, 3)
 	later := now.Add(1001 * time.Millisecond)
-	assert.True(t, table.Heard(engine, unlimited, later, later).Tell)
+	assert.True(t, table.Observe(engine, unlimited, later, later).Notify)
 }
 
 // TestZeroLimitStillAllowsProbes guards against a limit of 0 that could never be found lifted.
 func TestZeroLimitStillAllowsProbes(t *testing.T) {
 	var table ratelimit.Table
-	table.Heard(engine, limited(0), start, start)
+	table.Observe(engine, limited(0), start, start)
 	sent := 0
 	for at := time.Duration(0); at < time.Minute; at += 10 * time.Millisecond {
 		if _, ok := table.Allow(engine, ratelimit.Whole, start.Add(at)); ok {
@@ -247,7 +247,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		perSecond := rapid.Float64Range(0, 60).Draw(t, "limit")
 		var table ratelimit.Table
-		table.Heard(engine, limited(perSecond), start, start)
+		table.Observe(engine, limited(perSecond), start, start)
 		var sends []time.Duration
 		at := time.Duration(0)
 		for range rapid.IntRange(1, 300).Draw(t, "questions") {
@@ -260,7 +260,7 @@
 	})
 	var table ratelimit.Table
 	for i := range 10_000 {
-		table.Heard(ratelimit.Upstream{ID: fmt.Sprint(i)}, limited(1), start, start.Add(time.Duration(i)))
+		table.Observe(ratelimit.Upstream{ID: fmt.Sprint(i)}, limited(1), start, start.Add(time.Duration(i)))
 	}
 	assert.LessOrEqual(t, len(table.Reports(start)), 4096)
 }
--- a/daemon/internal/request/ratelimit/warmup.go
+++ b/daemon/internal/request/ratelimit/warmup.go
@@ -28,8 +28,8 @@
 	until map[key]time.Time
 }
 
-// Told records that an upstream is warming up. Of several reported ends the latest counts.
-func (w *Warming) Told(upstream Upstream, cold Cold, now time.Time) {
+// Merge records that an upstream is warming up. Of several reported ends the latest counts.
+func (w *Warming) Merge(upstream Upstream, cold Cold, now time.Time) {
 	if cold.Left <= 0 || cold.PerSecond <= 0 {
 		return
 	}
@@ -40,7 +40,7 @@
 	if until := now.Add(min(cold.Left, maxCold)); until.After(w.until[upstream.key()]) {
 		w.until[upstream.key()] = until
 	}
-	w.limits.Told(upstream, Report{PerSecond: cold.PerSecond}, now)
+	w.limits.Merge(upstream, Report{PerSecond: cold.PerSecond}, now)
 }
 
 // expire drops upstreams whose warm-up has ended.
--- a/daemon/internal/request/ratelimit/warmup_test.go
+++ b/daemon/internal/request/ratelimit/warmup_test.go
@@ -33,7 +33,7 @@
 	for _, routers := range []int{40, 80, 546, 1092} {
 		warming := &ratelimit.Warming{}
 		start := time.Unix(1000, 0)
-		warming.Told(engine, ratelimit.Cold{PerSecond: sustained, Left: 3 * time.Second}, start)
+		warming.Merge(engine, ratelimit.Cold{PerSecond: sustained, Left: 3 * time.Second}, start)
 		var sent []time.Time
 		for step := range 3000 {
 			now := start.Add(time.Duration(step) * time.Millisecond)
@@ -53,7 +53,7 @@
 	engine := ratelimit.Upstream{ID: "e"}
 	start := time.Unix(1000, 0)
 	warming := &ratelimit.Warming{}
-	warming.Told(engine, ratelimit.Cold{PerSecond: 1, Left: time.Second}, start)
+	warming.Merge(engine, ratelimit.Cold{PerSecond: 1, Left: time.Second}, start)
 	denied := 0
 	for range 10 {
 		if _, ok := warming.Allow(engine, ratelimit.Whole, start); !ok {
@@ -78,11 +78,11 @@
 	for _, routers := range []int{40, 80, 400} {
 		start := time.Unix(1000, 0)
 		loader := &ratelimit.Warming{}
-		loader.Told(engine, ratelimit.Cold{PerSecond: sustained, Left: 3 * time.Second}, start)
+		loader.Merge(engine, ratelimit.Cold{PerSecond: sustained, Left: 3 * time.Second}, start)
 		bypassing := make([]*ratelimit.Warming, routers)
 		for i := range bypassing {
 			bypassing[i] = &ratelimit.Warming{}
-			bypassing[i].Told(engine, ratelimit.Cold{PerSecond: sustained, Left: 3 * time.Second}, start)
+			bypassing[i].Merge(engine, ratelimit.Cold{PerSecond: sustained, Left: 3 * time.Second}, start)
 		}
 		var sent []time.Time
 		for step := range 600 {
--- a/daemon/lab/limit.go
+++ b/daemon/lab/limit.go
@@ -249,7 +249,7 @@
 }
 
 func (r *limitRouter) told(upstream ratelimit.Upstream, note ratelimit.Report) {
-	if r.table.Told(upstream, note, r.play.now()).Changed {
+	if r.table.Merge(upstream, note, r.play.now()).Changed {
 		r.pool.Hold(upstream.ID, 0)
 	}
 }
@@ -292,7 +292,7 @@
 		return r.table.Allow(key, ratelimit.PastLoader.Among(routers), now)
 	}
 	if note, known := r.table.Report(key, now); known {
-		u.loader.Told(key, note, now)
+		u.loader.Merge(key, note, now)
 	}
 	if note, known := u.loader.Report(key, now); known {
 		r.told(key, note)
@@ -332,16 +332,16 @@
 // heard takes what an answer says, and tells the others.
 func (r *limitRouter) heard(u *limitUpstream, said ratelimit.ResponseLimit, sent time.Duration) {
 	p, key := r.play, ratelimit.Upstream{ID: u.record.ID}
-	change := r.table.Heard(key, said, start.Add(sent), p.now())
+	change := r.table.Observe(key, said, start.Add(sent), p.now())
 	if change.Changed {
 		r.pool.Hold(key.ID, 0)
 	}
-	if !change.Tell {
+	if !change.Notify {
 		return
 	}
 	for _, other := range p.routers {
 		if other != r && p.reach(r.hall, other.hall) {
-			p.events.after(travel+time.Duration(p.random.Int64N(int64(lookEvery))), func() { other.do(func() { other.told(key, change.After) }) })
+			p.events.after(travel+time.Duration(p.random.Int64N(int64(lookEvery))), func() { other.do(func() { other.told(key, change.Current) }) })
 		}
 	}
 }
--- a/daemon/loader/notes.go
+++ b/daemon/loader/notes.go
@@ -72,7 +72,7 @@
 		return
 	}
 	p.log.WithFields(log.Fields{
-		fieldDecision: "limit", "upstream": engine.ID, "engine": p.current.Load().Engine, "perSecond": change.After.PerSecond, "ended": change.After.Lifted,
+		fieldDecision: "limit", "upstream": engine.ID, "engine": p.current.Load().Engine, "perSecond": change.Current.PerSecond, "ended": change.Current.Lifted,
 	}).Info("limit of an upstream changed")
 }
 
--- a/daemon/router/limits.go
+++ b/daemon/router/limits.go
@@ -50,10 +50,10 @@
 	upstream := startOf(heard.Upstream)
 	var change ratelimit.Change
 	p.limits.do(func(table *ratelimit.Table, now time.Time) {
-		change = table.Heard(upstream, heard.Said, heard.Sent, now)
+		change = table.Observe(upstream, heard.Said, heard.Sent, now)
 	})
 	p.limitChanged(limitNews{upstream: upstream, change: change, from: sourceOwn, request: heard.Request})
-	if change.Tell && !p.limitTeller.Tell(ratelimit.UpstreamReport{Upstream: upstream, Report: change.After}) {
+	if change.Notify && !p.limitTeller.Tell(ratelimit.UpstreamReport{Upstream: upstream, Report: change.Current}) {
 		p.recorder.notTold()
 	}
 }
@@ -62,7 +62,7 @@
 func (p *Process) told(named ratelimit.UpstreamReport, from source, peer netip.AddrPort) {
 	var change ratelimit.Change
 	p.limits.do(func(table *ratelimit.Table, now time.Time) {
-		change = table.Told(named.Upstream, named.Report, now)
+		change = table.Merge(named.Upstream, named.Report, now)
 	})
 	p.limitChanged(limitNews{upstream: named.Upstream, change: change, from: from, peer: peer})
 }
@@ -86,7 +86,7 @@
 	share = share.Among(p.routerCount())
 	p.limits.do(func(table *ratelimit.Table, now time.Time) {
 		if cold := p.coldness(upstream, now); cold != nil {
-			p.limits.warming.Told(startOf(upstream), *cold, now)
+			p.limits.warming.Merge(startOf(upstream), *cold, now)
 		}
 		if wait, ok = p.limits.warming.Allow(startOf(upstream), share, now); ok {
 			wait, ok = table.Allow(startOf(upstream), share, now)
--- a/daemon/router/recorder.go
+++ b/daemon/router/recorder.go
@@ -184,7 +184,7 @@
 	}
 	fields := log.Fields{
 		fieldDecision: "limit", "upstream": news.upstream.ID, "address": news.upstream.Address,
-		"limit": limitText(news.change.After), "before": limitText(news.change.Before), "from": news.from,
+		"limit": limitText(news.change.Current), "before": limitText(news.change.Previous), "from": news.from,
 	}
 	if news.peer.IsValid() {
 		fields["peer"] = news.peer
