--- a/daemon/internal/connection/places/ledger.go
+++ b/daemon/internal/connection/places/ledger.go
@@ -124,9 +124,9 @@
 		return load, false
 	}
 	now := helpers.Now(l.Now)
-	wait, ok := l.warming.Allow(question.Engine, ratelimit.Whole, now)
+	wait, ok := l.warming.Allow(question.Engine, ratelimit.FullShare, now)
 	if ok {
-		wait, ok = l.limits.Allow(question.Engine, ratelimit.Whole, now)
+		wait, ok = l.limits.Allow(question.Engine, ratelimit.FullShare, now)
 	}
 	if !ok {
 		load.Wait = max(wait, time.Millisecond)
--- a/daemon/internal/request/ratelimit/ratelimit.go
+++ b/daemon/internal/request/ratelimit/ratelimit.go
@@ -85,43 +85,43 @@
 }
 
 // same reports whether two reports agree apart from their age.
-func (n Report) same(other Report) bool {
-	return n.Lifted == other.Lifted && n.PerSecond == other.PerSecond
+func (r Report) same(other Report) bool {
+	return r.Lifted == other.Lifted && r.PerSecond == other.PerSecond
 }
 
 // Change is the effect of an observation or a report on the table.
 type Change struct {
 	// Changed means that the limit was set, changed or lifted.
 	Changed bool
-	// Notify means that After must be sent to other processes.
+	// Notify means that Current must be sent to other processes.
 	Notify bool
-	// Previous is the limit before the change, with Ended set if there was none. Current is the
+	// Previous is the limit before the change, with Lifted set if there was none. Current is the
 	// present one; the age of a lifted limit is that of the request whose response lacked it.
 	Previous, Current Report
 }
 
 // Share is the part of a limit that one process may use.
 type Share struct {
-	// Of is the number of processes that share the limit; 1 means a single counter.
-	Of int
-	// Part is the fraction of the limit that all of them together use, from 0 to 1.
-	Part float64
+	// Processes is the number of processes that share the limit; 1 means a single counter.
+	Processes int
+	// Fraction is the fraction of the limit that all of them together use, from 0 to 1.
+	Fraction float64
 }
 
 // Shares by the process that counts.
 var (
-	// Whole is the share of a loader, which counts for all routers.
-	Whole = Share{Of: 1, Part: 1}
-	// PastLoader is the share of routers whose loader is unresponsive. It is small, because
+	// FullShare is the share of a loader, which counts for all routers.
+	FullShare = Share{Processes: 1, Fraction: 1}
+	// LoaderUnreachableShare is the share of routers whose loader is unresponsive. It is small, because
 	// the loader may still grant requests to other routers.
-	PastLoader = Share{Part: 0.25}
-	// Without is the share of routers whose upstream has no loader.
-	Without = Share{Part: 0.7}
+	LoaderUnreachableShare = Share{Fraction: 0.25}
+	// NoLoaderShare is the share of routers whose upstream has no loader.
+	NoLoaderShare = Share{Fraction: 0.7}
 )
 
 // Among returns the share of a single router out of the given number.
 func (s Share) Among(routers int) Share {
-	s.Of = max(routers, 1)
+	s.Processes = max(routers, 1)
 	return s
 }
 
@@ -277,7 +277,7 @@
 		return 0, true
 	}
 	period := periodOf(held.report.PerSecond, share)
-	if share.Of > 1 {
+	if share.Processes > 1 {
 		held.advanceSlot(period, now, t.draw)
 	} else {
 		held.advanceBucket(period, now)
@@ -292,7 +292,7 @@
 
 // periodOf returns the time between two requests by a share of a limit.
 func periodOf(perSecond float64, share Share) time.Duration {
-	rate := max(perSecond, minPerSecond) * share.Part / float64(share.Of)
+	rate := max(perSecond, minPerSecond) * share.Fraction / float64(share.Processes)
 	return time.Duration(min(float64(time.Second)/rate, float64(maxPeriod)))
 }
 
@@ -323,7 +323,7 @@
 // denied before, so that the denied requests do not all return at once.
 func (l *limit) wait(period time.Duration, share Share, now time.Time) time.Duration {
 	wait := l.due.Sub(now)
-	if share.Of == 1 {
+	if share.Processes == 1 {
 		wait += time.Duration(min(l.denied-1, int(maxWait/max(period, 1)))) * period
 	}
 	return min(wait, maxWait)
--- a/daemon/internal/request/ratelimit/ratelimit_test.go
+++ b/daemon/internal/request/ratelimit/ratelimit_test.go
@@ -61,11 +61,11 @@
 // targetShare returns the share of the limit that the routers may use together.
 func (l load) targetShare() float64 {
 	if l.noLoader {
-		return ratelimit.Without.Part
+		return ratelimit.NoLoaderShare.Fraction
 	}
-	share := ratelimit.PastLoader.Part * l.bypass
+	share := ratelimit.LoaderUnreachableShare.Fraction * l.bypass
 	if l.bypass < 1 {
-		share += ratelimit.Whole.Part
+		share += ratelimit.FullShare.Fraction
 	}
 	return share
 }
@@ -94,12 +94,12 @@
 			if at < next[i] || random.Float64() > sendProbability {
 				continue
 			}
-			table, share := loader, ratelimit.Whole
+			table, share := loader, ratelimit.FullShare
 			switch {
 			case l.noLoader:
-				table, share = own[i], ratelimit.Without.Among(l.routers)
+				table, share = own[i], ratelimit.NoLoaderShare.Among(l.routers)
 			case float64(i) < l.bypass*float64(l.routers):
-				table, share = own[i], ratelimit.PastLoader.Among(l.routers)
+				table, share = own[i], ratelimit.LoaderUnreachableShare.Among(l.routers)
 			}
 			wait, ok := table.Allow(engine, share, start.Add(at))
 			next[i] = at + wait
@@ -152,7 +152,7 @@
 	for i := range tables {
 		tables[i].Observe(engine, limited(1), start, start)
 		for at := time.Duration(0); at < window; at += 10 * time.Millisecond {
-			if _, ok := tables[i].Allow(engine, ratelimit.Whole, start.Add(at)); ok {
+			if _, ok := tables[i].Allow(engine, ratelimit.FullShare, start.Add(at)); ok {
 				sent++
 			}
 		}
@@ -234,7 +234,7 @@
 	table.Observe(engine, limited(0), start, start)
 	sent := 0
 	for at := time.Duration(0); at < time.Minute; at += 10 * time.Millisecond {
-		if _, ok := table.Allow(engine, ratelimit.Whole, start.Add(at)); ok {
+		if _, ok := table.Allow(engine, ratelimit.FullShare, start.Add(at)); ok {
 			sent++
 		}
 	}
@@ -252,7 +252,7 @@
 		at := time.Duration(0)
 		for range rapid.IntRange(1, 300).Draw(t, "questions") {
 			at += time.Duration(rapid.SampledFrom([]int{0, 0, 1, 10, 100, 10_000}).Draw(t, "pause")) * time.Millisecond
-			if _, ok := table.Allow(engine, ratelimit.Whole, start.Add(at)); ok {
+			if _, ok := table.Allow(engine, ratelimit.FullShare, start.Add(at)); ok {
 				sends = append(sends, at)
 			}
 		}
--- a/daemon/internal/request/ratelimit/warmup_test.go
+++ b/daemon/internal/request/ratelimit/warmup_test.go
@@ -38,7 +38,7 @@
 		for step := range 3000 {
 			now := start.Add(time.Duration(step) * time.Millisecond)
 			for range routers / 20 {
-				if _, ok := warming.Allow(engine, ratelimit.Whole, now); ok {
+				if _, ok := warming.Allow(engine, ratelimit.FullShare, now); ok {
 					sent = append(sent, now)
 				}
 			}
@@ -56,16 +56,16 @@
 	warming.Merge(engine, ratelimit.Cold{PerSecond: 1, Left: time.Second}, start)
 	denied := 0
 	for range 10 {
-		if _, ok := warming.Allow(engine, ratelimit.Whole, start); !ok {
+		if _, ok := warming.Allow(engine, ratelimit.FullShare, start); !ok {
 			denied++
 		}
 	}
 	assert.Positive(t, denied)
 	restarted := ratelimit.Upstream{ID: "e", Started: start}
 	for range 10 {
-		_, ok := warming.Allow(restarted, ratelimit.Whole, start)
+		_, ok := warming.Allow(restarted, ratelimit.FullShare, start)
 		assert.True(t, ok)
-		_, ok = warming.Allow(engine, ratelimit.Whole, start.Add(time.Second))
+		_, ok = warming.Allow(engine, ratelimit.FullShare, start.Add(time.Second))
 		assert.True(t, ok)
 	}
 }
@@ -87,11 +87,11 @@
 		var sent []time.Time
 		for step := range 600 {
 			now := start.Add(time.Duration(step) * 5 * time.Millisecond)
-			if _, ok := loader.Allow(engine, ratelimit.Whole, now); ok {
+			if _, ok := loader.Allow(engine, ratelimit.FullShare, now); ok {
 				sent = append(sent, now)
 			}
 			for _, router := range bypassing {
-				if _, ok := router.Allow(engine, ratelimit.PastLoader.Among(routers), now); ok {
+				if _, ok := router.Allow(engine, ratelimit.LoaderUnreachableShare.Among(routers), now); ok {
 					sent = append(sent, now)
 				}
 			}
--- a/daemon/lab/limit.go
+++ b/daemon/lab/limit.go
@@ -283,13 +283,13 @@
 func (r *limitRouter) allow(u *limitUpstream) (time.Duration, bool) {
 	key, now, routers := ratelimit.Upstream{ID: u.record.ID}, r.play.now(), len(r.play.routers)
 	if r.play.Fault == LimitPlain {
-		return r.table.Allow(key, ratelimit.Without.Among(routers), now)
+		return r.table.Allow(key, ratelimit.NoLoaderShare.Among(routers), now)
 	}
 	if r.play.struck(LimitLoaderGone) || r.muted[key.ID] > r.play.events.now {
 		if r.muted[key.ID] <= r.play.events.now {
 			r.muted[key.ID] = r.play.events.now + limitMute
 		}
-		return r.table.Allow(key, ratelimit.PastLoader.Among(routers), now)
+		return r.table.Allow(key, ratelimit.LoaderUnreachableShare.Among(routers), now)
 	}
 	if note, known := r.table.Report(key, now); known {
 		u.loader.Merge(key, note, now)
@@ -297,7 +297,7 @@
 	if note, known := u.loader.Report(key, now); known {
 		r.told(key, note)
 	}
-	return u.loader.Allow(key, ratelimit.Whole, now)
+	return u.loader.Allow(key, ratelimit.FullShare, now)
 }
 
 // send has a request come to an upstream, and its answer back.
--- a/daemon/router/limits.go
+++ b/daemon/router/limits.go
@@ -79,9 +79,9 @@
 
 // allow asks for this router's share of the limit of an upstream at which no loader counts.
 func (p *Process) allow(upstream *provider.Upstream, door dispatch.Door) (wait time.Duration, ok bool) {
-	share := ratelimit.PastLoader
+	share := ratelimit.LoaderUnreachableShare
 	if door == dispatch.DoorOwn {
-		share = ratelimit.Without
+		share = ratelimit.NoLoaderShare
 	}
 	share = share.Among(p.routerCount())
 	p.limits.do(func(table *ratelimit.Table, now time.Time) {
