--- a/daemon/internal/connection/places/ask.go
+++ b/daemon/internal/connection/places/ask.go
@@ -105,7 +105,7 @@
 )
 
 // parseCold reads that the router takes the engine for cold.
-func parseCold(query url.Values) (*ratelimit.Cold, error) {
+func parseCold(query url.Values) (*ratelimit.Warmup, error) {
 	text := query.Get(coldParam)
 	if text == "" {
 		return nil, nil //nolint:nilnil // it does not
@@ -118,7 +118,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", coldForParam, err)
 	}
-	return &ratelimit.Cold{PerSecond: perSecond, Left: time.Duration(left) * time.Millisecond}, nil
+	return &ratelimit.Warmup{PerSecond: perSecond, Remaining: time.Duration(left) * time.Millisecond}, nil
 }
 
 // parseKnown reads what a router knows of the engine's limit.
@@ -187,7 +187,7 @@
 	}
 	if q.Cold != nil {
 		text += "&" + coldParam + "=" + strconv.FormatFloat(q.Cold.PerSecond, 'f', -1, 64)
-		text += "&" + coldForParam + "=" + strconv.FormatInt(q.Cold.Left.Milliseconds(), 10)
+		text += "&" + coldForParam + "=" + strconv.FormatInt(q.Cold.Remaining.Milliseconds(), 10)
 	}
 	if q.Known == nil {
 		return text
--- a/daemon/internal/connection/places/ledger.go
+++ b/daemon/internal/connection/places/ledger.go
@@ -54,7 +54,7 @@
 	Engine ratelimit.Upstream
 	Known  *ratelimit.Report
 	// Cold says that the router takes the engine for cold, nil where it does not.
-	Cold *ratelimit.Cold
+	Cold *ratelimit.Warmup
 }
 
 // Ledger counts the places of one engine. The zero value gives none until a load
@@ -76,7 +76,7 @@
 	// limits holds that of the engine, by its starts.
 	limits ratelimit.Table
 	// warming bounds what it gets while it is cold.
-	warming ratelimit.Warming
+	warming ratelimit.WarmupTable
 }
 
 // Observe takes what the engine said of itself just now, false where it did not
--- a/daemon/internal/connection/places/places_test.go
+++ b/daemon/internal/connection/places/places_test.go
@@ -224,7 +224,7 @@
 		asked := question(places.Limit{Waiting: 100, Taken: 100})
 		asked.Engine = ratelimit.Upstream{ID: "e"}
 		if step%2 == 0 {
-			asked.Cold = &ratelimit.Cold{PerSecond: 10, Left: time.Second - time.Duration(step)*10*time.Millisecond}
+			asked.Cold = &ratelimit.Warmup{PerSecond: 10, Remaining: time.Second - time.Duration(step)*10*time.Millisecond}
 		}
 		if _, ok := ledger.Take(asked); ok {
 			given++
--- a/daemon/internal/request/ratelimit/warmup.go
+++ b/daemon/internal/request/ratelimit/warmup.go
@@ -13,38 +13,38 @@
 // maxCold bounds the warm-up time that a single report may claim.
 const maxCold = 5 * time.Minute
 
-// Cold reports that an upstream is warming up.
-type Cold struct {
+// Warmup reports that an upstream is warming up.
+type Warmup struct {
 	// PerSecond is the request rate that it sustains, Left the remaining warm-up time.
 	PerSecond float64
-	Left      time.Duration
+	Remaining time.Duration
 }
 
-// Warming holds the warm-up limits of upstreams. The zero value is empty and ready to use. It is
+// WarmupTable holds the warm-up limits of upstreams. The zero value is empty and ready to use. It is
 // not safe for concurrent use.
-type Warming struct {
+type WarmupTable struct {
 	limits Table
 	// until is the end of each upstream's warm-up.
 	until map[key]time.Time
 }
 
 // Merge records that an upstream is warming up. Of several reported ends the latest counts.
-func (w *Warming) Merge(upstream Upstream, cold Cold, now time.Time) {
-	if cold.Left <= 0 || cold.PerSecond <= 0 {
+func (w *WarmupTable) Merge(upstream Upstream, warmup Warmup, now time.Time) {
+	if warmup.Remaining <= 0 || warmup.PerSecond <= 0 {
 		return
 	}
 	if w.until == nil {
 		w.until = map[key]time.Time{}
 	}
 	w.expire(now)
-	if until := now.Add(min(cold.Left, maxCold)); until.After(w.until[upstream.key()]) {
+	if until := now.Add(min(warmup.Remaining, maxCold)); until.After(w.until[upstream.key()]) {
 		w.until[upstream.key()] = until
 	}
-	w.limits.Merge(upstream, Report{PerSecond: cold.PerSecond}, now)
+	w.limits.Merge(upstream, Report{PerSecond: warmup.PerSecond}, now)
 }
 
 // expire drops upstreams whose warm-up has ended.
-func (w *Warming) expire(now time.Time) {
+func (w *WarmupTable) expire(now time.Time) {
 	for k, until := range w.until {
 		if !until.After(now) {
 			delete(w.until, k)
@@ -56,7 +56,7 @@
 // Allow reports whether a request may be sent to an upstream now by the given share of its
 // warm-up limit, and counts the request if so. Otherwise it returns the delay before the next
 // try.
-func (w *Warming) Allow(upstream Upstream, share Share, now time.Time) (wait time.Duration, ok bool) {
+func (w *WarmupTable) Allow(upstream Upstream, share Share, now time.Time) (wait time.Duration, ok bool) {
 	if !w.until[upstream.key()].After(now) {
 		return 0, true
 	}
--- a/daemon/internal/request/ratelimit/warmup_test.go
+++ b/daemon/internal/request/ratelimit/warmup_test.go
@@ -31,9 +31,9 @@
 	const sustained, allowed = 26, 44
 	engine := ratelimit.Upstream{ID: "e"}
 	for _, routers := range []int{40, 80, 546, 1092} {
-		warming := &ratelimit.Warming{}
+		warming := &ratelimit.WarmupTable{}
 		start := time.Unix(1000, 0)
-		warming.Merge(engine, ratelimit.Cold{PerSecond: sustained, Left: 3 * time.Second}, start)
+		warming.Merge(engine, ratelimit.Warmup{PerSecond: sustained, Remaining: 3 * time.Second}, start)
 		var sent []time.Time
 		for step := range 3000 {
 			now := start.Add(time.Duration(step) * time.Millisecond)
@@ -52,8 +52,8 @@
 func TestWarmUpstreamIsUnlimited(t *testing.T) {
 	engine := ratelimit.Upstream{ID: "e"}
 	start := time.Unix(1000, 0)
-	warming := &ratelimit.Warming{}
-	warming.Merge(engine, ratelimit.Cold{PerSecond: 1, Left: time.Second}, start)
+	warming := &ratelimit.WarmupTable{}
+	warming.Merge(engine, ratelimit.Warmup{PerSecond: 1, Remaining: time.Second}, start)
 	denied := 0
 	for range 10 {
 		if _, ok := warming.Allow(engine, ratelimit.FullShare, start); !ok {
@@ -77,12 +77,12 @@
 	engine := ratelimit.Upstream{ID: "e"}
 	for _, routers := range []int{40, 80, 400} {
 		start := time.Unix(1000, 0)
-		loader := &ratelimit.Warming{}
-		loader.Merge(engine, ratelimit.Cold{PerSecond: sustained, Left: 3 * time.Second}, start)
-		bypassing := make([]*ratelimit.Warming, routers)
+		loader := &ratelimit.WarmupTable{}
+		loader.Merge(engine, ratelimit.Warmup{PerSecond: sustained, Remaining: 3 * time.Second}, start)
+		bypassing := make([]*ratelimit.WarmupTable, routers)
 		for i := range bypassing {
-			bypassing[i] = &ratelimit.Warming{}
-			bypassing[i].Merge(engine, ratelimit.Cold{PerSecond: sustained, Left: 3 * time.Second}, start)
+			bypassing[i] = &ratelimit.WarmupTable{}
+			bypassing[i].Merge(engine, ratelimit.Warmup{PerSecond: sustained, Remaining: 3 * time.Second}, start)
 		}
 		var sent []time.Time
 		for step := range 600 {
--- a/daemon/router/limits.go
+++ b/daemon/router/limits.go
@@ -26,7 +26,7 @@
 	mu    sync.Mutex
 	table ratelimit.Table
 	// warming bounds what this router sends to cold upstreams that no loader counts for.
-	warming ratelimit.Warming
+	warming ratelimit.WarmupTable
 }
 
 // do works on the table.
@@ -100,7 +100,7 @@
 
 // coldness returns that an upstream is cold, nil where it is not, or where its service does
 // not say what it carries then.
-func (p *Process) coldness(upstream *provider.Upstream, now time.Time) *ratelimit.Cold {
+func (p *Process) coldness(upstream *provider.Upstream, now time.Time) *ratelimit.Warmup {
 	left := upstream.Cold(now)
 	if left == 0 {
 		return nil
@@ -109,7 +109,7 @@
 	if service == nil || service.ColdRate <= 0 {
 		return nil
 	}
-	return &ratelimit.Cold{PerSecond: service.ColdRate, Left: left}
+	return &ratelimit.Warmup{PerSecond: service.ColdRate, Remaining: left}
 }
 
 // routerCount is how many routers there are, this one and those that only its settings name
