--- a/daemon/internal/request/admission/admission.go
+++ b/daemon/internal/request/admission/admission.go
@@ -31,22 +31,23 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/places"
 )
 
-// Ways configures the search for an engine.
-type Ways struct {
-	// Questions is the maximum number of engines queried before a request is refused.
-	Questions int
-	// Each is the number of queries per step. The first step accepts only an engine with an
+// Policy configures the search for an engine.
+type Policy struct {
+	// MaxQueries is the maximum number of engines queried before a request is refused.
+	MaxQueries int
+	// QueriesPerStep is the number of queries per step. The first step accepts only an engine with an
 	// empty queue; each further step accepts one more waiting request.
-	Each int
-	// Beyond is the maximum number of requests that the later queries may admit beyond the
+	QueriesPerStep int
+	// MaxOvercommit is the maximum number of requests that the later queries may admit beyond the
 	// places of an engine.
-	Beyond int
-	// BackLeaves is the fraction of an engine's places that retries leave free.
-	BackLeaves float64
+	MaxOvercommit int
+	// RetryReserve is the fraction of an engine's places that retries leave free.
+	RetryReserve float64
 }
 
-// StandingWays returns the default configuration.
-func StandingWays() Ways { return Ways{Questions: 8, Each: 2, Beyond: 1, BackLeaves: 0.25} }
+func DefaultPolicy() Policy {
+	return Policy{MaxQueries: 8, QueriesPerStep: 2, MaxOvercommit: 1, RetryReserve: 0.25}
+}
 
 const (
 	// passFactor is the factor by which interleaved decoding passes extend the reading of a
@@ -122,34 +123,34 @@
 
 // Limit returns the maximum load of an engine that is queried after some others have denied the
 // request. Last means that no further engine will be queried.
-func (w Ways) Limit(s Service, r Request, queried int, last bool) places.Limit {
+func (p Policy) Limit(s Service, r Request, queried int, last bool) places.Limit {
 	free := max(0, s.Places-1-Reserve(s, r))
 	switch {
 	case last && (r.Sent || s.Objective <= 0):
 		return Unlimited
 	case r.Returned && !r.Sent:
-		return places.Limit{Taken: max(0, free-w.retryReserve(s))}
+		return places.Limit{Taken: max(0, free-p.retryReserve(s))}
 	case last:
-		return places.Limit{Waiting: s.maxWaiting(), Taken: free + w.overcommit(s)}
+		return places.Limit{Waiting: s.maxWaiting(), Taken: free + p.overcommit(s)}
 	default:
-		step := queried / max(w.Each, 1)
-		return places.Limit{Waiting: min(step, s.maxWaiting()), Taken: free + min(step, w.overcommit(s))}
+		step := queried / max(p.QueriesPerStep, 1)
+		return places.Limit{Waiting: min(step, s.maxWaiting()), Taken: free + min(step, p.overcommit(s))}
 	}
 }
 
 // overcommit returns the number of requests that may be admitted beyond the places of an engine.
 // It keeps places from standing empty until the next pass. An engine that frees places too slowly
 // gets none, since the waiting request would be late.
-func (w Ways) overcommit(s Service) int {
+func (p Policy) overcommit(s Service) int {
 	if s.PlaceEvery <= 0 {
 		return 0
 	}
 	spare := time.Duration(overcommitFraction*float64(s.Objective)) - minReads*s.busyReadTime()
-	return max(0, min(w.Beyond, int(spare/s.PlaceEvery)))
+	return max(0, min(p.MaxOvercommit, int(spare/s.PlaceEvery)))
 }
 
 // retryReserve returns the number of places of each engine that a retry leaves free.
-func (w Ways) retryReserve(s Service) int { return int(w.BackLeaves * float64(s.Places)) }
+func (p Policy) retryReserve(s Service) int { return int(p.RetryReserve * float64(s.Places)) }
 
 // maxWaiting returns the queue length behind which a request still meets the objective.
 func (s Service) maxWaiting() int {
@@ -171,7 +172,7 @@
 	}
 	inUse := load.Running + load.Waiting + 1
 	if r.Returned {
-		inUse += StandingWays().retryReserve(s)
+		inUse += DefaultPolicy().retryReserve(s)
 	}
 	excess := max(0, inUse+reportLagPlaces+Reserve(s, r)-s.Places)
 	wait := time.Duration(load.Waiting)*s.ReadTime + time.Duration(excess)*s.PlaceEvery
--- a/daemon/internal/request/admission/admission_test.go
+++ b/daemon/internal/request/admission/admission_test.go
@@ -14,7 +14,7 @@
 // current is the policy of the package. baseline is an earlier policy, whose last query admits a
 // wait of up to the whole objective.
 var (
-	current  = policy{queries: admission.StandingWays().Questions, limit: admission.StandingWays().Limit}
+	current  = policy{queries: admission.DefaultPolicy().MaxQueries, limit: admission.DefaultPolicy().Limit}
 	baseline = policy{queries: 3, limit: func(s admission.Service, _ admission.Request, queried int, last bool) places.Limit {
 		free := s.Places - 1
 		if !last {
@@ -68,18 +68,18 @@
 		}
 		r := admission.Request{Rank: rapid.IntRange(0, 5).Draw(t, "rank")}
 		inUse := 0
-		ways := admission.StandingWays()
-		for queried := range ways.Questions {
-			limit := ways.Limit(s, r, queried, queried == ways.Questions-1)
+		policy := admission.DefaultPolicy()
+		for queried := range policy.MaxQueries {
+			limit := policy.Limit(s, r, queried, queried == policy.MaxQueries-1)
 			assert.GreaterOrEqual(t, limit.Taken, inUse)
-			assert.Less(t, limit.Taken, s.Places+ways.Beyond)
+			assert.Less(t, limit.Taken, s.Places+policy.MaxOvercommit)
 			inUse = limit.Taken
-			retry := ways.Limit(s, admission.Request{Rank: r.Rank, Returned: true}, queried, false)
+			retry := policy.Limit(s, admission.Request{Rank: r.Rank, Returned: true}, queried, false)
 			assert.LessOrEqual(t, retry.Waiting, limit.Waiting)
 			assert.Less(t, retry.Taken, inUse+1)
 		}
 		r.Sent, r.Returned = true, true
-		assert.Equal(t, admission.Unlimited, ways.Limit(s, r, 0, true), "a request sent before is admitted by any engine")
+		assert.Equal(t, admission.Unlimited, policy.Limit(s, r, 0, true), "a request sent before is admitted by any engine")
 	})
 }
 
--- a/daemon/internal/request/admission/search.go
+++ b/daemon/internal/request/admission/search.go
@@ -16,8 +16,8 @@
 type Search struct {
 	Service Service
 	Request Request
-	// Ways configures the search; the zero value means StandingWays.
-	Ways Ways
+	// Policy configures the search; the zero value means StandingWays.
+	Policy Policy
 
 	// denied counts the engines that denied a place, unresponsive the loaders that did not
 	// answer.
@@ -28,26 +28,26 @@
 	sawFree bool
 }
 
-// ways returns the configuration of the search.
-func (s *Search) ways() Ways {
-	if s.Ways == (Ways{}) {
-		return StandingWays()
+// policy returns the policy of the search.
+func (s *Search) policy() Policy {
+	if s.Policy == (Policy{}) {
+		return DefaultPolicy()
 	}
-	return s.Ways
+	return s.Policy
 }
 
 // Over reports whether the search ends without querying another engine.
 func (s *Search) Over() bool {
-	return s.denied+s.unresponsive >= s.ways().Questions || s.unresponsive >= MostSilent || s.TooLimited()
+	return s.denied+s.unresponsive >= s.policy().MaxQueries || s.unresponsive >= MostSilent || s.TooLimited()
 }
 
 // TooLimited reports whether the search ends because too many engines are at their rate limit.
-func (s *Search) TooLimited() bool { return s.limited >= maxLimitedFactor*s.ways().Questions }
+func (s *Search) TooLimited() bool { return s.limited >= maxLimitedFactor*s.policy().MaxQueries }
 
 // Limit returns the maximum load of the next engine. Only means that no other engine remains.
 func (s *Search) Limit(only bool) places.Limit {
-	last := only || s.denied+s.unresponsive+1 >= s.ways().Questions
-	return s.ways().Limit(s.Service, s.Request, s.denied, last)
+	last := only || s.denied+s.unresponsive+1 >= s.policy().MaxQueries
+	return s.policy().Limit(s.Service, s.Request, s.denied, last)
 }
 
 // Denied records that an engine with the given load denied a place.
--- a/daemon/internal/request/dispatch/limit_test.go
+++ b/daemon/internal/request/dispatch/limit_test.go
@@ -31,7 +31,7 @@
 // TestAUsedUpLimitIsNoQuestion: engines whose limits are used up cost a request none of its
 // questions, and nobody asks them again before their turn.
 func TestAUsedUpLimitIsNoQuestion(t *testing.T) {
-	engines := 2 * admission.StandingWays().Questions
+	engines := 2 * admission.DefaultPolicy().MaxQueries
 	f := newFleet(t, engines, nil)
 	q := f.request("hasty", 0)
 	f.limitedBut(q, "u3")
--- a/daemon/internal/request/dispatch/place_test.go
+++ b/daemon/internal/request/dispatch/place_test.go
@@ -112,7 +112,7 @@
 
 // TestNoPlaceIsARefusal after a few questions, and leaves nothing behind.
 func TestNoPlaceIsARefusal(t *testing.T) {
-	for engines, want := range map[int]int{1: 1, 2: 2, 9: admission.StandingWays().Questions} {
+	for engines, want := range map[int]int{1: 1, 2: 2, 9: admission.DefaultPolicy().MaxQueries} {
 		f := newFleet(t, engines, func(int) (bool, error) { return false, nil })
 		_, err := f.request("hasty", 0).place(context.Background())
 		require.ErrorIs(t, err, errOverloaded)
--- a/daemon/internal/request/ratelimit/ratelimit.go
+++ b/daemon/internal/request/ratelimit/ratelimit.go
@@ -85,9 +85,7 @@
 }
 
 // same reports whether two reports agree apart from their age.
-func (r Report) same(other Report) bool {
-	return r.Lifted == other.Lifted && r.PerSecond == other.PerSecond
-}
+func (r Report) same(o Report) bool { return r.Lifted == o.Lifted && r.PerSecond == o.PerSecond }
 
 // Change is the effect of an observation or a report on the table.
 type Change struct {
--- a/daemon/lab/policy.go
+++ b/daemon/lab/policy.go
@@ -16,7 +16,7 @@
 	// came back; nil means as routers do.
 	CameBack func() knows
 	// Ways vary how places are looked for; nil means as routers do.
-	Ways *admission.Ways
+	Ways *admission.Policy
 	// Back is when a refused caller is to come back; nil means as routers do.
 	Back func(draw *rand.Rand, left time.Duration) time.Duration
 }
@@ -64,8 +64,8 @@
 }
 
 // ways are the standing ways with one changed.
-func ways(change func(w *admission.Ways)) *admission.Ways {
-	w := admission.StandingWays()
+func ways(change func(w *admission.Policy)) *admission.Policy {
+	w := admission.DefaultPolicy()
 	change(&w)
 	return &w
 }
@@ -82,15 +82,15 @@
 		{Name: "return-soon", Back: between(second*3/10, second*9/10)},
 		{Name: "return-late", Back: between(second*16/10, second*2)},
 		{Name: "return-wide", Back: between(second*3/10, second*2)},
-		{Name: "look-5", Ways: ways(func(w *admission.Ways) { w.Questions, w.Beyond = 5, 0 })},
-		{Name: "look-8", Ways: ways(func(w *admission.Ways) { w.Questions, w.Beyond = 8, 0 })},
-		{Name: "look-5-beyond-1", Ways: ways(func(w *admission.Ways) { w.Questions, w.Beyond = 5, 1 })},
-		{Name: "look-8-beyond-1", Ways: ways(func(w *admission.Ways) { w.Questions, w.Beyond = 8, 1 })},
-		{Name: "look-8-beyond-2", Ways: ways(func(w *admission.Ways) { w.Questions, w.Beyond = 8, 2 })},
-		{Name: "look-8-wait-soon", Ways: ways(func(w *admission.Ways) { w.Questions, w.Each, w.Beyond = 8, 1, 1 })},
-		{Name: "look-10-beyond-1", Ways: ways(func(w *admission.Ways) { w.Questions, w.Beyond = 10, 1 })},
-		{Name: "back-any-place", Ways: ways(func(w *admission.Ways) { w.BackLeaves = 0 })},
-		{Name: "back-half-free", Ways: ways(func(w *admission.Ways) { w.BackLeaves = 0.5 })},
+		{Name: "look-5", Ways: ways(func(w *admission.Policy) { w.MaxQueries, w.MaxOvercommit = 5, 0 })},
+		{Name: "look-8", Ways: ways(func(w *admission.Policy) { w.MaxQueries, w.MaxOvercommit = 8, 0 })},
+		{Name: "look-5-beyond-1", Ways: ways(func(w *admission.Policy) { w.MaxQueries, w.MaxOvercommit = 5, 1 })},
+		{Name: "look-8-beyond-1", Ways: ways(func(w *admission.Policy) { w.MaxQueries, w.MaxOvercommit = 8, 1 })},
+		{Name: "look-8-beyond-2", Ways: ways(func(w *admission.Policy) { w.MaxQueries, w.MaxOvercommit = 8, 2 })},
+		{Name: "look-8-wait-soon", Ways: ways(func(w *admission.Policy) { w.MaxQueries, w.QueriesPerStep, w.MaxOvercommit = 8, 1, 1 })},
+		{Name: "look-10-beyond-1", Ways: ways(func(w *admission.Policy) { w.MaxQueries, w.MaxOvercommit = 10, 1 })},
+		{Name: "back-any-place", Ways: ways(func(w *admission.Policy) { w.RetryReserve = 0 })},
+		{Name: "back-half-free", Ways: ways(func(w *admission.Policy) { w.RetryReserve = 0.5 })},
 	}
 }
 
--- a/daemon/lab/router.go
+++ b/daemon/lab/router.go
@@ -106,7 +106,7 @@
 	known := r.known()
 	search := admission.Search{Service: known, Request: admission.Request{Returned: c.knownBack}}
 	if r.play.policy.Ways != nil {
-		search.Ways = *r.play.policy.Ways
+		search.Policy = *r.play.policy.Ways
 	}
 	lasts := admission.Lasts(known, r.pace.Occupied(service), c.hint, r.play.usualAnswer())
 	query := balance.Query{Model: model, Lasts: lasts}
