--- a/daemon/internal/request/admission/retryafter.go
+++ b/daemon/internal/request/admission/retryafter.go
@@ -4,7 +4,7 @@
 
 // This file computes the Retry-After of refused requests. In a sustained overload a retry is
 // recognized by the time that has passed since the first attempt, so it must not come earlier than
-// first attempts differ in their timeouts; see Callers.
+// first attempts differ in their timeouts; see RetryDetector.
 
 // Why is the cause of a refusal.
 type Why int
--- a/daemon/internal/request/admission/callers.go
+++ b/daemon/internal/request/admission/retrydetector.go
@@ -30,17 +30,17 @@
 	timeoutError = 50 * time.Millisecond
 )
 
-// Seen describes an arriving request.
-type Seen struct {
+// Arrival describes an arriving request.
+type Arrival struct {
 	// Route is the name of the route.
 	Route string
-	// Left is the time until the client's deadline.
-	Left time.Duration
-	// Most is the route's declared timeout, 0 if there is none.
-	Most time.Duration
+	// Remaining is the time until the client's deadline.
+	Remaining time.Duration
+	// Declared is the route's declared timeout, 0 if there is none.
+	Declared time.Duration
 }
 
-// Callers recognizes retries of refused requests by the time until the client's deadline. The
+// RetryDetector recognizes retries of refused requests by the time until the client's deadline. The
 // timeout of a client includes its retries, and no refused client retries before ShortestReturn. A
 // request is therefore a first attempt if its remaining time is within ShortestReturn of the
 // longest timeout on its route, and a likely retry otherwise.
@@ -52,7 +52,7 @@
 //
 // If the timeouts of first attempts on a route differ too much, no request is classified as a
 // retry. The zero value is ready to use.
-type Callers struct {
+type RetryDetector struct {
 	// Now overrides the clock in tests; nil means clock.Now.
 	Now func() time.Time
 
@@ -64,7 +64,7 @@
 	refusedAt time.Time
 }
 
-// routeSamples holds the samples of one route; Callers.mu guards it.
+// routeSamples holds the samples of one route; RetryDetector.mu guards it.
 type routeSamples struct {
 	// remaining is a ring of the latest remaining times; next is the index of the oldest once
 	// it is full.
@@ -79,32 +79,32 @@
 	seenAt time.Time
 }
 
-// Refused records that a request was refused.
-func (c *Callers) Refused() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.refusedAt = helpers.Now(c.Now)
+// RecordRefusal records that a request was refused.
+func (d *RetryDetector) RecordRefusal() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.refusedAt = helpers.Now(d.Now)
 }
 
-// Returned samples a request and reports whether it is probably a retry of a refused one.
-func (c *Callers) Returned(seen Seen) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	now := helpers.Now(c.Now)
-	c.sweep(now)
-	r := c.routes[seen.Route]
+// IsRetry samples a request and reports whether it is probably a retry of a refused one.
+func (d *RetryDetector) IsRetry(arrival Arrival) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	now := helpers.Now(d.Now)
+	d.sweep(now)
+	r := d.routes[arrival.Route]
 	if r == nil {
 		r = &routeSamples{}
-		c.routes[seen.Route] = r
+		d.routes[arrival.Route] = r
 	}
 	r.seenAt = now
-	r.add(seen.Left)
-	threshold := r.threshold(seen.Most)
-	isShort := seen.Left < threshold
-	if now.Sub(c.refusedAt) > calmAfter {
+	r.add(arrival.Remaining)
+	threshold := r.threshold(arrival.Declared)
+	isShort := arrival.Remaining < threshold
+	if now.Sub(d.refusedAt) > calmAfter {
 		r.addCalm(isShort)
 	}
-	return isShort && r.conclusive(threshold, seen.Most)
+	return isShort && r.conclusive(threshold, arrival.Declared)
 }
 
 // threshold returns the remaining time from which a request is a first attempt.
@@ -168,18 +168,18 @@
 }
 
 // sweep drops routes without requests for routeTTL.
-func (c *Callers) sweep(now time.Time) {
-	if c.routes == nil {
-		c.routes = map[string]*routeSamples{}
-		c.refusedAt = now
+func (d *RetryDetector) sweep(now time.Time) {
+	if d.routes == nil {
+		d.routes = map[string]*routeSamples{}
+		d.refusedAt = now
 	}
-	if now.Sub(c.sweptAt) < routeTTL {
+	if now.Sub(d.sweptAt) < routeTTL {
 		return
 	}
-	c.sweptAt = now
-	for name, r := range c.routes {
+	d.sweptAt = now
+	for name, r := range d.routes {
 		if now.Sub(r.seenAt) > routeTTL {
-			delete(c.routes, name)
+			delete(d.routes, name)
 		}
 	}
 }
--- a/daemon/internal/request/admission/callers_test.go
+++ b/daemon/internal/request/admission/retrydetector_test.go
@@ -12,7 +12,7 @@
 
 // clients simulates the requests of one route with a virtual clock.
 type clients struct {
-	detector admission.Callers
+	detector admission.RetryDetector
 	now      time.Time
 	draw     *rand.Rand
 }
@@ -40,7 +40,7 @@
 	retries := 0
 	for range count {
 		c.now = c.now.Add(100 * time.Millisecond)
-		if c.detector.Returned(admission.Seen{Route: "r", Left: remaining(), Most: declared}) {
+		if c.detector.IsRetry(admission.Arrival{Route: "r", Remaining: remaining(), Declared: declared}) {
 			retries++
 		}
 	}
@@ -60,7 +60,7 @@
 			assert.True(t, !distinct || calm == 0, "calm, %s, %.2f", longest, spread)
 			firsts, retries := 0, 0
 			for range 200 {
-				c.detector.Refused()
+				c.detector.RecordRefusal()
 				firsts += c.countRetries(1, 0, first)
 				retries += c.countRetries(1, 0, func() time.Duration { return c.retryTimeout(longest, spread) })
 			}
@@ -78,7 +78,7 @@
 	c := newClients()
 	spread := func() time.Duration { return c.timeout(6*time.Second, 0.9) }
 	assert.Less(t, c.countRetries(400, 0, spread), 20)
-	c.detector.Refused()
+	c.detector.RecordRefusal()
 	assert.Zero(t, c.countRetries(20, 0, spread))
 }
 
@@ -90,7 +90,7 @@
 		c := newClients()
 		firsts, retries := 0, 0
 		for i := range 60 {
-			c.detector.Refused()
+			c.detector.RecordRefusal()
 			if i%4 == 0 {
 				firsts += c.countRetries(1, declared, func() time.Duration { return c.timeout(longest, 0.15) })
 				continue
@@ -117,7 +117,7 @@
 		}
 		return c.timeout(6*time.Second, 0.15)
 	})
-	c.detector.Refused()
+	c.detector.RecordRefusal()
 	assert.Equal(t, 20, c.countRetries(20, 0, func() time.Duration { return c.retryTimeout(6*time.Second, 0.15) }))
 }
 
--- a/daemon/internal/request/dispatch/admit.go
+++ b/daemon/internal/request/dispatch/admit.go
@@ -176,7 +176,7 @@
 	if !told {
 		return 0, false
 	}
-	return left, q.Callers.Returned(admission.Seen{Route: q.route.Name, Left: left, Most: q.route.Timeout})
+	return left, q.Callers.IsRetry(admission.Arrival{Route: q.route.Name, Remaining: left, Declared: q.route.Timeout})
 }
 
 // routePatience is the time that the operator wants the request held.
--- a/daemon/internal/request/dispatch/answer.go
+++ b/daemon/internal/request/dispatch/answer.go
@@ -192,7 +192,7 @@
 		q.fail(http.StatusBadGateway, EndUnknown, cause)
 		return
 	}
-	q.Callers.Refused()
+	q.Callers.RecordRefusal()
 	wait := admission.Back(why, rand.Float64())
 	q.story.RetryAfter = wait
 	q.writer.Header().Set("Retry-After", strconv.FormatFloat(wait.Seconds(), 'f', 3, 64))
--- a/daemon/internal/request/dispatch/dispatch.go
+++ b/daemon/internal/request/dispatch/dispatch.go
@@ -40,7 +40,7 @@
 	Budget  *Budget
 	Pace    *Pace
 	// Callers tells which requests come back after a refusal.
-	Callers *admission.Callers
+	Callers *admission.RetryDetector
 	// View returns what is in force, Stale whether it may be out of date.
 	View  func() *mirror.View
 	Stale func() bool
--- a/daemon/lab/policy.go
+++ b/daemon/lab/policy.go
@@ -26,7 +26,7 @@
 
 // byTimes is how routers know.
 func byTimes(r *router, c *caller) bool {
-	return r.callers.Returned(admission.Seen{Route: c.kind.Name, Left: c.left(), Most: c.kind.Deadline})
+	return r.callers.IsRetry(admission.Arrival{Route: c.kind.Name, Remaining: c.left(), Declared: c.kind.Deadline})
 }
 
 // newKnows makes what a play asks.
--- a/daemon/lab/router.go
+++ b/daemon/lab/router.go
@@ -17,7 +17,7 @@
 	play    *play
 	pool    balance.Pool
 	pace    dispatch.Pace
-	callers admission.Callers
+	callers admission.RetryDetector
 	list    []*provider.Upstream
 }
 
@@ -76,7 +76,7 @@
 	c.knownBack = r.play.cameBack(r, c)
 	e, choice, ok := r.place(c)
 	if !ok {
-		r.callers.Refused()
+		r.callers.RecordRefusal()
 		r.refuse(c)
 		return
 	}
