--- a/daemon/internal/request/admission/retryafter.go
+++ b/daemon/internal/request/admission/retryafter.go
@@ -6,23 +6,23 @@
 // recognized by the time that has passed since the first attempt, so it must not come earlier than
 // first attempts differ in their timeouts; see RetryDetector.
 
-// Why is the cause of a refusal.
-type Why int
+// Cause is the cause of a refusal.
+type Cause int
 
 // Values of Why.
 const (
 	// EnginesFull means that the response would be late.
-	EnginesFull Why = iota
+	EnginesFull Cause = iota
 	// NotReady means that this process or all upstreams that it knows cannot serve yet. They
 	// will soon, or another process already can.
 	NotReady
 )
 
 const (
-	// ShortestReturn is the minimum Retry-After of a request refused for overload.
-	ShortestReturn = 1200 * time.Millisecond
-	// LongestReturn is the maximum Retry-After.
-	LongestReturn = 1900 * time.Millisecond
+	// MinRetryAfter is the minimum Retry-After of a request refused for overload.
+	MinRetryAfter = 1200 * time.Millisecond
+	// MaxRetryAfter is the maximum Retry-After.
+	MaxRetryAfter = 1900 * time.Millisecond
 	// minNotReady and maxNotReady are the bounds for NotReady. They are shorter, because after
 	// a power failure engines are ready and empty before the retries of an overload arrive.
 	minNotReady = 500 * time.Millisecond
@@ -32,11 +32,11 @@
 	maxWaitDivisor = 3
 )
 
-// Back returns the Retry-After of a refused request, which a random number in [0, 1) spreads so
+// RetryAfter returns the Retry-After of a refused request, which a random number in [0, 1) spreads so
 // that refused clients do not retry at the same time.
-func Back(why Why, drawn float64) time.Duration {
-	lower, upper := ShortestReturn, LongestReturn
-	if why == NotReady {
+func RetryAfter(cause Cause, drawn float64) time.Duration {
+	lower, upper := MinRetryAfter, MaxRetryAfter
+	if cause == NotReady {
 		lower, upper = minNotReady, maxNotReady
 	}
 	return lower + time.Duration(drawn*float64(upper-lower))
--- a/daemon/internal/request/admission/retrydetector.go
+++ b/daemon/internal/request/admission/retrydetector.go
@@ -25,7 +25,7 @@
 	// samples exist, minDeclaredShare the same if the threshold stems from the declared timeout.
 	minLongShare, minDeclaredShare = 0.5, 0.125
 	// calmAfter is the time after a refusal by which its retry has arrived.
-	calmAfter = LongestReturn + 600*time.Millisecond
+	calmAfter = MaxRetryAfter + 600*time.Millisecond
 	// timeoutError is the assumed error of the remaining times that clients send.
 	timeoutError = 50 * time.Millisecond
 )
@@ -113,7 +113,7 @@
 	if !r.calibrated() {
 		longest = max(longest, declared)
 	}
-	return longest - min(ShortestReturn, longest/maxWaitDivisor) + timeoutError
+	return longest - min(MinRetryAfter, longest/maxWaitDivisor) + timeoutError
 }
 
 // calibrated reports whether enough requests were sampled while none was refused.
--- a/daemon/internal/request/admission/retrydetector_test.go
+++ b/daemon/internal/request/admission/retrydetector_test.go
@@ -32,7 +32,7 @@
 // retryTimeout draws the remaining time of a retry that honoured Retry-After.
 func (c *clients) retryTimeout(longest time.Duration, spread float64) time.Duration {
 	first := c.timeout(longest, spread)
-	return first - min(admission.Back(admission.EnginesFull, c.draw.Float64()), first/3)
+	return first - min(admission.RetryAfter(admission.EnginesFull, c.draw.Float64()), first/3)
 }
 
 // countRetries sends requests 100 ms apart and returns how many are classified as retries.
@@ -54,7 +54,7 @@
 		for _, longest := range []time.Duration{2500 * time.Millisecond, 6 * time.Second, time.Minute} {
 			c := newClients()
 			first := func() time.Duration { return c.timeout(longest, spread) }
-			distinct := spread*longest.Seconds() < admission.ShortestReturn.Seconds()
+			distinct := spread*longest.Seconds() < admission.MinRetryAfter.Seconds()
 			calm := c.countRetries(200, 0, first)
 			assert.LessOrEqual(t, calm, 10, "calm, %s, %.2f", longest, spread)
 			assert.True(t, !distinct || calm == 0, "calm, %s, %.2f", longest, spread)
--- a/daemon/internal/request/dispatch/answer.go
+++ b/daemon/internal/request/dispatch/answer.go
@@ -179,7 +179,7 @@
 }
 
 // whyNotRun is why a request that did not run at an upstream is refused.
-func whyNotRun(fate exchange.Fate) admission.Why {
+func whyNotRun(fate exchange.Fate) admission.Cause {
 	if fate == exchange.Refused {
 		return admission.EnginesFull
 	}
@@ -187,13 +187,13 @@
 }
 
 // refuse answers a request that has not run: it says so, and when to come back.
-func (q *request) refuse(why admission.Why, cause string) {
+func (q *request) refuse(why admission.Cause, cause string) {
 	if !q.neverRan() {
 		q.fail(http.StatusBadGateway, EndUnknown, cause)
 		return
 	}
 	q.Callers.RecordRefusal()
-	wait := admission.Back(why, rand.Float64())
+	wait := admission.RetryAfter(why, rand.Float64())
 	q.story.RetryAfter = wait
 	q.writer.Header().Set("Retry-After", strconv.FormatFloat(wait.Seconds(), 'f', 3, 64))
 	q.fail(http.StatusServiceUnavailable, EndRefused, cause)
--- a/daemon/internal/request/dispatch/dispatch.go
+++ b/daemon/internal/request/dispatch/dispatch.go
@@ -259,7 +259,7 @@
 )
 
 // whyUnplaced is why no upstream was chosen.
-func whyUnplaced(err error) admission.Why {
+func whyUnplaced(err error) admission.Cause {
 	if errors.Is(err, errNoneFit) {
 		return admission.NotReady
 	}
--- a/daemon/internal/request/dispatch/return_test.go
+++ b/daemon/internal/request/dispatch/return_test.go
@@ -30,7 +30,7 @@
 	assert.Equal(t, admission.NotReady, whyNotRun(exchange.Misdirected))
 	assert.Equal(t, admission.NotReady, whyNotRun(exchange.Unsent))
 	for drawn := 0.0; drawn < 1; drawn += 0.1 {
-		assert.Less(t, admission.Back(admission.NotReady, drawn), admission.Back(admission.EnginesFull, drawn))
+		assert.Less(t, admission.RetryAfter(admission.NotReady, drawn), admission.RetryAfter(admission.EnginesFull, drawn))
 	}
 }
 
--- a/daemon/lab/policy.go
+++ b/daemon/lab/policy.go
@@ -53,7 +53,7 @@
 	if p.Back != nil {
 		return p.Back(draw, c.left())
 	}
-	return admission.Back(admission.EnginesFull, draw.Float64())
+	return admission.RetryAfter(admission.EnginesFull, draw.Float64())
 }
 
 // between draws a time to come back between two.
