--- a/daemon/internal/request/admission/search.go
+++ b/daemon/internal/request/admission/search.go
@@ -2,9 +2,9 @@
 
 import "github.com/wheelcleat/wheelcleat/daemon/internal/connection/places"
 
-// MostSilent is the number of unresponsive loaders after which a search ends, since each costs a
+// MaxUnresponsive is the number of unresponsive loaders after which a search ends, since each costs a
 // call timeout of the request's time to the first byte.
-const MostSilent = 3
+const MaxUnresponsive = 3
 
 // maxLimitedFactor times the maximum number of queries is the number of engines at their rate
 // limit after which a search ends. They do not count as queries, so a search could otherwise visit
@@ -36,13 +36,13 @@
 	return s.Policy
 }
 
-// Over reports whether the search ends without querying another engine.
-func (s *Search) Over() bool {
-	return s.denied+s.unresponsive >= s.policy().MaxQueries || s.unresponsive >= MostSilent || s.TooLimited()
+// Done reports whether the search ends without querying another engine.
+func (s *Search) Done() bool {
+	return s.denied+s.unresponsive >= s.policy().MaxQueries || s.unresponsive >= MaxUnresponsive || s.LimitsExhausted()
 }
 
-// TooLimited reports whether the search ends because too many engines are at their rate limit.
-func (s *Search) TooLimited() bool { return s.limited >= maxLimitedFactor*s.policy().MaxQueries }
+// LimitsExhausted reports whether the search ends because too many engines are at their rate limit.
+func (s *Search) LimitsExhausted() bool { return s.limited >= maxLimitedFactor*s.policy().MaxQueries }
 
 // Limit returns the maximum load of the next engine. Only means that no other engine remains.
 func (s *Search) Limit(only bool) places.Limit {
@@ -50,20 +50,20 @@
 	return s.policy().Limit(s.Service, s.Request, s.denied, last)
 }
 
-// Denied records that an engine with the given load denied a place.
-func (s *Search) Denied(load places.Load) {
+// AddDenied records that an engine with the given load denied a place.
+func (s *Search) AddDenied(load places.Load) {
 	s.denied++
 	s.sawFree = s.sawFree || load.Running+load.Waiting < s.Service.Places
 }
 
-// Limited records that an engine is at its rate limit.
-func (s *Search) Limited() { s.limited++ }
+// AddLimited records that an engine is at its rate limit.
+func (s *Search) AddLimited() { s.limited++ }
 
-// Silent records that a loader did not answer.
-func (s *Search) Silent() { s.unresponsive++ }
+// AddUnresponsive records that a loader did not answer.
+func (s *Search) AddUnresponsive() { s.unresponsive++ }
 
-// Asked returns the number of engines that denied a place and that of unresponsive loaders.
-func (s *Search) Asked() (denied, unresponsive int) { return s.denied, s.unresponsive }
+// Counts returns the number of engines that denied a place and that of unresponsive loaders.
+func (s *Search) Counts() (denied, unresponsive int) { return s.denied, s.unresponsive }
 
 // AllFull reports whether none of the engines that denied a place had a free one.
 func (s *Search) AllFull() bool { return !s.sawFree }
--- a/daemon/internal/request/dispatch/place.go
+++ b/daemon/internal/request/dispatch/place.go
@@ -46,7 +46,7 @@
 	}
 	search := admission.Search{Request: q.standing()}
 	limited, again := false, false
-	for !search.Over() {
+	for !search.Done() {
 		choice, ok := q.Pool.Choose(candidates, query)
 		if !ok && limited && !again {
 			again, query.Tried = true, q.tried
@@ -62,8 +62,8 @@
 		limited = limited || q.Pool.Holds(choice.Upstream.ID)
 		query.Tried = append(query.Tried[:len(query.Tried):len(query.Tried)], choice.Upstream.ID)
 	}
-	denied, silent := search.Asked()
-	if denied == 0 && search.TooLimited() {
+	denied, silent := search.Counts()
+	if denied == 0 && search.LimitsExhausted() {
 		return balance.Choice{}, q.noneFit(candidates)
 	}
 	if denied == 0 {
@@ -93,12 +93,12 @@
 	case err != nil && choice.Told && choice.Age < freshNews:
 		return q.unasked(choice, DoorNews)
 	case err != nil:
-		search.Silent()
+		search.AddUnresponsive()
 	case load.Wait > 0:
-		search.Limited()
+		search.AddLimited()
 		q.Pool.Hold(choice.Upstream.ID, load.Wait)
 	default:
-		search.Denied(load)
+		search.AddDenied(load)
 	}
 	choice.Done(balance.Abandoned)
 	return choice, false, nil
--- a/daemon/internal/request/dispatch/place_test.go
+++ b/daemon/internal/request/dispatch/place_test.go
@@ -133,7 +133,7 @@
 // TestLoaderWithoutNewsIsPassedOver: one that does not answer, and whose news is old,
 // may be cut off with its engine. Where all are, news decides all the same.
 func TestLoaderWithoutNewsIsPassedOver(t *testing.T) {
-	for answering, want := range map[int]int{2: 2, admission.MostSilent + 1: admission.MostSilent} {
+	for answering, want := range map[int]int{2: 2, admission.MaxUnresponsive + 1: admission.MaxUnresponsive} {
 		f := newFleet(t, 5, func(n int) (bool, error) {
 			if n < answering {
 				return false, errors.New("no answer")
--- a/daemon/internal/request/ratelimit/warmup.go
+++ b/daemon/internal/request/ratelimit/warmup.go
@@ -10,12 +10,12 @@
 // by router shares. The two are kept in separate tables, because a response without a limit
 // lifts a named limit but not the warm-up limit.
 
-// maxCold bounds the warm-up time that a single report may claim.
-const maxCold = 5 * time.Minute
+// maxWarmup bounds the warm-up time that a single report may claim.
+const maxWarmup = 5 * time.Minute
 
 // Warmup reports that an upstream is warming up.
 type Warmup struct {
-	// PerSecond is the request rate that it sustains, Left the remaining warm-up time.
+	// PerSecond is the request rate that it sustains, Remaining the time until it is warm.
 	PerSecond float64
 	Remaining time.Duration
 }
@@ -37,7 +37,7 @@
 		w.until = map[key]time.Time{}
 	}
 	w.expire(now)
-	if until := now.Add(min(warmup.Remaining, maxCold)); until.After(w.until[upstream.key()]) {
+	if until := now.Add(min(warmup.Remaining, maxWarmup)); until.After(w.until[upstream.key()]) {
 		w.until[upstream.key()] = until
 	}
 	w.limits.Merge(upstream, Report{PerSecond: warmup.PerSecond}, now)
--- a/daemon/lab/router.go
+++ b/daemon/lab/router.go
@@ -110,7 +110,7 @@
 	}
 	lasts := admission.Lasts(known, r.pace.Occupied(service), c.hint, r.play.usualAnswer())
 	query := balance.Query{Model: model, Lasts: lasts}
-	for !search.Over() {
+	for !search.Done() {
 		choice, ok := r.pool.Choose(r.list, query)
 		if !ok {
 			break
@@ -129,7 +129,7 @@
 		if load.Wait > 0 {
 			r.pool.Hold(choice.Upstream.ID, load.Wait)
 		} else {
-			search.Denied(load)
+			search.AddDenied(load)
 		}
 		choice.Done(balance.Abandoned)
 		query.Tried = append(query.Tried, choice.Upstream.ID)
