--- a/daemon/internal/request/admission/admission.go
+++ b/daemon/internal/request/admission/admission.go
@@ -82,12 +82,12 @@
 	Places int
 	// ReadTime is how long an engine takes to read a typical prompt, 0 if unknown.
 	ReadTime time.Duration
-	// PlaceEvery is the average time between two places freed on a full engine.
-	PlaceEvery time.Duration
+	// PlaceInterval is the average time between two places freed on a full engine.
+	PlaceInterval time.Duration
 	// Objective is the shortest first-byte objective of the service's routes, 0 if none has one.
 	Objective time.Duration
-	// Full is the recent share of time in which no place was free.
-	Full float64
+	// Saturation is the recent share of time in which no place was free.
+	Saturation float64
 }
 
 // Request describes the request to admit.
@@ -95,8 +95,8 @@
 	// Rank is the rank of the request among the priorities of the service, 0 for the most
 	// urgent.
 	Rank int
-	// Returned means that the client retries after a refusal.
-	Returned bool
+	// Retry means that the client retries after a refusal.
+	Retry bool
 	// Sent means that the request was sent to an engine before. Refusing it would waste the
 	// work done, so its last query is unlimited.
 	Sent bool
@@ -105,16 +105,16 @@
 // Reserve returns the number of places that a request leaves free on each engine for more urgent
 // ones.
 func Reserve(s Service, r Request) int {
-	if s.Full < lowSaturation {
+	if s.Saturation < lowSaturation {
 		return 0
 	}
 	return min(r.Rank*reservePerRank, maxReserve)
 }
 
-// Lasts returns the expected time for which a request holds a place, from the recent average and
+// HoldTime returns the expected time for which a request holds a place, from the recent average and
 // the ratio of its answer tokens to those of a typical answer. An engine that is about to load a
 // version admits only requests that are expected to end before.
-func Lasts(s Service, occupied time.Duration, answer, usual float64) time.Duration {
+func HoldTime(s Service, occupied time.Duration, answer, usual float64) time.Duration {
 	if usual <= 0 {
 		return occupied
 	}
@@ -128,7 +128,7 @@
 	switch {
 	case last && (r.Sent || s.Objective <= 0):
 		return Unlimited
-	case r.Returned && !r.Sent:
+	case r.Retry && !r.Sent:
 		return places.Limit{Taken: max(0, free-p.retryReserve(s))}
 	case last:
 		return places.Limit{Waiting: s.maxWaiting(), Taken: free + p.overcommit(s)}
@@ -142,11 +142,11 @@
 // It keeps places from standing empty until the next pass. An engine that frees places too slowly
 // gets none, since the waiting request would be late.
 func (p Policy) overcommit(s Service) int {
-	if s.PlaceEvery <= 0 {
+	if s.PlaceInterval <= 0 {
 		return 0
 	}
 	spare := time.Duration(overcommitFraction*float64(s.Objective)) - minReads*s.busyReadTime()
-	return max(0, min(p.MaxOvercommit, int(spare/s.PlaceEvery)))
+	return max(0, min(p.MaxOvercommit, int(spare/s.PlaceInterval)))
 }
 
 // retryReserve returns the number of places of each engine that a retry leaves free.
@@ -171,12 +171,12 @@
 		return false
 	}
 	inUse := load.Running + load.Waiting + 1
-	if r.Returned {
+	if r.Retry {
 		inUse += DefaultPolicy().retryReserve(s)
 	}
 	excess := max(0, inUse+reportLagPlaces+Reserve(s, r)-s.Places)
-	wait := time.Duration(load.Waiting)*s.ReadTime + time.Duration(excess)*s.PlaceEvery
-	return wait > time.Duration(waitFraction(s.Full)*float64(s.Objective))
+	wait := time.Duration(load.Waiting)*s.ReadTime + time.Duration(excess)*s.PlaceInterval
+	return wait > time.Duration(waitFraction(s.Saturation)*float64(s.Objective))
 }
 
 // waitFraction returns the fraction of the objective that a request may wait at a given
--- a/daemon/internal/request/admission/admission_test.go
+++ b/daemon/internal/request/admission/admission_test.go
@@ -20,9 +20,9 @@
 		if !last {
 			return places.Limit{Waiting: queried, Taken: free}
 		}
-		part := min(max((s.Full-0.2)/0.4, 0), 1)
+		part := min(max((s.Saturation-0.2)/0.4, 0), 1)
 		wait := (1 - 0.7*part) * float64(s.Objective)
-		return places.Limit{Waiting: max(queried, int(wait/float64(s.ReadTime))), Taken: free + int(wait/float64(s.PlaceEvery))}
+		return places.Limit{Waiting: max(queried, int(wait/float64(s.ReadTime))), Taken: free + int(wait/float64(s.PlaceInterval))}
 	}}
 )
 
@@ -62,7 +62,7 @@
 func TestLimitsGrowWithinOvercommit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := admission.Service{
-			Places: rapid.IntRange(4, 64).Draw(t, "places"), Full: rapid.Float64Range(0, 1).Draw(t, "full"),
+			Places: rapid.IntRange(4, 64).Draw(t, "places"), Saturation: rapid.Float64Range(0, 1).Draw(t, "full"),
 			ReadTime:  time.Duration(rapid.IntRange(0, 200).Draw(t, "read")) * time.Millisecond,
 			Objective: time.Duration(rapid.IntRange(1, 2000).Draw(t, "objective")) * time.Millisecond,
 		}
@@ -74,11 +74,11 @@
 			assert.GreaterOrEqual(t, limit.Taken, inUse)
 			assert.Less(t, limit.Taken, s.Places+policy.MaxOvercommit)
 			inUse = limit.Taken
-			retry := policy.Limit(s, admission.Request{Rank: r.Rank, Returned: true}, queried, false)
+			retry := policy.Limit(s, admission.Request{Rank: r.Rank, Retry: true}, queried, false)
 			assert.LessOrEqual(t, retry.Waiting, limit.Waiting)
 			assert.Less(t, retry.Taken, inUse+1)
 		}
-		r.Sent, r.Returned = true, true
+		r.Sent, r.Retry = true, true
 		assert.Equal(t, admission.Unlimited, policy.Limit(s, r, 0, true), "a request sent before is admitted by any engine")
 	})
 }
@@ -87,27 +87,27 @@
 // have the same priority or no engine is full.
 func TestPlacesAreReservedOnlyWhenScarce(t *testing.T) {
 	lessUrgent := admission.Request{Rank: 1}
-	assert.Zero(t, admission.Reserve(admission.Service{Full: 0.1}, lessUrgent))
-	assert.Positive(t, admission.Reserve(admission.Service{Full: 0.5}, lessUrgent))
-	assert.Zero(t, admission.Reserve(admission.Service{Full: 0.5}, admission.Request{}))
+	assert.Zero(t, admission.Reserve(admission.Service{Saturation: 0.1}, lessUrgent))
+	assert.Positive(t, admission.Reserve(admission.Service{Saturation: 0.5}, lessUrgent))
+	assert.Zero(t, admission.Reserve(admission.Service{Saturation: 0.5}, admission.Request{}))
 }
 
 // TestLongerWaitIsAllowedInShortPeaks checks that the same reported load counts as an overload only
 // after engines have been full for some time.
 func TestLongerWaitIsAllowedInShortPeaks(t *testing.T) {
-	s := admission.Service{Places: 16, PlaceEvery: 100 * time.Millisecond, Objective: 400 * time.Millisecond}
+	s := admission.Service{Places: 16, PlaceInterval: 100 * time.Millisecond, Objective: 400 * time.Millisecond}
 	load := places.Load{Running: 15}
 	assert.False(t, admission.Overloaded(s, admission.Request{}, load))
-	s.Full = 1
+	s.Saturation = 1
 	assert.True(t, admission.Overloaded(s, admission.Request{}, load))
 	assert.False(t, admission.Overloaded(s, admission.Request{Sent: true}, load))
 }
 
 func TestExpectedHoldTimeScalesWithAnswerTokens(t *testing.T) {
 	s := admission.Service{ReadTime: 50 * time.Millisecond}
-	assert.Equal(t, 1100*time.Millisecond, admission.Lasts(s, time.Second, 90, 90))
-	assert.Equal(t, 2100*time.Millisecond, admission.Lasts(s, time.Second, 180, 90))
-	assert.Equal(t, time.Second, admission.Lasts(s, time.Second, 180, 0), "the typical answer is unknown")
+	assert.Equal(t, 1100*time.Millisecond, admission.HoldTime(s, time.Second, 90, 90))
+	assert.Equal(t, 2100*time.Millisecond, admission.HoldTime(s, time.Second, 180, 90))
+	assert.Equal(t, time.Second, admission.HoldTime(s, time.Second, 180, 0), "the typical answer is unknown")
 }
 
 // TestClosingBeforeLoadReducesRefusals simulates engines that load a version one after the other
--- a/daemon/internal/request/admission/simulation_test.go
+++ b/daemon/internal/request/admission/simulation_test.go
@@ -77,7 +77,7 @@
 // closed reports whether an engine is closed to a request that would run past its load time.
 func (r rollout) closed(e *engine, req *request, now time.Duration) bool {
 	s := admission.Service{ReadTime: readTime(typicalPrompt)}
-	duration := admission.Lasts(s, passTime*typicalAnswer/passTokens, req.hint, typicalAnswer)
+	duration := admission.HoldTime(s, passTime*typicalAnswer/passTokens, req.hint, typicalAnswer)
 	return e.loadAt > now && e.loadAt-now <= r.closeBefore && now+duration > e.loadAt
 }
 
@@ -185,7 +185,7 @@
 	const weight = 0.01
 	s := admission.Service{
 		Places: enginePlaces, ReadTime: readTime(typicalPrompt),
-		PlaceEvery: 1500 * time.Millisecond / enginePlaces, Objective: objective, Full: full,
+		PlaceInterval: 1500 * time.Millisecond / enginePlaces, Objective: objective, Saturation: full,
 	}
 	order := draw.Perm(len(fleet))[:2*p.queries]
 	score := func(i int) int {
@@ -198,7 +198,7 @@
 	slices.SortStableFunc(order, func(a, b int) int { return score(a) - score(b) })
 	allFull := 1.0
 	for queried, i := range order[:p.queries] {
-		limit := p.limit(s, admission.Request{Returned: req.refusals > 0}, queried, queried == p.queries-1)
+		limit := p.limit(s, admission.Request{Retry: req.refusals > 0}, queried, queried == p.queries-1)
 		load := fleet[i].load()
 		if load.Running+load.Waiting < enginePlaces {
 			allFull = 0
--- a/daemon/internal/request/dispatch/dispatch.go
+++ b/daemon/internal/request/dispatch/dispatch.go
@@ -289,7 +289,7 @@
 	}
 	query.Model = q.service.Engine.Model
 	query.Lasts = q.lasts()
-	query.Reserve = admission.Reserve(admission.Service{Full: q.Pace.Share(q.service.Name)}, q.standing())
+	query.Reserve = admission.Reserve(admission.Service{Saturation: q.Pace.Share(q.service.Name)}, q.standing())
 	if declared, ok := q.View().Targets[query.Model]; ok {
 		demand := q.Demand(&declared)
 		query.Version, query.Preferred, query.Avoid = demand.Lowest, demand.Preferred, demand.Avoid
--- a/daemon/internal/request/dispatch/place.go
+++ b/daemon/internal/request/dispatch/place.go
@@ -173,7 +173,7 @@
 		return false
 	}
 	known := q.engines(choice, q.route.Objective)
-	known.Full = q.Pace.Full(q.service.Name, choice.Running+choice.Waiting+1 > choice.Upstream.Places)
+	known.Saturation = q.Pace.Full(q.service.Name, choice.Running+choice.Waiting+1 > choice.Upstream.Places)
 	return admission.Overloaded(known, q.standing(), places.Load{Running: choice.Running, Waiting: choice.Waiting})
 }
 
@@ -198,20 +198,20 @@
 // against some objective.
 func (q *request) engines(choice balance.Choice, objective time.Duration) admission.Service {
 	return admission.Service{
-		Places: choice.Upstream.Places, ReadTime: q.readTime(), PlaceEvery: q.placeEvery(choice),
-		Objective: objective, Full: q.Pace.Share(q.service.Name),
+		Places: choice.Upstream.Places, ReadTime: q.readTime(), PlaceInterval: q.placeEvery(choice),
+		Objective: objective, Saturation: q.Pace.Share(q.service.Name),
 	}
 }
 
 // standing is what counts of the request for admission.
 func (q *request) standing() admission.Request {
-	return admission.Request{Rank: q.rank, Returned: q.story.Returned, Sent: q.sent > 0}
+	return admission.Request{Rank: q.rank, Retry: q.story.Returned, Sent: q.sent > 0}
 }
 
 // lasts is how long the request is likely to hold a place.
 func (q *request) lasts() time.Duration {
 	known := admission.Service{ReadTime: q.readTime()}
-	return admission.Lasts(known, q.Pace.Occupied(q.service.Name), q.hint(), q.usualAnswer())
+	return admission.HoldTime(known, q.Pace.Occupied(q.service.Name), q.hint(), q.usualAnswer())
 }
 
 // readTime is how long an engine takes to read a usual prompt, 0 where that is
--- a/daemon/lab/router.go
+++ b/daemon/lab/router.go
@@ -97,18 +97,18 @@
 	spec := r.play.Engine
 	return admission.Service{
 		Places: spec.Places, ReadTime: r.play.readTime(), Objective: r.play.objective(),
-		PlaceEvery: r.pace.Occupied(service) / time.Duration(spec.Places), Full: r.pace.Share(service),
+		PlaceInterval: r.pace.Occupied(service) / time.Duration(spec.Places), Saturation: r.pace.Share(service),
 	}
 }
 
 // place asks engines for a place, as a real router does.
 func (r *router) place(c *caller) (*engine, balance.Choice, bool) {
 	known := r.known()
-	search := admission.Search{Service: known, Request: admission.Request{Returned: c.knownBack}}
+	search := admission.Search{Service: known, Request: admission.Request{Retry: c.knownBack}}
 	if r.play.policy.Ways != nil {
 		search.Policy = *r.play.policy.Ways
 	}
-	lasts := admission.Lasts(known, r.pace.Occupied(service), c.hint, r.play.usualAnswer())
+	lasts := admission.HoldTime(known, r.pace.Occupied(service), c.hint, r.play.usualAnswer())
 	query := balance.Query{Model: model, Lasts: lasts}
 	for !search.Done() {
 		choice, ok := r.pool.Choose(r.list, query)
