--- a/daemon/internal/request/dispatch/answer.go
+++ b/daemon/internal/request/dispatch/answer.go
@@ -44,7 +44,7 @@
 		if q.Context().Err() == nil && q.mayRepeat(exchange.Unknown) {
 			return false
 		}
-		q.giveUp(exchange.Result{Fate: exchange.Unknown, Err: err})
+		q.giveUp(exchange.Result{Kind: exchange.Unknown, Err: err})
 		return true
 	}
 	answer := wholeAnswer{response, body}
@@ -148,8 +148,8 @@
 	if result.Err != nil {
 		cause = result.Err.Error()
 	}
-	if result.Fate.NotRun() && q.neverRan() {
-		q.refuse(whyNotRun(result.Fate), cause)
+	if result.Kind.NotRun() && q.neverRan() {
+		q.refuse(whyNotRun(result.Kind), cause)
 		return
 	}
 	q.fail(http.StatusBadGateway, EndUnknown, cause)
@@ -179,7 +179,7 @@
 }
 
 // whyNotRun is why a request that did not run at an upstream is refused.
-func whyNotRun(fate exchange.Fate) admission.Cause {
+func whyNotRun(fate exchange.Kind) admission.Cause {
 	if fate == exchange.Refused {
 		return admission.EnginesFull
 	}
--- a/daemon/internal/request/dispatch/dispatch.go
+++ b/daemon/internal/request/dispatch/dispatch.go
@@ -231,7 +231,7 @@
 			q.refuse(whyUnplaced(err), err.Error())
 			return
 		}
-		if result.Fate == exchange.Answered {
+		if result.Kind == exchange.Answered {
 			if q.answer(ctx, choice, result.Response) {
 				return
 			}
@@ -245,7 +245,7 @@
 			q.timeOut(result)
 			return
 		}
-		if !q.mayRepeat(result.Fate) {
+		if !q.mayRepeat(result.Kind) {
 			q.giveUp(result)
 			return
 		}
@@ -297,7 +297,7 @@
 	return query
 }
 
-func (q *request) outcomeOf(fate exchange.Fate) balance.Outcome {
+func (q *request) outcomeOf(fate exchange.Kind) balance.Outcome {
 	switch {
 	case q.Context().Err() != nil:
 		return balance.Abandoned
@@ -322,7 +322,7 @@
 //
 // Of a content under which upstreams ended one after the other only what has not run is sent
 // again, and nothing of one that is held back.
-func (q *request) mayRepeat(fate exchange.Fate) bool {
+func (q *request) mayRepeat(fate exchange.Kind) bool {
 	if fate == exchange.Answered || len(q.tried) >= maxTried {
 		return false
 	}
@@ -355,7 +355,7 @@
 
 func (q *request) noteTry(choice balance.Choice, result exchange.Result, started time.Time) {
 	try := Try{
-		Upstream: choice.Upstream.ID, Address: choice.Upstream.Address, At: started.Sub(q.story.Started), Took: clock.Since(started), Fate: result.Fate.String(),
+		Upstream: choice.Upstream.ID, Address: choice.Upstream.Address, At: started.Sub(q.story.Started), Took: clock.Since(started), Fate: result.Kind.String(),
 		Version: choice.Version, InFlight: choice.InFlight, Candidates: choice.Candidates,
 		Waiting: choice.Waiting, Beyond: choice.Beyond, Running: choice.Running, Age: choice.Age,
 		Door: q.doors[choice.Upstream.ID], Limit: result.Limit.String(),
@@ -364,7 +364,7 @@
 		q.broken(&try, result.Err)
 		q.tellBroken(choice, try, result.Err)
 	}
-	if result.Fate == exchange.Answered {
+	if result.Kind == exchange.Answered {
 		q.answering = len(q.story.Tries)
 	}
 	q.story.Tries = append(q.story.Tries, try)
--- a/daemon/internal/request/dispatch/hold_test.go
+++ b/daemon/internal/request/dispatch/hold_test.go
@@ -30,7 +30,7 @@
 // TestVerdictsBoundSends: a content under which two upstreams ended goes to another upstream
 // only where it has not run, and one that is held back to none.
 func TestVerdictsBoundSends(t *testing.T) {
-	fates := []exchange.Fate{exchange.Unknown, exchange.Unsent, exchange.Refused, exchange.Misdirected}
+	fates := []exchange.Kind{exchange.Unknown, exchange.Unsent, exchange.Refused, exchange.Misdirected}
 	for verdict, want := range map[quarantine.Verdict][]bool{
 		quarantine.Unrestricted:  {true, true, true, true},
 		quarantine.SingleAttempt: {false, true, true, true},
--- a/daemon/internal/request/dispatch/send.go
+++ b/daemon/internal/request/dispatch/send.go
@@ -63,9 +63,9 @@
 		if q.Heard != nil {
 			q.Heard(Heard{Request: q.story.ID, Upstream: choice.Upstream, Sent: s.started, Said: result.Limit})
 		}
-		if !s.settled.CompareAndSwap(false, true) && result.Fate == exchange.Answered {
+		if !s.settled.CompareAndSwap(false, true) && result.Kind == exchange.Answered {
 			_ = result.Response.Body.Close()
-			result = exchange.Result{Fate: exchange.Unknown, Err: context.Cause(ctx)}
+			result = exchange.Result{Kind: exchange.Unknown, Err: context.Cause(ctx)}
 		}
 		s.result <- result
 	}()
@@ -85,13 +85,13 @@
 	switch {
 	case errors.Is(result.Err, errOvertaken) || errors.Is(result.Err, errHeld) || errors.Is(result.Err, errStopping):
 		s.choice.Done(balance.Abandoned)
-	case result.Fate != exchange.Answered:
-		s.choice.Done(q.outcomeOf(result.Fate))
+	case result.Kind != exchange.Answered:
+		s.choice.Done(q.outcomeOf(result.Kind))
 	}
 }
 
 func (q *request) note(s *sending, result exchange.Result) {
-	if result.Fate == exchange.Unsent {
+	if result.Kind == exchange.Unsent {
 		q.sent--
 	}
 	q.noteTry(s.choice, result, s.started)
@@ -105,9 +105,9 @@
 	}
 	s.end(errOvertaken)
 	result := <-s.result
-	if result.Fate == exchange.Answered {
+	if result.Kind == exchange.Answered {
 		_ = result.Response.Body.Close()
-		result = exchange.Result{Fate: exchange.Unknown, Err: errOvertaken}
+		result = exchange.Result{Kind: exchange.Unknown, Err: errOvertaken}
 	}
 	q.note(s, result)
 	s.choice.Done(outcome)
@@ -130,7 +130,7 @@
 			endAll(errStopping, first, second)
 			stopping = nil
 		case result := <-first.result:
-			if result.Fate != exchange.Answered && second != nil {
+			if result.Kind != exchange.Answered && second != nil {
 				q.settle(first, result)
 				first, second = second, nil
 				continue
@@ -139,7 +139,7 @@
 			q.settle(first, result)
 			return first.choice, result
 		case result := <-resultOf(second):
-			if result.Fate != exchange.Answered {
+			if result.Kind != exchange.Answered {
 				q.settle(second, result)
 				second = nil
 				continue
@@ -235,5 +235,5 @@
 
 // good reports whether a stream may go on with an answer.
 func good(result exchange.Result) bool {
-	return result.Fate == exchange.Answered && result.Response.StatusCode/100 == http.StatusOK/100
+	return result.Kind == exchange.Answered && result.Response.StatusCode/100 == http.StatusOK/100
 }
--- a/daemon/internal/request/exchange/exchange.go
+++ b/daemon/internal/request/exchange/exchange.go
@@ -24,13 +24,13 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// Fate classifies the result of an attempt.
-type Fate int
+// Kind classifies the result of an attempt.
+type Kind int
 
 // Values of Fate. The zero value permits the fewest retries.
 const (
 	// Unknown means that the request may have been executed or may still be.
-	Unknown Fate = iota
+	Unknown Kind = iota
 	// Answered means that a valid response header was received from the upstream.
 	Answered
 	// Unsent means that no connection was established, so the request was not executed.
@@ -43,17 +43,17 @@
 )
 
 // String returns the name used in logs.
-func (f Fate) String() string {
+func (f Kind) String() string {
 	return [...]string{"unknown", "answered", "unsent", "refused", "misdirected"}[f]
 }
 
 // NotRun reports whether the request was not and will not be executed.
-func (f Fate) NotRun() bool { return f >= Unsent }
+func (f Kind) NotRun() bool { return f >= Unsent }
 
 // Result is the result of one attempt. Response is set only if Fate is Answered; the
 // caller must close its body.
 type Result struct {
-	Fate     Fate
+	Kind     Kind
 	Response *http.Response
 	Err      error
 	// Limit is the rate limit that the response names, if it comes from the expected
@@ -109,15 +109,15 @@
 	}
 	response, err := transport.RoundTrip(request)
 	if err != nil {
-		fate := Unknown
+		kind := Unknown
 		if !connected {
-			fate = Unsent
+			kind = Unsent
 		}
-		return Result{Fate: fate, Err: fmt.Errorf("send to %s at %s: %w", send.Upstream.ID, send.Upstream.Address, err)}
+		return Result{Kind: kind, Err: fmt.Errorf("send to %s at %s: %w", send.Upstream.ID, send.Upstream.Address, err)}
 	}
 	result := c.classify(send.Incoming, response)
 	result.Limit = c.advertisedLimit(result, response.Header)
-	if result.Fate != Answered {
+	if result.Kind != Answered {
 		_ = response.Body.Close()
 		result.Err = fmt.Errorf("response from %s at %s: %w", send.Upstream.ID, send.Upstream.Address, result.Err)
 	}
@@ -128,24 +128,24 @@
 func (c *Client) classify(incoming *http.Request, response *http.Response) Result {
 	h := &c.Headers
 	if response.Header.Get(h.RequestID) != incoming.Header.Get(h.RequestID) {
-		return Result{Fate: Unknown, Err: errRequestIDMismatch}
+		return Result{Kind: Unknown, Err: errRequestIDMismatch}
 	}
 	declaredNotRun := response.Header.Get(h.NotRun) != ""
 	switch status := response.StatusCode; {
 	case status == http.StatusMisdirectedRequest:
-		return Result{Fate: Misdirected, Err: fmt.Errorf("status %d", status)}
+		return Result{Kind: Misdirected, Err: fmt.Errorf("status %d", status)}
 	case declaredNotRun:
-		return Result{Fate: Refused, Err: fmt.Errorf("status %d", status)}
+		return Result{Kind: Refused, Err: fmt.Errorf("status %d", status)}
 	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests || status == http.StatusRequestTimeout:
-		return Result{Fate: Unknown, Err: errUndeclaredRefusal}
+		return Result{Kind: Unknown, Err: errUndeclaredRefusal}
 	case status/100 == 2 && response.Header.Get(h.Signature) == "":
-		return Result{Fate: Unknown, Err: errUnsigned}
+		return Result{Kind: Unknown, Err: errUnsigned}
 	case status/100 == 2 && response.Header.Get("Content-Encoding") != "":
-		return Result{Fate: Unknown, Err: errEncoded}
+		return Result{Kind: Unknown, Err: errEncoded}
 	case status < http.StatusOK || status/100 == 3:
-		return Result{Fate: Unknown, Err: fmt.Errorf("status %d", status)}
+		return Result{Kind: Unknown, Err: fmt.Errorf("status %d", status)}
 	default:
-		return Result{Fate: Answered, Response: response}
+		return Result{Kind: Answered, Response: response}
 	}
 }
 
@@ -153,11 +153,11 @@
 // other upstreams, and those to other requests, which may be old. The absence of a limit
 // counts only if the result is known, since an invalid response may lack the header.
 func (c *Client) advertisedLimit(result Result, header http.Header) ratelimit.ResponseLimit {
-	if result.Fate == Misdirected || errors.Is(result.Err, errRequestIDMismatch) {
+	if result.Kind == Misdirected || errors.Is(result.Err, errRequestIDMismatch) {
 		return ratelimit.ResponseLimit{}
 	}
 	limit := ratelimit.Parse(header.Values(c.Headers.Limit))
-	if result.Fate == Unknown && limit.Kind == ratelimit.Unlimited {
+	if result.Kind == Unknown && limit.Kind == ratelimit.Unlimited {
 		return ratelimit.ResponseLimit{}
 	}
 	return limit
--- a/daemon/internal/request/exchange/exchange_test.go
+++ b/daemon/internal/request/exchange/exchange_test.go
@@ -29,7 +29,7 @@
 		limit  string
 		status int
 		header map[string]string
-		fate   exchange.Fate
+		kind   exchange.Kind
 		want   ratelimit.Kind
 	}{
 		"success with limit":               {two, 200, map[string]string{"Signature": "s"}, exchange.Answered, ratelimit.Limited},
@@ -61,7 +61,7 @@
 		result := client.Do(context.Background(), exchange.Send{
 			Incoming: incoming, Upstream: &provider.Upstream{ID: "u", Address: netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))}, Priority: -1,
 		})
-		assert.Equal(t, c.fate, result.Fate, "%s: %v", name, result.Err)
+		assert.Equal(t, c.kind, result.Kind, "%s: %v", name, result.Err)
 		assert.Equal(t, c.want, result.Limit.Kind, name)
 		if result.Response != nil {
 			_ = result.Response.Body.Close()
