--- a/daemon/internal/request/admission/retryafter.go
+++ b/daemon/internal/request/admission/retryafter.go
@@ -9,7 +9,7 @@
 // Cause is the cause of a refusal.
 type Cause int
 
-// Values of Why.
+// Values of Cause.
 const (
 	// EnginesFull means that the response would be late.
 	EnginesFull Cause = iota
--- a/daemon/internal/request/admission/search.go
+++ b/daemon/internal/request/admission/search.go
@@ -16,7 +16,7 @@
 type Search struct {
 	Service Service
 	Request Request
-	// Policy configures the search; the zero value means StandingWays.
+	// Policy configures the search; the zero value means DefaultPolicy.
 	Policy Policy
 
 	// denied counts the engines that denied a place, unresponsive the loaders that did not
--- a/daemon/internal/request/dispatch/send.go
+++ b/daemon/internal/request/dispatch/send.go
@@ -51,10 +51,10 @@
 	if q.query().Version > 0 {
 		expected = choice.Version // an engine that is not what it seems refuses
 	}
-	send := exchange.Send{
+	send := exchange.Attempt{
 		Incoming: q.Request, Body: q.body, Upstream: choice.Upstream, Account: q.accountName(),
-		Left: clock.Until(q.deadline), Priority: q.priority, Version: expected, LastEvent: lastEvent,
-		Fresh: !q.repeatable(),
+		Timeout: clock.Until(q.deadline), Priority: q.priority, Version: expected, LastEventID: lastEvent,
+		NewConn: !q.repeatable(),
 	}
 	q.tried = append(q.tried, choice.Upstream.ID)
 	q.sent++
--- a/daemon/internal/request/exchange/exchange.go
+++ b/daemon/internal/request/exchange/exchange.go
@@ -69,43 +69,43 @@
 	errUndeclaredRefusal = errors.New("upstream refused the request without declaring it not run")
 )
 
-// Send describes one attempt.
-type Send struct {
+// Attempt describes one attempt.
+type Attempt struct {
 	// Incoming is the client's request; its method, target and headers are forwarded.
 	Incoming *http.Request
 	Body     []byte
 	Upstream *provider.Upstream
 	// Account is the value of the account header; empty removes the header.
 	Account string
-	// Left is the time until the deadline, which the upstream receives in a header.
-	Left time.Duration
+	// Timeout is the time until the deadline, which the upstream receives in a header.
+	Timeout time.Duration
 	// Priority is the priority in the upstream's queue, 0 to 9; a negative value omits it.
 	Priority int
 	// Version is the version that the upstream must have loaded; 0 means any.
 	Version int
-	// LastEvent is the id of the event after which a stream resumes; empty keeps the
+	// LastEventID is the id of the event after which a stream resumes; empty keeps the
 	// client's header.
-	LastEvent string
-	// Fresh requests a new connection. A request that must not be repeated would be
+	LastEventID string
+	// NewConn requests a new connection. A request that must not be repeated would be
 	// lost if a pooled keep-alive connection turned out to be closed.
-	Fresh bool
+	NewConn bool
 }
 
 // Client sends requests to upstreams. Kept and Fresh must be set.
 type Client struct {
 	Headers provider.Headers
-	// Kept pools connections; Fresh opens one for each request.
-	Kept, Fresh http.RoundTripper
+	// Pooled pools connections; Unpooled opens one for each request.
+	Pooled, Unpooled http.RoundTripper
 }
 
 // Do sends a request and waits for the response header.
-func (c *Client) Do(ctx context.Context, send Send) Result {
+func (c *Client) Do(ctx context.Context, attempt Attempt) Result {
 	connected := false
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
-	request := c.newRequest(httptrace.WithClientTrace(ctx, trace), send)
-	transport := c.Kept
-	if send.Fresh {
-		transport = c.Fresh
+	request := c.newRequest(httptrace.WithClientTrace(ctx, trace), attempt)
+	transport := c.Pooled
+	if attempt.NewConn {
+		transport = c.Unpooled
 	}
 	response, err := transport.RoundTrip(request)
 	if err != nil {
@@ -113,13 +113,13 @@
 		if !connected {
 			kind = Unsent
 		}
-		return Result{Kind: kind, Err: fmt.Errorf("send to %s at %s: %w", send.Upstream.ID, send.Upstream.Address, err)}
+		return Result{Kind: kind, Err: fmt.Errorf("send to %s at %s: %w", attempt.Upstream.ID, attempt.Upstream.Address, err)}
 	}
-	result := c.classify(send.Incoming, response)
+	result := c.classify(attempt.Incoming, response)
 	result.Limit = c.advertisedLimit(result, response.Header)
 	if result.Kind != Answered {
 		_ = response.Body.Close()
-		result.Err = fmt.Errorf("response from %s at %s: %w", send.Upstream.ID, send.Upstream.Address, result.Err)
+		result.Err = fmt.Errorf("response from %s at %s: %w", attempt.Upstream.ID, attempt.Upstream.Address, result.Err)
 	}
 	return result
 }
@@ -164,47 +164,47 @@
 }
 
 // newRequest builds the outgoing request.
-func (c *Client) newRequest(ctx context.Context, send Send) *http.Request {
-	in := send.Incoming
+func (c *Client) newRequest(ctx context.Context, attempt Attempt) *http.Request {
+	in := attempt.Incoming
 	out := (&http.Request{
 		Method: in.Method, Host: in.Host,
-		URL:   target(in, send.Upstream),
+		URL:   target(in, attempt.Upstream),
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 		Header:        in.Header.Clone(),
-		ContentLength: int64(len(send.Body)),
+		ContentLength: int64(len(attempt.Body)),
 	}).WithContext(ctx)
 	CutConnectionHeaders(out.Header)
-	c.setHeaders(out.Header, send)
-	if len(send.Body) == 0 {
+	c.setHeaders(out.Header, attempt)
+	if len(attempt.Body) == 0 {
 		upstream.OneShot(out, nil)
 		if in.Method == http.MethodGet || in.Method == http.MethodHead {
 			out.Body = nil
 		}
 		return out
 	}
-	upstream.OneShot(out, strings.NewReader(string(send.Body)))
+	upstream.OneShot(out, strings.NewReader(string(attempt.Body)))
 	return out
 }
 
-func (c *Client) setHeaders(header http.Header, send Send) {
+func (c *Client) setHeaders(header http.Header, attempt Attempt) {
 	h := &c.Headers
 	header.Del("Authorization")
 	header.Del(h.Account)
-	if send.Account != "" {
-		header.Set(h.Account, send.Account)
+	if attempt.Account != "" {
+		header.Set(h.Account, attempt.Account)
 	}
-	header.Set(h.Deadline, strconv.FormatInt(max(send.Left.Milliseconds(), 1), 10))
-	header.Set(h.ExpectedUpstream, send.Upstream.ID)
+	header.Set(h.Deadline, strconv.FormatInt(max(attempt.Timeout.Milliseconds(), 1), 10))
+	header.Set(h.ExpectedUpstream, attempt.Upstream.ID)
 	header.Del(h.ExpectedVersion)
-	if send.Version > 0 {
-		header.Set(h.ExpectedVersion, strconv.Itoa(send.Version))
+	if attempt.Version > 0 {
+		header.Set(h.ExpectedVersion, strconv.Itoa(attempt.Version))
 	}
 	header.Del(h.Priority)
-	if send.Priority >= 0 {
-		header.Set(h.Priority, strconv.Itoa(send.Priority))
+	if attempt.Priority >= 0 {
+		header.Set(h.Priority, strconv.Itoa(attempt.Priority))
 	}
-	if send.LastEvent != "" {
-		header.Set(h.LastEvent, send.LastEvent)
+	if attempt.LastEventID != "" {
+		header.Set(h.LastEvent, attempt.LastEventID)
 	}
 	if _, ok := header["User-Agent"]; !ok {
 		header["User-Agent"] = nil // keeps net/http from adding its own
--- a/daemon/internal/request/exchange/exchange_test.go
+++ b/daemon/internal/request/exchange/exchange_test.go
@@ -55,10 +55,10 @@
 			}
 			w.WriteHeader(c.status)
 		}))
-		client := &exchange.Client{Headers: headers, Kept: &http.Transport{}, Fresh: &http.Transport{}}
+		client := &exchange.Client{Headers: headers, Pooled: &http.Transport{}, Unpooled: &http.Transport{}}
 		incoming := httptest.NewRequest(http.MethodGet, "/x", nil)
 		incoming.Header.Set("Id", "own")
-		result := client.Do(context.Background(), exchange.Send{
+		result := client.Do(context.Background(), exchange.Attempt{
 			Incoming: incoming, Upstream: &provider.Upstream{ID: "u", Address: netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))}, Priority: -1,
 		})
 		assert.Equal(t, c.kind, result.Kind, "%s: %v", name, result.Err)
--- a/daemon/router/serving.go
+++ b/daemon/router/serving.go
@@ -51,9 +51,9 @@
 	return &dispatch.Dispatcher{
 		Headers: p.provider.Headers,
 		Client: &exchange.Client{
-			Headers: p.provider.Headers,
-			Kept:    p.toUpstreams,
-			Fresh:   dial.NewHostTransport(connect, 0),
+			Headers:  p.provider.Headers,
+			Pooled:   p.toUpstreams,
+			Unpooled: dial.NewHostTransport(connect, 0),
 		},
 		Pool: p.pool, Budget: p.budget, Pace: &dispatch.Pace{}, Callers: &admission.RetryDetector{}, View: p.compiler.View, Stale: p.silent,
 		Holding: holding.Budget{Most: p.holdMost()},
