--- a/daemon/internal/request/dispatch/candidates.go
+++ b/daemon/internal/request/dispatch/candidates.go
@@ -16,7 +16,7 @@
 func (q *request) candidates() ([]*provider.Upstream, error) {
 	all := q.View().Upstreams[q.service.Name]
 	rule := q.residency()
-	if !rule.Binds() {
+	if !rule.Restricts() {
 		return all, nil
 	}
 	var allowed []*provider.Upstream
--- a/daemon/internal/request/dispatch/stream.go
+++ b/daemon/internal/request/dispatch/stream.go
@@ -78,7 +78,7 @@
 // copy passes one upstream's events on until its end; no error means a good one. Where the
 // stream has begun at another upstream meanwhile, it returns that.
 func (s *stream) copy(ctx context.Context, choice balance.Choice, response *http.Response) (*begun, error) {
-	response.Body = holding.ReadAhead(response.Body, &s.Holding, aheadMost)
+	response.Body = holding.Prefetch(response.Body, &s.Holding, aheadMost)
 	defer func() { _ = response.Body.Close() }()
 	stalled := s.watch(ctx, response)
 	defer func() { stalled.cancel() }()
--- a/daemon/internal/request/holding/holding.go
+++ b/daemon/internal/request/holding/holding.go
@@ -23,15 +23,15 @@
 
 // Budget limits the number of buffered bytes. The zero value is unlimited.
 type Budget struct {
-	// Most is the limit in bytes; 0 means unlimited.
-	Most int64
+	// MaxBytes is the limit in bytes; 0 means unlimited.
+	MaxBytes int64
 
 	held atomic.Int64
 }
 
 // Reserve reserves n bytes and reports false, without reserving any, if they exceed the limit.
 func (b *Budget) Reserve(n int) bool {
-	if b.held.Add(int64(n)) > b.Most && b.Most > 0 {
+	if b.held.Add(int64(n)) > b.MaxBytes && b.MaxBytes > 0 {
 		b.held.Add(-int64(n))
 		return false
 	}
@@ -68,9 +68,9 @@
 	b.reserved = 0
 }
 
-// Ahead is a response body that a goroutine reads ahead of the consumer. Read must not be
+// PrefetchReader is a response body that a goroutine reads ahead of the consumer. Read must not be
 // called concurrently; Close may be called from any goroutine.
-type Ahead struct {
+type PrefetchReader struct {
 	body   io.ReadCloser
 	budget *Budget
 	limit  int
@@ -91,90 +91,90 @@
 // chunkBytes is the size of a single read.
 const chunkBytes = 4 << 10
 
-// ReadAhead starts to read ahead of the consumer, buffering at most limit bytes. Close ends
+// Prefetch starts to read a body ahead of the consumer, buffering at most limit bytes. Close ends
 // it.
-func ReadAhead(body io.ReadCloser, budget *Budget, limit int) *Ahead {
-	a := &Ahead{body: body, budget: budget, limit: limit}
-	a.changed.L = &a.mu
-	go a.run()
-	return a
+func Prefetch(body io.ReadCloser, budget *Budget, limit int) *PrefetchReader {
+	r := &PrefetchReader{body: body, budget: budget, limit: limit}
+	r.changed.L = &r.mu
+	go r.run()
+	return r
 }
 
-func (a *Ahead) run() {
+func (r *PrefetchReader) run() {
 	chunk := make([]byte, chunkBytes)
-	for a.waitForRoom() {
-		n, err := a.body.Read(chunk)
-		if !a.add(chunk[:n], err) {
+	for r.waitForRoom() {
+		n, err := r.body.Read(chunk)
+		if !r.add(chunk[:n], err) {
 			return
 		}
 	}
 }
 
 // waitForRoom waits until a chunk may be read and reports false after Close.
-func (a *Ahead) waitForRoom() bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	for !a.closed && !a.hasRoom() {
-		a.changed.Wait()
+func (r *PrefetchReader) waitForRoom() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for !r.closed && !r.hasRoom() {
+		r.changed.Wait()
 	}
-	return !a.closed
+	return !r.closed
 }
 
 // hasRoom reports whether a chunk may be read. The caller must hold mu. While Read waits on an
 // empty buffer, a chunk is admitted regardless of the limits; it still counts against the
 // budget.
-func (a *Ahead) hasRoom() bool {
-	if a.waiting && a.buffer.Len() == 0 {
+func (r *PrefetchReader) hasRoom() bool {
+	if r.waiting && r.buffer.Len() == 0 {
 		return true
 	}
-	return a.buffer.Len()+chunkBytes <= a.limit && (a.budget.Most == 0 || a.budget.Held()+chunkBytes <= a.budget.Most)
+	return r.buffer.Len()+chunkBytes <= r.limit && (r.budget.MaxBytes == 0 || r.budget.Held()+chunkBytes <= r.budget.MaxBytes)
 }
 
 // add buffers a chunk and reports whether to continue reading.
-func (a *Ahead) add(chunk []byte, err error) bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.closed {
+func (r *PrefetchReader) add(chunk []byte, err error) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.closed {
 		return false
 	}
-	a.budget.held.Add(int64(len(chunk)))
-	a.buffer.Write(chunk)
-	a.err = err
-	a.changed.Broadcast()
+	r.budget.held.Add(int64(len(chunk)))
+	r.buffer.Write(chunk)
+	r.err = err
+	r.changed.Broadcast()
 	return err == nil
 }
 
 // Read returns buffered bytes and waits while there are none.
-func (a *Ahead) Read(p []byte) (int, error) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	for a.buffer.Len() == 0 {
-		if a.closed {
+func (r *PrefetchReader) Read(p []byte) (int, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for r.buffer.Len() == 0 {
+		if r.closed {
 			return 0, io.ErrClosedPipe
 		}
-		if a.err != nil {
-			return 0, a.err
+		if r.err != nil {
+			return 0, r.err
 		}
-		a.waiting = true
-		a.changed.Broadcast()
-		a.changed.Wait()
+		r.waiting = true
+		r.changed.Broadcast()
+		r.changed.Wait()
 	}
-	a.waiting = false
-	n, _ := a.buffer.Read(p) // the buffer is not empty, so there is no error
-	a.budget.Release(n)
-	a.changed.Broadcast()
+	r.waiting = false
+	n, _ := r.buffer.Read(p) // the buffer is not empty, so there is no error
+	r.budget.Release(n)
+	r.changed.Broadcast()
 	return n, nil
 }
 
 // Close closes the body and discards the buffered bytes.
-func (a *Ahead) Close() error {
-	a.mu.Lock()
-	if !a.closed {
-		a.closed = true
-		a.budget.Release(a.buffer.Len())
-		a.buffer = bytes.Buffer{}
-		a.changed.Broadcast()
+func (r *PrefetchReader) Close() error {
+	r.mu.Lock()
+	if !r.closed {
+		r.closed = true
+		r.budget.Release(r.buffer.Len())
+		r.buffer = bytes.Buffer{}
+		r.changed.Broadcast()
 	}
-	a.mu.Unlock()
-	return a.body.Close()
+	r.mu.Unlock()
+	return r.body.Close()
 }
--- a/daemon/internal/request/holding/holding_test.go
+++ b/daemon/internal/request/holding/holding_test.go
@@ -40,10 +40,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		const readers, responseBytes, limit, budgetBytes = 1000, 64 << 10, 32 << 10, 4 << 20
 		want := bytes.Repeat([]byte("answer "), responseBytes/7)
-		budget := &holding.Budget{Most: budgetBytes}
-		var bodies []*holding.Ahead
+		budget := &holding.Budget{MaxBytes: budgetBytes}
+		var bodies []*holding.PrefetchReader
 		for range readers {
-			bodies = append(bodies, holding.ReadAhead(&countingBody{Reader: bytes.NewReader(want)}, budget, limit))
+			bodies = append(bodies, holding.Prefetch(&countingBody{Reader: bytes.NewReader(want)}, budget, limit))
 		}
 		synctest.Wait()
 		// Concurrent reads check the budget before they reserve, so each may exceed it by a chunk.
@@ -66,7 +66,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		budget := &holding.Budget{}
 		response := &countingBody{Reader: strings.NewReader(strings.Repeat("x", 1<<20))}
-		body := holding.ReadAhead(response, budget, 64<<10)
+		body := holding.Prefetch(response, budget, 64<<10)
 		synctest.Wait()
 		assert.Equal(t, 64<<10, response.read)
 		require.NoError(t, body.Close())
@@ -83,7 +83,7 @@
 func TestErrorFollowsBufferedBytes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		errReset := errors.New("connection reset")
-		body := holding.ReadAhead(&countingBody{Reader: io.MultiReader(strings.NewReader("begin"), &failingReader{errReset})}, &holding.Budget{}, 1<<10)
+		body := holding.Prefetch(&countingBody{Reader: io.MultiReader(strings.NewReader("begin"), &failingReader{errReset})}, &holding.Budget{}, 1<<10)
 		got, err := io.ReadAll(body)
 		require.ErrorIs(t, err, errReset)
 		assert.Equal(t, "begin", string(got))
@@ -97,7 +97,7 @@
 
 // TestBodyBeyondBudgetIsRejected also checks that Release returns what a rejected body reserved.
 func TestBodyBeyondBudgetIsRejected(t *testing.T) {
-	budget := &holding.Budget{Most: 100}
+	budget := &holding.Budget{MaxBytes: 100}
 	first := &holding.Body{Reader: strings.NewReader(strings.Repeat("a", 80)), Budget: budget}
 	_, err := io.ReadAll(first)
 	require.NoError(t, err)
@@ -117,11 +117,11 @@
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	budget := &holding.Budget{}
-	var bodies []*holding.Ahead
+	var bodies []*holding.PrefetchReader
 	synctest.Test(t, func(*testing.T) {
 		for range streams {
 			body := iotest.DataErrReader(io.LimitReader(&smallReads{event}, event*events))
-			bodies = append(bodies, holding.ReadAhead(&countingBody{Reader: body}, budget, 64<<10))
+			bodies = append(bodies, holding.Prefetch(&countingBody{Reader: body}, budget, 64<<10))
 		}
 		synctest.Wait()
 	})
--- a/daemon/internal/request/residency/residency.go
+++ b/daemon/internal/request/residency/residency.go
@@ -16,12 +16,12 @@
 	Route, Account []string
 }
 
-// Binds reports whether the rule restricts the regions.
-func (r Rule) Binds() bool { return len(r.Route) > 0 || len(r.Account) > 0 }
+// Restricts reports whether the rule restricts the regions.
+func (r Rule) Restricts() bool { return len(r.Route) > 0 || len(r.Account) > 0 }
 
 // Allows reports whether the request may run in a region; "" is an unknown region.
 func (r Rule) Allows(region string) bool {
-	return !r.Binds() || region != "" && allows(r.Route, region) && allows(r.Account, region)
+	return !r.Restricts() || region != "" && allows(r.Route, region) && allows(r.Account, region)
 }
 
 func allows(regions []string, region string) bool {
--- a/daemon/router/serving.go
+++ b/daemon/router/serving.go
@@ -56,7 +56,7 @@
 			Unpooled: dial.NewHostTransport(connect, 0),
 		},
 		Pool: p.pool, Budget: p.budget, Pace: &dispatch.Pace{}, Callers: &admission.RetryDetector{}, View: p.compiler.View, Stale: p.silent,
-		Holding: holding.Budget{Most: p.holdMost()},
+		Holding: holding.Budget{MaxBytes: p.holdMost()},
 		Region:  func(hall string) string { return p.current.Load().RegionOf(hall) },
 		Demand:  p.demand, Report: p.recorder.request, AskPlace: p.askPlace, Broke: p.broke,
 		Heard: p.heard, Allow: p.allow,
