--- a/daemon/internal/request/dispatch/answer.go
+++ b/daemon/internal/request/dispatch/answer.go
@@ -129,7 +129,7 @@
 
 func (q *request) passHead(response *http.Response) {
 	header := q.writer.Header()
-	exchange.CutConnectionHeaders(response.Header)
+	exchange.RemoveHopByHopHeaders(response.Header)
 	for name, values := range response.Header {
 		header[name] = values
 	}
--- a/daemon/internal/request/exchange/exchange.go
+++ b/daemon/internal/request/exchange/exchange.go
@@ -173,7 +173,7 @@
 		Header:        in.Header.Clone(),
 		ContentLength: int64(len(attempt.Body)),
 	}).WithContext(ctx)
-	CutConnectionHeaders(out.Header)
+	RemoveHopByHopHeaders(out.Header)
 	c.setHeaders(out.Header, attempt)
 	if len(attempt.Body) == 0 {
 		upstream.OneShot(out, nil)
@@ -230,9 +230,9 @@
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length",
 }
 
-// CutConnectionHeaders removes hop-by-hop headers, including those that the Connection
+// RemoveHopByHopHeaders removes hop-by-hop headers, including those that the Connection
 // header names.
-func CutConnectionHeaders(header http.Header) {
+func RemoveHopByHopHeaders(header http.Header) {
 	for _, line := range header["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
 			if name = strings.TrimSpace(name); name != "" {
