--- a/daemon/internal/request/admission/search.go
+++ b/daemon/internal/request/admission/search.go
@@ -2,8 +2,8 @@
 
 import "github.com/wheelcleat/wheelcleat/daemon/internal/connection/places"
 
-// MaxUnresponsive is the number of unresponsive loaders after which a search ends, since each costs a
-// call timeout of the request's time to the first byte.
+// MaxUnresponsive is the number of unresponsive loaders after which a search ends. Each adds a
+// call timeout to the request's time to the first byte.
 const MaxUnresponsive = 3
 
 // maxLimitedFactor times the maximum number of queries is the number of engines at their rate
--- a/daemon/internal/request/exchange/exchange.go
+++ b/daemon/internal/request/exchange/exchange.go
@@ -4,7 +4,7 @@
 // Whether a request may be sent again depends on whether it may have been executed.
 // There are two proofs that it was not: no connection was established, or the response
 // carries the upstream's not-run header. In all other cases (a reset, a closed
-// connection, a response to another request) it may have been executed. The type Fate
+// connection, a response to another request) it may have been executed. The type Kind
 // holds the classification, so that callers need not inspect errors.
 package exchange
 
@@ -27,7 +27,7 @@
 // Kind classifies the result of an attempt.
 type Kind int
 
-// Values of Fate. The zero value permits the fewest retries.
+// Values of Kind. The zero value permits the fewest retries.
 const (
 	// Unknown means that the request may have been executed or may still be.
 	Unknown Kind = iota
@@ -50,7 +50,7 @@
 // NotRun reports whether the request was not and will not be executed.
 func (f Kind) NotRun() bool { return f >= Unsent }
 
-// Result is the result of one attempt. Response is set only if Fate is Answered; the
+// Result is the result of one attempt. Response is set only if Kind is Answered; the
 // caller must close its body.
 type Result struct {
 	Kind     Kind
@@ -69,7 +69,7 @@
 	errUndeclaredRefusal = errors.New("upstream refused the request without declaring it not run")
 )
 
-// Attempt describes one attempt.
+// Attempt describes one attempt to send a request.
 type Attempt struct {
 	// Incoming is the client's request; its method, target and headers are forwarded.
 	Incoming *http.Request
@@ -91,7 +91,7 @@
 	NewConn bool
 }
 
-// Client sends requests to upstreams. Kept and Fresh must be set.
+// Client sends requests to upstreams. Pooled and Unpooled must be set.
 type Client struct {
 	Headers provider.Headers
 	// Pooled pools connections; Unpooled opens one for each request.
--- a/daemon/internal/request/quarantine/quarantine.go
+++ b/daemon/internal/request/quarantine/quarantine.go
@@ -269,8 +269,8 @@
 	Started, SentAt time.Time
 }
 
-// Attribute returns the crash of an upstream during an attempt, as observed now, and reports whether
-// it counts against the content. A crash with the same id and start time that was received before
+// Attribute returns the crash of an upstream during an attempt, as observed now, and reports
+// whether it counts against the content. A crash with the same id and start time that was received before
 // the attempt is a different one.
 func (t *Table) Attribute(attempt Attempt, now time.Time) (Crash, bool) {
 	crash := Crash{Upstream: attempt.Upstream, Started: attempt.Started, Depth: 1}
--- a/daemon/internal/request/ratelimit/warmup.go
+++ b/daemon/internal/request/ratelimit/warmup.go
@@ -20,8 +20,8 @@
 	Remaining time.Duration
 }
 
-// WarmupTable holds the warm-up limits of upstreams. The zero value is empty and ready to use. It is
-// not safe for concurrent use.
+// WarmupTable holds the warm-up limits of upstreams. The zero value is empty and ready to use. It
+// is not safe for concurrent use.
 type WarmupTable struct {
 	limits Table
 	// until is the end of each upstream's warm-up.
--- a/daemon/internal/request/route/route.go
+++ b/daemon/internal/request/route/route.go
@@ -208,7 +208,7 @@
 	ResultCanceled
 )
 
-// Done ends an attempt counted by Choose or Again and records its result.
+// Done ends an attempt counted by Choose or CountAttempt and records its result.
 func (r *Router) Done(host string, result Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
