--- a/daemon/internal/request/gate/handler.go
+++ b/daemon/internal/request/gate/handler.go
@@ -93,7 +93,7 @@
 		Peer:      h.Upstream,
 		Path:      strings.TrimPrefix(r.URL.RequestURI(), PathPrefix),
 	}
-	response, err := relay.Send(r.Context(), r, hop) //nolint:bodyclose // relay.Copy closes it
+	response, err := relay.Send(r.Context(), r, hop) //nolint:bodyclose // relay.CopyBody closes it
 	if err != nil {
 		h.writeFailure(w, r, target, err)
 		return
@@ -101,8 +101,8 @@
 	dropReservedHeaders(response.Header)
 	response.Header.Set(api.HeaderOutcome, string(api.OutcomeDone))
 	response.Header.Set(api.HeaderVersion, target.Manifest)
-	relay.CopyHead(w, response)
-	if err := relay.Copy(w, response); err != nil {
+	relay.WriteHead(w, response)
+	if err := relay.CopyBody(w, response); err != nil {
 		h.log(r, target, "cut", err.Error())
 		panic(http.ErrAbortHandler) // a normal return would make the truncated response look complete
 	}
@@ -128,7 +128,7 @@
 // received the request, else unknown.
 func HopRefusal(err, contextErr error) *outcome.Refusal {
 	var failure *relay.Failure
-	forwarded := !errors.As(err, &failure) || failure.HandedOver
+	forwarded := !errors.As(err, &failure) || failure.MaybeReceived
 	expired := contextErr != nil
 	switch {
 	case expired && forwarded:
--- a/daemon/internal/version/keep/keep_test.go
+++ b/daemon/internal/version/keep/keep_test.go
@@ -87,17 +87,17 @@
 			defer e.mu.Unlock()
 			report := provider.EngineReport{Sequence: e.sequence, Waiting: e.waiting, Running: e.running}
 			if e.held > 0 {
-				report.Models = []provider.Loaded{{Model: "m", Version: e.held}}
+				report.Models = []provider.LoadedModel{{Model: "m", Version: e.held}}
 			}
 			return report, nil
 		},
-		Stage: func(_ context.Context, _ netip.AddrPort, _ string, index int, chunk []byte) error {
+		WriteStaged: func(_ context.Context, _ netip.AddrPort, _ string, index int, chunk []byte) error {
 			e.mu.Lock()
 			defer e.mu.Unlock()
 			e.staged[index] = chunk
 			return nil
 		},
-		Staged: func(_ context.Context, _ netip.AddrPort, _ string, index int) ([]byte, error) {
+		ReadStaged: func(_ context.Context, _ netip.AddrPort, _ string, index int) ([]byte, error) {
 			e.mu.Lock()
 			defer e.mu.Unlock()
 			if chunk, ok := e.staged[index]; ok {
@@ -115,7 +115,7 @@
 	if order.Sequence != e.sequence {
 		return provider.OrderConflict, errors.New("sequence")
 	}
-	if order.Fence < e.fence {
+	if order.FencingToken < e.fence {
 		e.fenced++
 		return provider.OrderFenced, errors.New("fence")
 	}
@@ -130,7 +130,7 @@
 		e.loseAnswers--
 		return provider.OrderUnknown, errLost
 	}
-	return provider.OrderBegun, nil
+	return provider.OrderStarted, nil
 }
 
 func (e *engine) version() int {
--- /dev/null
+++ b/daemon/router/listeners.go
@@ -0,0 +1,109 @@
+package router
+
+import (
+	"net/http"
+
+	"github.com/uptrace/bunrouter"
+
+	"github.com/wheelcleat/wheelcleat/daemon/internal/clock"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/dial"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/peering"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/server"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/request/admission"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/request/dispatch"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/request/exchange"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/request/holding"
+)
+
+// listen opens the listeners for callers, the load balancer, other daemons and operators.
+func (p *Process) listen() error {
+	listens := []struct {
+		server  **server.Server
+		options server.Options
+	}{
+		{&p.callers, server.Options{
+			Name: "callers", Address: p.current.Load().Listen.Callers, Handler: p.dispatcher(), MaxHeaderBytes: maxHeaderBytes,
+		}},
+		{&p.ready, server.Options{Name: "readiness", Address: p.current.Load().Listen.Ready, Handler: p.readinessHandler()}},
+		{&p.peers, server.Options{Name: "peers", Address: p.current.Load().Listen.Peers, Handler: p.peerHandler()}},
+		{&p.metrics, server.Options{Name: "metrics", Address: p.current.Load().Listen.Metrics, Handler: p.metricsHandler()}},
+	}
+	for _, l := range listens {
+		s, err := server.Listen(l.options)
+		if err != nil {
+			return err
+		}
+		*l.server = s
+	}
+	return nil
+}
+
+// dispatcher connects request handling to the replica, the pool of upstreams, the rate limits and
+// the quarantine.
+func (p *Process) dispatcher() *dispatch.Dispatcher {
+	bounds := p.current.Load().Bounds
+	connect := dial.Within(upstreamConnectTimeout, p.options.Dial)
+	p.upstreamTransport = dial.NewHostTransport(connect, upstreamIdleTimeout)
+	p.budget = &dispatch.Budget{
+		Ratio: bounds.RetryRatio, Slack: bounds.RetrySlack, Window: bounds.RetryWindow.Std(),
+		Processes: func() int { return max(len(p.compiler.View().Members), len(p.current.Load().Seeds)) },
+	}
+	return &dispatch.Dispatcher{
+		Headers: p.provider.Headers,
+		Client: &exchange.Client{
+			Headers:  p.provider.Headers,
+			Pooled:   p.upstreamTransport,
+			Unpooled: dial.NewHostTransport(connect, 0),
+		},
+		Pool: p.pool, Budget: p.budget, LoadTracker: &dispatch.LoadTracker{}, Callers: &admission.RetryDetector{}, View: p.compiler.View, Stale: p.isStale,
+		Buffers: holding.Budget{MaxBytes: p.maxHeldBytes()},
+		Region:  func(hall string) string { return p.current.Load().RegionOf(hall) },
+		Demand:  p.demand, Report: p.recorder.request, RequestPlace: p.requestPlace, OnDisconnect: p.connectionBroke,
+		OnLimit: p.limitReported, Allow: p.allowSend,
+		AdmitContent: p.admitContent, CheckContent: p.suspects.verdict, OnServed: p.contentCompleted, ShutdownDeadline: p.drainExpired,
+	}
+}
+
+// maxHeldBytes returns how many bytes of answers may be buffered for slow callers: a quarter of
+// the memory limit, or 0 for no bound where that is not set.
+func (p *Process) maxHeldBytes() int64 {
+	const divisor, megabyte = 4, 1 << 20
+	return int64(p.current.Load().Bounds.MemoryMB) * megabyte / divisor
+}
+
+// demand returns the versions of a model on which requests may run.
+func (p *Process) demand(declared *replica.Declaration) replica.VersionPolicy {
+	return declared.VersionPolicy(clock.Now(), p.current.Load().Bounds.VersionApply.Std())
+}
+
+// readinessHandler reports ready while a configuration is loaded and the router is not draining.
+// An unreachable store does not make a router unready, since it would make all of them unready at
+// once.
+func (p *Process) readinessHandler() http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		if p.draining.Load() || p.compiler.View().Configuration == nil {
+			w.WriteHeader(http.StatusServiceUnavailable)
+			return
+		}
+		w.WriteHeader(http.StatusOK)
+	})
+}
+
+// peerHandler serves other daemons: the replica, the needs of engines, suspect contents and rate
+// limits.
+func (p *Process) peerHandler() http.Handler {
+	routes := bunrouter.New()
+	source := &peering.Source{Table: p.table, Standing: p.follower.Status}
+	routes.Compat().GET(peering.Path, source.ServeHTTP)
+	routes.Compat().GET(peering.EnginePath, peering.EngineHandler(p.compiler.View))
+	p.addSuspectRoutes(routes)
+	p.addLimitRoutes(routes)
+	return routes
+}
+
+func (p *Process) metricsHandler() http.Handler {
+	mux := http.NewServeMux()
+	p.telemetry.Pages(mux)
+	return mux
+}
