--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -248,7 +248,7 @@
 	for {
 		select {
 		case <-ticker.C:
-			p.router.Keep(p.members.View())
+			p.router.Prune(p.members.View())
 		case <-p.done:
 			return
 		}
--- a/daemon/internal/connection/broadcast/bench_test.go
+++ b/daemon/internal/connection/broadcast/bench_test.go
@@ -22,9 +22,9 @@
 	const routers = 400
 	var received atomic.Int64
 	all := make(chan struct{}, 1)
-	receiver := &broadcast.Receiver[quarantine.Note]{
-		All: func() []quarantine.Note { return nil }, Related: func([]quarantine.Note) []quarantine.Note { return nil },
-		Merge: func([]quarantine.Note) {
+	receiver := &broadcast.Receiver[quarantine.Report]{
+		All: func() []quarantine.Report { return nil }, Related: func([]quarantine.Report) []quarantine.Report { return nil },
+		Merge: func([]quarantine.Report) {
 			if received.Add(1)%routers == 0 {
 				all <- struct{}{}
 			}
@@ -36,10 +36,10 @@
 		b.Cleanup(server.Close)
 		peers = append(peers, netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://")))
 	}
-	sender := &broadcast.Sender[quarantine.Note]{
+	sender := &broadcast.Sender[quarantine.Report]{
 		Path:   broadcast.SuspectsPath,
 		Client: &http.Client{Transport: dial.NewHostTransport(dial.Direct, time.Minute)},
-		Peers:  func() []netip.AddrPort { return peers }, OnNotes: func([]quarantine.Note, netip.AddrPort) {},
+		Peers:  func() []netip.AddrPort { return peers }, OnNotes: func([]quarantine.Report, netip.AddrPort) {},
 	}
 	sender.Start()
 	b.Cleanup(sender.Stop)
--- a/daemon/internal/connection/broadcast/broadcast_test.go
+++ b/daemon/internal/connection/broadcast/broadcast_test.go
@@ -20,14 +20,14 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/quarantine"
 )
 
-var crashing = content.Request{Body: []byte("deadly")}.Name()
+var crashing = content.Request{Body: []byte("deadly")}.Digest()
 
 // noteOf returns a note that the content crashed some upstreams.
-func noteOf(upstreams ...string) quarantine.Note {
-	note := quarantine.Note{Content: crashing}
+func noteOf(upstreams ...string) quarantine.Report {
+	note := quarantine.Report{Content: crashing}
 	for _, upstream := range upstreams {
 		depth := map[string]int{"a": 1, "b": 2, "c": 3}[upstream]
-		note.Ends = append(note.Ends, quarantine.End{Upstream: upstream, Depth: depth})
+		note.Crashes = append(note.Crashes, quarantine.Crash{Upstream: upstream, Depth: depth})
 	}
 	return note
 }
@@ -44,9 +44,9 @@
 func startPeer(t *testing.T) *peer {
 	t.Helper()
 	p := &peer{}
-	receiver := &broadcast.Receiver[quarantine.Note]{
+	receiver := &broadcast.Receiver[quarantine.Report]{
 		All:     p.notes,
-		Related: func([]quarantine.Note) []quarantine.Note { return p.notes() },
+		Related: func([]quarantine.Report) []quarantine.Report { return p.notes() },
 		Merge:   p.merge,
 	}
 	routes := bunrouter.New()
@@ -71,32 +71,32 @@
 	return p.failures >= 0
 }
 
-func (p *peer) notes() []quarantine.Note {
+func (p *peer) notes() []quarantine.Report {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.table.Notes()
+	return p.table.Reports()
 }
 
-func (p *peer) merge(notes []quarantine.Note) {
+func (p *peer) merge(notes []quarantine.Report) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, note := range notes {
-		p.table.Take(note, time.Now())
+		p.table.Merge(note, time.Now())
 	}
 }
 
 func (p *peer) judge() quarantine.Verdict {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.table.Judge(crashing, time.Now())
+	return p.table.Verdict(crashing, time.Now())
 }
 
-func startSender(t *testing.T, own *peer, others ...netip.AddrPort) *broadcast.Sender[quarantine.Note] {
+func startSender(t *testing.T, own *peer, others ...netip.AddrPort) *broadcast.Sender[quarantine.Report] {
 	t.Helper()
-	sender := &broadcast.Sender[quarantine.Note]{
+	sender := &broadcast.Sender[quarantine.Report]{
 		Path:   broadcast.SuspectsPath,
 		Client: http.DefaultClient, Peers: func() []netip.AddrPort { return others },
-		OnNotes: func(notes []quarantine.Note, _ netip.AddrPort) { own.merge(notes) },
+		OnNotes: func(notes []quarantine.Report, _ netip.AddrPort) { own.merge(notes) },
 	}
 	sender.Start()
 	t.Cleanup(sender.Stop)
@@ -119,7 +119,7 @@
 	require.True(t, sender.Send(noteOf("a")))
 	require.True(t, sender.Send(noteOf("b", "c")))
 	for _, p := range []*peer{second, third} {
-		waitFor(t, "the content is quarantined", func() bool { return p.judge() == quarantine.Held })
+		waitFor(t, "the content is quarantined", func() bool { return p.judge() == quarantine.Quarantined })
 	}
 }
 
@@ -127,27 +127,27 @@
 // response to its own note about the same content.
 func TestMissedNotesArriveInResponse(t *testing.T) {
 	own, other := &peer{}, startPeer(t)
-	other.merge([]quarantine.Note{noteOf("b", "c")})
+	other.merge([]quarantine.Report{noteOf("b", "c")})
 	sender := startSender(t, own, other.address)
-	own.merge([]quarantine.Note{noteOf("a")})
+	own.merge([]quarantine.Report{noteOf("a")})
 	require.True(t, sender.Send(noteOf("a")))
-	waitFor(t, "the content is quarantined", func() bool { return own.judge() == quarantine.Held })
+	waitFor(t, "the content is quarantined", func() bool { return own.judge() == quarantine.Quarantined })
 }
 
 // TestStartingRouterFetchesNotes checks that a starting router has the notes of another one,
 // although no router sends it any.
 func TestStartingRouterFetchesNotes(t *testing.T) {
 	own, other := &peer{}, startPeer(t)
-	other.merge([]quarantine.Note{noteOf("a", "b", "c")})
-	sender := &broadcast.Sender[quarantine.Note]{
+	other.merge([]quarantine.Report{noteOf("a", "b", "c")})
+	sender := &broadcast.Sender[quarantine.Report]{
 		Path:   broadcast.SuspectsPath,
 		Client: http.DefaultClient, Peers: func() []netip.AddrPort { return nil },
 		CatchUpPeer: func() (netip.AddrPort, bool) { return other.address, true },
-		OnNotes:     func(notes []quarantine.Note, _ netip.AddrPort) { own.merge(notes) },
+		OnNotes:     func(notes []quarantine.Report, _ netip.AddrPort) { own.merge(notes) },
 	}
 	sender.Start()
 	t.Cleanup(sender.Stop)
-	waitFor(t, "the content is quarantined", func() bool { return own.judge() == quarantine.Held })
+	waitFor(t, "the content is quarantined", func() bool { return own.judge() == quarantine.Quarantined })
 }
 
 // TestStopDoesNotWaitForUnresponsiveRouter also checks that a full queue drops notes instead
@@ -156,10 +156,10 @@
 	requested := make(chan struct{}, 1)
 	client := &http.Client{Transport: unresponsive{requested}}
 	failed := make(chan error, 1)
-	sender := &broadcast.Sender[quarantine.Note]{
+	sender := &broadcast.Sender[quarantine.Report]{
 		Path:   broadcast.SuspectsPath,
 		Client: client, Peers: func() []netip.AddrPort { return []netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:1")} },
-		OnNotes: func([]quarantine.Note, netip.AddrPort) {}, OnFailed: func(_ netip.AddrPort, err error) { failed <- err },
+		OnNotes: func([]quarantine.Report, netip.AddrPort) {}, OnFailed: func(_ netip.AddrPort, err error) { failed <- err },
 	}
 	assert.False(t, sender.Send(noteOf("a")), "the sender is not started")
 	sender.Start()
--- a/daemon/internal/connection/places/client.go
+++ b/daemon/internal/connection/places/client.go
@@ -35,12 +35,12 @@
 
 // wireResponse is the encoded form of a Response.
 type wireResponse struct {
-	Granted      bool            `json:"given"`
-	Running      int             `json:"running"`
-	Waiting      int             `json:"waiting"`
-	Loading      bool            `json:"loading,omitempty"`
-	RetryAfterMs int64           `json:"wait,omitempty"`
-	RateLimit    *ratelimit.Note `json:"limit,omitempty"`
+	Granted      bool              `json:"given"`
+	Running      int               `json:"running"`
+	Waiting      int               `json:"waiting"`
+	Loading      bool              `json:"loading,omitempty"`
+	RetryAfterMs int64             `json:"wait,omitempty"`
+	RateLimit    *ratelimit.Report `json:"limit,omitempty"`
 }
 
 // Response is the response of a loader.
@@ -50,7 +50,7 @@
 	// Granted reports whether the router has the place.
 	Granted bool
 	// RateLimit is the rate limit of the engine, as the loader holds it; nil if there is none.
-	RateLimit *ratelimit.Note
+	RateLimit *ratelimit.Report
 }
 
 // Handler serves requests for places from a ledger. OnResponse is called with each response,
@@ -102,7 +102,7 @@
 )
 
 // parseCold parses the rate and the remaining time of a warm-up; nil if there is none.
-func parseCold(query url.Values) (*ratelimit.Cold, error) {
+func parseCold(query url.Values) (*ratelimit.Warmup, error) {
 	text := query.Get(coldParam)
 	if text == "" {
 		return nil, nil //nolint:nilnil // the parameter is optional
@@ -115,11 +115,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", coldForParam, err)
 	}
-	return &ratelimit.Cold{PerSecond: perSecond, Left: time.Duration(remaining) * time.Millisecond}, nil
+	return &ratelimit.Warmup{PerSecond: perSecond, Remaining: time.Duration(remaining) * time.Millisecond}, nil
 }
 
 // parseRateLimit parses the engine's rate limit as the router holds it; nil if there is none.
-func parseRateLimit(query url.Values) (*ratelimit.Note, error) {
+func parseRateLimit(query url.Values) (*ratelimit.Report, error) {
 	text := query.Get(limitParam)
 	if text == "" {
 		return nil, nil //nolint:nilnil // the parameter is optional
@@ -128,9 +128,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", ageParam, err)
 	}
-	note := &ratelimit.Note{Age: time.Duration(age) * time.Millisecond}
+	note := &ratelimit.Report{Age: time.Duration(age) * time.Millisecond}
 	if text == endedValue {
-		note.Ended = true
+		note.Lifted = true
 		return note, nil
 	}
 	parsed := ratelimit.Parse([]string{text})
@@ -184,13 +184,13 @@
 	}
 	if r.Cold != nil {
 		query += "&" + coldParam + "=" + strconv.FormatFloat(r.Cold.PerSecond, 'f', -1, 64)
-		query += "&" + coldForParam + "=" + strconv.FormatInt(r.Cold.Left.Milliseconds(), 10)
+		query += "&" + coldForParam + "=" + strconv.FormatInt(r.Cold.Remaining.Milliseconds(), 10)
 	}
 	if r.RateLimit == nil {
 		return query
 	}
 	limit := endedValue
-	if !r.RateLimit.Ended {
+	if !r.RateLimit.Lifted {
 		limit = strconv.FormatFloat(r.RateLimit.PerSecond, 'f', -1, 64)
 	}
 	return query + "&" + limitParam + "=" + limit + "&" + ageParam + "=" + strconv.FormatInt(r.RateLimit.Age.Milliseconds(), 10)
--- a/daemon/internal/connection/places/ledger.go
+++ b/daemon/internal/connection/places/ledger.go
@@ -50,9 +50,9 @@
 	// Engine identifies the engine and its start, and RateLimit is its rate limit as the
 	// router holds it; nil if there is none.
 	Engine    ratelimit.Upstream
-	RateLimit *ratelimit.Note
+	RateLimit *ratelimit.Report
 	// Cold is the warm-up state of the engine as the router holds it; nil if it is warm.
-	Cold *ratelimit.Cold
+	Cold *ratelimit.Warmup
 }
 
 // Ledger counts the places of one engine. The zero value gives no place until a load was
@@ -74,7 +74,7 @@
 	// limits holds the rate limit of each start of the engine.
 	limits ratelimit.Table
 	// warmup limits the rate of requests while the engine is cold.
-	warmup ratelimit.Warming
+	warmup ratelimit.WarmupTable
 }
 
 // Observe sets the current load of the engine. Ok is false if the engine did not respond.
@@ -121,9 +121,9 @@
 		return load, false
 	}
 	now := helpers.Now(l.Now)
-	wait, ok := l.warmup.Allow(req.Engine, ratelimit.Whole, now)
+	wait, ok := l.warmup.Allow(req.Engine, ratelimit.FullShare, now)
 	if ok {
-		wait, ok = l.limits.Allow(req.Engine, ratelimit.Whole, now)
+		wait, ok = l.limits.Allow(req.Engine, ratelimit.FullShare, now)
 	}
 	if !ok {
 		load.RetryAfter = max(wait, time.Millisecond)
@@ -136,22 +136,22 @@
 // update merges the router's view of the engine's limits. The caller holds mu.
 func (l *Ledger) update(req Request) {
 	if req.Cold != nil {
-		l.warmup.Told(req.Engine, *req.Cold, helpers.Now(l.Now))
+		l.warmup.Merge(req.Engine, *req.Cold, helpers.Now(l.Now))
 	}
 	if req.RateLimit == nil {
 		return
 	}
-	change := l.limits.Told(req.Engine, *req.RateLimit, helpers.Now(l.Now))
+	change := l.limits.Merge(req.Engine, *req.RateLimit, helpers.Now(l.Now))
 	if change.Changed && l.OnLimit != nil {
 		l.OnLimit(req.Engine, change)
 	}
 }
 
 // RateLimit returns the rate limit of an engine, nil if there is none.
-func (l *Ledger) RateLimit(engine ratelimit.Upstream) *ratelimit.Note {
+func (l *Ledger) RateLimit(engine ratelimit.Upstream) *ratelimit.Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	note, ok := l.limits.Known(engine, helpers.Now(l.Now))
+	note, ok := l.limits.Report(engine, helpers.Now(l.Now))
 	if !ok {
 		return nil
 	}
--- a/daemon/internal/connection/places/places_test.go
+++ b/daemon/internal/connection/places/places_test.go
@@ -182,7 +182,7 @@
 	ledger.Observe(places.Load{}, true)
 	address := serve(t, places.Handler(ledger, func(places.Response) {}))
 	client := &places.Client{Client: http.DefaultClient}
-	reserve := func(engine ratelimit.Upstream, limit *ratelimit.Note) places.Response {
+	reserve := func(engine ratelimit.Upstream, limit *ratelimit.Report) places.Response {
 		c.now = c.now.Add(settled)
 		ledger.Observe(places.Load{}, true)
 		resp, err := client.Reserve(context.Background(), address, places.Request{Limit: places.Limit{InUse: 3}, Engine: engine, RateLimit: limit})
@@ -191,10 +191,10 @@
 	}
 	engine := ratelimit.Upstream{ID: "u/1 &", Started: time.Unix(0, 12345)}
 	assert.Nil(t, reserve(engine, nil).RateLimit)
-	assert.True(t, reserve(engine, &ratelimit.Note{PerSecond: 0.5, Age: 20 * time.Millisecond}).Granted)
+	assert.True(t, reserve(engine, &ratelimit.Report{PerSecond: 0.5, Age: 20 * time.Millisecond}).Granted)
 	other := reserve(engine, nil)
 	assert.False(t, other.Granted)
-	assert.Equal(t, &ratelimit.Note{PerSecond: 0.5, Age: 20*time.Millisecond + settled}, other.RateLimit)
+	assert.Equal(t, &ratelimit.Report{PerSecond: 0.5, Age: 20*time.Millisecond + settled}, other.RateLimit)
 	assert.Positive(t, other.RetryAfter)
 	next := reserve(engine, nil)
 	assert.Greater(t, next.RetryAfter, other.RetryAfter, "each refused request has a later time to retry")
@@ -202,7 +202,7 @@
 	restarted := engine
 	restarted.Started = time.Unix(0, 54321)
 	assert.True(t, reserve(restarted, nil).Granted)
-	assert.True(t, reserve(engine, &ratelimit.Note{Ended: true}).Granted)
+	assert.True(t, reserve(engine, &ratelimit.Report{Lifted: true}).Granted)
 	assert.True(t, reserve(engine, nil).Granted)
 
 	for _, query := range []string{"&limit=x&age=1", "&limit=-1&age=1", "&limit=1", "&limit=1&age=x"} {
@@ -224,7 +224,7 @@
 		q := request(places.Limit{Waiting: 100, InUse: 100})
 		q.Engine = ratelimit.Upstream{ID: "e"}
 		if step%2 == 0 {
-			q.Cold = &ratelimit.Cold{PerSecond: 10, Left: time.Second - time.Duration(step)*10*time.Millisecond}
+			q.Cold = &ratelimit.Warmup{PerSecond: 10, Remaining: time.Second - time.Duration(step)*10*time.Millisecond}
 		}
 		if _, ok := ledger.Reserve(q); ok {
 			given++
--- a/daemon/internal/request/account/account_test.go
+++ b/daemon/internal/request/account/account_test.go
@@ -17,7 +17,7 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/outcome"
 )
 
-func TestFind(t *testing.T) {
+func TestFindAuthenticatesBearerKey(t *testing.T) {
 	sum := sha256.Sum256([]byte("secret"))
 	resource := &api.Resource{Kind: api.KindAccount, Name: "a", Account: &api.AccountSpec{KeyDigests: []string{hex.EncodeToString(sum[:])}}}
 	value, err := tables.EncodeResource(resource, 0)
@@ -49,30 +49,30 @@
 	}
 }
 
-func TestLimits(t *testing.T) {
+func TestLimiterEnforcesRateAndConcurrency(t *testing.T) {
 	now := time.Unix(1000, 0)
 	limiter := &Limiter{}
 	a := &api.Resource{Name: "a", Revision: 1, Account: &api.AccountSpec{RatePerSecond: 2, Concurrency: 3}}
-	_, refusal := limiter.Enter(a, now)
+	_, refusal := limiter.Admit(a, now)
 	require.Nil(t, refusal)
-	leave, refusal := limiter.Enter(a, now)
+	leave, refusal := limiter.Admit(a, now)
 	require.Nil(t, refusal)
-	_, refusal = limiter.Enter(a, now)
-	require.NotNil(t, refusal, "over the rate")
+	_, refusal = limiter.Admit(a, now)
+	require.NotNil(t, refusal, "rate limit exceeded")
 	assert.Equal(t, outcome.ReasonAccountLimit, refusal.Reason)
-	assert.Equal(t, 500*time.Millisecond, refusal.RetryAfter, "the time at which it will be let in")
-	_, refusal = limiter.Enter(a, now.Add(refusal.RetryAfter))
+	assert.Equal(t, 500*time.Millisecond, refusal.RetryAfter, "Retry-After is the time until the next token")
+	_, refusal = limiter.Admit(a, now.Add(refusal.RetryAfter))
 	require.Nil(t, refusal)
-	_, refusal = limiter.Enter(a, now.Add(time.Hour))
-	require.NotNil(t, refusal, "over the concurrency")
+	_, refusal = limiter.Admit(a, now.Add(time.Hour))
+	require.NotNil(t, refusal, "concurrency limit exceeded")
 	leave()
 	leave()
-	_, refusal = limiter.Enter(a, now.Add(time.Hour))
+	_, refusal = limiter.Admit(a, now.Add(time.Hour))
 	require.Nil(t, refusal)
 	raised := &api.Resource{Name: "a", Revision: 2, Account: &api.AccountSpec{}}
-	_, refusal = limiter.Enter(raised, now)
-	require.Nil(t, refusal, "a new declaration is in force at once")
+	_, refusal = limiter.Admit(raised, now)
+	require.Nil(t, refusal, "a new revision takes effect at once")
 	other := &api.Resource{Name: "b", Account: &api.AccountSpec{Concurrency: 1}}
-	_, refusal = limiter.Enter(other, now)
-	require.Nil(t, refusal, "accounts do not share limits")
+	_, refusal = limiter.Admit(other, now)
+	require.Nil(t, refusal, "limits are per account")
 }
--- a/daemon/internal/request/dispatch/admit.go
+++ b/daemon/internal/request/dispatch/admit.go
@@ -43,7 +43,7 @@
 		return false
 	}
 	q.trace.Content = q.contentName()
-	if q.AdmitContent != nil && q.AdmitContent(q.trace.Content) == quarantine.Held {
+	if q.AdmitContent != nil && q.AdmitContent(q.trace.Content) == quarantine.Quarantined {
 		q.refuseQuarantined()
 		return false
 	}
@@ -146,10 +146,10 @@
 }
 
 // contentName identifies what is requested.
-func (q *request) contentName() content.Name {
+func (q *request) contentName() content.Digest {
 	return content.Request{
 		Account: q.accountName(), Method: q.Method, Host: q.Host, Target: q.RequestURI, Body: q.body,
-	}.Name()
+	}.Digest()
 }
 
 // callerTimeout returns how long the caller waits.
@@ -177,7 +177,7 @@
 	if !declared {
 		return 0, false
 	}
-	return remaining, q.Callers.Returned(admission.Seen{Route: q.route.Name, Left: remaining, Most: q.route.Timeout})
+	return remaining, q.Callers.IsRetry(admission.Arrival{Route: q.route.Name, Remaining: remaining, Declared: q.route.Timeout})
 }
 
 // routeTimeout returns how long the route lets a request take.
--- a/daemon/internal/request/dispatch/candidates.go
+++ b/daemon/internal/request/dispatch/candidates.go
@@ -16,7 +16,7 @@
 func (q *request) candidates() ([]*provider.Upstream, error) {
 	all := q.View().Upstreams[q.service.Name]
 	rule := q.residency()
-	if !rule.Binds() {
+	if !rule.Restricts() {
 		return all, nil
 	}
 	var allowed []*provider.Upstream
--- a/daemon/internal/request/dispatch/dispatch.go
+++ b/daemon/internal/request/dispatch/dispatch.go
@@ -43,7 +43,7 @@
 	Budget      *Budget
 	LoadTracker *LoadTracker
 	// Callers recognises retries of refused requests.
-	Callers *admission.Callers
+	Callers *admission.RetryDetector
 	// View returns the configuration and the upstreams in force, and Stale reports whether
 	// they may be out of date.
 	View  func() *replica.View
@@ -70,8 +70,8 @@
 	// AdmitContent returns the quarantine verdict on the content of an arriving request, and
 	// CheckContent the one on the content of an admitted request. OnServed is called for each
 	// content that got a complete response. All may be nil.
-	AdmitContent, CheckContent func(content.Name) quarantine.Verdict
-	OnServed                   func(content.Name)
+	AdmitContent, CheckContent func(content.Digest) quarantine.Verdict
+	OnServed                   func(content.Digest)
 	// ShutdownDeadline is closed shortly before a stopping process closes its callers'
 	// connections. Nil means never.
 	ShutdownDeadline <-chan struct{}
@@ -85,14 +85,14 @@
 	Upstream *provider.Upstream
 	// Sent is when the request was sent.
 	Sent  time.Time
-	Limit ratelimit.Said
+	Limit ratelimit.ResponseLimit
 }
 
 // Trace records one request for logs and metrics.
 type Trace struct {
 	ID, Route, Service, Account string
 	// Content identifies what was requested; a retry by the caller has the same content.
-	Content content.Name
+	Content content.Digest
 	Started time.Time
 	// FirstByte is when the head of the response was written, zero if none was.
 	FirstByte time.Time
@@ -239,7 +239,7 @@
 			q.refuse(unplacedReason(err), err.Error())
 			return
 		}
-		if result.Fate == exchange.Answered {
+		if result.Kind == exchange.Answered {
 			if q.forward(ctx, choice, result.Response) {
 				return
 			}
@@ -253,7 +253,7 @@
 			q.timeOut(result)
 			return
 		}
-		if !q.mayRetry(result.Fate) {
+		if !q.mayRetry(result.Kind) {
 			q.giveUp(result)
 			return
 		}
@@ -267,7 +267,7 @@
 )
 
 // unplacedReason returns why no upstream was chosen, which decides the caller's backoff.
-func unplacedReason(err error) admission.Why {
+func unplacedReason(err error) admission.Cause {
 	if errors.Is(err, errNoUpstream) {
 		return admission.NotReady
 	}
@@ -297,7 +297,7 @@
 	}
 	query.Model = q.service.Engine.Model
 	query.Duration = q.expectedHold()
-	query.ReservedPlaces = admission.Reserve(admission.Service{Full: q.LoadTracker.FullShare(q.service.Name)}, q.admissionRequest())
+	query.ReservedPlaces = admission.Reserve(admission.Service{Saturation: q.LoadTracker.FullShare(q.service.Name)}, q.admissionRequest())
 	if declared, ok := q.View().Targets[query.Model]; ok {
 		demand := q.Demand(&declared)
 		query.MinVersion, query.PreferredVersion, query.AvoidWeight = demand.MinVersion, demand.PreferredVersion, demand.AvoidWeight
@@ -305,7 +305,7 @@
 	return query
 }
 
-func (q *request) balanceOutcome(fate exchange.Fate) balance.Outcome {
+func (q *request) balanceOutcome(fate exchange.Kind) balance.Outcome {
 	switch {
 	case q.Context().Err() != nil:
 		return balance.Canceled
@@ -330,11 +330,11 @@
 //
 // Content that crashed several upstreams in a row is sent again only if it did not run, and
 // quarantined content not at all.
-func (q *request) mayRetry(fate exchange.Fate) bool {
+func (q *request) mayRetry(fate exchange.Kind) bool {
 	if fate == exchange.Answered || len(q.tried) >= maxUpstreams {
 		return false
 	}
-	if verdict := q.verdict(); verdict == quarantine.Held || verdict == quarantine.Once && fate == exchange.Unknown {
+	if verdict := q.verdict(); verdict == quarantine.Quarantined || verdict == quarantine.SingleAttempt && fate == exchange.Unknown {
 		return false
 	}
 	if fate == exchange.Unsent {
@@ -363,16 +363,16 @@
 
 func (q *request) recordAttempt(choice balance.Choice, result exchange.Result, started time.Time) {
 	attempt := Attempt{
-		Upstream: choice.Upstream.ID, Address: choice.Upstream.Address, Offset: started.Sub(q.trace.Started), Duration: clock.Since(started), Result: result.Fate.String(),
+		Upstream: choice.Upstream.ID, Address: choice.Upstream.Address, Offset: started.Sub(q.trace.Started), Duration: clock.Since(started), Result: result.Kind.String(),
 		Version: choice.Version, InFlight: choice.InFlight, Candidates: choice.Candidates,
 		Waiting: choice.Waiting, Excess: choice.Excess, Running: choice.Running, ReportAge: choice.ReportAge,
-		Path: q.paths[choice.Upstream.ID], Limit: result.Said.String(),
+		Path: q.paths[choice.Upstream.ID], Limit: result.Limit.String(),
 	}
 	if result.Err != nil {
 		q.recordInterrupt(&attempt, result.Err)
 		q.reportDisconnect(choice, attempt, result.Err)
 	}
-	if result.Fate == exchange.Answered {
+	if result.Kind == exchange.Answered {
 		q.answeredAttempt = len(q.trace.Attempts)
 	}
 	q.trace.Attempts = append(q.trace.Attempts, attempt)
--- a/daemon/internal/request/dispatch/interrupt.go
+++ b/daemon/internal/request/dispatch/interrupt.go
@@ -19,7 +19,7 @@
 // may have crashed, and the request may be the cause.
 type Disconnect struct {
 	Request  string
-	Content  content.Name
+	Content  content.Digest
 	Upstream *provider.Upstream
 	// After is the time from the send to the break.
 	After time.Duration
--- a/daemon/internal/request/dispatch/limit_test.go
+++ b/daemon/internal/request/dispatch/limit_test.go
@@ -31,7 +31,7 @@
 // TestUsedUpLimitDoesNotCountAsQuery: an engine whose limit is used up must not reduce the
 // number of engines that a request queries, and is not queried again before its wait is over.
 func TestUsedUpLimitDoesNotCountAsQuery(t *testing.T) {
-	engines := 2 * admission.StandingWays().Questions
+	engines := 2 * admission.DefaultPolicy().MaxQueries
 	f := newFleet(t, engines, nil)
 	q := f.request("hasty", 0)
 	f.limitAllBut(q, "u3")
--- a/daemon/internal/request/dispatch/place.go
+++ b/daemon/internal/request/dispatch/place.go
@@ -47,7 +47,7 @@
 	}
 	search := admission.Search{Request: q.admissionRequest()}
 	limited, requeried := false, false
-	for !search.Over() {
+	for !search.Done() {
 		choice, ok := q.Pool.Choose(candidates, query)
 		if !ok && limited && !requeried {
 			requeried, query.Exclude = true, q.tried
@@ -63,8 +63,8 @@
 		limited = limited || q.Pool.Throttled(choice.Upstream.ID)
 		query.Exclude = append(query.Exclude[:len(query.Exclude):len(query.Exclude)], choice.Upstream.ID)
 	}
-	denied, unresponsive := search.Asked()
-	if denied == 0 && search.TooLimited() {
+	denied, unresponsive := search.Counts()
+	if denied == 0 && search.LimitsExhausted() {
 		return balance.Choice{}, q.unplacedError(candidates)
 	}
 	if denied == 0 {
@@ -94,12 +94,12 @@
 	case err != nil && choice.HasReport && choice.ReportAge < maxReportAge:
 		return q.admitUnqueried(choice, PathLoadReport)
 	case err != nil:
-		search.Silent()
+		search.AddUnresponsive()
 	case load.RetryAfter > 0:
-		search.Limited()
+		search.AddLimited()
 		q.Pool.Throttle(choice.Upstream.ID, load.RetryAfter)
 	default:
-		search.Denied(load)
+		search.AddDenied(load)
 	}
 	choice.Done(balance.Canceled)
 	return choice, false, nil
@@ -174,7 +174,7 @@
 		return false
 	}
 	state := q.serviceState(choice, q.route.Objective)
-	state.Full = q.LoadTracker.RecordFull(q.service.Name, choice.Running+choice.Waiting+1 > choice.Upstream.Places)
+	state.Saturation = q.LoadTracker.RecordFull(q.service.Name, choice.Running+choice.Waiting+1 > choice.Upstream.Places)
 	return admission.Overloaded(state, q.admissionRequest(), places.Load{Running: choice.Running, Waiting: choice.Waiting})
 }
 
@@ -199,20 +199,20 @@
 // objective.
 func (q *request) serviceState(choice balance.Choice, objective time.Duration) admission.Service {
 	return admission.Service{
-		Places: choice.Upstream.Places, ReadTime: q.promptTime(), PlaceEvery: q.placeInterval(choice),
-		Objective: objective, Full: q.LoadTracker.FullShare(q.service.Name),
+		Places: choice.Upstream.Places, ReadTime: q.promptTime(), PlaceInterval: q.placeInterval(choice),
+		Objective: objective, Saturation: q.LoadTracker.FullShare(q.service.Name),
 	}
 }
 
 // admissionRequest returns what admission needs to know of the request.
 func (q *request) admissionRequest() admission.Request {
-	return admission.Request{Rank: q.rank, Returned: q.trace.Retried, Sent: q.sent > 0}
+	return admission.Request{Rank: q.rank, Retry: q.trace.Retried, Sent: q.sent > 0}
 }
 
 // expectedHold returns how long the request is likely to hold a place.
 func (q *request) expectedHold() time.Duration {
 	state := admission.Service{ReadTime: q.promptTime()}
-	return admission.Lasts(state, q.LoadTracker.HoldTime(q.service.Name), q.answerHint(), q.usualAnswer())
+	return admission.HoldTime(state, q.LoadTracker.HoldTime(q.service.Name), q.answerHint(), q.usualAnswer())
 }
 
 // promptTime returns how long an engine takes to read a usual prompt, 0 if unknown.
--- a/daemon/internal/request/dispatch/place_test.go
+++ b/daemon/internal/request/dispatch/place_test.go
@@ -112,7 +112,7 @@
 // TestRefusesWhenNoEngineGivesPlace: the number of queries is bounded, and nothing remains in
 // flight.
 func TestRefusesWhenNoEngineGivesPlace(t *testing.T) {
-	for engines, want := range map[int]int{1: 1, 2: 2, 9: admission.StandingWays().Questions} {
+	for engines, want := range map[int]int{1: 1, 2: 2, 9: admission.DefaultPolicy().MaxQueries} {
 		f := newFleet(t, engines, func(int) (bool, error) { return false, nil })
 		_, err := f.request("hasty", 0).choosePlace(context.Background())
 		require.ErrorIs(t, err, errOverloaded)
@@ -133,7 +133,7 @@
 // TestSkipsUnresponsiveLoaderWithStaleReport: its host may be cut off. If all loaders are
 // unresponsive, load reports decide nevertheless.
 func TestSkipsUnresponsiveLoaderWithStaleReport(t *testing.T) {
-	for firstAnswering, want := range map[int]int{2: 2, admission.MostSilent + 1: admission.MostSilent} {
+	for firstAnswering, want := range map[int]int{2: 2, admission.MaxUnresponsive + 1: admission.MaxUnresponsive} {
 		f := newFleet(t, 5, func(n int) (bool, error) {
 			if n < firstAnswering {
 				return false, errors.New("no answer")
--- a/daemon/internal/request/dispatch/quarantine.go
+++ b/daemon/internal/request/dispatch/quarantine.go
@@ -11,7 +11,7 @@
 // verdict returns the current quarantine verdict on the request's content.
 func (q *request) verdict() quarantine.Verdict {
 	if q.CheckContent == nil {
-		return quarantine.Free
+		return quarantine.Unrestricted
 	}
 	return q.CheckContent(q.trace.Content)
 }
@@ -25,7 +25,7 @@
 // cancelQuarantined cancels sends without a response head once their content is quarantined.
 // Otherwise overlapping requests for one content crash more engines after the verdict.
 func (q *request) cancelQuarantined(sends ...*pendingSend) {
-	if q.verdict() == quarantine.Held {
+	if q.verdict() == quarantine.Quarantined {
 		cancelAll(errQuarantined, sends...)
 	}
 }
--- a/daemon/internal/request/dispatch/quarantine_test.go
+++ b/daemon/internal/request/dispatch/quarantine_test.go
@@ -20,7 +20,7 @@
 	return &request{
 		Dispatcher: &Dispatcher{
 			Pool: &balance.Pool{}, Budget: &Budget{Slack: 100, Window: time.Minute},
-			CheckContent: func(content.Name) quarantine.Verdict { return *verdict },
+			CheckContent: func(content.Digest) quarantine.Verdict { return *verdict },
 		},
 		Request: httptest.NewRequest("GET", "/", nil), trace: &Trace{}, sent: 1,
 		route: &provider.Route{Mode: provider.ModeSafe, MaxAttempts: 3}, service: &provider.Service{Name: "s"},
@@ -30,23 +30,23 @@
 // TestVerdictLimitsRetries: content that crashed two upstreams is retried only if it has not
 // run, and quarantined content never.
 func TestVerdictLimitsRetries(t *testing.T) {
-	fates := []exchange.Fate{exchange.Unknown, exchange.Unsent, exchange.Refused, exchange.Misdirected}
+	fates := []exchange.Kind{exchange.Unknown, exchange.Unsent, exchange.Refused, exchange.Misdirected}
 	for verdict, want := range map[quarantine.Verdict][]bool{
-		quarantine.Free: {true, true, true, true},
-		quarantine.Once: {false, true, true, true},
-		quarantine.Held: {false, false, false, false},
+		quarantine.Unrestricted:  {true, true, true, true},
+		quarantine.SingleAttempt: {false, true, true, true},
+		quarantine.Quarantined:   {false, false, false, false},
 	} {
 		q := requestWithVerdict(&verdict)
 		for i, fate := range fates {
 			assert.Equal(t, want[i], q.mayRetry(fate), "%s after %s", verdict, fate)
 		}
-		assert.Equal(t, verdict == quarantine.Free, q.mayHedge(), "%s", verdict)
+		assert.Equal(t, verdict == quarantine.Unrestricted, q.mayHedge(), "%s", verdict)
 	}
 }
 
 // TestQuarantineCancelsPendingSends: only sends without a response head are canceled.
 func TestQuarantineCancelsPendingSends(t *testing.T) {
-	verdict := quarantine.Once
+	verdict := quarantine.SingleAttempt
 	q := requestWithVerdict(&verdict)
 	ctx, cancel := context.WithCancelCause(context.Background())
 	waiting := &pendingSend{cancel: cancel}
@@ -56,7 +56,7 @@
 
 	q.cancelQuarantined(waiting, begun, nil)
 	assert.NoError(t, ctx.Err())
-	verdict = quarantine.Held
+	verdict = quarantine.Quarantined
 	q.cancelQuarantined(waiting, begun, nil)
 	assert.ErrorIs(t, context.Cause(ctx), errQuarantined)
 	assert.NoError(t, begunCtx.Err())
--- a/daemon/internal/request/dispatch/response.go
+++ b/daemon/internal/request/dispatch/response.go
@@ -44,7 +44,7 @@
 		if q.Context().Err() == nil && q.mayRetry(exchange.Unknown) {
 			return false
 		}
-		q.giveUp(exchange.Result{Fate: exchange.Unknown, Err: err})
+		q.giveUp(exchange.Result{Kind: exchange.Unknown, Err: err})
 		return true
 	}
 	buffered := bufferedResponse{response, body}
@@ -128,7 +128,7 @@
 
 func (q *request) copyHeader(response *http.Response) {
 	header := q.writer.Header()
-	exchange.CutConnectionHeaders(response.Header)
+	exchange.RemoveHopByHopHeaders(response.Header)
 	for name, values := range response.Header {
 		header[name] = values
 	}
@@ -147,8 +147,8 @@
 	if result.Err != nil {
 		cause = result.Err.Error()
 	}
-	if result.Fate.NotRun() && q.neverRan() {
-		q.refuse(notRunReason(result.Fate), cause)
+	if result.Kind.NotRun() && q.neverRan() {
+		q.refuse(notRunReason(result.Kind), cause)
 		return
 	}
 	q.fail(http.StatusBadGateway, OutcomeUnknown, cause)
@@ -178,7 +178,7 @@
 }
 
 // notRunReason returns why a request that an upstream did not run is refused.
-func notRunReason(fate exchange.Fate) admission.Why {
+func notRunReason(fate exchange.Kind) admission.Cause {
 	if fate == exchange.Refused {
 		return admission.EnginesFull
 	}
@@ -186,13 +186,13 @@
 }
 
 // refuse answers a request that has not run, and sends the backoff for its retry.
-func (q *request) refuse(why admission.Why, cause string) {
+func (q *request) refuse(why admission.Cause, cause string) {
 	if !q.neverRan() {
 		q.fail(http.StatusBadGateway, OutcomeUnknown, cause)
 		return
 	}
-	q.Callers.Refused()
-	wait := admission.Back(why, rand.Float64())
+	q.Callers.RecordRefusal()
+	wait := admission.RetryAfter(why, rand.Float64())
 	q.trace.RetryAfter = wait
 	q.writer.Header().Set("Retry-After", strconv.FormatFloat(wait.Seconds(), 'f', 3, 64))
 	q.fail(http.StatusServiceUnavailable, OutcomeRefused, cause)
--- a/daemon/internal/request/dispatch/send.go
+++ b/daemon/internal/request/dispatch/send.go
@@ -51,21 +51,21 @@
 	if q.upstreamQuery().MinVersion > 0 {
 		expected = choice.Version // an engine with another version refuses
 	}
-	send := exchange.Send{
+	send := exchange.Attempt{
 		Incoming: q.Request, Body: q.body, Upstream: choice.Upstream, Account: q.accountName(),
-		Left: clock.Until(q.deadline), Priority: q.priority, Version: expected, LastEvent: lastEvent,
-		Fresh: !q.repeatable(),
+		Timeout: clock.Until(q.deadline), Priority: q.priority, Version: expected, LastEventID: lastEvent,
+		NewConn: !q.repeatable(),
 	}
 	q.tried = append(q.tried, choice.Upstream.ID)
 	q.sent++
 	go func() {
 		result := q.Client.Do(ctx, send)
 		if q.OnLimit != nil {
-			q.OnLimit(LimitReport{Request: q.trace.ID, Upstream: choice.Upstream, Sent: s.started, Limit: result.Said})
+			q.OnLimit(LimitReport{Request: q.trace.ID, Upstream: choice.Upstream, Sent: s.started, Limit: result.Limit})
 		}
-		if !s.settled.CompareAndSwap(false, true) && result.Fate == exchange.Answered {
+		if !s.settled.CompareAndSwap(false, true) && result.Kind == exchange.Answered {
 			_ = result.Response.Body.Close()
-			result = exchange.Result{Fate: exchange.Unknown, Err: context.Cause(ctx)}
+			result = exchange.Result{Kind: exchange.Unknown, Err: context.Cause(ctx)}
 		}
 		s.result <- result
 	}()
@@ -85,13 +85,13 @@
 	switch {
 	case errors.Is(result.Err, errSuperseded) || errors.Is(result.Err, errQuarantined) || errors.Is(result.Err, errStopping):
 		s.choice.Done(balance.Canceled)
-	case result.Fate != exchange.Answered:
-		s.choice.Done(q.balanceOutcome(result.Fate))
+	case result.Kind != exchange.Answered:
+		s.choice.Done(q.balanceOutcome(result.Kind))
 	}
 }
 
 func (q *request) recordSend(s *pendingSend, result exchange.Result) {
-	if result.Fate == exchange.Unsent {
+	if result.Kind == exchange.Unsent {
 		q.sent--
 	}
 	q.recordAttempt(s.choice, result, s.started)
@@ -105,9 +105,9 @@
 	}
 	s.cancelUnsettled(errSuperseded)
 	result := <-s.result
-	if result.Fate == exchange.Answered {
+	if result.Kind == exchange.Answered {
 		_ = result.Response.Body.Close()
-		result = exchange.Result{Fate: exchange.Unknown, Err: errSuperseded}
+		result = exchange.Result{Kind: exchange.Unknown, Err: errSuperseded}
 	}
 	q.recordSend(s, result)
 	s.choice.Done(outcome)
@@ -130,7 +130,7 @@
 			cancelAll(errStopping, first, second)
 			stopping = nil
 		case result := <-first.result:
-			if result.Fate != exchange.Answered && second != nil {
+			if result.Kind != exchange.Answered && second != nil {
 				q.settle(first, result)
 				first, second = second, nil
 				continue
@@ -139,7 +139,7 @@
 			q.settle(first, result)
 			return first.choice, result
 		case result := <-resultOf(second):
-			if result.Fate != exchange.Answered {
+			if result.Kind != exchange.Answered {
 				q.settle(second, result)
 				second = nil
 				continue
@@ -200,7 +200,7 @@
 
 // mayHedge reports whether a request with a pending send may go to another upstream too.
 func (q *request) mayHedge() bool {
-	return q.repeatable() && q.sent < q.route.MaxAttempts && len(q.tried) < maxUpstreams && q.verdict() == quarantine.Free
+	return q.repeatable() && q.sent < q.route.MaxAttempts && len(q.tried) < maxUpstreams && q.verdict() == quarantine.Unrestricted
 }
 
 // startHedge sends the request to another upstream, if one has a place before searchCtx is
@@ -233,5 +233,5 @@
 
 // isSuccess reports whether a stream may resume with this response.
 func isSuccess(result exchange.Result) bool {
-	return result.Fate == exchange.Answered && result.Response.StatusCode/100 == http.StatusOK/100
+	return result.Kind == exchange.Answered && result.Response.StatusCode/100 == http.StatusOK/100
 }
--- a/daemon/internal/request/exchange/exchange_test.go
+++ b/daemon/internal/request/exchange/exchange_test.go
@@ -20,30 +20,30 @@
 	Account: "Account", ExpectedUpstream: "Expect-Upstream", ExpectedVersion: "Expect-Version", Priority: "Priority",
 }
 
-// TestWhatAnswersSayOfALimit: any answer of the upstream's own may name one, also a refusal or a
-// broken one; only a sound one ends it; and one of another upstream, or to another request, which
-// may be old, says nothing.
-func TestWhatAnswersSayOfALimit(t *testing.T) {
+// TestLimitIsTakenFromResponsesOfTheUpstream guards against a limit set or lifted by a response
+// of another upstream or to another request, and against one lifted by an invalid response. A
+// refusal or an invalid response may still set a limit.
+func TestLimitIsTakenFromResponsesOfTheUpstream(t *testing.T) {
 	const none, two = "", "2"
 	for name, c := range map[string]struct {
 		limit  string
 		status int
 		header map[string]string
-		fate   exchange.Fate
+		kind   exchange.Kind
 		want   ratelimit.Kind
 	}{
-		"good, names one":           {two, 200, map[string]string{"Signature": "s"}, exchange.Answered, ratelimit.Limited},
-		"good, names none":          {none, 200, map[string]string{"Signature": "s"}, exchange.Answered, ratelimit.Unlimited},
-		"failure, names one":        {two, 500, nil, exchange.Answered, ratelimit.Limited},
-		"refusal, names one":        {two, 503, map[string]string{"Not-Run": "1"}, exchange.Refused, ratelimit.Limited},
-		"refusal, names none":       {none, 503, map[string]string{"Not-Run": "1"}, exchange.Refused, ratelimit.Unlimited},
-		"bare refusal, names one":   {two, 503, nil, exchange.Unknown, ratelimit.Limited},
-		"bare refusal, names none":  {none, 503, nil, exchange.Unknown, ratelimit.Silent},
-		"unsigned, names none":      {none, 200, nil, exchange.Unknown, ratelimit.Silent},
-		"of another upstream":       {two, 421, nil, exchange.Misdirected, ratelimit.Silent},
-		"to another request":        {two, 200, map[string]string{"Signature": "s", "Id": "other"}, exchange.Unknown, ratelimit.Silent},
-		"to another, names none":    {none, 200, map[string]string{"Signature": "s", "Id": "other"}, exchange.Unknown, ratelimit.Silent},
-		"names what cannot be read": {"x", 200, map[string]string{"Signature": "s"}, exchange.Answered, ratelimit.Silent},
+		"success with limit":               {two, 200, map[string]string{"Signature": "s"}, exchange.Answered, ratelimit.Limited},
+		"success without limit":            {none, 200, map[string]string{"Signature": "s"}, exchange.Answered, ratelimit.Unlimited},
+		"server error with limit":          {two, 500, nil, exchange.Answered, ratelimit.Limited},
+		"declared refusal with limit":      {two, 503, map[string]string{"Not-Run": "1"}, exchange.Refused, ratelimit.Limited},
+		"declared refusal without limit":   {none, 503, map[string]string{"Not-Run": "1"}, exchange.Refused, ratelimit.Unlimited},
+		"undeclared refusal with limit":    {two, 503, nil, exchange.Unknown, ratelimit.Limited},
+		"undeclared refusal without limit": {none, 503, nil, exchange.Unknown, ratelimit.Unspecified},
+		"unsigned without limit":           {none, 200, nil, exchange.Unknown, ratelimit.Unspecified},
+		"other upstream with limit":        {two, 421, nil, exchange.Misdirected, ratelimit.Unspecified},
+		"other request with limit":         {two, 200, map[string]string{"Signature": "s", "Id": "other"}, exchange.Unknown, ratelimit.Unspecified},
+		"other request without limit":      {none, 200, map[string]string{"Signature": "s", "Id": "other"}, exchange.Unknown, ratelimit.Unspecified},
+		"success with invalid limit":       {"x", 200, map[string]string{"Signature": "s"}, exchange.Answered, ratelimit.Unspecified},
 	} {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Id", r.Header.Get("Id"))
@@ -55,14 +55,14 @@
 			}
 			w.WriteHeader(c.status)
 		}))
-		client := &exchange.Client{Headers: headers, Kept: &http.Transport{}, Fresh: &http.Transport{}}
+		client := &exchange.Client{Headers: headers, Pooled: &http.Transport{}, Unpooled: &http.Transport{}}
 		incoming := httptest.NewRequest(http.MethodGet, "/x", nil)
 		incoming.Header.Set("Id", "own")
-		result := client.Do(context.Background(), exchange.Send{
+		result := client.Do(context.Background(), exchange.Attempt{
 			Incoming: incoming, Upstream: &provider.Upstream{ID: "u", Address: netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))}, Priority: -1,
 		})
-		assert.Equal(t, c.fate, result.Fate, "%s: %v", name, result.Err)
-		assert.Equal(t, c.want, result.Said.Kind, name)
+		assert.Equal(t, c.kind, result.Kind, "%s: %v", name, result.Err)
+		assert.Equal(t, c.want, result.Limit.Kind, name)
 		if result.Response != nil {
 			_ = result.Response.Body.Close()
 		}
--- a/daemon/internal/request/gate/gate_test.go
+++ b/daemon/internal/request/gate/gate_test.go
@@ -12,34 +12,34 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/outcome"
 )
 
-func TestRefusals(t *testing.T) {
-	stamp := Stamp{"s", "v1"}
+func TestEnterRefusesWithReason(t *testing.T) {
+	target := Target{"s", "v1"}
 	tests := []struct {
 		name   string
 		set    func(*Gate)
-		stamp  Stamp
+		target Target
 		reason outcome.Reason
 	}{
-		{"serves nothing yet", func(*Gate) {}, stamp, outcome.ReasonWrongVersion},
-		{"served", func(g *Gate) { g.Open(Serving{[]string{"s"}, "v1"}) }, stamp, ""},
-		{"another version", func(g *Gate) { g.Open(Serving{[]string{"s"}, "v2"}) }, stamp, outcome.ReasonWrongVersion},
-		{"another service", func(g *Gate) { g.Open(Serving{[]string{"t"}, "v1"}) }, stamp, outcome.ReasonWrongVersion},
-		{"no stamp", func(g *Gate) { g.Open(Serving{[]string{"s"}, "v1"}) }, Stamp{}, outcome.ReasonWrongVersion},
-		{"leaving", func(g *Gate) { g.Open(Serving{[]string{"s"}, "v1"}); g.Leave() }, stamp, outcome.ReasonStopping},
-		{"changing", func(g *Gate) { g.Open(Serving{[]string{"s"}, "v1"}); _ = g.Close(context.Background()) }, stamp, outcome.ReasonWrongVersion},
-		{"full", func(g *Gate) { g.Open(Serving{[]string{"s"}, "v1"}); g.SetLimit(1); _, _, _ = g.Enter(stamp) }, stamp, outcome.ReasonBusy},
-		{"leaving stays", func(g *Gate) { g.Leave(); g.Open(Serving{[]string{"s"}, "v1"}) }, stamp, outcome.ReasonStopping},
+		{"not opened", func(*Gate) {}, target, outcome.ReasonWrongVersion},
+		{"served", func(g *Gate) { g.Open(Serving{[]string{"s"}, "v1"}) }, target, ""},
+		{"another version", func(g *Gate) { g.Open(Serving{[]string{"s"}, "v2"}) }, target, outcome.ReasonWrongVersion},
+		{"another service", func(g *Gate) { g.Open(Serving{[]string{"t"}, "v1"}) }, target, outcome.ReasonWrongVersion},
+		{"empty target", func(g *Gate) { g.Open(Serving{[]string{"s"}, "v1"}) }, Target{}, outcome.ReasonWrongVersion},
+		{"leaving", func(g *Gate) { g.Open(Serving{[]string{"s"}, "v1"}); g.Leave() }, target, outcome.ReasonStopping},
+		{"closed for version change", func(g *Gate) { g.Open(Serving{[]string{"s"}, "v1"}); _ = g.Close(context.Background()) }, target, outcome.ReasonWrongVersion},
+		{"at in-flight limit", func(g *Gate) { g.Open(Serving{[]string{"s"}, "v1"}); g.SetLimit(1); _, _, _ = g.Admit(target) }, target, outcome.ReasonBusy},
+		{"open after leave", func(g *Gate) { g.Leave(); g.Open(Serving{[]string{"s"}, "v1"}) }, target, outcome.ReasonStopping},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			g := &Gate{}
 			test.set(g)
-			_, leave, refusal := g.Enter(test.stamp)
+			_, leave, refusal := g.Admit(test.target)
 			if test.reason == "" {
 				require.Nil(t, refusal)
 				leave()
 				leave()
-				assert.Zero(t, g.InFlight(), "leaving twice counts once")
+				assert.Zero(t, g.InFlight(), "a second call has no effect")
 				return
 			}
 			require.NotNil(t, refusal)
@@ -49,15 +49,15 @@
 	}
 }
 
-func TestCloseWaitsAndGivesUp(t *testing.T) {
+func TestCloseDrainsOrReopensOnTimeout(t *testing.T) {
 	g := &Gate{}
 	g.Open(Serving{[]string{"s"}, "v1"})
-	_, leave, _ := g.Enter(Stamp{"s", "v1"})
-	gone, cancel := context.WithCancel(t.Context())
+	_, leave, _ := g.Admit(Target{"s", "v1"})
+	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
-	require.Error(t, g.Close(gone))
-	_, second, refusal := g.Enter(Stamp{"s", "v1"})
-	require.Nil(t, refusal, "after giving up the gate is open as before")
+	require.Error(t, g.Close(canceled))
+	_, second, refusal := g.Admit(Target{"s", "v1"})
+	require.Nil(t, refusal, "the gate reopens for the same version")
 	closed := make(chan error)
 	go func() { closed <- g.Close(t.Context()) }()
 	leave()
@@ -65,23 +65,23 @@
 	require.NoError(t, <-closed)
 }
 
-// TestNoMixedVersions enters, leaves and changes versions in any order. No
-// request may be inside while another version than its own is served.
-func TestNoMixedVersions(t *testing.T) {
+// TestRequestNeverRunsUnderAnotherVersion checks random sequences of admissions,
+// completions and version changes.
+func TestRequestNeverRunsUnderAnotherVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := &Gate{}
-		type inside struct {
-			stamp Stamp
-			leave func()
+		type admitted struct {
+			target Target
+			leave  func()
 		}
-		var requests []inside
-		ended, cancel := context.WithCancel(context.Background())
+		var requests []admitted
+		canceled, cancel := context.WithCancel(context.Background())
 		cancel()
 		t.Repeat(map[string]func(*rapid.T){
 			"enter": func(t *rapid.T) {
-				stamp := Stamp{"s", rapid.SampledFrom([]string{"v1", "v2"}).Draw(t, "version")}
-				if _, leave, refusal := g.Enter(stamp); refusal == nil {
-					requests = append(requests, inside{stamp, leave})
+				target := Target{"s", rapid.SampledFrom([]string{"v1", "v2"}).Draw(t, "version")}
+				if _, leave, refusal := g.Admit(target); refusal == nil {
+					requests = append(requests, admitted{target, leave})
 				}
 			},
 			"leave": func(t *rapid.T) {
@@ -92,15 +92,15 @@
 				}
 			},
 			"change version": func(t *rapid.T) {
-				if g.Close(ended) == nil {
-					require.Empty(t, requests, "closed with requests inside")
+				if g.Close(canceled) == nil {
+					require.Empty(t, requests, "closed with requests in flight")
 					g.Open(Serving{[]string{"s"}, rapid.SampledFrom([]string{"v1", "v2"}).Draw(t, "to")})
 				}
 			},
 			"": func(t *rapid.T) {
 				require.Equal(t, len(requests), g.InFlight())
 				for _, r := range requests {
-					require.Equal(t, g.Serving().Manifest, r.stamp.Manifest)
+					require.Equal(t, g.Serving().Manifest, r.target.Manifest)
 				}
 			},
 		})
--- a/daemon/internal/request/intake/intake.go
+++ b/daemon/internal/request/intake/intake.go
@@ -173,7 +173,7 @@
 	if p.r.ContentLength > p.handler.MaxBodyBytes {
 		return outcome.NotRun(http.StatusRequestEntityTooLarge, outcome.ReasonTooLarge, fmt.Sprintf("the body may take %d bytes", p.handler.MaxBodyBytes))
 	}
-	release, refusal := p.handler.Accounts.Enter(client, now)
+	release, refusal := p.handler.Accounts.Admit(client, now)
 	if refusal != nil {
 		return refusal
 	}
@@ -246,7 +246,7 @@
 	}
 	choice := *p.corrected
 	p.corrected = nil
-	router.Again(choice)
+	router.CountAttempt(choice)
 	return choice, true
 }
 
@@ -256,7 +256,7 @@
 		return last
 	}
 	return outcome.NotRun(http.StatusServiceUnavailable, outcome.ReasonNoUpstream,
-		fmt.Sprintf("no host serves %q now", p.service.Name)).Retry(noUpstreamRetry)
+		fmt.Sprintf("no host serves %q now", p.service.Name)).WithRetryAfter(noUpstreamRetry)
 }
 
 // bufferBody reads a small repeatable body, so that it can be sent again.
@@ -326,14 +326,14 @@
 	callerGone := p.r.Context().Err() != nil
 	result := route.ResultFailed
 	if callerGone {
-		result = route.ResultCallerGone
+		result = route.ResultCanceled
 	}
 	p.handler.Router.Done(choice.Host, result)
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		return outcome.Unknown(http.StatusRequestEntityTooLarge, outcome.ReasonTooLarge, fmt.Sprintf("the body may take %d bytes", tooLarge.Limit)), true
 	}
-	refusal := gate.Refuse(err, ctx.Err())
+	refusal := gate.HopRefusal(err, ctx.Err())
 	final := refusal.Outcome != api.OutcomeNotRun || ctx.Err() != nil
 	return refusal, final
 }
@@ -355,9 +355,9 @@
 	reason := outcome.Reason(response.Header.Get(outcome.HeaderReason))
 	refusal := outcome.NotRun(http.StatusServiceUnavailable, reason, fmt.Sprintf("host %s refused it (%s)", choice.Host, reason))
 	if seconds, err := strconv.Atoi(response.Header.Get("Retry-After")); err == nil {
-		return refusal.Retry(time.Duration(seconds) * time.Second)
+		return refusal.WithRetryAfter(time.Duration(seconds) * time.Second)
 	}
-	return refusal.Retry(noUpstreamRetry)
+	return refusal.WithRetryAfter(noUpstreamRetry)
 }
 
 // stream writes a response as it arrives. If it is truncated, the caller's connection is
@@ -371,7 +371,7 @@
 	switch {
 	case err == nil:
 	case relay.IsCallerDisconnect(err) || p.r.Context().Err() != nil:
-		result = route.ResultCallerGone
+		result = route.ResultCanceled
 	default:
 		result = route.ResultFailed
 	}
--- /dev/null
+++ b/daemon/internal/request/ratelimit/warmup_test.go
@@ -0,0 +1,101 @@
+package ratelimit_test
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+
+	"github.com/wheelcleat/wheelcleat/daemon/internal/request/ratelimit"
+)
+
+// maxPerSecond returns the highest number of the given times within one second.
+func maxPerSecond(times []time.Time) int {
+	result := 0
+	for i, first := range times {
+		count := 0
+		for _, at := range times[i:] {
+			if at.Sub(first) < time.Second {
+				count++
+			}
+		}
+		result = max(result, count)
+	}
+	return result
+}
+
+// TestWarmupRateIsKeptAndUsed guards against overloading a cold upstream when a hall recovers and
+// all routers send at once. In a second 1.5 times the sustained rate plus five requests are
+// tolerated.
+func TestWarmupRateIsKeptAndUsed(t *testing.T) {
+	const sustained, allowed = 26, 44
+	engine := ratelimit.Upstream{ID: "e"}
+	for _, routers := range []int{40, 80, 546, 1092} {
+		warming := &ratelimit.WarmupTable{}
+		start := time.Unix(1000, 0)
+		warming.Merge(engine, ratelimit.Warmup{PerSecond: sustained, Remaining: 3 * time.Second}, start)
+		var sent []time.Time
+		for step := range 3000 {
+			now := start.Add(time.Duration(step) * time.Millisecond)
+			for range routers / 20 {
+				if _, ok := warming.Allow(engine, ratelimit.FullShare, now); ok {
+					sent = append(sent, now)
+				}
+			}
+		}
+		assert.LessOrEqual(t, maxPerSecond(sent), allowed, "%d routers", routers)
+		assert.GreaterOrEqual(t, len(sent), int(3*sustained)*95/100, "%d routers: the rate is used", routers)
+	}
+}
+
+// TestWarmUpstreamIsUnlimited also checks that the warm-up of one run does not limit another.
+func TestWarmUpstreamIsUnlimited(t *testing.T) {
+	engine := ratelimit.Upstream{ID: "e"}
+	start := time.Unix(1000, 0)
+	warming := &ratelimit.WarmupTable{}
+	warming.Merge(engine, ratelimit.Warmup{PerSecond: 1, Remaining: time.Second}, start)
+	denied := 0
+	for range 10 {
+		if _, ok := warming.Allow(engine, ratelimit.FullShare, start); !ok {
+			denied++
+		}
+	}
+	assert.Positive(t, denied)
+	restarted := ratelimit.Upstream{ID: "e", Started: start}
+	for range 10 {
+		_, ok := warming.Allow(restarted, ratelimit.FullShare, start)
+		assert.True(t, ok)
+		_, ok = warming.Allow(engine, ratelimit.FullShare, start.Add(time.Second))
+		assert.True(t, ok)
+	}
+}
+
+// TestSlotsAndLoaderTogetherKeepWarmupRate guards against routers with an unreachable loader
+// exceeding the rate together with the requests that the loader grants.
+func TestSlotsAndLoaderTogetherKeepWarmupRate(t *testing.T) {
+	const sustained, allowed = 26, 44
+	engine := ratelimit.Upstream{ID: "e"}
+	for _, routers := range []int{40, 80, 400} {
+		start := time.Unix(1000, 0)
+		loader := &ratelimit.WarmupTable{}
+		loader.Merge(engine, ratelimit.Warmup{PerSecond: sustained, Remaining: 3 * time.Second}, start)
+		bypassing := make([]*ratelimit.WarmupTable, routers)
+		for i := range bypassing {
+			bypassing[i] = &ratelimit.WarmupTable{}
+			bypassing[i].Merge(engine, ratelimit.Warmup{PerSecond: sustained, Remaining: 3 * time.Second}, start)
+		}
+		var sent []time.Time
+		for step := range 600 {
+			now := start.Add(time.Duration(step) * 5 * time.Millisecond)
+			if _, ok := loader.Allow(engine, ratelimit.FullShare, now); ok {
+				sent = append(sent, now)
+			}
+			for _, router := range bypassing {
+				if _, ok := router.Allow(engine, ratelimit.LoaderUnreachableShare.Among(routers), now); ok {
+					sent = append(sent, now)
+				}
+			}
+		}
+		assert.LessOrEqual(t, maxPerSecond(sent), allowed, "%d routers", routers)
+	}
+}
--- a/daemon/lab/limit.go
+++ b/daemon/lab/limit.go
@@ -241,15 +241,15 @@
 			if !r.play.reach(r.hall, other.hall) {
 				return
 			}
-			for _, named := range other.table.All(r.play.now()) {
-				r.told(named.Upstream, named.Note)
+			for _, named := range other.table.Reports(r.play.now()) {
+				r.told(named.Upstream, named.Report)
 			}
 		})
 	}
 }
 
-func (r *limitRouter) told(upstream ratelimit.Upstream, note ratelimit.Note) {
-	if r.table.Told(upstream, note, r.play.now()).Changed {
+func (r *limitRouter) told(upstream ratelimit.Upstream, note ratelimit.Report) {
+	if r.table.Merge(upstream, note, r.play.now()).Changed {
 		r.pool.Throttle(upstream.ID, 0)
 	}
 }
@@ -283,21 +283,21 @@
 func (r *limitRouter) allow(u *limitUpstream) (time.Duration, bool) {
 	key, now, routers := ratelimit.Upstream{ID: u.record.ID}, r.play.now(), len(r.play.routers)
 	if r.play.Fault == LimitPlain {
-		return r.table.Allow(key, ratelimit.Without.Among(routers), now)
+		return r.table.Allow(key, ratelimit.NoLoaderShare.Among(routers), now)
 	}
 	if r.play.struck(LimitLoaderGone) || r.muted[key.ID] > r.play.events.now {
 		if r.muted[key.ID] <= r.play.events.now {
 			r.muted[key.ID] = r.play.events.now + limitMute
 		}
-		return r.table.Allow(key, ratelimit.PastLoader.Among(routers), now)
+		return r.table.Allow(key, ratelimit.LoaderUnreachableShare.Among(routers), now)
 	}
-	if note, known := r.table.Known(key, now); known {
-		u.loader.Told(key, note, now)
+	if note, known := r.table.Report(key, now); known {
+		u.loader.Merge(key, note, now)
 	}
-	if note, known := u.loader.Known(key, now); known {
+	if note, known := u.loader.Report(key, now); known {
 		r.told(key, note)
 	}
-	return u.loader.Allow(key, ratelimit.Whole, now)
+	return u.loader.Allow(key, ratelimit.FullShare, now)
 }
 
 // send has a request come to an upstream, and its answer back.
@@ -316,32 +316,32 @@
 }
 
 // says is what an answer names.
-func (u *limitUpstream) says(p *limitPlay) ratelimit.Said {
+func (u *limitUpstream) says(p *limitPlay) ratelimit.ResponseLimit {
 	u.answers++
 	now := p.events.now
 	switch {
 	case !u.limited || now < limitFrom || now >= limitTo || p.Fault == LimitFlapping && now%time.Second >= time.Second/2:
-		return ratelimit.Said{Kind: ratelimit.Unlimited}
+		return ratelimit.ResponseLimit{Kind: ratelimit.Unlimited}
 	case p.Fault == LimitGarbled && u.answers%2 == 0:
 		return ratelimit.Parse([]string{"x"})
 	default:
-		return ratelimit.Said{Kind: ratelimit.Limited, PerSecond: p.PerSecond}
+		return ratelimit.ResponseLimit{Kind: ratelimit.Limited, PerSecond: p.PerSecond}
 	}
 }
 
 // heard takes what an answer says, and tells the others.
-func (r *limitRouter) heard(u *limitUpstream, said ratelimit.Said, sent time.Duration) {
+func (r *limitRouter) heard(u *limitUpstream, said ratelimit.ResponseLimit, sent time.Duration) {
 	p, key := r.play, ratelimit.Upstream{ID: u.record.ID}
-	change := r.table.Heard(key, said, start.Add(sent), p.now())
+	change := r.table.Observe(key, said, start.Add(sent), p.now())
 	if change.Changed {
 		r.pool.Throttle(key.ID, 0)
 	}
-	if !change.Tell {
+	if !change.Notify {
 		return
 	}
 	for _, other := range p.routers {
 		if other != r && p.reach(r.hall, other.hall) {
-			p.events.after(travel+time.Duration(p.random.Int64N(int64(lookEvery))), func() { other.do(func() { other.told(key, change.After) }) })
+			p.events.after(travel+time.Duration(p.random.Int64N(int64(lookEvery))), func() { other.do(func() { other.told(key, change.Current) }) })
 		}
 	}
 }
--- a/daemon/lab/router.go
+++ b/daemon/lab/router.go
@@ -17,7 +17,7 @@
 	play    *play
 	pool    balance.Pool
 	pace    dispatch.LoadTracker
-	callers admission.Callers
+	callers admission.RetryDetector
 	list    []*provider.Upstream
 }
 
@@ -76,7 +76,7 @@
 	c.knownBack = r.play.cameBack(r, c)
 	e, choice, ok := r.place(c)
 	if !ok {
-		r.callers.Refused()
+		r.callers.RecordRefusal()
 		r.refuse(c)
 		return
 	}
@@ -97,20 +97,20 @@
 	spec := r.play.Engine
 	return admission.Service{
 		Places: spec.Places, ReadTime: r.play.readTime(), Objective: r.play.objective(),
-		PlaceEvery: r.pace.HoldTime(service) / time.Duration(spec.Places), Full: r.pace.FullShare(service),
+		PlaceInterval: r.pace.HoldTime(service) / time.Duration(spec.Places), Saturation: r.pace.FullShare(service),
 	}
 }
 
 // place asks engines for a place, as a real router does.
 func (r *router) place(c *caller) (*engine, balance.Choice, bool) {
 	known := r.known()
-	search := admission.Search{Service: known, Request: admission.Request{Returned: c.knownBack}}
+	search := admission.Search{Service: known, Request: admission.Request{Retry: c.knownBack}}
 	if r.play.policy.Ways != nil {
-		search.Ways = *r.play.policy.Ways
+		search.Policy = *r.play.policy.Ways
 	}
-	lasts := admission.Lasts(known, r.pace.HoldTime(service), c.hint, r.play.usualAnswer())
+	lasts := admission.HoldTime(known, r.pace.HoldTime(service), c.hint, r.play.usualAnswer())
 	query := balance.Query{Model: model, Duration: lasts}
-	for !search.Over() {
+	for !search.Done() {
 		choice, ok := r.pool.Choose(r.list, query)
 		if !ok {
 			break
@@ -129,7 +129,7 @@
 		if load.RetryAfter > 0 {
 			r.pool.Throttle(choice.Upstream.ID, load.RetryAfter)
 		} else {
-			search.Denied(load)
+			search.AddDenied(load)
 		}
 		choice.Done(balance.Canceled)
 		query.Exclude = append(query.Exclude, choice.Upstream.ID)
--- a/daemon/router/crash_test.go
+++ b/daemon/router/crash_test.go
@@ -250,7 +250,7 @@
 	}
 	resp, err := http.Get("http://" + f.routers[0].Listen.Peers.String() + "/suspects")
 	require.NoError(t, err)
-	var known broadcast.Message[quarantine.Note]
+	var known broadcast.Message[quarantine.Report]
 	require.NoError(t, json.NewDecoder(resp.Body).Decode(&known))
 	require.NoError(t, resp.Body.Close())
 	require.Len(t, known.Notes, 1)
--- a/daemon/router/limit_test.go
+++ b/daemon/router/limit_test.go
@@ -197,9 +197,9 @@
 }
 
 // knownLimits returns the limits that a router holds, as its peers receive them.
-func knownLimits(t *testing.T, cfg settings.Router) []ratelimit.Named {
+func knownLimits(t *testing.T, cfg settings.Router) []ratelimit.UpstreamReport {
 	t.Helper()
-	all, err := broadcast.FetchAll[ratelimit.Named](t.Context(), http.DefaultClient, cfg.Listen.Peers, broadcast.LimitsPath)
+	all, err := broadcast.FetchAll[ratelimit.UpstreamReport](t.Context(), http.DefaultClient, cfg.Listen.Peers, broadcast.LimitsPath)
 	require.NoError(t, err)
 	return all
 }
@@ -210,7 +210,7 @@
 	f := startLimitFleet(t, "1.5", 0)
 	holdsLimit := func(cfg settings.Router, ended bool) bool {
 		all := knownLimits(t, cfg)
-		return len(all) == 1 && all[0].Upstream.ID == "u1" && all[0].Ended == ended && (ended || all[0].PerSecond == 1.5)
+		return len(all) == 1 && all[0].Upstream.ID == "u1" && all[0].Lifted == ended && (ended || all[0].PerSecond == 1.5)
 	}
 	for i := 0; f.limited.count() == 0; i++ {
 		call(t, f.routers[0], fmt.Sprint("first-", i), "GET", "/safe/x", "")
@@ -250,7 +250,7 @@
 	}
 	all := knownLimits(t, f.routers[0])
 	require.Len(t, all, 1)
-	assert.False(t, all[0].Ended)
+	assert.False(t, all[0].Lifted)
 	assert.GreaterOrEqual(t, all[0].PerSecond, 1.0)
 	assert.Equal(t, "u1", all[0].Upstream.ID)
 }
--- a/daemon/router/limits.go
+++ b/daemon/router/limits.go
@@ -24,7 +24,7 @@
 	table ratelimit.Table
 	// coldLimiter bounds what this router sends to cold upstreams whose loader does not count
 	// requests.
-	coldLimiter ratelimit.Warming
+	coldLimiter ratelimit.WarmupTable
 }
 
 // withTable calls fn with the table locked.
@@ -43,25 +43,25 @@
 // change.
 func (p *Process) limitReported(report dispatch.LimitReport) {
 	p.recorder.limitReported(report)
-	if report.Limit.Kind == ratelimit.Silent {
+	if report.Limit.Kind == ratelimit.Unspecified {
 		return
 	}
 	upstream := instanceOf(report.Upstream)
 	var change ratelimit.Change
 	p.limits.withTable(func(table *ratelimit.Table, now time.Time) {
-		change = table.Heard(upstream, report.Limit, report.Sent, now)
+		change = table.Observe(upstream, report.Limit, report.Sent, now)
 	})
 	p.limitChanged(limitUpdate{upstream: upstream, change: change, from: sourceOwn, request: report.Request})
-	if change.Tell && !p.limitNotifier.Send(ratelimit.Named{Upstream: upstream, Note: change.After}) {
+	if change.Notify && !p.limitNotifier.Send(ratelimit.UpstreamReport{Upstream: upstream, Report: change.Current}) {
 		p.recorder.notificationDropped()
 	}
 }
 
 // applyLimit applies a limit received from another process.
-func (p *Process) applyLimit(named ratelimit.Named, from source, peer netip.AddrPort) {
+func (p *Process) applyLimit(named ratelimit.UpstreamReport, from source, peer netip.AddrPort) {
 	var change ratelimit.Change
 	p.limits.withTable(func(table *ratelimit.Table, now time.Time) {
-		change = table.Told(named.Upstream, named.Note, now)
+		change = table.Merge(named.Upstream, named.Report, now)
 	})
 	p.limitChanged(limitUpdate{upstream: named.Upstream, change: change, from: from, peer: peer})
 }
@@ -79,14 +79,14 @@
 // allowSend takes one request from this router's share of the limit of an upstream whose loader
 // does not count requests. If the share is used up, it returns how long to wait.
 func (p *Process) allowSend(upstream *provider.Upstream, path dispatch.AdmissionPath) (wait time.Duration, ok bool) {
-	share := ratelimit.PastLoader
+	share := ratelimit.LoaderUnreachableShare
 	if path == dispatch.PathNoLoader {
-		share = ratelimit.Without
+		share = ratelimit.NoLoaderShare
 	}
 	share = share.Among(p.routerCount())
 	p.limits.withTable(func(table *ratelimit.Table, now time.Time) {
 		if cold := p.coldLimit(upstream, now); cold != nil {
-			p.limits.coldLimiter.Told(instanceOf(upstream), *cold, now)
+			p.limits.coldLimiter.Merge(instanceOf(upstream), *cold, now)
 		}
 		if wait, ok = p.limits.coldLimiter.Allow(instanceOf(upstream), share, now); ok {
 			wait, ok = table.Allow(instanceOf(upstream), share, now)
@@ -100,7 +100,7 @@
 
 // coldLimit returns the limit of a cold upstream. It is nil if the upstream is not cold or its
 // service declares no rate for cold upstreams.
-func (p *Process) coldLimit(upstream *provider.Upstream, now time.Time) *ratelimit.Cold {
+func (p *Process) coldLimit(upstream *provider.Upstream, now time.Time) *ratelimit.Warmup {
 	remaining := upstream.ColdRemaining(now)
 	if remaining == 0 {
 		return nil
@@ -109,7 +109,7 @@
 	if service == nil || service.ColdRate <= 0 {
 		return nil
 	}
-	return &ratelimit.Cold{PerSecond: service.ColdRate, Left: remaining}
+	return &ratelimit.Warmup{PerSecond: service.ColdRate, Remaining: remaining}
 }
 
 // routerCount returns the number of routers, including this one and those known only from the
@@ -128,7 +128,7 @@
 	upstream := instanceOf(engine)
 	query := places.Request{Limit: limit, Engine: ratelimit.Upstream{ID: upstream.ID, Started: upstream.Started}}
 	p.limits.withTable(func(table *ratelimit.Table, now time.Time) {
-		if note, known := table.Known(upstream, now); known {
+		if note, known := table.Report(upstream, now); known {
 			query.RateLimit = &note
 		}
 		query.Cold = p.coldLimit(engine, now)
@@ -139,8 +139,8 @@
 	case err != nil:
 		return answer.Load, false, err
 	case answer.RateLimit != nil:
-		p.applyLimit(ratelimit.Named{Upstream: upstream, Note: *answer.RateLimit}, sourceLoader, loader)
-	case query.RateLimit != nil && !query.RateLimit.Ended:
+		p.applyLimit(ratelimit.UpstreamReport{Upstream: upstream, Report: *answer.RateLimit}, sourceLoader, loader)
+	case query.RateLimit != nil && !query.RateLimit.Lifted:
 		return answer.Load, false, errLimitNotEnforced
 	}
 	if answer.RetryAfter > 0 {
@@ -150,14 +150,14 @@
 }
 
 // newLimitNotifier prepares the notification of other routers about limits.
-func (p *Process) newLimitNotifier(client *http.Client) *broadcast.Sender[ratelimit.Named] {
-	return &broadcast.Sender[ratelimit.Named]{
+func (p *Process) newLimitNotifier(client *http.Client) *broadcast.Sender[ratelimit.UpstreamReport] {
+	return &broadcast.Sender[ratelimit.UpstreamReport]{
 		Client: client, Path: broadcast.LimitsPath, Peers: p.otherRouters, CatchUpPeer: p.choosePeer, OnFailed: p.recorder.notificationFailed,
-		OnNotes: func(all []ratelimit.Named, peer netip.AddrPort) { p.applyLimits(all, sourceAnswer, peer) },
+		OnNotes: func(all []ratelimit.UpstreamReport, peer netip.AddrPort) { p.applyLimits(all, sourceAnswer, peer) },
 	}
 }
 
-func (p *Process) applyLimits(all []ratelimit.Named, from source, peer netip.AddrPort) {
+func (p *Process) applyLimits(all []ratelimit.UpstreamReport, from source, peer netip.AddrPort) {
 	for _, named := range all {
 		p.applyLimit(named, from, peer)
 	}
@@ -166,26 +166,26 @@
 // addLimitRoutes adds the routes on which this router serves its limits and receives those of
 // other routers.
 func (p *Process) addLimitRoutes(routes *bunrouter.Router) {
-	known := &broadcast.Receiver[ratelimit.Named]{
+	known := &broadcast.Receiver[ratelimit.UpstreamReport]{
 		All: p.allLimits, Related: p.knownLimits,
-		Merge: func(all []ratelimit.Named) { p.applyLimits(all, sourceRouter, netip.AddrPort{}) },
+		Merge: func(all []ratelimit.UpstreamReport) { p.applyLimits(all, sourceRouter, netip.AddrPort{}) },
 	}
 	routes.Compat().GET(broadcast.LimitsPath, known.ServeAll)
 	routes.Compat().POST(broadcast.LimitsPath, known.ServeNotes)
 }
 
-func (p *Process) allLimits() (all []ratelimit.Named) {
-	p.limits.withTable(func(table *ratelimit.Table, now time.Time) { all = table.All(now) })
+func (p *Process) allLimits() (all []ratelimit.UpstreamReport) {
+	p.limits.withTable(func(table *ratelimit.Table, now time.Time) { all = table.Reports(now) })
 	return all
 }
 
 // knownLimits returns the limits that this router holds for the upstreams of some notes.
-func (p *Process) knownLimits(notes []ratelimit.Named) []ratelimit.Named {
-	var known []ratelimit.Named
+func (p *Process) knownLimits(notes []ratelimit.UpstreamReport) []ratelimit.UpstreamReport {
+	var known []ratelimit.UpstreamReport
 	p.limits.withTable(func(table *ratelimit.Table, now time.Time) {
 		for _, named := range notes {
-			if note, ok := table.Known(named.Upstream, now); ok {
-				known = append(known, ratelimit.Named{Upstream: named.Upstream, Note: note})
+			if note, ok := table.Report(named.Upstream, now); ok {
+				known = append(known, ratelimit.UpstreamReport{Upstream: named.Upstream, Report: note})
 			}
 		}
 	})
--- a/daemon/router/listeners.go
+++ b/daemon/router/listeners.go
@@ -52,12 +52,12 @@
 	return &dispatch.Dispatcher{
 		Headers: p.provider.Headers,
 		Client: &exchange.Client{
-			Headers: p.provider.Headers,
-			Kept:    p.upstreamTransport,
-			Fresh:   dial.NewHostTransport(connect, 0),
+			Headers:  p.provider.Headers,
+			Pooled:   p.upstreamTransport,
+			Unpooled: dial.NewHostTransport(connect, 0),
 		},
-		Pool: p.pool, Budget: p.budget, LoadTracker: &dispatch.LoadTracker{}, Callers: &admission.Callers{}, View: p.compiler.View, Stale: p.isStale,
-		Buffers: holding.Budget{Most: p.maxHeldBytes()},
+		Pool: p.pool, Budget: p.budget, LoadTracker: &dispatch.LoadTracker{}, Callers: &admission.RetryDetector{}, View: p.compiler.View, Stale: p.isStale,
+		Buffers: holding.Budget{MaxBytes: p.maxHeldBytes()},
 		Region:  func(hall string) string { return p.current.Load().RegionOf(hall) },
 		Demand:  p.demand, Report: p.recorder.request, RequestPlace: p.requestPlace, OnDisconnect: p.connectionBroke,
 		OnLimit: p.limitReported, Allow: p.allowSend,
--- a/daemon/router/recorder.go
+++ b/daemon/router/recorder.go
@@ -125,13 +125,13 @@
 	r.scope.Tagged(map[string]string{"verdict": c.after.String()}).Counter("content_verdicts").Inc(1)
 	fields := log.Fields{
 		fieldDecision: "quarantine", "content": c.known.Content, "verdict": c.after.String(), "before": c.before.String(),
-		"ends": c.known.Ends, "from": from,
+		"ends": c.known.Crashes, "from": from,
 	}
 	if peer.IsValid() {
 		fields["peer"] = peer
 	}
 	entry := r.log.WithFields(fields)
-	if c.after == quarantine.Held {
+	if c.after == quarantine.Quarantined {
 		entry.Warn("verdict on a content changed")
 		return
 	}
@@ -140,7 +140,7 @@
 
 // verdictNotPersisted logs that a verdict could not be written to the store. Routers that start
 // later receive it only from other routers.
-func (r *recorder) verdictNotPersisted(name content.Name, err error) {
+func (r *recorder) verdictNotPersisted(name content.Digest, err error) {
 	r.log.WithFields(log.Fields{"content": name, "reason": err.Error()}).Warn("cannot write verdict on a content to the store")
 }
 
@@ -163,7 +163,7 @@
 	if report.Limit.Kind == ratelimit.Limited {
 		r.scope.Counter("answers_naming_limits").Inc(1)
 	}
-	if report.Limit.Unread == "" {
+	if report.Limit.Invalid == "" {
 		return
 	}
 	r.scope.Counter("limits_unread").Inc(1)
@@ -185,7 +185,7 @@
 	}
 	fields := log.Fields{
 		fieldDecision: "limit", "upstream": update.upstream.ID, "address": update.upstream.Address,
-		"limit": limitText(update.change.After), "before": limitText(update.change.Before), "from": update.from,
+		"limit": limitText(update.change.Current), "before": limitText(update.change.Previous), "from": update.from,
 	}
 	if update.peer.IsValid() {
 		fields["peer"] = update.peer
@@ -197,8 +197,8 @@
 }
 
 // limitText formats a limit, in requests a second of all routers, or "none".
-func limitText(note ratelimit.Note) string {
-	if note.Ended {
+func limitText(note ratelimit.Report) string {
+	if note.Lifted {
 		return "none"
 	}
 	return strconv.FormatFloat(note.PerSecond, 'g', -1, 64)
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -102,11 +102,11 @@
 	// crashNotifier sends them to the other routers.
 	probe         *livenessprobe.Probe
 	suspects      *suspects
-	crashNotifier *broadcast.Sender[quarantine.Note]
+	crashNotifier *broadcast.Sender[quarantine.Report]
 	// limits holds the rate limits that upstreams announce, and limitNotifier sends them to the
 	// other routers.
 	limits        *limits
-	limitNotifier *broadcast.Sender[ratelimit.Named]
+	limitNotifier *broadcast.Sender[ratelimit.UpstreamReport]
 	// engineIDsByHost maps the address of a host to the IDs of its engines. It is replaced when
 	// the list of upstreams changes, and read for each load report.
 	engineIDsByHost atomic.Pointer[map[netip.Addr][]string]
--- a/daemon/router/suspects.go
+++ b/daemon/router/suspects.go
@@ -53,16 +53,16 @@
 }
 
 // verdict returns whether a request for a content may be sent.
-func (s *suspects) verdict(name content.Name) quarantine.Verdict {
+func (s *suspects) verdict(name content.Digest) quarantine.Verdict {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table.Judge(name, clock.Now())
+	return s.table.Verdict(name, clock.Now())
 }
 
 // admit returns the verdict for a new request. It calls mayRetry only if the content is not Free.
-func (s *suspects) admit(name content.Name, mayRetry func(content.Name) bool) quarantine.Verdict {
-	if s.verdict(name) == quarantine.Free {
-		return quarantine.Free
+func (s *suspects) admit(name content.Digest, mayRetry func(content.Digest) bool) quarantine.Verdict {
+	if s.verdict(name) == quarantine.Unrestricted {
+		return quarantine.Unrestricted
 	}
 	own := mayRetry(name)
 	s.mu.Lock()
@@ -74,59 +74,59 @@
 type verdictChange struct {
 	// before and after are the verdicts, and known is the resulting note.
 	before, after quarantine.Verdict
-	known         quarantine.Note
+	known         quarantine.Report
 	// wasQuarantined says that the content had been quarantined before the note.
 	wasQuarantined bool
 }
 
 // apply adds a note to the table, and reports false if the verdict stays the same.
-func (s *suspects) apply(note quarantine.Note) (verdictChange, bool) {
+func (s *suspects) apply(note quarantine.Report) (verdictChange, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Now()
-	c := verdictChange{before: s.table.Judge(note.Content, now), wasQuarantined: s.table.Note(note.Content).Deep()}
-	updated := s.table.Take(note, now)
-	c.after, c.known = s.table.Judge(note.Content, now), s.table.Note(note.Content)
+	c := verdictChange{before: s.table.Verdict(note.Content, now), wasQuarantined: s.table.Report(note.Content).ReachesQuarantine()}
+	updated := s.table.Merge(note, now)
+	c.after, c.known = s.table.Verdict(note.Content, now), s.table.Report(note.Content)
 	return c, updated && c.before != c.after
 }
 
 // complete records a complete answer to a content, and reports whether crashes are recorded
 // against it.
-func (s *suspects) complete(name content.Name) bool {
+func (s *suspects) complete(name content.Digest) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.table.Whole(name, clock.Now())
-	return len(s.table.Note(name).Ends) > 0
+	s.table.RecordSuccess(name, clock.Now())
+	return len(s.table.Report(name).Crashes) > 0
 }
 
 // crash identifies the crash of the upstream of a broken send, and reports whether it counts
 // against the content.
-func (s *suspects) crash(b dispatch.Disconnect) (quarantine.End, bool) {
+func (s *suspects) crash(b dispatch.Disconnect) (quarantine.Crash, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Now()
-	sent := quarantine.Sent{Content: b.Content, Upstream: b.Upstream.ID, Started: b.Upstream.Started, At: now.Add(-b.After)}
-	return s.table.End(sent, now)
+	sent := quarantine.Attempt{Content: b.Content, Upstream: b.Upstream.ID, Started: b.Upstream.Started, SentAt: now.Add(-b.After)}
+	return s.table.Attribute(sent, now)
 }
 
-func (s *suspects) note(name content.Name) quarantine.Note {
+func (s *suspects) note(name content.Digest) quarantine.Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table.Note(name)
+	return s.table.Report(name)
 }
 
-func (s *suspects) all() []quarantine.Note {
+func (s *suspects) all() []quarantine.Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table.Notes()
+	return s.table.Reports()
 }
 
 // knownFor returns this router's notes on the contents of some received notes. It omits contents
 // that the sender has just cleared: the sender would apply the answer as an update.
-func (s *suspects) knownFor(notes []quarantine.Note) []quarantine.Note {
-	var known []quarantine.Note
+func (s *suspects) knownFor(notes []quarantine.Report) []quarantine.Report {
+	var known []quarantine.Report
 	for _, note := range notes {
-		if own := s.note(note.Content); !note.Cleared && len(own.Ends) > 0 {
+		if own := s.note(note.Content); !note.Cleared && len(own.Crashes) > 0 {
 			known = append(known, own)
 		}
 	}
@@ -145,17 +145,17 @@
 	if !counts {
 		return
 	}
-	p.publish(quarantine.Note{Content: b.Content, Ends: []quarantine.End{crash}}, sourceOwn)
+	p.publish(quarantine.Report{Content: b.Content, Crashes: []quarantine.Crash{crash}}, sourceOwn)
 }
 
 // admitContent returns the verdict for a new request.
-func (p *Process) admitContent(name content.Name) quarantine.Verdict {
+func (p *Process) admitContent(name content.Digest) quarantine.Verdict {
 	return p.suspects.admit(name, p.ownsRetry)
 }
 
 // ownsRetry reports whether this router is the one that resends a content once its quarantine
 // time is over. Only one router of all does, so that only one upstream is put at risk.
-func (p *Process) ownsRetry(name content.Name) bool {
+func (p *Process) ownsRetry(name content.Digest) bool {
 	own := p.current.Load().Name
 	names := []string{own}
 	for member := range p.compiler.View().Members {
@@ -167,14 +167,14 @@
 }
 
 // contentCompleted clears a content after a complete answer.
-func (p *Process) contentCompleted(name content.Name) {
+func (p *Process) contentCompleted(name content.Digest) {
 	if p.suspects.complete(name) {
-		p.publish(quarantine.Note{Content: name, Cleared: true}, sourceOwn)
+		p.publish(quarantine.Report{Content: name, Cleared: true}, sourceOwn)
 	}
 }
 
 // publish applies a note of this router's own and notifies the other routers.
-func (p *Process) publish(note quarantine.Note, from source) {
+func (p *Process) publish(note quarantine.Report, from source) {
 	p.applyNote(note, from, netip.AddrPort{})
 	if !p.crashNotifier.Send(note) {
 		p.recorder.notificationDropped()
@@ -184,13 +184,13 @@
 // applyNote applies a note and logs a changed verdict. The record of a quarantined content is
 // written to the store, for routers that start later, unless the note came from there or from a
 // router that writes it itself.
-func (p *Process) applyNote(note quarantine.Note, from source, peer netip.AddrPort) {
+func (p *Process) applyNote(note quarantine.Report, from source, peer netip.AddrPort) {
 	c, changed := p.suspects.apply(note)
 	if !changed {
 		return
 	}
 	p.recorder.verdict(c, from, peer)
-	quarantined := c.after == quarantine.Held || c.wasQuarantined // the store has a record once a content was quarantined
+	quarantined := c.after == quarantine.Quarantined || c.wasQuarantined // the store has a record once a content was quarantined
 	if quarantined && from != sourceRouter && from != sourceStore {
 		go p.persistVerdict(note.Content)
 	}
@@ -198,7 +198,7 @@
 
 // persistVerdict writes the note on a content to the store, and retries while the store is
 // unreachable.
-func (p *Process) persistVerdict(name content.Name) {
+func (p *Process) persistVerdict(name content.Digest) {
 	if p.provider.EncodeSuspect == nil {
 		return
 	}
@@ -212,11 +212,11 @@
 	}
 }
 
-func (p *Process) writeVerdict(name content.Name) error {
+func (p *Process) writeVerdict(name content.Digest) error {
 	ctx, cancel := context.WithTimeout(context.Background(), suspectWriteTimeout)
 	defer cancel()
 	known := p.suspects.note(name)
-	known.Cleared = len(known.Ends) == 0
+	known.Cleared = len(known.Crashes) == 0
 	value, err := json.Marshal(known)
 	if err != nil {
 		return err
@@ -233,7 +233,7 @@
 
 // applyStoredSuspect applies a note read from the store.
 func (p *Process) applyStoredSuspect(value []byte) error {
-	var note quarantine.Note
+	var note quarantine.Report
 	if err := json.Unmarshal(value, &note); err != nil {
 		return err
 	}
@@ -242,10 +242,10 @@
 }
 
 // newCrashNotifier prepares the notification of other routers about crashes.
-func (p *Process) newCrashNotifier(client *http.Client) *broadcast.Sender[quarantine.Note] {
-	return &broadcast.Sender[quarantine.Note]{
+func (p *Process) newCrashNotifier(client *http.Client) *broadcast.Sender[quarantine.Report] {
+	return &broadcast.Sender[quarantine.Report]{
 		Client: client, Path: broadcast.SuspectsPath, Peers: p.otherRouters, CatchUpPeer: p.choosePeer, OnFailed: p.recorder.notificationFailed,
-		OnNotes: func(notes []quarantine.Note, peer netip.AddrPort) {
+		OnNotes: func(notes []quarantine.Report, peer netip.AddrPort) {
 			for _, note := range notes {
 				p.applyNote(note, sourceAnswer, peer)
 			}
@@ -268,9 +268,9 @@
 // addSuspectRoutes adds the routes on which this router serves its notes, receives those of other
 // routers, and lets operators lift a quarantine.
 func (p *Process) addSuspectRoutes(routes *bunrouter.Router) {
-	known := &broadcast.Receiver[quarantine.Note]{
+	known := &broadcast.Receiver[quarantine.Report]{
 		All: p.suspects.all, Related: p.suspects.knownFor,
-		Merge: func(notes []quarantine.Note) {
+		Merge: func(notes []quarantine.Report) {
 			for _, note := range notes {
 				p.applyNote(note, sourceRouter, netip.AddrPort{})
 			}
@@ -283,16 +283,16 @@
 
 // lift clears a content on an operator's request, on all routers.
 func (p *Process) lift(w http.ResponseWriter, r bunrouter.Request) error {
-	var name content.Name
+	var name content.Digest
 	if err := name.UnmarshalText([]byte(r.Param("content"))); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return nil
 	}
-	if known := p.suspects.note(name); len(known.Ends) == 0 {
+	if known := p.suspects.note(name); len(known.Crashes) == 0 {
 		http.Error(w, "no upstream is known to have ended under this content", http.StatusNotFound)
 		return nil
 	}
-	p.publish(quarantine.Note{Content: name, Cleared: true}, sourceLifted)
+	p.publish(quarantine.Report{Content: name, Cleared: true}, sourceLifted)
 	w.WriteHeader(http.StatusNoContent)
 	return nil
 }
