--- a/cli/internal/command/load_test.go
+++ b/cli/internal/command/load_test.go
@@ -70,5 +70,5 @@
 		assert.Positive(t, result.Served)
 	}
 	refusesFlags(t, "limit", map[string]string{"--routers": "x", "--limit": "-1", "--fault": "flood", "--seed": "one"})
-	assert.ErrorContains(t, run(t.Context(), "bench", "limit", "--routers", "0").err, "it takes a router")
+	assert.ErrorContains(t, run(t.Context(), "bench", "limit", "--routers", "0").err, "at least one router")
 }
--- a/daemon/lab/caller.go
+++ b/daemon/lab/caller.go
@@ -7,21 +7,23 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/balance"
 )
 
-// Kind is a kind of callers, all of one route.
+// Kind is a class of callers that share one route.
 type Kind struct {
 	Name string
-	// Share is its part of all callers.
+	// Share is the kind's share of all callers.
 	Share float64
-	// Prompt and Answer are mean tokens; MostPrompt and MostAnswer bound them.
+	// Prompt and Answer are mean lengths in tokens, MostPrompt and MostAnswer their upper limits.
 	Prompt, Answer         float64
 	MostPrompt, MostAnswer float64
-	// Objective is until when the first byte is in time, Deadline when callers leave.
+	// Objective is the time limit for the first byte, Deadline the time after which callers
+	// abandon the request.
 	Objective, Deadline time.Duration
-	// Worth is that of an answer in time, Late of one that is later.
+	// Worth is the value of an answer whose first byte met the objective, Late that of a later
+	// one.
 	Worth, Late float64
 }
 
-// DefaultKinds are three kinds of one service.
+// DefaultKinds returns three kinds of callers of one service.
 func DefaultKinds() []Kind {
 	const deadline = 6 * time.Second
 	return []Kind{
@@ -31,135 +33,134 @@
 	}
 }
 
-// caller is one caller; its times are since the begin.
+// caller is one caller and its request. Its times are relative to the epoch.
 type caller struct {
-	play *play
-	kind *Kind
-	came time.Duration
-	// leaves is when the caller's time is over.
-	leaves time.Duration
-	// content is what it asks for, the same at each try.
-	content        uint64
-	prompt, answer int
-	hint           float64
-	worth, late    float64
+	sim       *simulation
+	kind      *Kind
+	arrivedAt time.Duration
+	deadline  time.Duration
+	// content identifies the request and is the same for each attempt.
+	content          uint64
+	prompt, answer   int
+	lengthHint       float64
+	worth, lateWorth float64
 
 	written             int
 	firstByte, lastByte time.Duration
 	refusals            int
-	// knownBack is what the router took the caller for, at its last try.
-	knownBack bool
-	// backKnown and takenForBack are 1 where it was taken for one who came back, rightly and
-	// wrongly.
-	backKnown, takenForBack float64
-	// served and cut say how it ended, ended that it did.
-	served, cut, ended bool
-	done               func(balance.Outcome)
+	// detectedRetry is the router's classification of the latest attempt.
+	detectedRetry bool
+	// truePositive is 1 if a retry was classified as a retry, falsePositive 1 if a first attempt
+	// was.
+	truePositive, falsePositive float64
+	// served is set if the answer was complete before the deadline, truncated if an outage
+	// aborted it, and finished once the request has ended either way.
+	served, truncated, finished bool
+	onDone                      func(balance.Outcome)
 }
 
-// hintSpread is by how much callers' guesses of the answer's length are off: right at the
-// median, by a half or twice for one in six.
+// hintSpread is the standard deviation of the logarithm of the error in length hints.
 const hintSpread = 0.7
 
-// newCaller draws a caller.
-func (p *play) newCaller(at time.Duration) *caller {
-	kind := &p.Kinds[p.Pattern.kindAt(at, p.Kinds, p.rates.Float64())]
-	patience := time.Duration((1 - p.Patience*p.rates.Float64()) * float64(kind.Deadline))
-	c := &caller{play: p, kind: kind, came: at, leaves: at + patience, content: p.rates.Uint64()}
-	c.prompt = int(bounded(kind.Prompt*lengthFactor(p.rates.NormFloat64()), kind.MostPrompt))
-	c.answer = int(bounded(kind.Answer*lengthFactor(p.rates.NormFloat64()), kind.MostAnswer))
-	c.hint = float64(c.answer) * math.Exp(hintSpread*p.rates.NormFloat64())
-	c.worth, c.late = kind.Worth*c.size(), kind.Late*c.size()
+// newCaller draws the properties of a caller that arrives at the given time.
+func (s *simulation) newCaller(at time.Duration) *caller {
+	kind := &s.Kinds[s.Pattern.kindAt(at, s.Kinds, s.arrivalRand.Float64())]
+	timeLimit := time.Duration((1 - s.Patience*s.arrivalRand.Float64()) * float64(kind.Deadline))
+	c := &caller{sim: s, kind: kind, arrivedAt: at, deadline: at + timeLimit, content: s.arrivalRand.Uint64()}
+	c.prompt = int(clampTokens(kind.Prompt*lengthFactor(s.arrivalRand.NormFloat64()), kind.MostPrompt))
+	c.answer = int(clampTokens(kind.Answer*lengthFactor(s.arrivalRand.NormFloat64()), kind.MostAnswer))
+	c.lengthHint = float64(c.answer) * math.Exp(hintSpread*s.arrivalRand.NormFloat64())
+	c.worth, c.lateWorth = kind.Worth*c.relativeSize(), kind.Late*c.relativeSize()
 	return c
 }
 
-// size is how much more a caller's answer is worth than a usual one of its kind: a part is
-// the same for all, the rest grows with the tokens.
-func (c *caller) size() float64 {
-	const same, most, answerWeight = 0.3, 4, 10
+// relativeSize returns the value of a caller's answer relative to a mean one of its kind: a fixed
+// part plus a part that grows with the tokens.
+func (c *caller) relativeSize() float64 {
+	const fixedPart, maxSize, answerWeight = 0.3, 4, 10
 	tokens := float64(c.prompt) + answerWeight*float64(c.answer)
-	usual := c.kind.Prompt + answerWeight*c.kind.Answer
-	return min(same+(1-same)*tokens/usual, most)
+	meanTokens := c.kind.Prompt + answerWeight*c.kind.Answer
+	return min(fixedPart+(1-fixedPart)*tokens/meanTokens, maxSize)
 }
 
-// lengthFactor spreads lengths about their mean.
+// lengthFactor maps a normal variate to a log-normal factor of mean 1.
 func lengthFactor(normal float64) float64 {
 	const spread = 0.8
 	return math.Exp(spread*normal - spread*spread/2)
 }
 
-// bounded keeps tokens between the least of an answer and some most.
-func bounded(tokens, most float64) float64 {
-	const least = 5
-	return min(max(tokens, least), most)
+// clampTokens limits a token count to between 5 and limit.
+func clampTokens(tokens, limit float64) float64 {
+	const minTokens = 5
+	return min(max(tokens, minTokens), limit)
 }
 
-// left is the time that the caller still has.
-func (c *caller) left() time.Duration { return c.leaves - c.play.events.now }
+// remaining returns the time until the caller's deadline.
+func (c *caller) remaining() time.Duration { return c.deadline - c.sim.events.now }
 
-// wrote takes the tokens of a pass.
-func (c *caller) wrote(now time.Duration, tokens int) {
+// receiveTokens records the tokens of a pass.
+func (c *caller) receiveTokens(now time.Duration, tokens int) {
 	if c.firstByte == 0 {
-		c.firstByte = now + travel
+		c.firstByte = now + networkDelay
 	}
 	if c.written += tokens; c.written < c.answer {
 		return
 	}
-	c.lastByte = now + travel
-	c.served = c.lastByte <= c.leaves
-	c.end(balance.Served)
+	c.lastByte = now + networkDelay
+	c.served = c.lastByte <= c.deadline
+	c.finish(balance.Served)
 }
 
-// broken has the caller see its answer break off.
-func (c *caller) broken() {
-	c.cut = true
-	c.end(balance.Failed)
+// abort ends the request with a truncated answer.
+func (c *caller) abort() {
+	c.truncated = true
+	c.finish(balance.Failed)
 }
 
-func (c *caller) end(outcome balance.Outcome) {
-	c.ended = true
-	if c.done != nil {
-		c.done(outcome)
+func (c *caller) finish(outcome balance.Outcome) {
+	c.finished = true
+	if c.onDone != nil {
+		c.onDone(outcome)
 	}
 }
 
-// refused has the caller come back once, after the time it was told or a third of what it
-// has left.
+// refused schedules the caller's only retry, after the given wait or a third of its remaining
+// time, whichever is shorter. A second refusal ends the request.
 func (c *caller) refused(wait time.Duration) {
-	const mostPart = 3
+	const waitDivisor = 3
 	if c.refusals++; c.refusals > 1 {
-		c.ended = true
+		c.finished = true
 		return
 	}
-	wait = min(wait, c.left()/mostPart)
-	c.play.events.after(wait, func() { c.play.meet(c) })
+	wait = min(wait, c.remaining()/waitDivisor)
+	c.sim.events.after(wait, func() { c.sim.submit(c) })
 }
 
-// inTime reports whether the first byte came within the objective from the first try.
-func (c *caller) inTime() bool { return c.served && c.firstByte-c.came <= c.kind.Objective }
+// inTime reports whether the first byte met the objective, counted from the first attempt.
+func (c *caller) inTime() bool { return c.served && c.firstByte-c.arrivedAt <= c.kind.Objective }
 
-// objective is the shortest of the kinds, usualAnswer and readTime those of a usual caller.
-func (p *play) objective() time.Duration {
-	shortest := p.Kinds[0].Objective
-	for _, kind := range p.Kinds {
+// objective returns the shortest objective of all kinds.
+func (s *simulation) objective() time.Duration {
+	shortest := s.Kinds[0].Objective
+	for _, kind := range s.Kinds {
 		shortest = min(shortest, kind.Objective)
 	}
 	return shortest
 }
 
-func (p *play) usualAnswer() float64 {
-	return p.mean(func(k Kind) float64 { return k.Answer })
+func (s *simulation) meanAnswer() float64 {
+	return s.mean(func(k Kind) float64 { return k.Answer })
 }
 
-func (p *play) readTime() time.Duration {
-	prompt := p.mean(func(k Kind) float64 { return k.Prompt })
-	return time.Duration(prompt / p.Engine.ReadRate * float64(time.Second))
+func (s *simulation) readTime() time.Duration {
+	prompt := s.mean(func(k Kind) float64 { return k.Prompt })
+	return time.Duration(prompt / s.Engine.ReadRate * float64(time.Second))
 }
 
-func (p *play) mean(of func(Kind) float64) float64 {
+func (s *simulation) mean(value func(Kind) float64) float64 {
 	sum, shares := 0.0, 0.0
-	for _, kind := range p.Kinds {
-		sum += kind.Share * of(kind)
+	for _, kind := range s.Kinds {
+		sum += kind.Share * value(kind)
 		shares += kind.Share
 	}
 	return sum / shares
--- a/daemon/lab/engine.go
+++ b/daemon/lab/engine.go
@@ -11,23 +11,26 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// EngineSpec says how fast an engine is. It works in passes: it reads the prompts that wait,
-// and has all that run write some tokens.
+// EngineSpec describes the speed of an engine. An engine works in passes: each pass reads waiting
+// prompts and generates tokens for all running requests.
 type EngineSpec struct {
-	// Places is how many requests run at once.
+	// Places is the number of requests that run concurrently.
 	Places int
-	// ReadRate is the prompt tokens read in a second, ReadMost those of a pass.
+	// ReadRate is the number of prompt tokens read per second; ReadMost limits the prompt tokens
+	// of one pass.
 	ReadRate float64
 	ReadMost int
-	// Step is the time of a token of all that run, StepEach what each that runs adds to it.
+	// Step is the time to generate one token for the whole batch; StepEach is added for each
+	// request in the batch.
 	Step, StepEach time.Duration
-	// Stride is the tokens that a pass writes for each that runs; they arrive together.
+	// Stride is the number of tokens that a pass generates for each request. They arrive
+	// together.
 	Stride int
-	// Load is the time in which an engine takes a version, nothing running.
+	// Load is the time an idle engine needs to load a version.
 	Load time.Duration
 }
 
-// DefaultEngine reads 19,100 tokens a second and writes some 100 at each of 12 places.
+// DefaultEngine returns an engine of 12 places that reads 19,100 prompt tokens per second.
 func DefaultEngine() EngineSpec {
 	return EngineSpec{
 		Places: 12, ReadRate: 19100, ReadMost: 10240, Step: 8870 * time.Microsecond, StepEach: 60 * time.Microsecond,
@@ -36,78 +39,78 @@
 }
 
 const (
-	// lookEvery is how often a loader looks at its engine, as one does at a busy one, tellEvery
-	// how often a router hears of a load, and travel what a message takes one way.
-	lookEvery = keep.BusyEvery
-	tellEvery = 50 * time.Millisecond
-	travel    = 2 * time.Millisecond
+	// pollInterval is the interval at which a loader polls a busy engine, reportInterval that of
+	// load reports to routers, and networkDelay the one-way message delay.
+	pollInterval   = keep.BusyEvery
+	reportInterval = 50 * time.Millisecond
+	networkDelay   = 2 * time.Millisecond
 )
 
-// engine is one engine and the loader beside it.
+// engine is an engine and its loader.
 type engine struct {
-	play   *play
-	number int
-	record *provider.Upstream
-	ledger places.Ledger
+	sim      *simulation
+	index    int
+	upstream *provider.Upstream
+	ledger   places.Ledger
 
 	waiting, reading, running []*caller
 	busy                      bool
-	// out is until when the engine serves nothing, and life counts its losses.
-	out  time.Duration
-	life int
-	// turn is when it is to take a version, zero where it takes none; taking says that it
-	// waits for what runs, taken that it has the version.
-	turn          time.Duration
-	taking, taken bool
-	// arrived is when requests came while it named a limit.
-	arrived []time.Duration
-}
-
-func newEngine(p *play, number int) *engine {
-	e := &engine{play: p, number: number}
-	e.record = &provider.Upstream{
-		ID: fmt.Sprintf("e%d", number), Hall: hallOf(number, p.Halls), Places: p.Engine.Places,
+	// unavailableUntil is when an outage or a load ends. generation counts outages, so that the
+	// end of a pass that an outage aborted is ignored.
+	unavailableUntil time.Duration
+	generation       int
+	// loadAt is the scheduled load time of the new version, zero if there is none. draining is
+	// set while the engine waits for running requests to finish, loaded once it has the version.
+	loadAt           time.Duration
+	draining, loaded bool
+	// limitedArrivals are the arrival times of requests while the engine was limited.
+	limitedArrivals []time.Duration
+}
+
+func newEngine(s *simulation, index int) *engine {
+	e := &engine{sim: s, index: index}
+	e.upstream = &provider.Upstream{
+		ID: fmt.Sprintf("e%d", index), Hall: hallOf(index, s.Halls), Places: s.Engine.Places,
 		Models: []provider.Loaded{{Model: model, Version: 1}},
 	}
-	e.ledger.Now = p.now
+	e.ledger.Now = s.now
 	return e
 }
 
-// model is what all engines serve.
 const model = "m"
 
-func hallOf(number, halls int) string { return fmt.Sprintf("hall-%d", number%halls) }
+func hallOf(index, halls int) string { return fmt.Sprintf("hall-%d", index%halls) }
 
-// load is what the engine says of itself.
+// load returns the load that the engine reports.
 func (e *engine) load() places.Load {
-	return places.Load{Running: len(e.running), Waiting: len(e.waiting) + len(e.reading), Loading: e.isOut()}
+	return places.Load{Running: len(e.running), Waiting: len(e.waiting) + len(e.reading), Loading: e.unavailable()}
 }
 
-func (e *engine) isOut() bool { return e.play.events.now < e.out || e.taking }
+func (e *engine) unavailable() bool { return e.sim.events.now < e.unavailableUntil || e.draining }
 
-// look has the loader look at its engine.
-func (e *engine) look() {
-	e.ledger.Close(e.closes())
-	e.ledger.Observe(e.load(), e.play.events.now >= e.out)
+// poll updates the loader's view of its engine.
+func (e *engine) poll() {
+	e.ledger.Close(e.closesAt())
+	e.ledger.Observe(e.load(), e.sim.events.now >= e.unavailableUntil)
 }
 
-// closes is the engine's turn if that is soon.
-func (e *engine) closes() time.Time {
-	if e.turn == 0 || e.taken || e.turn-e.play.events.now > keep.CloseAhead {
+// closesAt returns the scheduled load time if it is within keep.CloseAhead, else the zero time.
+func (e *engine) closesAt() time.Time {
+	if e.loadAt == 0 || e.loaded || e.loadAt-e.sim.events.now > keep.CloseAhead {
 		return time.Time{}
 	}
-	return start.Add(e.turn)
+	return epoch.Add(e.loadAt)
 }
 
-// limited reports whether the engine names a limit.
+// limited reports whether the engine announces a limit.
 func (e *engine) limited() bool {
-	return e.play.Pattern.Limits.names(e.number, len(e.play.engines), e.play.events.now)
+	return e.sim.Pattern.Limits.active(e.index, len(e.sim.engines), e.sim.events.now)
 }
 
-// known is what routers know of the engine's limit: they tell each other within milliseconds,
-// so here all know at once.
-func (e *engine) known() *ratelimit.Note {
-	switch limits := e.play.Pattern.Limits; {
+// limitNote returns the routers' view of the engine's limit. Routers exchange limits within
+// milliseconds, so the simulation gives all of them the current one.
+func (e *engine) limitNote() *ratelimit.Note {
+	switch limits := e.sim.Pattern.Limits; {
 	case limits == nil:
 		return nil
 	case e.limited():
@@ -117,93 +120,94 @@
 	}
 }
 
-// worst is the most requests that came in a window while the engine named a limit.
-func (e *engine) worst(window time.Duration) int {
-	most, first := 0, 0
-	for last, at := range e.arrived {
-		for at-e.arrived[first] >= window {
+// maxInWindow returns the highest number of requests that arrived within one window while the
+// engine was limited.
+func (e *engine) maxInWindow(window time.Duration) int {
+	highest, first := 0, 0
+	for last, at := range e.limitedArrivals {
+		for at-e.limitedArrivals[first] >= window {
 			first++
 		}
-		most = max(most, last-first+1)
+		highest = max(highest, last-first+1)
 	}
-	return most
+	return highest
 }
 
-// add gives the engine a request, which a loss of it ends.
-func (e *engine) add(c *caller) {
-	if e.play.events.now < e.out {
-		c.broken()
+// enqueue adds a request to the engine. During an outage the request fails at once.
+func (e *engine) enqueue(c *caller) {
+	if e.sim.events.now < e.unavailableUntil {
+		c.abort()
 		return
 	}
 	if e.limited() {
-		e.arrived = append(e.arrived, e.play.events.now)
+		e.limitedArrivals = append(e.limitedArrivals, e.sim.events.now)
 	}
 	e.waiting = append(e.waiting, c)
 	if !e.busy {
-		e.pass()
+		e.startPass()
 	}
 }
 
-// pass begins the next pass.
-func (e *engine) pass() {
-	spec, tokens := e.play.Engine, 0
+// startPass starts the next pass.
+func (e *engine) startPass() {
+	spec, tokens := e.sim.Engine, 0
 	for len(e.waiting) > 0 && len(e.running)+len(e.reading) < spec.Places && tokens < spec.ReadMost {
 		tokens += e.waiting[0].prompt
 		e.reading = append(e.reading, e.waiting[0])
 		e.waiting = e.waiting[1:]
 	}
-	writers := len(e.running) + len(e.reading)
-	e.busy = writers > 0
+	batch := len(e.running) + len(e.reading)
+	e.busy = batch > 0
 	if !e.busy {
-		e.takeVersion()
+		e.loadVersion()
 		return
 	}
-	took := time.Duration(float64(tokens) / spec.ReadRate * float64(time.Second))
-	took += time.Duration(spec.Stride) * (spec.Step + time.Duration(writers)*spec.StepEach)
-	life := e.life
-	e.play.events.after(took, func() {
-		if life == e.life {
-			e.passed()
+	passTime := time.Duration(float64(tokens) / spec.ReadRate * float64(time.Second))
+	passTime += time.Duration(spec.Stride) * (spec.Step + time.Duration(batch)*spec.StepEach)
+	generation := e.generation
+	e.sim.events.after(passTime, func() {
+		if generation == e.generation {
+			e.finishPass()
 		}
 	})
 }
 
-// passed ends a pass: what was read and what runs have written.
-func (e *engine) passed() {
+// finishPass delivers the tokens of a pass to all running requests.
+func (e *engine) finishPass() {
 	e.running = append(e.running, e.reading...)
 	e.reading = nil
-	now := e.play.events.now
+	now := e.sim.events.now
 	for _, c := range e.running {
-		c.wrote(now, e.play.Engine.Stride)
+		c.receiveTokens(now, e.sim.Engine.Stride)
 	}
-	e.running = slices.DeleteFunc(e.running, func(c *caller) bool { return c.ended })
-	e.waiting = slices.DeleteFunc(e.waiting, func(c *caller) bool { return c.ended })
-	e.pass()
+	e.running = slices.DeleteFunc(e.running, func(c *caller) bool { return c.finished })
+	e.waiting = slices.DeleteFunc(e.waiting, func(c *caller) bool { return c.finished })
+	e.startPass()
 }
 
-// begin is the engine's turn: it takes nothing new, and the version once nothing runs.
-func (e *engine) begin() {
-	e.taking = true
+// startDrain stops admission and loads the version once no request is running.
+func (e *engine) startDrain() {
+	e.draining = true
 	if !e.busy {
-		e.takeVersion()
+		e.loadVersion()
 	}
 }
 
-func (e *engine) takeVersion() {
-	if !e.taking {
+func (e *engine) loadVersion() {
+	if !e.draining {
 		return
 	}
-	e.taking, e.taken = false, true
-	e.out = e.play.events.now + e.play.Engine.Load
+	e.draining, e.loaded = false, true
+	e.unavailableUntil = e.sim.events.now + e.sim.Engine.Load
 }
 
-// lose has the engine break off what it does, and serve nothing for a while.
-func (e *engine) lose(wait time.Duration) {
-	e.life++
-	e.out, e.busy = e.play.events.now+wait, false
+// fail aborts all requests and makes the engine unavailable for a duration.
+func (e *engine) fail(duration time.Duration) {
+	e.generation++
+	e.unavailableUntil, e.busy = e.sim.events.now+duration, false
 	for _, list := range [][]*caller{e.waiting, e.reading, e.running} {
 		for _, c := range list {
-			c.broken()
+			c.abort()
 		}
 	}
 	e.waiting, e.reading, e.running = nil, nil, nil
--- a/daemon/lab/event.go
+++ b/daemon/lab/event.go
@@ -5,63 +5,63 @@
 	"time"
 )
 
-// events is the simulated clock: what is to happen, in the order of its time and, at the
-// same time, of its coming in. The zero value is ready to use.
-type events struct {
-	now    time.Duration
-	queue  eventQueue
-	number int
+// eventLoop is the virtual clock. Events run in order of their time, and in order of insertion at
+// the same time. The zero value is ready to use.
+type eventLoop struct {
+	now   time.Duration
+	queue eventHeap
+	seq   int
 }
 
-// event is something to happen at a time.
+// event is a scheduled function.
 type event struct {
-	at     time.Duration
-	number int
-	do     func()
+	at  time.Duration
+	seq int
+	fn  func()
 }
 
-// at has something happen at a time, now at the earliest.
-func (e *events) at(at time.Duration, do func()) {
-	e.number++
-	heap.Push(&e.queue, event{at: max(at, e.now), number: e.number, do: do})
+// at schedules a function at a time, or now if that has passed.
+func (e *eventLoop) at(at time.Duration, fn func()) {
+	e.seq++
+	heap.Push(&e.queue, event{at: max(at, e.now), seq: e.seq, fn: fn})
 }
 
-// after has something happen after some time.
-func (e *events) after(wait time.Duration, do func()) { e.at(e.now+wait, do) }
+// after schedules a function after a delay.
+func (e *eventLoop) after(wait time.Duration, fn func()) { e.at(e.now+wait, fn) }
 
-// run has everything happen until nothing is left.
-func (e *events) run() {
+// run processes events until none remain.
+func (e *eventLoop) run() {
 	for e.queue.Len() > 0 {
 		next := heap.Pop(&e.queue).(event) //nolint:forcetypeassert // only events are pushed
 		e.now = next.at
-		next.do()
+		next.fn()
 	}
 }
 
-// runUntil has everything happen up to a time, or until done reports true.
-func (e *events) runUntil(end time.Duration, done func() bool) {
+// runUntil processes events up to a time, or until done reports true.
+func (e *eventLoop) runUntil(end time.Duration, done func() bool) {
 	for e.queue.Len() > 0 && e.queue[0].at <= end && !done() {
 		next := heap.Pop(&e.queue).(event) //nolint:forcetypeassert // only events are pushed
 		e.now = next.at
-		next.do()
+		next.fn()
 	}
 }
 
-// eventQueue is a heap of events.
-type eventQueue []event
+// eventHeap orders events by time and sequence number.
+type eventHeap []event
 
-func (q eventQueue) Len() int      { return len(q) }
-func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) } //nolint:forcetypeassert // only events are pushed
+func (q eventHeap) Len() int      { return len(q) }
+func (q eventHeap) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventHeap) Push(x any)   { *q = append(*q, x.(event)) } //nolint:forcetypeassert // only events are pushed
 
-func (q eventQueue) Less(i, j int) bool {
+func (q eventHeap) Less(i, j int) bool {
 	if q[i].at != q[j].at {
 		return q[i].at < q[j].at
 	}
-	return q[i].number < q[j].number
+	return q[i].seq < q[j].seq
 }
 
-func (q *eventQueue) Pop() any {
+func (q *eventHeap) Pop() any {
 	old := *q
 	last := old[len(old)-1]
 	old[len(old)-1] = event{}
--- a/daemon/lab/fleet.go
+++ b/daemon/lab/fleet.go
@@ -10,29 +10,28 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/readers"
 )
 
-// This file plays how a change of the store reaches every router of a fleet: which routers
-// read the store, which follow which, and what the links between halls and those of the hosts
-// carry meanwhile. Decisions are those of package readers; links, the store and the messages
-// are models. A link sends one thing after the other, so times are those of a busy link, and
-// processors cost nothing.
+// This file simulates how a configuration change reaches every router of a fleet: which routers
+// read the store, which follow another router, and how much the links between halls and those of
+// the hosts carry. Decisions are those of package readers; links, the store and messages are
+// modelled. A link sends one message at a time, so the times include queueing. Processor time is
+// not modelled.
 
-// Fleet describes a play. All counts must be above 0.
+// Fleet describes a run. All counts must be positive.
 type Fleet struct {
 	Routers, Loaders, Halls int
-	// Wide is the part of each hall's routers whose links carry WideMbps, the others' carry
+	// Wide is the share of each hall's routers that have links of WideMbps; all others have
 	// NarrowMbps.
 	Wide                 float64
 	WideMbps, NarrowMbps float64
-	// RegionMbps is what the link from the store's region to each other hall carries.
-	RegionMbps float64
-	// ConfigurationBytes is the size of a configuration.
+	// RegionMbps is the rate of the link from the store's region to each other hall.
+	RegionMbps         float64
 	ConfigurationBytes int
 	Fault              FleetFault
 	Spread             FleetSpread
 	Seed               uint64
 }
 
-// DefaultFleet returns the fleet that the capacity page is about.
+// DefaultFleet returns a fleet of 546 routers and 440 loaders in 5 halls.
 func DefaultFleet() Fleet {
 	return Fleet{
 		Routers: 546, Loaders: 440, Halls: 5, Wide: 0.1, WideMbps: 1000, NarrowMbps: 40, RegionMbps: 26,
@@ -40,21 +39,22 @@
 	}
 }
 
-// FleetFault is what happens in a play.
+// FleetFault is the event that a run measures.
 type FleetFault string
 
 // The faults.
 const (
-	// FleetStart starts all processes within 0.3 s, with nothing in the store of them.
+	// FleetStart starts all processes within 0.3 s, with an empty store.
 	FleetStart FleetFault = "start"
-	// FleetPower starts them again while the store still lists all routers.
+	// FleetPower starts all processes while the store still lists the routers of the previous
+	// run.
 	FleetPower FleetFault = "power"
 	// FleetChange writes one configuration, FleetStorm nine in quick succession.
 	FleetChange FleetFault = "change"
 	FleetStorm  FleetFault = "storm"
-	// FleetReader ends the reader of each hall without a word, as a configuration is written.
+	// FleetReader crashes the reader of each hall as a configuration is written.
 	FleetReader FleetFault = "reader"
-	// FleetTenth ends a tenth of all routers so.
+	// FleetTenth crashes a tenth of all routers as a configuration is written.
 	FleetTenth FleetFault = "tenth"
 )
 
@@ -68,242 +68,242 @@
 // FindFleetFault returns the fault of a name.
 func FindFleetFault(name string) (FleetFault, error) {
 	if !slices.Contains(FleetFaultNames(), name) {
-		return "", fmt.Errorf("no fault %q; known: %v", name, FleetFaultNames())
+		return "", fmt.Errorf("unknown fault %q; use one of %v", name, FleetFaultNames())
 	}
 	return FleetFault(name), nil
 }
 
-// FleetSpread is a way to spread changes.
+// FleetSpread is a strategy for propagating changes from the store to all routers.
 type FleetSpread struct {
 	Name string
-	// Decide is the decision of a router.
-	Decide func(own readers.Router, hall []readers.Router, unheard time.Duration) (readers.Action, string)
-	// AwaitOwn has a router that starts list its hall until it knows whom to follow, or its
-	// own record is listed; else it lists all routers once.
+	// Decide selects a router's next action.
+	Decide func(own readers.Router, hall []readers.Router, sinceStoreSeen time.Duration) (readers.Action, string)
+	// AwaitOwn makes a starting router list its hall until it has a router to follow or its own
+	// record is listed. Otherwise it lists all routers once.
 	AwaitOwn bool
-	// Packed has copies sent packed together.
+	// Packed compresses the snapshots that routers send.
 	Packed bool
-	// LoadersRead has loaders list upstreams from the store while they know no router.
+	// LoadersRead makes loaders list upstreams from the store while they have no router.
 	LoadersRead bool
 }
 
-// The ways.
+// The strategies.
 var (
 	SpreadNow = FleetSpread{Name: "now", Decide: readers.Decide, AwaitOwn: true, Packed: true}
-	// SpreadFlat has one reader in each hall send to all others, chosen by name alone.
+	// SpreadFlat selects one reader in each hall by name alone, which sends to all others.
 	SpreadFlat = FleetSpread{Name: "flat", Decide: decideFlat, LoadersRead: true}
 )
 
-// FindFleetSpread returns the way of a name.
+// FindFleetSpread returns the strategy of a name.
 func FindFleetSpread(name string) (FleetSpread, error) {
 	for _, spread := range []FleetSpread{SpreadNow, SpreadFlat} {
 		if spread.Name == name {
 			return spread, nil
 		}
 	}
-	return FleetSpread{}, fmt.Errorf("no way %q; known: %s, %s", name, SpreadNow.Name, SpreadFlat.Name)
+	return FleetSpread{}, fmt.Errorf("unknown spread %q; use one of %s, %s", name, SpreadNow.Name, SpreadFlat.Name)
 }
 
-// FleetResult is what came of a play. Times are since the fault, over the routers that live.
+// FleetResult summarizes a run. Times are relative to the fault and cover the routers that did
+// not crash.
 type FleetResult struct {
 	Fault   FleetFault `json:"fault"`
 	Spread  string     `json:"spread"`
 	Routers int        `json:"routers"`
 	Loaders int        `json:"loaders"`
-	// First to Last are when the newest configuration was in force at the first router, at
-	// half, at 99 of 100 and at the last, in seconds; -1 where it never was.
+	// First, Half, Most and Last are the times in seconds at which the newest configuration was
+	// in force at the first router, at half of them, at 99% and at the last; -1 if it never was.
 	First float64 `json:"first"`
 	Half  float64 `json:"half"`
 	Most  float64 `json:"most"`
 	Last  float64 `json:"last"`
-	// StoreCalls counts calls to the store, and Readers the routers that read it.
+	// StoreCalls is the number of calls to the store, Readers the number of routers that read it.
 	StoreCalls int `json:"storeCalls"`
 	Readers    int `json:"readers"`
-	// RegionBytes is what the busiest link between regions carried, SenderBytes the busiest
-	// router's own, and Wasted what was sent for calls that were given up.
+	// RegionBytes is the number of bytes over the busiest link between regions, SenderBytes that
+	// of the busiest router's uplink, and Wasted the bytes of answers whose call had timed out.
 	RegionBytes int `json:"regionBytes"`
 	SenderBytes int `json:"senderBytes"`
 	Wasted      int `json:"wasted"`
 }
 
-// Check returns what is wrong with a fleet.
+// Check validates the setup.
 func (f *Fleet) Check() error {
-	const mostRouters = 20_000
+	const maxRouters = 20_000
 	switch {
-	case f.Routers < 1 || f.Routers > mostRouters:
-		return fmt.Errorf("routers: %d; from 1 to %d", f.Routers, mostRouters)
-	case f.Loaders < 0 || f.Loaders > mostRouters:
-		return fmt.Errorf("loaders: %d; from 0 to %d", f.Loaders, mostRouters)
+	case f.Routers < 1 || f.Routers > maxRouters:
+		return fmt.Errorf("routers: %d is not between 1 and %d", f.Routers, maxRouters)
+	case f.Loaders < 0 || f.Loaders > maxRouters:
+		return fmt.Errorf("loaders: %d is not between 0 and %d", f.Loaders, maxRouters)
 	case f.Halls < 1 || f.Halls > f.Routers:
-		return fmt.Errorf("halls: %d; from 1 to one for each router", f.Halls)
+		return fmt.Errorf("halls: %d is not between 1 and the number of routers", f.Halls)
 	case f.RegionMbps <= 0 || f.NarrowMbps <= 0 || f.WideMbps <= 0:
-		return errors.New("links: their rates must be above 0")
+		return errors.New("links: rates must be positive")
 	default:
 		return nil
 	}
 }
 
-// PlayFleet plays one fault.
+// PlayFleet simulates one fault.
 func PlayFleet(setup Fleet) (*FleetResult, error) {
 	if err := setup.Check(); err != nil {
 		return nil, err
 	}
-	p := newFleetPlay(setup)
-	p.begin()
-	p.events.runUntil(p.struck+longestFleetPlay, p.done)
-	return p.result(), nil
+	s := newFleetSim(setup)
+	s.begin()
+	s.events.runUntil(s.faultAt+maxFleetRun, s.done)
+	return s.result(), nil
 }
 
-// longestFleetPlay bounds the time after the fault.
-const longestFleetPlay = 25 * time.Second
+// maxFleetRun limits the simulated time after the fault.
+const maxFleetRun = 25 * time.Second
 
-// done reports whether the newest configuration is in force everywhere after the fault.
-func (p *fleetPlay) done() bool {
-	return p.events.now >= p.struck && p.store.left == 0 && p.inForce >= p.living()
+// done reports whether the newest configuration is in force at every live router.
+func (s *fleetSim) done() bool {
+	return s.events.now >= s.faultAt && s.store.pendingWrites == 0 && s.upToDate >= s.liveRouters()
 }
 
-// living counts the routers that have not ended.
-func (p *fleetPlay) living() int { return p.Routers - p.ended }
+// liveRouters returns the number of routers that have not crashed.
+func (s *fleetSim) liveRouters() int { return s.Routers - s.crashed }
 
-// fleetPlay is one play.
-type fleetPlay struct {
+// fleetSim is the state of one run.
+type fleetSim struct {
 	Fleet
-	events events
-	draw   *rand.Rand
-	halls  []*fleetHall
-	store  fleetStore
-	// struck is when the fault happens.
-	struck time.Duration
-	// ended counts the routers that have ended, and inForce those that know the newest
-	// configuration.
-	ended, inForce int
+	events  eventLoop
+	rng     *rand.Rand
+	halls   []*fleetHall
+	store   fleetStore
+	faultAt time.Duration
+	// crashed is the number of crashed routers, upToDate the number of routers that hold the
+	// newest configuration.
+	crashed, upToDate int
 }
 
-func newFleetPlay(setup Fleet) *fleetPlay {
-	p := &fleetPlay{Fleet: setup, draw: rand.New(rand.NewPCG(setup.Seed, setup.Seed))}
+func newFleetSim(setup Fleet) *fleetSim {
+	s := &fleetSim{Fleet: setup, rng: rand.New(rand.NewPCG(setup.Seed, setup.Seed))}
 	for i := range setup.Halls {
-		hall := &fleetHall{play: p, name: fmt.Sprint("hall-", i), region: &fleetLink{rate: mbps(setup.RegionMbps)}}
-		if i == 0 { // the store stands there
-			hall.region.rate = mbps(setup.WideMbps)
+		hall := &fleetHall{sim: s, name: fmt.Sprint("hall-", i), storeLink: &fleetLink{rate: mbps(setup.RegionMbps)}}
+		if i == 0 { // the hall of the store
+			hall.storeLink.rate = mbps(setup.WideMbps)
 		}
-		p.halls = append(p.halls, hall)
+		s.halls = append(s.halls, hall)
 	}
 	for i := range setup.Routers {
-		p.halls[i%setup.Halls].add(i / setup.Halls)
+		s.halls[i%setup.Halls].add(i / setup.Halls)
 	}
-	return p
+	return s
 }
 
-// begin has the fault happen. Where the fleet is in force before it, it starts first, and the
-// fault comes once all is calm.
-func (p *fleetPlay) begin() {
-	const calm = 6 * time.Second
-	p.store.revision = 1
-	listed := p.Fault == FleetPower
-	p.startAll(listed)
-	if p.Fault == FleetStart || p.Fault == FleetPower {
+// begin schedules the fault. Unless the fault is a start, the fleet starts first, and the fault
+// follows once it has settled.
+func (s *fleetSim) begin() {
+	const settleTime = 6 * time.Second
+	s.store.revision = 1
+	listed := s.Fault == FleetPower
+	s.startAll(listed)
+	if s.Fault == FleetStart || s.Fault == FleetPower {
 		return
 	}
-	p.struck = calm
-	p.store.left = 1
-	if p.Fault == FleetStorm {
-		p.store.left = stormLength
+	s.faultAt = settleTime
+	s.store.pendingWrites = 1
+	if s.Fault == FleetStorm {
+		s.store.pendingWrites = stormLength
 	}
-	p.events.at(calm, func() {
-		p.forget()
-		p.strike()
-		p.change()
+	s.events.at(settleTime, func() {
+		s.resetCounters()
+		s.injectCrashes()
+		s.writeConfigurations()
 	})
 }
 
-// startAll starts all processes within a short time.
-func (p *fleetPlay) startAll(listed bool) {
-	const within = 300 * time.Millisecond
-	for number, hall := range p.halls {
+// startAll starts all processes at random times within a short interval.
+func (s *fleetSim) startAll(listed bool) {
+	const startSpread = 300 * time.Millisecond
+	for index, hall := range s.halls {
 		for _, router := range hall.routers {
 			router.announced = listed
-			p.events.at(drawBelow(p.draw, within), router.start)
+			s.events.at(randBelow(s.rng, startSpread), router.start)
 		}
-		for i := number; i < p.Loaders; i += p.Halls {
-			p.events.at(drawBelow(p.draw, within), hall.startLoader)
+		for i := index; i < s.Loaders; i += s.Halls {
+			s.events.at(randBelow(s.rng, startSpread), hall.startLoader)
 		}
 	}
 }
 
-// forget has the figures count from now on.
-func (p *fleetPlay) forget() {
-	p.store.calls = 0
-	for _, hall := range p.halls {
-		hall.region.sent, hall.wasted = 0, 0
+// resetCounters restarts the counts of calls and bytes.
+func (s *fleetSim) resetCounters() {
+	s.store.calls = 0
+	for _, hall := range s.halls {
+		hall.storeLink.sent, hall.wasted = 0, 0
 		for _, router := range hall.routers {
-			router.out.sent, router.reads = 0, false
+			router.uplink.sent, router.readsStore = 0, false
 		}
 	}
 }
 
-// strike ends the routers that the fault is about.
-func (p *fleetPlay) strike() {
-	for _, hall := range p.halls {
-		switch p.Fault {
+// injectCrashes crashes the routers that the fault selects.
+func (s *fleetSim) injectCrashes() {
+	for _, hall := range s.halls {
+		switch s.Fault {
 		case FleetReader:
 			ranked := readers.Rank(hall.all())
 			for _, router := range hall.routers {
-				p.end(router, router.Name == ranked[0].Name)
+				s.crash(router, router.Name == ranked[0].Name)
 			}
 		case FleetTenth:
 			for _, router := range hall.routers {
-				p.end(router, p.draw.IntN(10) == 0)
+				s.crash(router, s.rng.IntN(10) == 0)
 			}
 		default:
 		}
 	}
 }
 
-// end ends a router where that is asked for.
-func (p *fleetPlay) end(router *fleetRouter, ends bool) {
-	if ends {
-		router.gone = true
-		p.ended++
+// crash marks a router as crashed if selected is set.
+func (s *fleetSim) crash(router *fleetRouter, selected bool) {
+	if selected {
+		router.crashed = true
+		s.crashed++
 	}
 }
 
-// The configurations of a storm, and the pause between two.
+// Number and interval of the configurations of a storm.
 const (
-	stormLength = 9
-	stormEvery  = 330 * time.Millisecond
+	stormLength   = 9
+	stormInterval = 330 * time.Millisecond
 )
 
-// change writes the configurations of the fault.
-func (p *fleetPlay) change() {
-	for i := range p.store.left {
-		p.events.after(time.Duration(i)*stormEvery, func() {
-			p.store.left--
-			p.store.revision++
-			p.inForce = 0
-			p.store.tell()
+// writeConfigurations schedules the writes of the fault.
+func (s *fleetSim) writeConfigurations() {
+	for i := range s.store.pendingWrites {
+		s.events.after(time.Duration(i)*stormInterval, func() {
+			s.store.pendingWrites--
+			s.store.revision++
+			s.upToDate = 0
+			s.store.notifyWatches()
 		})
 	}
 }
 
-func (p *fleetPlay) result() *FleetResult {
+func (s *fleetSim) result() *FleetResult {
 	result := &FleetResult{
-		Fault: p.Fault, Spread: p.Spread.Name, Routers: p.Routers, Loaders: p.Loaders, StoreCalls: p.store.calls,
+		Fault: s.Fault, Spread: s.Spread.Name, Routers: s.Routers, Loaders: s.Loaders, StoreCalls: s.store.calls,
 	}
 	var times []float64
-	for _, hall := range p.halls {
-		result.RegionBytes = max(result.RegionBytes, hall.region.sent)
+	for _, hall := range s.halls {
+		result.RegionBytes = max(result.RegionBytes, hall.storeLink.sent)
 		result.Wasted += hall.wasted
 		for _, router := range hall.routers {
-			result.SenderBytes = max(result.SenderBytes, router.out.sent)
-			if router.reads {
+			result.SenderBytes = max(result.SenderBytes, router.uplink.sent)
+			if router.readsStore {
 				result.Readers++
 			}
 			switch {
-			case router.gone:
-			case router.revision < p.store.revision:
+			case router.crashed:
+			case router.revision < s.store.revision:
 				times = append(times, -1)
 			default:
-				times = append(times, (router.newest - p.struck).Seconds())
+				times = append(times, (router.revisionAt - s.faultAt).Seconds())
 			}
 		}
 	}
@@ -316,10 +316,10 @@
 	return result
 }
 
-// mbps returns megabits a second as bytes a second.
+// mbps converts megabits per second to bytes per second.
 func mbps(rate float64) float64 { return rate * 1e6 / 8 }
 
-// drawBelow draws a time below some time.
-func drawBelow(draw *rand.Rand, below time.Duration) time.Duration {
-	return time.Duration(draw.Int64N(int64(below)))
+// randBelow returns a random duration below a limit.
+func randBelow(rng *rand.Rand, limit time.Duration) time.Duration {
+	return time.Duration(rng.Int64N(int64(limit)))
 }
--- a/daemon/lab/fleet_model.go
+++ b/daemon/lab/fleet_model.go
@@ -7,64 +7,65 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/readers"
 )
 
-// Sizes of messages and times of calls in a fleet.
+// Message sizes and delays.
 const (
-	// memberBytes and upstreamBytes are a record as the store sends it.
+	// memberBytes and upstreamBytes are the sizes of records as the store sends them.
 	memberBytes, upstreamBytes = 210, 330
-	// packedPart is the part of a copy that is left when it is packed together, and
-	// packedConfiguration that of a configuration.
-	packedPart, packedConfiguration = 3, 6
-	// callBytes is what a call and an answer without news take.
+	// compressionRatio is that of a snapshot, configurationCompressionRatio that of a
+	// configuration.
+	compressionRatio, configurationCompressionRatio = 3, 6
+	// callBytes is the size of a request and an empty answer.
 	callBytes = 300
-	// nearTrip and farTrip are one way within a hall and between regions; storeAnswers is how
-	// long the store takes.
-	nearTrip, farTrip = 100 * time.Microsecond, time.Millisecond
-	storeAnswers      = 4 * time.Millisecond
-	// firstBytes is how long an answer of the store may take to begin until it is given up.
-	firstBytes = 1500 * time.Millisecond
-	// heldFor and wholeHeldFor are how long a follower's call is held, and answersWithin what
-	// it may take beyond that.
-	heldFor, wholeHeldFor = 500 * time.Millisecond, time.Second
-	answersWithin         = 400 * time.Millisecond
-	// muted and mutedStarting are how long a router is not asked that gave no answer, or knew
-	// nothing yet.
-	muted, mutedStarting = 2 * time.Second, 250 * time.Millisecond
-	// pauses after news of the store and of another router, and between looks.
-	storePause, nearPause, lookPause = 500 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond
-	// findPause is between two lists of the hall, findMost how long they go on.
-	findPause, findMost = 300 * time.Millisecond, 2 * time.Second
-	// loaderPause is between the lists of a loader that knows no router.
-	loaderPause = 2 * time.Second
+	// hallDelay and regionDelay are one-way delays within a hall and between regions, storeDelay
+	// the store's response time.
+	hallDelay, regionDelay = 100 * time.Microsecond, time.Millisecond
+	storeDelay             = 4 * time.Millisecond
+	// firstByteTimeout is the wait limit for the first byte of a store answer.
+	firstByteTimeout = 1500 * time.Millisecond
+	// pollHold and snapshotPollHold are the times for which a follower's call is held without an
+	// update, pollGrace what a caller waits beyond them.
+	pollHold, snapshotPollHold = 500 * time.Millisecond, time.Second
+	pollGrace                  = 400 * time.Millisecond
+	// muteTime is how long an unreachable router is skipped, startingMuteTime how long one
+	// without a snapshot is.
+	muteTime, startingMuteTime = 2 * time.Second, 250 * time.Millisecond
+	// Pauses after an update from the store, after one from another router, and between
+	// decisions.
+	afterStorePause, afterPeerPause, decidePause = 500 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond
+	// listInterval is the interval between listings of the hall, maxListTime the time after which
+	// a starting router stops listing.
+	listInterval, maxListTime = 300 * time.Millisecond, 2 * time.Second
+	// loaderListInterval is the interval between listings by a loader that has no router.
+	loaderListInterval = 2 * time.Second
 )
 
-// fleetLink sends one thing after the other.
+// fleetLink is a link that sends one message at a time.
 type fleetLink struct {
 	rate float64
-	// free is when it has sent all that it was given, and sent the bytes of that.
-	free time.Duration
-	sent int
+	// freeAt is when the link has sent all queued messages, sent the total of their bytes.
+	freeAt time.Duration
+	sent   int
 }
 
-// send returns when some bytes begin to go out, and when the last is sent.
+// send queues a message and returns when its transmission starts and ends.
 func (l *fleetLink) send(now time.Duration, bytes int) (begin, end time.Duration) {
-	begin = max(now, l.free)
-	l.free = begin + time.Duration(float64(bytes)/l.rate*float64(time.Second))
+	begin = max(now, l.freeAt)
+	l.freeAt = begin + time.Duration(float64(bytes)/l.rate*float64(time.Second))
 	l.sent += bytes
-	return begin, l.free
+	return begin, l.freeAt
 }
 
-// fleetStore is the store.
 type fleetStore struct {
 	revision int
 	calls    int
-	// left is how many changes are still to be written.
-	left int
-	// watches are told of the next change.
+	// pendingWrites is the number of changes that are still to be written.
+	pendingWrites int
+	// watches are called at the next change.
 	watches []func()
 }
 
-// tell has all watches answer.
-func (s *fleetStore) tell() {
+// notifyWatches calls and removes all watches.
+func (s *fleetStore) notifyWatches() {
 	watches := s.watches
 	s.watches = nil
 	for _, watch := range watches {
@@ -72,27 +73,27 @@
 	}
 }
 
-// fleetHall is a data hall, with the link from the store to it.
+// fleetHall is a data hall and the link from the store to it.
 type fleetHall struct {
-	play    *fleetPlay
-	name    string
-	region  *fleetLink
-	routers []*fleetRouter
-	byName  map[string]*fleetRouter
-	wasted  int
+	sim       *fleetSim
+	name      string
+	storeLink *fleetLink
+	routers   []*fleetRouter
+	byName    map[string]*fleetRouter
+	wasted    int
 }
 
-// add adds a router; the first of a hall have wide links.
-func (h *fleetHall) add(number int) {
-	count := h.play.Routers / h.play.Halls
-	rate := h.play.NarrowMbps
-	if float64(number) < float64(count)*h.play.Wide {
-		rate = h.play.WideMbps
+// add adds a router. The first routers of a hall have wide links.
+func (h *fleetHall) add(index int) {
+	count := h.sim.Routers / h.sim.Halls
+	rate := h.sim.NarrowMbps
+	if float64(index) < float64(count)*h.sim.Wide {
+		rate = h.sim.WideMbps
 	}
 	router := &fleetRouter{
-		Router: readers.Router{Name: fmt.Sprintf("%s-%d", h.name, number), LinkMbps: rate},
-		hall:   h, out: fleetLink{rate: mbps(rate)},
-		known: map[string]bool{}, muted: map[string]mutedRouter{},
+		Router: readers.Router{Name: fmt.Sprintf("%s-%d", h.name, index), LinkMbps: rate},
+		hall:   h, uplink: fleetLink{rate: mbps(rate)},
+		peers: map[string]bool{}, muted: map[string]mutedRouter{},
 	}
 	if h.byName == nil {
 		h.byName = map[string]*fleetRouter{}
@@ -109,23 +110,23 @@
 	return all
 }
 
-// read has the store send an answer to the hall. Given is told when the last byte is there;
-// gaveUp where the first one took too long, and the answer is sent in vain.
-func (h *fleetHall) read(bytes int, given, gaveUp func()) {
-	p := h.play
-	p.store.calls++
-	p.events.after(farTrip+storeAnswers, func() {
-		begin, end := h.region.send(p.events.now, bytes)
-		if wait := begin - p.events.now; wait > firstBytes {
+// read requests an answer from the store. It calls onDone when the last byte has arrived, or
+// onTimeout if the first byte was late; the answer still occupies the link then.
+func (h *fleetHall) read(bytes int, onDone, onTimeout func()) {
+	s := h.sim
+	s.store.calls++
+	s.events.after(regionDelay+storeDelay, func() {
+		begin, end := h.storeLink.send(s.events.now, bytes)
+		if wait := begin - s.events.now; wait > firstByteTimeout {
 			h.wasted += bytes
-			p.events.after(firstBytes, gaveUp)
+			s.events.after(firstByteTimeout, onTimeout)
 			return
 		}
-		p.events.at(end+farTrip, given)
+		s.events.at(end+regionDelay, onDone)
 	})
 }
 
-// announcedNames are the routers of the hall whose records are in the store.
+// announcedNames returns the hall's routers whose records are in the store.
 func (h *fleetHall) announcedNames() []string {
 	var names []string
 	for _, router := range h.routers {
@@ -136,75 +137,76 @@
 	return names
 }
 
-// startLoader has a loader list a shard of the routers of its hall, and where it knows none
-// all upstreams from the store.
+// startLoader makes a loader list the hall's routers in its shard, and, depending on the
+// strategy, all upstreams from the store while it finds no router.
 func (h *fleetHall) startLoader() {
-	p := h.play
+	s := h.sim
 	names := h.announcedNames()
-	times := p.Halls // all halls are listed, and are alike
-	if p.Spread.AwaitOwn {
-		names, times = inShard(names, readers.Shard(fmt.Sprint("loader-", p.draw.Uint32()))), 1
+	factor := s.Halls // all halls are listed and have the same size
+	if s.Spread.AwaitOwn {
+		names, factor = inShard(names, readers.Shard(fmt.Sprint("loader-", s.rng.Uint32()))), 1
 	}
-	again := func() { p.events.after(loaderPause, h.startLoader) }
-	h.read(callBytes+times*len(names)*memberBytes, func() {
+	retry := func() { s.events.after(loaderListInterval, h.startLoader) }
+	h.read(callBytes+factor*len(names)*memberBytes, func() {
 		switch {
 		case len(names) > 0:
-		case p.Spread.LoadersRead:
-			h.read(p.Loaders*upstreamBytes, again, again)
+		case s.Spread.LoadersRead:
+			h.read(s.Loaders*upstreamBytes, retry, retry)
 		default:
-			p.events.after(findPause, h.startLoader)
+			s.events.after(listInterval, h.startLoader)
 		}
-	}, again)
+	}, retry)
 }
 
-// mutedRouter is one that is not asked for a while.
+// mutedRouter is a router that is not contacted until a time.
 type mutedRouter struct {
 	until time.Duration
 	state readers.State
 }
 
-// fleetRouter is a router.
+// fleetRouter is a router that reads the store or follows another router.
 type fleetRouter struct {
 	readers.Router
 	hall *fleetHall
-	// out is its link to those that follow it. Nothing waits for the way in, because a router
+	// uplink is the link to the router's followers. The downlink never queues, because a router
 	// makes one call at a time.
-	out fleetLink
-	// announced says that its record is in the store, gone that it has ended.
-	announced, gone bool
-	// known are the routers of its hall that it knows, muted those that it does not ask.
-	known map[string]bool
+	uplink fleetLink
+	// announced is set once the router's record is in the store.
+	announced, crashed bool
+	// peers are the hall's routers that this one has listed, muted those that it does not
+	// contact.
+	peers map[string]bool
 	muted map[string]mutedRouter
-	// revision is what it knows of the store, newest when it learnt that, and heard when the
-	// store was heard, by it or by whom it follows.
-	revision      int
-	newest, heard time.Duration
-	// waiting are the calls that it holds.
-	waiting []func()
-	reads   bool
-	// follows is the router that the last decision named, nil where it has to be made anew
-	// because something that it depends on has changed. It holds while nobody is muted.
-	follows *fleetRouter
-	started time.Duration
+	// revision is the router's revision of the store, revisionAt when it was received, and
+	// storeSeen when the router, or the one that it follows, last had an answer of the store.
+	revision              int
+	revisionAt, storeSeen time.Duration
+	// heldCalls are the followers' calls that the router holds.
+	heldCalls  []func()
+	readsStore bool
+	// following caches the last decision while nothing that it depends on has changed: no new
+	// peers and no muted routers. It is nil otherwise.
+	following *fleetRouter
+	started   time.Duration
 }
 
-// start announces the router and lists the others.
+// start registers the router in the store and lists the others.
 func (r *fleetRouter) start() {
-	p := r.hall.play
-	r.started, r.heard = p.events.now, p.events.now
-	p.store.calls += 2 // a lease and the record
-	if !p.Spread.AwaitOwn {
-		r.list()
+	s := r.hall.sim
+	r.started, r.storeSeen = s.events.now, s.events.now
+	s.store.calls += 2 // a lease and the record
+	if !s.Spread.AwaitOwn {
+		r.listRouters()
 	}
-	p.events.after(2*(2*farTrip+storeAnswers), func() {
+	s.events.after(2*(2*regionDelay+storeDelay), func() {
 		r.announced = true
-		if p.Spread.AwaitOwn {
-			r.list()
+		if s.Spread.AwaitOwn {
+			r.listRouters()
 		}
 	})
 }
 
-// inShard returns those of some routers that are listed with a shard.
+// inShard returns the names that belong to a shard.
 func inShard(names []string, shard string) []string {
 	var listed []string
 	for _, name := range names {
@@ -215,52 +217,53 @@
 	return listed
 }
 
-// list lists the routers of all halls, or those of the own shard, and those of the hall for
-// the first of a shard.
-func (r *fleetRouter) list() {
+// listRouters lists the routers of all halls or of the own shard, depending on the strategy. The first
+// router of a shard lists its whole hall.
+func (r *fleetRouter) listRouters() {
 	names := r.hall.announcedNames()
-	if r.hall.play.Spread.AwaitOwn {
-		r.listSome(inShard(names, readers.Shard(r.Name)), 1, func() {
-			if course, _ := readers.Decide(r.Router, r.view(), 0); course != readers.Follow {
-				r.listSome(r.hall.announcedNames(), 1, r.decide)
+	if r.hall.sim.Spread.AwaitOwn {
+		r.listNames(inShard(names, readers.Shard(r.Name)), 1, func() {
+			if action, _ := readers.Decide(r.Router, r.view(), 0); action != readers.Follow {
+				r.listNames(r.hall.announcedNames(), 1, r.decide)
 				return
 			}
 			r.decide()
 		})
 		return
 	}
-	r.listSome(names, r.hall.play.Halls, r.decide)
+	r.listNames(names, r.hall.sim.Halls, r.decide)
 }
 
-// listSome lists some routers, as many times the bytes of their records.
-func (r *fleetRouter) listSome(names []string, times int, then func()) {
-	p := r.hall.play
-	r.hall.read(callBytes+times*len(names)*memberBytes, func() {
-		r.know(names)
+// listNames reads the records of some routers. The answer holds as many records for each name as
+// factor says.
+func (r *fleetRouter) listNames(names []string, factor int, then func()) {
+	s := r.hall.sim
+	r.hall.read(callBytes+factor*len(names)*memberBytes, func() {
+		r.addPeers(names)
 		then()
 	}, func() {
-		if p.events.now-r.started < findMost && p.Spread.AwaitOwn {
-			p.events.after(findPause, r.list)
+		if s.events.now-r.started < maxListTime && s.Spread.AwaitOwn {
+			s.events.after(listInterval, r.listRouters)
 			return
 		}
 		r.decide()
 	})
 }
 
-// know takes the names of routers of the hall.
-func (r *fleetRouter) know(names []string) {
+// addPeers adds listed routers of the hall.
+func (r *fleetRouter) addPeers(names []string) {
 	for _, name := range names {
-		if !r.known[name] {
-			r.known[name], r.follows = true, nil
+		if !r.peers[name] {
+			r.peers[name], r.following = true, nil
 		}
 	}
 }
 
-// view is the other routers of the hall as this one sees them.
+// view returns the other routers of the hall and their state as seen by this one.
 func (r *fleetRouter) view() []readers.Router {
-	now := r.hall.play.events.now
+	now := r.hall.sim.events.now
 	var view []readers.Router
-	for name := range r.known {
+	for name := range r.peers {
 		if name == r.Name {
 			continue
 		}
@@ -275,175 +278,176 @@
 	return view
 }
 
-// decide does what the decision says.
+// decide applies the next decision.
 func (r *fleetRouter) decide() {
-	p := r.hall.play
-	if r.gone {
+	s := r.hall.sim
+	if r.crashed {
 		return
 	}
-	if r.follows != nil {
-		r.follow(r.follows)
+	if r.following != nil {
+		r.follow(r.following)
 		return
 	}
-	course, name := p.Spread.Decide(r.Router, r.view(), p.events.now-r.heard)
-	switch course {
+	action, name := s.Spread.Decide(r.Router, r.view(), s.events.now-r.storeSeen)
+	switch action {
 	case readers.Follow:
 		if len(r.muted) == 0 {
-			r.follows = r.hall.byName[name]
+			r.following = r.hall.byName[name]
 		}
 		r.follow(r.hall.byName[name])
 	case readers.Read:
-		r.reads = true
+		r.readsStore = true
 		r.readStore()
 	case readers.Wait:
-		p.events.after(lookPause, r.decide)
+		s.events.after(decidePause, r.decide)
 	}
 }
 
-// readStore reads the whole store, or watches it.
+// readStore reads a snapshot of the store first, and watches it afterwards.
 func (r *fleetRouter) readStore() {
-	p := r.hall.play
-	again := func() { p.events.after(lookPause, r.decide) }
+	s := r.hall.sim
+	retry := func() { s.events.after(decidePause, r.decide) }
 	if r.revision == 0 {
-		at := p.store.revision
-		r.hall.read(p.copyBytes(), func() { r.learn(at, p.events.now, storePause) }, again)
+		at := s.store.revision
+		r.hall.read(s.snapshotBytes(), func() { r.apply(at, s.events.now, afterStorePause) }, retry)
 		return
 	}
-	r.heard = p.events.now
-	if r.revision < p.store.revision {
-		r.readChange()
+	r.storeSeen = s.events.now
+	if r.revision < s.store.revision {
+		r.readConfiguration()
 		return
 	}
-	p.store.calls++
-	p.store.watches = append(p.store.watches, r.readChange)
+	s.store.calls++
+	s.store.watches = append(s.store.watches, r.readConfiguration)
 }
 
-// readChange has the store send the newest configuration.
-func (r *fleetRouter) readChange() {
-	p := r.hall.play
-	if r.gone {
+// readConfiguration reads the newest configuration from the store.
+func (r *fleetRouter) readConfiguration() {
+	s := r.hall.sim
+	if r.crashed {
 		return
 	}
-	at := p.store.revision
-	r.hall.read(p.ConfigurationBytes*4/3, func() { r.learn(at, p.events.now, storePause) },
-		func() { p.events.after(lookPause, r.decide) })
+	at := s.store.revision
+	r.hall.read(s.ConfigurationBytes*4/3, func() { r.apply(at, s.events.now, afterStorePause) },
+		func() { s.events.after(decidePause, r.decide) })
 }
 
-// learn takes what is known of the store as it was heard at some time, and goes on after a
-// pause.
-func (r *fleetRouter) learn(revision int, heard, pause time.Duration) {
-	p := r.hall.play
-	if r.gone {
+// apply records a revision and when the store was seen with it, answers held calls and decides
+// again after a pause.
+func (r *fleetRouter) apply(revision int, seenAt, pause time.Duration) {
+	s := r.hall.sim
+	if r.crashed {
 		return
 	}
-	r.heard = max(r.heard, heard)
+	r.storeSeen = max(r.storeSeen, seenAt)
 	if revision > r.revision {
-		r.revision, r.newest = revision, p.events.now
-		if revision == p.store.revision {
-			p.inForce++
+		r.revision, r.revisionAt = revision, s.events.now
+		if revision == s.store.revision {
+			s.upToDate++
 		}
-		r.know(r.hall.announcedNames())
+		r.addPeers(r.hall.announcedNames())
 	}
-	waiting := r.waiting
-	r.waiting = nil
-	for _, answer := range waiting {
+	heldCalls := r.heldCalls
+	r.heldCalls = nil
+	for _, answer := range heldCalls {
 		answer()
 	}
-	p.events.after(pause, r.decide)
+	s.events.after(pause, r.decide)
 }
 
-// follow asks another router for news.
+// follow long-polls another router for updates.
 func (r *fleetRouter) follow(other *fleetRouter) {
-	p := r.hall.play
-	held := heldFor
+	s := r.hall.sim
+	hold := pollHold
 	if r.revision == 0 {
-		held = wholeHeldFor
+		hold = snapshotPollHold
 	}
-	if other.gone {
-		p.events.after(held+answersWithin, func() { r.mute(other, muted, readers.Unreachable) })
+	if other.crashed {
+		s.events.after(hold+pollGrace, func() { r.mute(other, muteTime, readers.Unreachable) })
 		return
 	}
 	settled := false
 	answer := func() {
-		if settled || r.gone {
+		if settled || r.crashed {
 			return
 		}
 		settled = true
-		r.answered(other)
+		r.handleAnswer(other)
 	}
-	p.events.after(nearTrip, func() {
+	s.events.after(hallDelay, func() {
 		if other.revision > r.revision {
 			answer()
 			return
 		}
-		other.waiting = append(other.waiting, answer)
-		p.events.after(held, answer)
+		other.heldCalls = append(other.heldCalls, answer)
+		s.events.after(hold, answer)
 	})
 }
 
-// answered takes the answer of another router: its news, or that there is none.
-func (r *fleetRouter) answered(other *fleetRouter) {
-	p := r.hall.play
-	if other.gone {
-		r.mute(other, muted, readers.Unreachable)
+// handleAnswer processes the answer of another router, with or without an update.
+func (r *fleetRouter) handleAnswer(other *fleetRouter) {
+	s := r.hall.sim
+	if other.crashed {
+		r.mute(other, muteTime, readers.Unreachable)
 		return
 	}
 	switch {
 	case other.revision == 0:
-		r.mute(other, mutedStarting, readers.Stale)
+		r.mute(other, startingMuteTime, readers.Stale)
 	case other.revision > r.revision:
-		bytes, revision, heard := p.newsBytes(r.revision == 0), other.revision, other.heard
-		_, end := other.out.send(p.events.now, bytes)
-		p.events.at(end+nearTrip, func() { r.learn(revision, heard, nearPause) })
+		bytes, revision, seenAt := s.updateBytes(r.revision == 0), other.revision, other.storeSeen
+		_, end := other.uplink.send(s.events.now, bytes)
+		s.events.at(end+hallDelay, func() { r.apply(revision, seenAt, afterPeerPause) })
 	default:
-		r.heard = max(r.heard, other.heard)
+		r.storeSeen = max(r.storeSeen, other.storeSeen)
 		r.decide()
 	}
 }
 
-// mute has another router not be asked for a while.
+// mute skips another router for a time.
 func (r *fleetRouter) mute(other *fleetRouter, length time.Duration, state readers.State) {
-	r.muted[other.Name] = mutedRouter{until: r.hall.play.events.now + length, state: state}
-	r.follows = nil
+	r.muted[other.Name] = mutedRouter{until: r.hall.sim.events.now + length, state: state}
+	r.following = nil
 	r.decide()
 }
 
-// copyBytes is the whole store as it sends it.
-func (p *fleetPlay) copyBytes() int {
-	return p.Routers*memberBytes + p.Loaders*upstreamBytes + p.ConfigurationBytes*4/3
+// snapshotBytes returns the size of the store's snapshot.
+func (s *fleetSim) snapshotBytes() int {
+	return s.Routers*memberBytes + s.Loaders*upstreamBytes + s.ConfigurationBytes*4/3
 }
 
-// newsBytes is what a router sends to one that follows it.
-func (p *fleetPlay) newsBytes(whole bool) int {
-	bytes := callBytes + p.ConfigurationBytes*4/3/packedConfiguration
-	if !whole {
+// updateBytes returns the size of an update between routers, with or without a snapshot of all
+// records.
+func (s *fleetSim) updateBytes(snapshot bool) int {
+	bytes := callBytes + s.ConfigurationBytes*4/3/configurationCompressionRatio
+	if !snapshot {
 		return bytes
 	}
-	records := p.Routers*memberBytes + p.Loaders*upstreamBytes
-	if p.Spread.Packed {
-		records /= packedPart
+	records := s.Routers*memberBytes + s.Loaders*upstreamBytes
+	if s.Spread.Packed {
+		records /= compressionRatio
 	}
 	return bytes + records
 }
 
-// decideFlat has the first router of a ranking by name send to all others.
+// decideFlat makes the first router of a ranking by name read the store and all others follow it.
 func decideFlat(own readers.Router, hall []readers.Router, _ time.Duration) (readers.Action, string) {
-	const mayRead = 3
+	const maxStale = 3
 	routers := append([]readers.Router{own}, hall...)
 	for i := range routers {
 		routers[i].LinkMbps = 0
 	}
-	behind := 0
+	stale := 0
 	for _, router := range readers.Rank(routers) {
 		switch {
-		case router.Name == own.Name && behind < mayRead:
+		case router.Name == own.Name && stale < maxStale:
 			return readers.Read, ""
 		case router.Name == own.Name:
 			return readers.Wait, ""
 		case router.State == readers.Usable:
 			return readers.Follow, router.Name
 		case router.State == readers.Stale:
-			behind++
+			stale++
 		}
 	}
 	return readers.Wait, ""
--- a/daemon/lab/lab.go
+++ b/daemon/lab/lab.go
@@ -1,15 +1,15 @@
-// Package lab plays engines, routers and callers in simulated time, on the decision packages
-// that routers and loaders run, so that a way to decide is measured in a second instead of
-// on a fleet in minutes, and beside the best that the engines could do.
+// Package lab simulates engines, loaders, routers and callers in virtual time and runs the
+// production decision packages (balance, admission, dispatch, places, ratelimit, readers) on
+// them. A policy can be compared in seconds, without starting processes, and against an upper
+// bound computed by an oracle. The bench commands of the CLI call it.
 //
-// Played are: engines that work in passes, loaders that hand out their places and tell their
-// load some ten milliseconds late, routers that ask for places, and callers who come at a
-// rate that changes, who name times of their own, come back when told to, once, and leave
-// when their time is over. Not played are networks, stores, processor time and plain
-// upstreams: what depends on those is measured on processes.
+// The simulation covers batching engines, loaders that grant places and report load with a delay,
+// routers that request places, and callers with varying arrival rates and deadlines that retry
+// once after a refusal. A place is one execution slot of an engine. Networks, stores, processor
+// time and plain upstreams are not modelled.
 //
-// A run depends on its seed alone. Running the daemons' own handlers under a simulated
-// clock was rejected: they wait in goroutines, which no clock of ours can order.
+// A run is deterministic for a given seed. The daemons' HTTP handlers are not run under the
+// virtual clock, because they block in goroutines whose order it cannot control.
 package lab
 
 import (
@@ -19,24 +19,25 @@
 	"time"
 )
 
-// Setup is a fleet, its callers and the load that they bring.
+// Setup describes a fleet, its callers and the offered load.
 type Setup struct {
 	Engines, Routers, Halls int
 	Engine                  EngineSpec
 	Kinds                   []Kind
-	// Patience is the part by which callers' times differ: each has its kind's, or up to so
-	// much less.
+	// Patience is the maximum relative reduction of a caller's deadline: each caller gets the
+	// deadline of its kind, reduced by a random share of up to this value.
 	Patience float64
-	// Rate is how many callers come a second at 1.0 of the pattern.
+	// Rate is the number of callers per second at pattern level 1.
 	Rate float64
-	// Length is how long callers come, Warm the time before what is measured.
+	// Length is the time during which callers arrive. Callers that arrive within Warm are
+	// excluded from the results.
 	Length, Warm time.Duration
 	Pattern      Pattern
 	Seed         uint64
 }
 
-// Default is a fleet of 45 engines in three halls with three kinds of callers, which bear
-// 1.0 of its rate.
+// Default returns a fleet of 45 engines in three halls with three kinds of callers, loaded to its
+// capacity at pattern level 1.
 func Default() Setup {
 	return Setup{
 		Engines: 45, Routers: 15, Halls: 3, Engine: DefaultEngine(), Kinds: DefaultKinds(),
@@ -44,94 +45,94 @@
 	}
 }
 
-// ErrSetup says that a setup cannot be played.
-var ErrSetup = errors.New("setup cannot be played")
+// ErrSetup is returned for an invalid setup.
+var ErrSetup = errors.New("invalid setup")
 
-// check returns what is wrong with a setup.
-func (s Setup) check() error {
+func (s Setup) validate() error {
 	switch {
 	case s.Engines < 1 || s.Routers < 1 || s.Halls < 1:
-		return fmt.Errorf("%w: it takes at least one engine, one router and one hall", ErrSetup)
+		return fmt.Errorf("%w: at least one engine, one router and one hall are required", ErrSetup)
 	case s.Engine.Places < 1 || s.Engine.ReadRate <= 0 || s.Engine.Stride < 1:
-		return fmt.Errorf("%w: engines need places, a rate of reading and tokens a pass", ErrSetup)
+		return fmt.Errorf("%w: places, prompt token rate and tokens per pass of engines must be positive", ErrSetup)
 	case len(s.Kinds) == 0 || s.Rate <= 0 || s.Length <= s.Warm:
-		return fmt.Errorf("%w: no callers come after the first %s", ErrSetup, s.Warm)
+		return fmt.Errorf("%w: kinds of callers, a positive rate and a length above the warm-up of %s are required", ErrSetup, s.Warm)
 	case s.Patience < 0 || s.Patience >= 1:
 		return fmt.Errorf("%w: patience %.2f is not in [0, 1)", ErrSetup, s.Patience)
 	}
 	return nil
 }
 
-// play is a run under way.
-type play struct {
+// simulation is the state of one run.
+type simulation struct {
 	Setup
-	policy  Policy
-	knows   knows
-	events  events
-	engines []*engine
-	routers []*router
-	callers []*caller
-	rates   *rand.Rand // of arrivals, the same for all policies
-	draw    *rand.Rand
+	policy      Policy
+	isRetry     retryDetector
+	events      eventLoop
+	engines     []*engine
+	routers     []*router
+	callers     []*caller
+	arrivalRand *rand.Rand // for arrivals, independent of the policy
+	rng         *rand.Rand
 }
 
-// start is the simulated begin; decision packages take a zero time for none.
-var start = time.Unix(1_000_000, 0)
+// epoch is the start of virtual time. It is not the zero time, which decision packages read as
+// unset.
+var epoch = time.Unix(1_000_000, 0)
 
-func (p *play) now() time.Time { return start.Add(p.events.now) }
+func (s *simulation) now() time.Time { return epoch.Add(s.events.now) }
 
-// Play runs a setup with a policy.
+// Play simulates a setup under a policy.
 func Play(setup Setup, policy Policy) (*Result, error) {
-	if err := setup.check(); err != nil {
+	if err := setup.validate(); err != nil {
 		return nil, err
 	}
-	p := &play{
-		Setup: setup, policy: policy, knows: policy.newKnows(),
-		rates: rand.New(rand.NewPCG(setup.Seed, 1)), draw: rand.New(rand.NewPCG(setup.Seed, 2)),
+	s := &simulation{
+		Setup: setup, policy: policy, isRetry: policy.newDetector(),
+		arrivalRand: rand.New(rand.NewPCG(setup.Seed, 1)), rng: rand.New(rand.NewPCG(setup.Seed, 2)),
 	}
 	for i := range setup.Engines {
-		p.engines = append(p.engines, newEngine(p, i))
+		s.engines = append(s.engines, newEngine(s, i))
 	}
 	for i := range setup.Routers {
-		p.routers = append(p.routers, newRouter(p, i))
+		s.routers = append(s.routers, newRouter(s, i))
 	}
-	p.bring()
-	p.follow()
-	p.disturb()
-	p.events.run()
-	return p.judge(), nil
+	s.scheduleArrivals()
+	s.scheduleReports()
+	s.scheduleFaults()
+	s.events.run()
+	return s.summarize(), nil
 }
 
-// bring has callers come, each at a router of the hall that the draw picks.
-func (p *play) bring() {
-	for at := time.Duration(0); at < p.Length; {
-		rate := p.Rate * p.Pattern.rate(at)
-		at += time.Duration(p.rates.ExpFloat64() / max(rate, 1) * float64(time.Second))
-		c := p.newCaller(at)
-		p.callers = append(p.callers, c)
-		p.events.at(at, func() { p.meet(c) })
+// scheduleArrivals draws the arrival of each caller and schedules its first request.
+func (s *simulation) scheduleArrivals() {
+	for at := time.Duration(0); at < s.Length; {
+		rate := s.Rate * s.Pattern.rate(at)
+		at += time.Duration(s.arrivalRand.ExpFloat64() / max(rate, 1) * float64(time.Second))
+		c := s.newCaller(at)
+		s.callers = append(s.callers, c)
+		s.events.at(at, func() { s.submit(c) })
 	}
 }
 
-// meet has a caller meet a router, each time another one.
-func (p *play) meet(c *caller) {
-	r := p.routers[p.draw.IntN(len(p.routers))]
-	r.take(c)
+// submit sends a caller's request to a random router.
+func (s *simulation) submit(c *caller) {
+	r := s.routers[s.rng.IntN(len(s.routers))]
+	r.handle(c)
 }
 
-// disturb has what the pattern does to engines happen.
-func (p *play) disturb() {
-	for _, d := range p.Pattern.Disturbances {
-		for _, e := range p.engines {
-			if d.strikes(e.number, len(p.engines)) {
-				p.events.at(d.At, func() { e.lose(d.For) })
+// scheduleFaults schedules the pattern's outages and its rollout.
+func (s *simulation) scheduleFaults() {
+	for _, d := range s.Pattern.Disturbances {
+		for _, e := range s.engines {
+			if d.affects(e.index, len(s.engines)) {
+				s.events.at(d.At, func() { e.fail(d.For) })
 			}
 		}
 	}
-	if v := p.Pattern.Version; v != nil {
-		for _, e := range p.engines {
-			e.turn = v.turnOf(e.number, len(p.engines))
-			p.events.at(e.turn, e.begin)
+	if v := s.Pattern.Version; v != nil {
+		for _, e := range s.engines {
+			e.loadAt = v.loadTimeOf(e.index, len(s.engines))
+			s.events.at(e.loadAt, e.startDrain)
 		}
 	}
 }
--- a/daemon/lab/limit.go
+++ b/daemon/lab/limit.go
@@ -12,27 +12,28 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// This file plays upstreams that name limits: how much comes to them from all routers, while
-// loaders and routers are gone, cut off or stand still. Only the limits are played: upstreams
-// bear what comes otherwise, so that a caller is refused for a limit alone.
+// This file simulates upstreams that announce request rate limits, while loaders and routers
+// fail. It measures the total request rate that reaches a limited upstream from all routers.
+// Upstreams have unlimited capacity otherwise, so a request is only refused because of a limit.
 
-// LimitFault is what goes wrong meanwhile.
+// LimitFault is a fault that is injected into a limit simulation.
 type LimitFault string
 
-// The faults. Each but the last four lasts from second 12 to second 17.
+// The faults. LimitLoaderGone to LimitRoutersFreeze are active from second 12 to second 17, the
+// others for the whole run.
 const (
 	LimitNoFault        LimitFault = "none"
-	LimitLoaderGone     LimitFault = "loader-gone"     // of the limited, which forget what they know
-	LimitHallCut        LimitFault = "hall-cut"        // from all others
-	LimitRoutersRestart LimitFault = "routers-restart" // one after the other, and forget
-	LimitRoutersFreeze  LimitFault = "routers-freeze"  // a quarter; what came meanwhile goes out then
-	LimitPlain          LimitFault = "plain"           // there are no loaders
-	LimitAllLimited     LimitFault = "all-limited"     // else one of three upstreams is
-	LimitFlapping       LimitFault = "flapping"        // named for half a second of each
-	LimitGarbled        LimitFault = "garbled"         // each second answer cannot be read
+	LimitLoaderGone     LimitFault = "loader-gone"     // loaders are unreachable, then restart with empty tables
+	LimitHallCut        LimitFault = "hall-cut"        // one hall cannot reach the others
+	LimitRoutersRestart LimitFault = "routers-restart" // one after the other, each losing its table
+	LimitRoutersFreeze  LimitFault = "routers-freeze"  // a quarter; deferred work runs at the end
+	LimitPlain          LimitFault = "plain"           // upstreams without loaders
+	LimitAllLimited     LimitFault = "all-limited"     // all upstreams instead of one in three
+	LimitFlapping       LimitFault = "flapping"        // announced for half of each second
+	LimitGarbled        LimitFault = "garbled"         // every second limit header is malformed
 )
 
-// LimitFaults lists all.
+// LimitFaults returns all faults.
 func LimitFaults() []LimitFault {
 	return []LimitFault{
 		LimitNoFault, LimitLoaderGone, LimitHallCut, LimitRoutersRestart, LimitRoutersFreeze, LimitPlain,
@@ -40,7 +41,7 @@
 	}
 }
 
-// LimitFaultNames lists what FindLimitFault knows.
+// LimitFaultNames returns the names that FindLimitFault accepts.
 func LimitFaultNames() []string {
 	var names []string
 	for _, fault := range LimitFaults() {
@@ -49,221 +50,222 @@
 	return names
 }
 
-// FindLimitFault finds one by its name.
+// FindLimitFault returns the fault of a name.
 func FindLimitFault(name string) (LimitFault, error) {
 	if !slices.Contains(LimitFaults(), LimitFault(name)) {
-		return "", fmt.Errorf("fault %q: use one of %s", name, strings.Join(LimitFaultNames(), ", "))
+		return "", fmt.Errorf("unknown fault %q; use one of %s", name, strings.Join(LimitFaultNames(), ", "))
 	}
 	return LimitFault(name), nil
 }
 
-// LimitSetup is a fleet whose upstreams name limits for a while.
+// LimitSetup describes a fleet whose upstreams announce limits for part of the run.
 type LimitSetup struct {
 	Routers, Halls, Upstreams int
-	// PerSecond is the limit that each limited upstream names.
+	// PerSecond is the rate that each limited upstream announces.
 	PerSecond float64
-	// Rate is the requests a second of all callers.
+	// Rate is the request rate of all callers together, per second.
 	Rate  float64
 	Fault LimitFault
 	Seed  uint64
 }
 
-// DefaultLimit is a fleet of 7 routers and 12 upstreams.
+// DefaultLimit returns a fleet of 7 routers and 12 upstreams.
 func DefaultLimit() LimitSetup {
 	return LimitSetup{Routers: 7, Halls: 3, Upstreams: 12, PerSecond: 2, Rate: 120, Fault: LimitNoFault, Seed: 1}
 }
 
-// The times of a play.
+// Times and sizes of a run.
 const (
-	limitFrom, limitTo     = 5 * time.Second, 25 * time.Second
-	limitEnds              = 32 * time.Second
-	limitFaultFrom         = 12 * time.Second
-	limitFaultTo           = 17 * time.Second
-	limitedOf              = 3 // one of so many upstreams is limited
-	frozenOf               = 4 // one of so many routers is frozen
-	limitMute              = 600 * time.Millisecond
-	limitTakes, limitVary  = 30 * time.Millisecond, 300 * time.Millisecond // an answer
-	limitAsks              = 200 * time.Millisecond                        // after a start
-	limitSettles           = 3 * time.Second                               // until what comes is judged
-	limitAllow, limitExtra = 1.5, 5.0
-	limitBackWithin        = time.Second
+	limitFrom, limitTo                    = 5 * time.Second, 25 * time.Second
+	limitRunLength                        = 32 * time.Second
+	limitFaultFrom                        = 12 * time.Second
+	limitFaultTo                          = 17 * time.Second
+	limitedOneIn                          = 3 // one in limitedOneIn upstreams is limited
+	frozenOneIn                           = 4 // one in frozenOneIn routers freezes
+	loaderMuteTime                        = 600 * time.Millisecond
+	limitMinResponse, limitResponseJitter = 30 * time.Millisecond, 300 * time.Millisecond // response time
+	limitResyncDelay                      = 200 * time.Millisecond                        // after a restart
+	limitSettleTime                       = 3 * time.Second                               // excluded from Worst and Mean
+	limitTolerance, limitAllowance        = 1.5, 5.0
+	limitRecoveryWindow                   = time.Second
 )
 
-// LimitResult is what came of it.
+// LimitResult summarizes a run.
 type LimitResult struct {
 	Fault     LimitFault `json:"fault"`
 	Routers   int        `json:"routers"`
 	PerSecond float64    `json:"per_second"`
 	Seed      uint64     `json:"seed"`
-	// Worst is the most that came to an upstream in 4 s, in parts of what is allowed, from
-	// 3 s after it first named its limit; Mean is the mean of all such windows.
+	// Worst is the highest number of requests that an upstream received in 4 s, relative to the
+	// allowed number, from 3 s after the first announcement on; Mean is the mean over all such
+	// windows.
 	Worst float64 `json:"worst"`
 	Mean  float64 `json:"mean"`
-	// Falls is how long after the first naming the last second began in which more came than
-	// is allowed in 4 s, and Back how long after its end the first second began in which the
-	// limited upstreams got half of their usual share again.
+	// Falls is the time from the first announcement to the last second in which more requests
+	// arrived than are allowed in 4 s. Back is the time from the end of the limits to the first
+	// second in which the limited upstreams received half of their usual share.
 	Falls time.Duration `json:"falls"`
 	Back  time.Duration `json:"back"`
-	// Served is the part of the callers that were sent to an upstream.
+	// Served is the share of the requests that were sent to an upstream.
 	Served float64 `json:"served"`
-	// Seconds is what came to the limited upstreams in each second.
+	// Seconds is the number of requests to limited upstreams in each second.
 	Seconds []int `json:"seconds"`
 }
 
-// limitPlay is a run under way.
-type limitPlay struct {
+// limitSim is the state of one run.
+type limitSim struct {
 	LimitSetup
-	events    events
-	random    *rand.Rand
+	events    eventLoop
+	rng       *rand.Rand
 	routers   []*limitRouter
 	upstreams []*limitUpstream
-	list      []*provider.Upstream
-	came      int
+	records   []*provider.Upstream
+	requests  int
 	served    int
 }
 
-// limitUpstream is an upstream and the loader beside it.
+// limitUpstream is an upstream and its loader.
 type limitUpstream struct {
-	record  *provider.Upstream
-	limited bool
-	loader  ratelimit.Table
-	answers int
-	arrived []time.Duration
+	upstream *provider.Upstream
+	limited  bool
+	loader   ratelimit.Table
+	answers  int
+	arrivals []time.Duration
 }
 
-// limitRouter is a router: what it knows of limits, and the packages by which it decides.
+// limitRouter is a router with its own table of limits.
 type limitRouter struct {
-	play  *limitPlay
+	sim   *limitSim
 	hall  string
 	pool  balance.Pool
 	table ratelimit.Table
-	// muted is until when a loader is not asked, by upstream.
-	muted  map[string]time.Duration
-	frozen bool
-	late   []func()
+	// muted is the time, by upstream, until which its loader is not contacted.
+	muted    map[string]time.Duration
+	frozen   bool
+	deferred []func()
 }
 
-// PlayLimit runs a setup.
+// PlayLimit simulates a setup.
 func PlayLimit(setup LimitSetup) (*LimitResult, error) {
-	if setup.Routers < 1 || setup.Halls < 1 || setup.Upstreams < limitedOf || setup.Rate <= 0 || setup.PerSecond < 0 {
-		return nil, fmt.Errorf("%w: it takes a router, a hall, %d upstreams, callers and a limit of 0 or more", ErrSetup, limitedOf)
+	if setup.Routers < 1 || setup.Halls < 1 || setup.Upstreams < limitedOneIn || setup.Rate <= 0 || setup.PerSecond < 0 {
+		return nil, fmt.Errorf("%w: at least one router, one hall, %d upstreams, a positive request rate and a limit of 0 or more are required", ErrSetup, limitedOneIn)
 	}
-	p := &limitPlay{LimitSetup: setup, random: rand.New(rand.NewPCG(setup.Seed, 1))}
+	s := &limitSim{LimitSetup: setup, rng: rand.New(rand.NewPCG(setup.Seed, 1))}
 	for i := range setup.Upstreams {
 		u := &limitUpstream{
-			record:  &provider.Upstream{ID: fmt.Sprintf("u%d", i), Hall: hallOf(i, setup.Halls)},
-			limited: i%limitedOf == 0 || setup.Fault == LimitAllLimited,
+			upstream: &provider.Upstream{ID: fmt.Sprintf("u%d", i), Hall: hallOf(i, setup.Halls)},
+			limited:  i%limitedOneIn == 0 || setup.Fault == LimitAllLimited,
 		}
-		u.loader.Draw = p.random.Float64
-		p.upstreams, p.list = append(p.upstreams, u), append(p.list, u.record)
+		u.loader.Draw = s.rng.Float64
+		s.upstreams, s.records = append(s.upstreams, u), append(s.records, u.upstream)
 	}
 	for i := range setup.Routers {
-		r := &limitRouter{play: p, hall: hallOf(i, setup.Halls), muted: map[string]time.Duration{}}
-		r.pool.Hall, r.pool.Now, r.pool.Rand, r.table.Draw = r.hall, p.now, p.random.Float64, p.random.Float64
-		p.routers = append(p.routers, r)
+		r := &limitRouter{sim: s, hall: hallOf(i, setup.Halls), muted: map[string]time.Duration{}}
+		r.pool.Hall, r.pool.Now, r.pool.Rand, r.table.Draw = r.hall, s.now, s.rng.Float64, s.rng.Float64
+		s.routers = append(s.routers, r)
 	}
-	p.bring()
-	p.strike()
-	p.events.run()
-	return p.judge(), nil
+	s.scheduleArrivals()
+	s.scheduleFaults()
+	s.events.run()
+	return s.summarize(), nil
 }
 
-func (p *limitPlay) now() time.Time { return start.Add(p.events.now) }
+func (s *limitSim) now() time.Time { return epoch.Add(s.events.now) }
 
-// bring has callers come, each to any router.
-func (p *limitPlay) bring() {
-	for at := time.Duration(0); at < limitEnds; {
-		at += time.Duration(p.random.ExpFloat64() / p.Rate * float64(time.Second))
-		r := p.routers[p.random.IntN(len(p.routers))]
-		p.events.at(at, func() {
-			p.came++
-			r.do(r.route)
+// scheduleArrivals schedules all requests, each at a random router.
+func (s *limitSim) scheduleArrivals() {
+	for at := time.Duration(0); at < limitRunLength; {
+		at += time.Duration(s.rng.ExpFloat64() / s.Rate * float64(time.Second))
+		r := s.routers[s.rng.IntN(len(s.routers))]
+		s.events.at(at, func() {
+			s.requests++
+			r.run(r.route)
 		})
 	}
 }
 
-// strike has what goes wrong happen.
-func (p *limitPlay) strike() {
-	switch p.Fault {
+// scheduleFaults schedules the fault's events.
+func (s *limitSim) scheduleFaults() {
+	switch s.Fault {
 	case LimitLoaderGone:
-		p.events.at(limitFaultTo, func() {
-			for _, u := range p.upstreams {
-				u.loader = ratelimit.Table{Draw: p.random.Float64}
+		s.events.at(limitFaultTo, func() {
+			for _, u := range s.upstreams {
+				u.loader = ratelimit.Table{Draw: s.rng.Float64}
 			}
 		})
 	case LimitRoutersRestart:
-		for i, r := range p.routers {
-			at := limitFaultFrom + (limitFaultTo-limitFaultFrom)*time.Duration(i)/time.Duration(len(p.routers))
-			p.events.at(at, r.restart)
+		for i, r := range s.routers {
+			at := limitFaultFrom + (limitFaultTo-limitFaultFrom)*time.Duration(i)/time.Duration(len(s.routers))
+			s.events.at(at, r.restart)
 		}
 	case LimitRoutersFreeze:
-		for _, r := range p.routers[:(len(p.routers)+frozenOf-1)/frozenOf] {
-			p.events.at(limitFaultFrom, func() { r.frozen = true })
-			p.events.at(limitFaultTo, r.thaw)
+		for _, r := range s.routers[:(len(s.routers)+frozenOneIn-1)/frozenOneIn] {
+			s.events.at(limitFaultFrom, func() { r.frozen = true })
+			s.events.at(limitFaultTo, r.unfreeze)
 		}
 	default:
 	}
 }
 
-// struck reports whether a fault is under way.
-func (p *limitPlay) struck(fault LimitFault) bool {
-	return p.Fault == fault && p.events.now >= limitFaultFrom && p.events.now < limitFaultTo
+// faultActive reports whether the setup's fault is the given one and is in effect.
+func (s *limitSim) faultActive(fault LimitFault) bool {
+	return s.Fault == fault && s.events.now >= limitFaultFrom && s.events.now < limitFaultTo
 }
 
-// reach reports whether what is in one hall reaches another.
-func (p *limitPlay) reach(one, other string) bool {
-	return one == other || !p.struck(LimitHallCut) || one != hallOf(0, p.Halls) && other != hallOf(0, p.Halls)
+// reachable reports whether two halls can communicate.
+func (s *limitSim) reachable(from, to string) bool {
+	return from == to || !s.faultActive(LimitHallCut) || from != hallOf(0, s.Halls) && to != hallOf(0, s.Halls)
 }
 
-// do does something at a router, once it is no longer frozen.
-func (r *limitRouter) do(work func()) {
+// run runs a function at the router, or defers it while the router is frozen.
+func (r *limitRouter) run(fn func()) {
 	if r.frozen {
-		r.late = append(r.late, work)
+		r.deferred = append(r.deferred, fn)
 		return
 	}
-	work()
+	fn()
 }
 
-func (r *limitRouter) thaw() {
+func (r *limitRouter) unfreeze() {
 	r.frozen = false
-	for _, work := range r.late {
-		work()
+	for _, fn := range r.deferred {
+		fn()
 	}
-	r.late = nil
+	r.deferred = nil
 }
 
-// restart has the router forget, and ask two others once it runs.
+// restart clears the router's limits and fetches those of two random peers after limitResyncDelay.
 func (r *limitRouter) restart() {
-	r.table = ratelimit.Table{Draw: r.play.random.Float64}
+	r.table = ratelimit.Table{Draw: r.sim.rng.Float64}
 	for range 2 {
-		other := r.play.routers[r.play.random.IntN(len(r.play.routers))]
-		r.play.events.after(limitAsks, func() {
-			if !r.play.reach(r.hall, other.hall) {
+		other := r.sim.routers[r.sim.rng.IntN(len(r.sim.routers))]
+		r.sim.events.after(limitResyncDelay, func() {
+			if !r.sim.reachable(r.hall, other.hall) {
 				return
 			}
-			for _, named := range other.table.All(r.play.now()) {
-				r.told(named.Upstream, named.Note)
+			for _, named := range other.table.All(r.sim.now()) {
+				r.applyLimit(named.Upstream, named.Note)
 			}
 		})
 	}
 }
 
-func (r *limitRouter) told(upstream ratelimit.Upstream, note ratelimit.Note) {
-	if r.table.Told(upstream, note, r.play.now()).Changed {
+func (r *limitRouter) applyLimit(upstream ratelimit.Upstream, note ratelimit.Note) {
+	if r.table.Told(upstream, note, r.sim.now()).Changed {
 		r.pool.Throttle(upstream.ID, 0)
 	}
 }
 
-// route sends a request to an upstream, if one may be sent to.
+// route sends a request to the first chosen upstream whose limit allows it.
 func (r *limitRouter) route() {
 	var query balance.Query
 	for {
-		choice, ok := r.pool.Choose(r.play.list, query)
+		choice, ok := r.pool.Choose(r.sim.records, query)
 		if !ok {
 			return
 		}
-		u := r.play.upstreams[slices.Index(r.play.list, choice.Upstream)]
-		wait, ok := time.Duration(0), r.play.reach(r.hall, u.record.Hall)
+		u := r.sim.upstreams[slices.Index(r.sim.records, choice.Upstream)]
+		wait, ok := time.Duration(0), r.sim.reachable(r.hall, u.upstream.Hall)
 		if ok {
 			wait, ok = r.allow(u)
 		}
@@ -279,15 +281,16 @@
 	}
 }
 
-// allow asks the loader beside an upstream, or takes this router's own turn.
+// allow requests permission from the upstream's loader, or applies this router's share of the
+// limit if the loader cannot be reached.
 func (r *limitRouter) allow(u *limitUpstream) (time.Duration, bool) {
-	key, now, routers := ratelimit.Upstream{ID: u.record.ID}, r.play.now(), len(r.play.routers)
-	if r.play.Fault == LimitPlain {
+	key, now, routers := ratelimit.Upstream{ID: u.upstream.ID}, r.sim.now(), len(r.sim.routers)
+	if r.sim.Fault == LimitPlain {
 		return r.table.Allow(key, ratelimit.Without.Among(routers), now)
 	}
-	if r.play.struck(LimitLoaderGone) || r.muted[key.ID] > r.play.events.now {
-		if r.muted[key.ID] <= r.play.events.now {
-			r.muted[key.ID] = r.play.events.now + limitMute
+	if r.sim.faultActive(LimitLoaderGone) || r.muted[key.ID] > r.sim.events.now {
+		if r.muted[key.ID] <= r.sim.events.now {
+			r.muted[key.ID] = r.sim.events.now + loaderMuteTime
 		}
 		return r.table.Allow(key, ratelimit.PastLoader.Among(routers), now)
 	}
@@ -295,106 +298,107 @@
 		u.loader.Told(key, note, now)
 	}
 	if note, known := u.loader.Known(key, now); known {
-		r.told(key, note)
+		r.applyLimit(key, note)
 	}
 	return u.loader.Allow(key, ratelimit.Whole, now)
 }
 
-// send has a request come to an upstream, and its answer back.
+// send delivers a request to an upstream and schedules its answer.
 func (r *limitRouter) send(u *limitUpstream, choice balance.Choice) {
-	p, sent := r.play, r.play.events.now
-	p.served++
-	u.arrived = append(u.arrived, sent)
-	took := limitTakes + time.Duration(p.random.Int64N(int64(limitVary)))
-	p.events.after(took, func() {
-		said := u.says(p)
-		r.do(func() {
+	s, sent := r.sim, r.sim.events.now
+	s.served++
+	u.arrivals = append(u.arrivals, sent)
+	responseTime := limitMinResponse + time.Duration(s.rng.Int64N(int64(limitResponseJitter)))
+	s.events.after(responseTime, func() {
+		announced := u.announcedLimit(s)
+		r.run(func() {
 			choice.Done(balance.Served)
-			r.heard(u, said, sent)
+			r.recordLimit(u, announced, sent)
 		})
 	})
 }
 
-// says is what an answer names.
-func (u *limitUpstream) says(p *limitPlay) ratelimit.Said {
+// announcedLimit returns the limit that an answer announces.
+func (u *limitUpstream) announcedLimit(s *limitSim) ratelimit.Said {
 	u.answers++
-	now := p.events.now
+	now := s.events.now
 	switch {
-	case !u.limited || now < limitFrom || now >= limitTo || p.Fault == LimitFlapping && now%time.Second >= time.Second/2:
+	case !u.limited || now < limitFrom || now >= limitTo || s.Fault == LimitFlapping && now%time.Second >= time.Second/2:
 		return ratelimit.Said{Kind: ratelimit.Unlimited}
-	case p.Fault == LimitGarbled && u.answers%2 == 0:
+	case s.Fault == LimitGarbled && u.answers%2 == 0:
 		return ratelimit.Parse([]string{"x"})
 	default:
-		return ratelimit.Said{Kind: ratelimit.Limited, PerSecond: p.PerSecond}
+		return ratelimit.Said{Kind: ratelimit.Limited, PerSecond: s.PerSecond}
 	}
 }
 
-// heard takes what an answer says, and tells the others.
-func (r *limitRouter) heard(u *limitUpstream, said ratelimit.Said, sent time.Duration) {
-	p, key := r.play, ratelimit.Upstream{ID: u.record.ID}
-	change := r.table.Heard(key, said, start.Add(sent), p.now())
+// recordLimit applies the limit of an answer and propagates changes to the other routers.
+func (r *limitRouter) recordLimit(u *limitUpstream, announced ratelimit.Said, sent time.Duration) {
+	s, key := r.sim, ratelimit.Upstream{ID: u.upstream.ID}
+	change := r.table.Heard(key, announced, epoch.Add(sent), s.now())
 	if change.Changed {
 		r.pool.Throttle(key.ID, 0)
 	}
 	if !change.Tell {
 		return
 	}
-	for _, other := range p.routers {
-		if other != r && p.reach(r.hall, other.hall) {
-			p.events.after(travel+time.Duration(p.random.Int64N(int64(lookEvery))), func() { other.do(func() { other.told(key, change.After) }) })
+	for _, other := range s.routers {
+		if other != r && s.reachable(r.hall, other.hall) {
+			s.events.after(networkDelay+time.Duration(s.rng.Int64N(int64(pollInterval))), func() { other.run(func() { other.applyLimit(key, change.After) }) })
 		}
 	}
 }
 
-// judge adds up what came to the limited upstreams.
-func (p *limitPlay) judge() *LimitResult {
-	r := &LimitResult{Fault: p.Fault, Routers: p.Routers, PerSecond: p.PerSecond, Seed: p.Seed, Seconds: make([]int, int(limitEnds/time.Second)+1)}
-	r.Served = float64(p.served) / float64(max(p.came, 1))
-	limited, allowed := 0, limitAllow*p.PerSecond*limitWindow.Seconds()+limitExtra
+// summarize computes the result of a finished run.
+func (s *limitSim) summarize() *LimitResult {
+	r := &LimitResult{Fault: s.Fault, Routers: s.Routers, PerSecond: s.PerSecond, Seed: s.Seed, Seconds: make([]int, int(limitRunLength/time.Second)+1)}
+	r.Served = float64(s.served) / float64(max(s.requests, 1))
+	limited, allowed := 0, limitTolerance*s.PerSecond*limitWindow.Seconds()+limitAllowance
 	sum, windows := 0.0, 0
-	for _, u := range p.upstreams {
+	for _, u := range s.upstreams {
 		if !u.limited {
 			continue
 		}
 		limited++
-		for _, at := range u.arrived {
+		for _, at := range u.arrivals {
 			r.Seconds[min(int(at/time.Second), len(r.Seconds)-1)]++
 		}
-		for from := limitFrom + limitSettles; from+limitWindow <= limitTo; from += limitWindow / 16 {
-			used := float64(u.count(from, from+limitWindow)) / allowed
-			r.Worst, sum, windows = max(r.Worst, used), sum+used, windows+1
+		for from := limitFrom + limitSettleTime; from+limitWindow <= limitTo; from += limitWindow / 16 {
+			utilization := float64(u.arrivalsIn(from, from+limitWindow)) / allowed
+			r.Worst, sum, windows = max(r.Worst, utilization), sum+utilization, windows+1
 		}
-		for from := limitFrom; from < limitFrom+limitSettles; from += limitWindow / 16 {
-			if float64(u.count(from, from+time.Second)) > allowed {
+		for from := limitFrom; from < limitFrom+limitSettleTime; from += limitWindow / 16 {
+			if float64(u.arrivalsIn(from, from+time.Second)) > allowed {
 				r.Falls = max(r.Falls, from-limitFrom)
 			}
 		}
 	}
 	r.Mean = sum / float64(max(windows, 1))
-	r.Back = p.back(limited)
+	r.Back = s.recoveryTime(limited)
 	return r
 }
 
-// count is how many came in a time.
-func (u *limitUpstream) count(from, to time.Duration) int {
-	first, _ := slices.BinarySearch(u.arrived, from)
-	last, _ := slices.BinarySearch(u.arrived, to)
+// arrivalsIn returns the number of requests that arrived in an interval.
+func (u *limitUpstream) arrivalsIn(from, to time.Duration) int {
+	first, _ := slices.BinarySearch(u.arrivals, from)
+	last, _ := slices.BinarySearch(u.arrivals, to)
 	return last - first
 }
 
-// back is after what time the limited upstreams got half of their usual share again.
-func (p *limitPlay) back(limited int) time.Duration {
-	usual := p.Rate / float64(len(p.upstreams)) * float64(limited)
-	for from := limitTo; from+limitBackWithin < limitEnds; from += limitWindow / 16 {
-		came := 0
-		for _, u := range p.upstreams {
+// recoveryTime returns the time after the end of the limits until the limited upstreams receive
+// half of their usual share again.
+func (s *limitSim) recoveryTime(limited int) time.Duration {
+	usualRate := s.Rate / float64(len(s.upstreams)) * float64(limited)
+	for from := limitTo; from+limitRecoveryWindow < limitRunLength; from += limitWindow / 16 {
+		requests := 0
+		for _, u := range s.upstreams {
 			if u.limited {
-				came += u.count(from, from+limitBackWithin)
+				requests += u.arrivalsIn(from, from+limitRecoveryWindow)
 			}
 		}
-		if float64(came) >= usual/2*limitBackWithin.Seconds() {
+		if float64(requests) >= usualRate/2*limitRecoveryWindow.Seconds() {
 			return from - limitTo
 		}
 	}
-	return limitEnds - limitTo
+	return limitRunLength - limitTo
 }
--- a/daemon/lab/limit_test.go
+++ b/daemon/lab/limit_test.go
@@ -10,11 +10,9 @@
 	"github.com/wheelcleat/wheelcleat/daemon/lab"
 )
 
-// TestLimitsAreKeptThroughFaults replays upstreams that name limits while loaders and routers are
-// gone, cut off, frozen or started again: what comes to them stays within what is allowed always,
-// and within 0.8 of it in the mean; callers are served elsewhere; and their usual share is back
-// within two seconds of the end. An upstream that names a limit for half of each second is played
-// by the command alone: for the other halves it names none.
+// TestLimitsAreKeptThroughFaults guards against limits being exceeded while loaders or routers
+// fail, and against limits that outlast their end. The flapping fault is left out, because its
+// upstreams announce no limit for half of each second.
 func TestLimitsAreKeptThroughFaults(t *testing.T) {
 	for _, fault := range lab.LimitFaults() {
 		if fault == lab.LimitFlapping {
@@ -29,14 +27,14 @@
 			assert.LessOrEqual(t, result.Mean, 0.8, "%s, %g", fault, perSecond)
 			assert.LessOrEqual(t, result.Back, 2*time.Second, "%s, %g", fault, perSecond)
 			if fault != lab.LimitAllLimited && fault != lab.LimitHallCut {
-				assert.Greater(t, result.Served, 0.99, "%s, %g: others have room", fault, perSecond)
+				assert.Greater(t, result.Served, 0.99, "%s, %g: unlimited upstreams have capacity", fault, perSecond)
 			}
 		}
 	}
 }
 
-// TestLimitSetupsAreChecked: what cannot be played is said.
-func TestLimitSetupsAreChecked(t *testing.T) {
+// TestRunLimitRejectsInvalidSetups checks the errors for invalid setups and fault names.
+func TestRunLimitRejectsInvalidSetups(t *testing.T) {
 	_, err := lab.PlayLimit(lab.LimitSetup{})
 	require.ErrorIs(t, err, lab.ErrSetup)
 	_, err = lab.FindLimitFault("flood")
--- a/daemon/lab/pattern.go
+++ b/daemon/lab/pattern.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// Pattern is a load over time, and what happens to engines meanwhile.
+// Pattern describes the load over time and the faults injected into engines.
 type Pattern struct {
 	Name string
-	// Level is the load in parts of the setup's rate.
+	// Level is the load relative to the setup's rate.
 	Level float64
-	// Swing is the part by which the load rises and falls, Period in what time.
+	// Swing is the amplitude of a sinusoidal variation relative to Level, Period its period.
 	Swing  float64
 	Period time.Duration
-	// Burst is a time in which the load is Factor times as high, of one kind where BurstKind
-	// names it.
+	// Burst is a period of increased load. Factor multiplies the load of the kind named by
+	// BurstKind, or of all kinds if that is empty.
 	Burst        Span
 	Factor       float64
 	BurstKind    string
@@ -26,63 +26,63 @@
 	Limits       *Limits
 }
 
-// Span is a time, from its begin to its end.
+// Span is a half-open interval of time.
 type Span struct{ From, To time.Duration }
 
-func (s Span) holds(at time.Duration) bool { return at >= s.From && at < s.To }
+func (s Span) contains(at time.Duration) bool { return at >= s.From && at < s.To }
 
-// Disturbance is a loss of engines.
+// Disturbance is an outage of several engines.
 type Disturbance struct {
 	At, For time.Duration
-	// Share is the part of the engines that is lost.
+	// Share is the fraction of the engines that fail.
 	Share float64
 }
 
-func (d Disturbance) strikes(number, engines int) bool {
-	return float64(number) < d.Share*float64(engines)
+func (d Disturbance) affects(index, engines int) bool {
+	return float64(index) < d.Share*float64(engines)
 }
 
-// Version is a version that engines take one after the other, within a time.
+// Version is a rollout: engines load a version one after the other within a time span.
 type Version struct{ Turns Span }
 
-func (v Version) turnOf(number, engines int) time.Duration {
-	return v.Turns.From + (v.Turns.To-v.Turns.From)*time.Duration(number)/time.Duration(max(engines-1, 1))
+func (v Version) loadTimeOf(index, engines int) time.Duration {
+	return v.Turns.From + (v.Turns.To-v.Turns.From)*time.Duration(index)/time.Duration(max(engines-1, 1))
 }
 
-// Limits is that engines are in need for a time, and name the requests a second that they take.
+// Limits describes a period in which some engines announce a request rate limit.
 type Limits struct {
 	Span
-	// Share is the part of the engines that do.
+	// Share is the fraction of the engines that are limited.
 	Share     float64
 	PerSecond float64
 }
 
-func (l *Limits) names(number, engines int, at time.Duration) bool {
-	return l != nil && l.holds(at) && float64(number) < l.Share*float64(engines)
+func (l *Limits) active(index, engines int, at time.Duration) bool {
+	return l != nil && l.contains(at) && float64(index) < l.Share*float64(engines)
 }
 
-// rate is the load at a time.
+// rate returns the load at a time, relative to the setup's rate.
 func (p Pattern) rate(at time.Duration) float64 {
 	rate := p.Level
 	if p.Period > 0 {
 		rate *= 1 + p.Swing*math.Sin(2*math.Pi*at.Seconds()/p.Period.Seconds())
 	}
-	if p.Burst.holds(at) && p.BurstKind == "" {
+	if p.Burst.contains(at) && p.BurstKind == "" {
 		rate *= p.Factor
 	}
-	if p.Burst.holds(at) && p.BurstKind != "" {
+	if p.Burst.contains(at) && p.BurstKind != "" {
 		rate *= 1 + (p.Factor-1)*burstShare
 	}
 	return rate
 }
 
-// burstShare is the part of the load that the kind of a burst has before it.
+// burstShare is the load share of the kind that a single-kind burst multiplies.
 const burstShare = 0.335
 
-// kindAt draws the kind of a caller.
-func (p Pattern) kindAt(at time.Duration, kinds []Kind, drawn float64) int {
+// kindAt selects the kind of a caller that arrives at a time, by a uniform variate.
+func (p Pattern) kindAt(at time.Duration, kinds []Kind, variate float64) int {
 	weight := func(k Kind) float64 {
-		if p.Burst.holds(at) && k.Name == p.BurstKind {
+		if p.Burst.contains(at) && k.Name == p.BurstKind {
 			return k.Share * p.Factor
 		}
 		return k.Share
@@ -91,28 +91,29 @@
 	for _, kind := range kinds {
 		sum += weight(kind)
 	}
-	drawn *= sum
+	variate *= sum
 	for i, kind := range kinds {
-		if drawn -= weight(kind); drawn < 0 {
+		if variate -= weight(kind); variate < 0 {
 			return i
 		}
 	}
 	return len(kinds) - 1
 }
 
-// PatternNames lists what ParsePattern knows.
+// PatternNames returns the names that ParsePattern accepts.
 func PatternNames() []string {
 	return []string{"steady", "burst", "swing", "one-kind", "half-gone", "all-back", "version", "some-limited", "all-limited"}
 }
 
-// ParsePattern reads a pattern and its level, such as "steady:1.25"; without one it is 1.
+// ParsePattern parses a pattern name with an optional level, such as "steady:1.25". The default
+// level is 1.
 func ParsePattern(text string) (Pattern, error) {
 	name, level, named := strings.Cut(text, ":")
 	p := Pattern{Name: text, Level: 1}
 	if named {
 		value, err := strconv.ParseFloat(level, 64)
-		if err != nil || !(value > 0 && value <= mostLevel) {
-			return p, fmt.Errorf("pattern %q: the level %q is not a number above 0 and up to %d", text, level, mostLevel)
+		if err != nil || !(value > 0 && value <= maxLevel) {
+			return p, fmt.Errorf("pattern %q: level %q is not a number above 0 and at most %d", text, level, maxLevel)
 		}
 		p.Level = value
 	}
@@ -136,10 +137,10 @@
 	case "all-limited":
 		p.Limits = &Limits{Span: Span{10 * second, 20 * second}, Share: 1, PerSecond: 5}
 	default:
-		return p, fmt.Errorf("pattern %q: use one of %s", text, strings.Join(PatternNames(), ", "))
+		return p, fmt.Errorf("unknown pattern %q; use one of %s", text, strings.Join(PatternNames(), ", "))
 	}
 	return p, nil
 }
 
-// mostLevel bounds a level: beyond it callers come faster than events can be played.
-const mostLevel = 10
+// maxLevel limits the load so that a run ends in reasonable time.
+const maxLevel = 10
--- a/daemon/lab/policy.go
+++ b/daemon/lab/policy.go
@@ -9,92 +9,94 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/admission"
 )
 
-// Policy is a way to decide. The zero value is the one that routers have.
+// Policy is a set of decision parameters. The zero value is the policy of the production router.
 type Policy struct {
 	Name string
-	// CameBack makes, for each play, what says whether a router takes a caller for one who
-	// came back; nil means as routers do.
-	CameBack func() knows
-	// Ways vary how places are looked for; nil means as routers do.
+	// CameBack creates, for each run, the function that classifies requests as first attempts or
+	// retries; nil selects that of the router.
+	CameBack func() retryDetector
+	// Ways vary the search for a place; nil selects those of the router.
 	Ways *admission.Ways
-	// Back is when a refused caller is to come back; nil means as routers do.
-	Back func(draw *rand.Rand, left time.Duration) time.Duration
+	// Back returns the delay after which a refused caller retries; nil selects that of the
+	// router.
+	Back func(rng *rand.Rand, remaining time.Duration) time.Duration
 }
 
-// knows says whether a router takes a caller for one who came back.
-type knows func(r *router, c *caller) bool
+// retryDetector reports whether a router classifies a request as a retry.
+type retryDetector func(r *router, c *caller) bool
 
-// byTimes is how routers know.
-func byTimes(r *router, c *caller) bool {
-	return r.callers.Returned(admission.Seen{Route: c.kind.Name, Left: c.left(), Most: c.kind.Deadline})
+// byRemainingTime is the classification of the production router, by the remaining time of the
+// request.
+func byRemainingTime(r *router, c *caller) bool {
+	return r.callers.Returned(admission.Seen{Route: c.kind.Name, Left: c.remaining(), Most: c.kind.Deadline})
 }
 
-// newKnows makes what a play asks.
-func (p Policy) newKnows() knows {
+// newDetector returns the retry detector for one run.
+func (p Policy) newDetector() retryDetector {
 	if p.CameBack == nil {
-		return byTimes
+		return byRemainingTime
 	}
 	return p.CameBack()
 }
 
-// cameBack asks whether a caller came back, and counts how often the answer is right.
-func (p *play) cameBack(r *router, c *caller) bool {
-	known := p.knows(r, c)
+// detectRetry classifies a request and records whether the result is correct.
+func (s *simulation) detectRetry(r *router, c *caller) bool {
+	detected := s.isRetry(r, c)
 	switch {
-	case known && c.refusals > 0:
-		c.backKnown = 1
-	case known:
-		c.takenForBack = 1
+	case detected && c.refusals > 0:
+		c.truePositive = 1
+	case detected:
+		c.falsePositive = 1
 	}
-	return known
+	return detected
 }
 
-func (p Policy) back(draw *rand.Rand, c *caller) time.Duration {
+func (p Policy) retryDelay(rng *rand.Rand, c *caller) time.Duration {
 	if p.Back != nil {
-		return p.Back(draw, c.left())
+		return p.Back(rng, c.remaining())
 	}
-	return admission.Back(admission.EnginesFull, draw.Float64())
+	return admission.Back(admission.EnginesFull, rng.Float64())
 }
 
-// between draws a time to come back between two.
-func between(least, most time.Duration) func(*rand.Rand, time.Duration) time.Duration {
-	return func(draw *rand.Rand, _ time.Duration) time.Duration {
-		return least + time.Duration(draw.Float64()*float64(most-least))
+// uniformDelay returns a retry delay that is uniformly distributed between two limits.
+func uniformDelay(minDelay, maxDelay time.Duration) func(*rand.Rand, time.Duration) time.Duration {
+	return func(rng *rand.Rand, _ time.Duration) time.Duration {
+		return minDelay + time.Duration(rng.Float64()*float64(maxDelay-minDelay))
 	}
 }
 
-// ways are the standing ways with one changed.
-func ways(change func(w *admission.Ways)) *admission.Ways {
+// variant returns the standing search parameters with one change applied.
+func variant(change func(w *admission.Ways)) *admission.Ways {
 	w := admission.StandingWays()
 	change(&w)
 	return &w
 }
 
-// Policies are the ways that can be compared, the standing one first.
+// Policies returns all policies that can be compared, the production one first.
 func Policies() []Policy {
 	const second = time.Second
 	return []Policy{
 		{Name: "now"},
-		{Name: "back-unknown", CameBack: func() knows { return nobody }},
-		{Name: "back-same-time", CameBack: sameTime},
-		{Name: "back-sketch", CameBack: sketch},
-		{Name: "back-known", CameBack: func() knows { return oracle }},
-		{Name: "return-soon", Back: between(second*3/10, second*9/10)},
-		{Name: "return-late", Back: between(second*16/10, second*2)},
-		{Name: "return-wide", Back: between(second*3/10, second*2)},
-		{Name: "look-5", Ways: ways(func(w *admission.Ways) { w.Questions, w.Beyond = 5, 0 })},
-		{Name: "look-8", Ways: ways(func(w *admission.Ways) { w.Questions, w.Beyond = 8, 0 })},
-		{Name: "look-5-beyond-1", Ways: ways(func(w *admission.Ways) { w.Questions, w.Beyond = 5, 1 })},
-		{Name: "look-8-beyond-1", Ways: ways(func(w *admission.Ways) { w.Questions, w.Beyond = 8, 1 })},
-		{Name: "look-8-beyond-2", Ways: ways(func(w *admission.Ways) { w.Questions, w.Beyond = 8, 2 })},
-		{Name: "look-8-wait-soon", Ways: ways(func(w *admission.Ways) { w.Questions, w.Each, w.Beyond = 8, 1, 1 })},
-		{Name: "look-10-beyond-1", Ways: ways(func(w *admission.Ways) { w.Questions, w.Beyond = 10, 1 })},
-		{Name: "back-any-place", Ways: ways(func(w *admission.Ways) { w.BackLeaves = 0 })},
-		{Name: "back-half-free", Ways: ways(func(w *admission.Ways) { w.BackLeaves = 0.5 })},
+		{Name: "back-unknown", CameBack: func() retryDetector { return neverRetry }},
+		{Name: "back-same-time", CameBack: byLongestTime},
+		{Name: "back-sketch", CameBack: bySharedRefusals},
+		{Name: "back-known", CameBack: func() retryDetector { return exactRetry }},
+		{Name: "return-soon", Back: uniformDelay(second*3/10, second*9/10)},
+		{Name: "return-late", Back: uniformDelay(second*16/10, second*2)},
+		{Name: "return-wide", Back: uniformDelay(second*3/10, second*2)},
+		{Name: "look-5", Ways: variant(func(w *admission.Ways) { w.Questions, w.Beyond = 5, 0 })},
+		{Name: "look-8", Ways: variant(func(w *admission.Ways) { w.Questions, w.Beyond = 8, 0 })},
+		{Name: "look-5-beyond-1", Ways: variant(func(w *admission.Ways) { w.Questions, w.Beyond = 5, 1 })},
+		{Name: "look-8-beyond-1", Ways: variant(func(w *admission.Ways) { w.Questions, w.Beyond = 8, 1 })},
+		{Name: "look-8-beyond-2", Ways: variant(func(w *admission.Ways) { w.Questions, w.Beyond = 8, 2 })},
+		{Name: "look-8-wait-soon", Ways: variant(func(w *admission.Ways) { w.Questions, w.Each, w.Beyond = 8, 1, 1 })},
+		{Name: "look-10-beyond-1", Ways: variant(func(w *admission.Ways) { w.Questions, w.Beyond = 10, 1 })},
+		{Name: "back-any-place", Ways: variant(func(w *admission.Ways) { w.BackLeaves = 0 })},
+		{Name: "back-half-free", Ways: variant(func(w *admission.Ways) { w.BackLeaves = 0.5 })},
 	}
 }
 
-// PolicyNames are the names of all policies.
+// PolicyNames returns the names of all policies.
 func PolicyNames() []string {
 	var names []string
 	for _, p := range Policies() {
@@ -103,60 +105,60 @@
 	return names
 }
 
-// FindPolicy returns a policy by its name.
+// FindPolicy returns the policy of a name.
 func FindPolicy(name string) (Policy, error) {
 	for _, p := range Policies() {
 		if p.Name == name {
 			return p, nil
 		}
 	}
-	return Policy{}, fmt.Errorf("policy %q: use one of %s", name, strings.Join(PolicyNames(), ", "))
+	return Policy{}, fmt.Errorf("unknown policy %q; use one of %s", name, strings.Join(PolicyNames(), ", "))
 }
 
-// sameTime is the way before: whoever has less than the longest time of a route came back,
-// unless half of its callers do.
-func sameTime() knows {
+// byLongestTime classifies a request as a retry if it has less time than the longest seen on its
+// route, provided that at least half of the route's requests have that time.
+func byLongestTime() retryDetector {
 	type seen struct {
-		longest    time.Duration
-		all, whole int
+		longest          time.Duration
+		total, atLongest int
 	}
 	routes := map[*router]map[string]*seen{}
 	return func(r *router, c *caller) bool {
 		if routes[r] == nil {
 			routes[r] = map[string]*seen{}
 		}
-		s, left := routes[r][c.kind.Name], c.left()
-		if s == nil || float64(left)*0.98 > float64(s.longest) {
-			s = &seen{longest: left}
+		s, remaining := routes[r][c.kind.Name], c.remaining()
+		if s == nil || float64(remaining)*0.98 > float64(s.longest) {
+			s = &seen{longest: remaining}
 			routes[r][c.kind.Name] = s
 		}
-		s.all++
-		whole := float64(left) >= 0.98*float64(s.longest)
-		if whole {
-			s.whole++
+		s.total++
+		atLongest := float64(remaining) >= 0.98*float64(s.longest)
+		if atLongest {
+			s.atLongest++
 		}
-		return !whole && s.all >= 8 && 2*s.whole >= s.all
+		return !atLongest && s.total >= 8 && 2*s.atLongest >= s.total
 	}
 }
 
-// sketch is the way in which routers tell each other the digests of what they refused, which
-// all know sketchDelay later. It stands for an exchange without loss: a smaller one takes
-// some first callers for others, and costs each router some bytes for each refusal of all.
-func sketch() knows {
-	const sketchDelay = 40 * time.Millisecond
+// bySharedRefusals models routers that exchange digests of refused requests, visible to all of
+// them after exchangeDelay. It assumes a lossless exchange; a compact sketch would misclassify some
+// first attempts.
+func bySharedRefusals() retryDetector {
+	const exchangeDelay = 40 * time.Millisecond
 	refused := map[uint64]time.Duration{}
 	return func(_ *router, c *caller) bool {
-		now := c.play.events.now
+		now := c.sim.events.now
 		at, known := refused[c.content]
 		if !known {
-			refused[c.content] = now // one that is served does not come again
+			refused[c.content] = now // served requests are never retried
 		}
-		return known && now-at >= sketchDelay
+		return known && now-at >= exchangeDelay
 	}
 }
 
-// nobody takes nobody for one who came back.
-func nobody(*router, *caller) bool { return false }
+// neverRetry classifies every request as a first attempt.
+func neverRetry(*router, *caller) bool { return false }
 
-// oracle knows who did.
-func oracle(_ *router, c *caller) bool { return c.refusals > 0 }
+// exactRetry classifies every request correctly.
+func exactRetry(_ *router, c *caller) bool { return c.refusals > 0 }
--- a/daemon/lab/result.go
+++ b/daemon/lab/result.go
@@ -5,152 +5,152 @@
 	"time"
 )
 
-// Result is what became of a run's callers, in parts of all that came after the setup's
-// first seconds, and of their worth.
+// Result summarizes a run. Counts of callers are shares of all callers that arrived after the
+// warm-up. Worth is relative to the total worth of these callers.
 type Result struct {
 	Pattern string `json:"pattern"`
 	Policy  string `json:"policy"`
 	Seed    uint64 `json:"seed"`
 	Callers int    `json:"callers"`
-	// Worth is what was earned of what was owed, less what refusals of those who came back
-	// cost. Best is the most that engines could earn by an oracle that knows arrivals and
-	// lengths, BestInTurn the same without choosing among callers.
+	// Worth is the share of the total worth that was earned, minus the penalty for refused
+	// retries. Best is the upper bound that an oracle reaches; BestInTurn is the same without
+	// selection among callers.
 	Worth      float64 `json:"worth"`
 	Best       float64 `json:"best"`
 	BestInTurn float64 `json:"best_in_turn"`
-	// The parts of callers. RefusedAgain are among Refused.
+	// Shares of callers by result. RefusedAgain is included in Refused.
 	InTime       float64 `json:"in_time"`
 	Late         float64 `json:"late"`
 	Refused      float64 `json:"refused"`
 	RefusedAgain float64 `json:"refused_again"`
 	Cut          float64 `json:"cut"`
-	// KnownBack is the part of those who came back that routers took for such, TakenForBack
-	// the part of those who were refused at their first try after they were taken for one.
+	// KnownBack is the share of retrying callers that routers classified as retries, TakenForBack
+	// the share of all callers whose first attempt was classified as a retry.
 	KnownBack    float64 `json:"known_back"`
 	TakenForBack float64 `json:"taken_for_back"`
-	// LimitUsed is the most that came to an engine in 4 s while it named a limit, in parts of
-	// what the limit allows in that time; 0 where none did.
+	// LimitUsed is the highest number of requests that a limited engine received in 4 s, relative
+	// to its limit; 0 without limits.
 	LimitUsed float64 `json:"limit_used"`
-	// KindWorth is the worth by kind, Windows that of each 2 s.
+	// KindWorth is the worth by kind, Windows the worth by window of arrival.
 	KindWorth map[string]float64 `json:"kind_worth"`
 	Windows   []float64          `json:"windows"`
 }
 
-// WindowLength is the time of each of Result.Windows.
+// WindowLength is the length of a window of Result.Windows.
 const WindowLength = 2 * time.Second
 
-// againCost is what a refusal of a caller who came back costs, in its worth.
-const againCost = 0.3
+// refusedRetryPenalty is the cost of a refused retry, relative to the caller's worth.
+const refusedRetryPenalty = 0.3
 
-// tally adds up worth.
-type tally struct{ owed, earned float64 }
+// tally sums the possible and the earned worth of callers.
+type tally struct{ possible, earned float64 }
 
-func (t *tally) add(owed, earned float64) {
-	t.owed += owed
+func (t *tally) add(possible, earned float64) {
+	t.possible += possible
 	t.earned += earned
 }
 
-func (t *tally) share() float64 {
-	if t.owed <= 0 {
+func (t *tally) earnedShare() float64 {
+	if t.possible <= 0 {
 		return 0
 	}
-	return t.earned / t.owed
+	return t.earned / t.possible
 }
 
-// earned is what a caller's answer is worth.
+// earned returns the worth of the caller's result.
 func (c *caller) earned() float64 {
 	switch {
 	case c.inTime():
 		return c.worth
 	case c.served:
-		return c.late
+		return c.lateWorth
 	case c.refusals > 1:
-		return -againCost * c.worth
+		return -refusedRetryPenalty * c.worth
 	default:
 		return 0
 	}
 }
 
-// judge adds up what became of the callers.
-func (p *play) judge() *Result {
-	r := &Result{Pattern: p.Pattern.Name, Policy: p.policy.Name, Seed: p.Seed, KindWorth: map[string]float64{}}
+// summarize computes the result of a finished run.
+func (s *simulation) summarize() *Result {
+	r := &Result{Pattern: s.Pattern.Name, Policy: s.policy.Name, Seed: s.Seed, KindWorth: map[string]float64{}}
 	var all tally
-	kinds := make([]tally, len(p.Kinds))
-	windows := make([]tally, (p.Length+WindowLength-1)/WindowLength)
-	measured := slices.DeleteFunc(slices.Clone(p.callers), func(c *caller) bool { return c.came < p.Warm })
-	for _, c := range p.callers {
-		windows[min(int(c.came/WindowLength), len(windows)-1)].add(c.worth, c.earned())
+	kinds := make([]tally, len(s.Kinds))
+	windows := make([]tally, (s.Length+WindowLength-1)/WindowLength)
+	measured := slices.DeleteFunc(slices.Clone(s.callers), func(c *caller) bool { return c.arrivedAt < s.Warm })
+	for _, c := range s.callers {
+		windows[min(int(c.arrivedAt/WindowLength), len(windows)-1)].add(c.worth, c.earned())
 	}
-	back, knownBack, takenForBack := 0.0, 0.0, 0.0
-	each := 1 / float64(max(len(measured), 1))
+	retried, detected, misdetected := 0.0, 0.0, 0.0
+	weight := 1 / float64(max(len(measured), 1))
 	for _, c := range measured {
 		all.add(c.worth, c.earned())
-		kinds[p.kindIndex(c)].add(c.worth, c.earned())
-		r.count(c, each)
+		kinds[s.kindIndex(c)].add(c.worth, c.earned())
+		r.count(c, weight)
 		if c.refusals > 0 {
-			back++
-			knownBack += c.backKnown
+			retried++
+			detected += c.truePositive
 		}
-		takenForBack += c.takenForBack
+		misdetected += c.falsePositive
 	}
-	r.Callers, r.Worth = len(measured), all.share()
-	r.KnownBack, r.TakenForBack = knownBack/max(back, 1), takenForBack*each
-	for i, kind := range p.Kinds {
-		r.KindWorth[kind.Name] = kinds[i].share()
+	r.Callers, r.Worth = len(measured), all.earnedShare()
+	r.KnownBack, r.TakenForBack = detected/max(retried, 1), misdetected*weight
+	for i, kind := range s.Kinds {
+		r.KindWorth[kind.Name] = kinds[i].earnedShare()
 	}
 	for i := range windows {
-		r.Windows = append(r.Windows, windows[i].share())
+		r.Windows = append(r.Windows, windows[i].earnedShare())
 	}
-	r.Best, r.BestInTurn = p.best(measured)
-	r.LimitUsed = p.limitUsed()
+	r.Best, r.BestInTurn = s.oracleWorth(measured)
+	r.LimitUsed = s.limitUsed()
 	return r
 }
 
-// limitWindow is the time over which an engine's limit counts.
+// limitWindow is the window over which requests are counted against a limit.
 const limitWindow = 4 * time.Second
 
-// limitUsed is the worst use of a limit.
-func (p *play) limitUsed() float64 {
-	worst := 0
-	for _, e := range p.engines {
-		worst = max(worst, e.worst(limitWindow))
+// limitUsed returns the highest utilization of any engine's limit.
+func (s *simulation) limitUsed() float64 {
+	highest := 0
+	for _, e := range s.engines {
+		highest = max(highest, e.maxInWindow(limitWindow))
 	}
-	if p.Pattern.Limits == nil {
+	if s.Pattern.Limits == nil {
 		return 0
 	}
-	return float64(worst) / (p.Pattern.Limits.PerSecond * limitWindow.Seconds())
+	return float64(highest) / (s.Pattern.Limits.PerSecond * limitWindow.Seconds())
 }
 
-func (p *play) kindIndex(c *caller) int {
-	return slices.IndexFunc(p.Kinds, func(k Kind) bool { return k.Name == c.kind.Name })
+func (s *simulation) kindIndex(c *caller) int {
+	return slices.IndexFunc(s.Kinds, func(k Kind) bool { return k.Name == c.kind.Name })
 }
 
-// count adds a caller to the part that it belongs to.
-func (r *Result) count(c *caller, each float64) {
+// count adds a caller to the share of its result.
+func (r *Result) count(c *caller, weight float64) {
 	switch {
 	case c.inTime():
-		r.InTime += each
+		r.InTime += weight
 	case c.served:
-		r.Late += each
-	case c.cut:
-		r.Cut += each
+		r.Late += weight
+	case c.truncated:
+		r.Cut += weight
 	default:
-		r.Refused += each
+		r.Refused += weight
 		if c.refusals > 1 {
-			r.RefusedAgain += each
+			r.RefusedAgain += weight
 		}
 	}
 }
 
-// Mean is the mean of plays of one pattern and policy.
-func Mean(plays []*Result) Result {
-	if len(plays) == 0 {
+// Mean averages runs of one pattern and policy.
+func Mean(runs []*Result) Result {
+	if len(runs) == 0 {
 		return Result{}
 	}
-	mean := Result{Pattern: plays[0].Pattern, Policy: plays[0].Policy, Seed: plays[0].Seed, KindWorth: map[string]float64{}}
-	mean.Windows = make([]float64, len(plays[0].Windows))
-	each := 1 / float64(len(plays))
-	for _, r := range plays {
+	mean := Result{Pattern: runs[0].Pattern, Policy: runs[0].Policy, Seed: runs[0].Seed, KindWorth: map[string]float64{}}
+	mean.Windows = make([]float64, len(runs[0].Windows))
+	weight := 1 / float64(len(runs))
+	for _, r := range runs {
 		mean.Callers += r.Callers
 		sums := []struct {
 			to   *float64
@@ -169,13 +169,13 @@
 			{&mean.LimitUsed, r.LimitUsed},
 		}
 		for _, sum := range sums {
-			*sum.to += each * sum.from
+			*sum.to += weight * sum.from
 		}
 		for name, worth := range r.KindWorth {
-			mean.KindWorth[name] += each * worth
+			mean.KindWorth[name] += weight * worth
 		}
 		for i, worth := range r.Windows {
-			mean.Windows[i] += each * worth
+			mean.Windows[i] += weight * worth
 		}
 	}
 	return mean
--- a/daemon/lab/router.go
+++ b/daemon/lab/router.go
@@ -11,119 +11,119 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// router is one router: the packages by which a real one decides, and the loop over them
-// that asks one engine after the other.
+// router runs the decision packages of a router. Its loop over the engines stands in for the one
+// in package dispatch.
 type router struct {
-	play    *play
-	pool    balance.Pool
-	pace    dispatch.LoadTracker
-	callers admission.Callers
-	list    []*provider.Upstream
+	sim         *simulation
+	pool        balance.Pool
+	loadTracker dispatch.LoadTracker
+	callers     admission.Callers
+	upstreams   []*provider.Upstream
 }
 
-func newRouter(p *play, number int) *router {
-	r := &router{play: p}
-	r.pool.Hall, r.pool.Now, r.pool.Rand = hallOf(number, p.Halls), p.now, p.draw.Float64
-	r.pace.Now, r.callers.Now = p.now, p.now
-	for _, e := range p.engines {
-		r.list = append(r.list, e.record)
+func newRouter(s *simulation, index int) *router {
+	r := &router{sim: s}
+	r.pool.Hall, r.pool.Now, r.pool.Rand = hallOf(index, s.Halls), s.now, s.rng.Float64
+	r.loadTracker.Now, r.callers.Now = s.now, s.now
+	for _, e := range s.engines {
+		r.upstreams = append(r.upstreams, e.upstream)
 	}
 	return r
 }
 
-// follow has loaders look at their engines and routers hear of it, until callers no longer
-// come.
-func (p *play) follow() {
-	for _, e := range p.engines {
-		p.repeat(lookEvery, e.look)
-		p.repeat(tellEvery, func() { p.tell(e) })
+// scheduleReports starts the periodic polls of the loaders and the load reports to the routers.
+// They end some time after the last arrival.
+func (s *simulation) scheduleReports() {
+	for _, e := range s.engines {
+		s.repeat(pollInterval, e.poll)
+		s.repeat(reportInterval, func() { s.reportLoad(e) })
 	}
 }
 
-// repeat has something happen again and again, the first time at a moment of its own.
-func (p *play) repeat(every time.Duration, do func()) {
-	const after = 8 * time.Second
-	var again func()
-	again = func() {
-		do()
-		if p.events.now < p.Length+after {
-			p.events.after(every, again)
+// repeat schedules a function periodically, at a random phase.
+func (s *simulation) repeat(every time.Duration, fn func()) {
+	const reportTail = 8 * time.Second
+	var tick func()
+	tick = func() {
+		fn()
+		if s.events.now < s.Length+reportTail {
+			s.events.after(every, tick)
 		}
 	}
-	p.events.at(time.Duration(p.draw.Int64N(int64(every))), again)
+	s.events.at(time.Duration(s.rng.Int64N(int64(every))), tick)
 }
 
-// tell has all routers hear of an engine's load.
-func (p *play) tell(e *engine) {
-	if p.events.now < e.out && !e.taken {
-		return // a lost one says nothing
+// reportLoad sends an engine's load to all routers.
+func (s *simulation) reportLoad(e *engine) {
+	if s.events.now < e.unavailableUntil && !e.loaded {
+		return // an engine in an outage sends no reports
 	}
 	load := e.load()
-	told := balance.LoadReport{Running: load.Running, Waiting: load.Waiting, Loading: load.Loading, Models: e.record.Models}
-	if closes := e.closes(); !closes.IsZero() {
-		told.ClosesIn = max(closes.Sub(p.now()), time.Millisecond)
+	report := balance.LoadReport{Running: load.Running, Waiting: load.Waiting, Loading: load.Loading, Models: e.upstream.Models}
+	if closesAt := e.closesAt(); !closesAt.IsZero() {
+		report.ClosesIn = max(closesAt.Sub(s.now()), time.Millisecond)
 	}
-	for _, r := range p.routers {
-		r.pool.Report(e.record.ID, told)
+	for _, r := range s.routers {
+		r.pool.Report(e.upstream.ID, report)
 	}
 }
 
-// take answers a caller: with an engine's place, or with a refusal.
-func (r *router) take(c *caller) {
-	if c.ended {
+// handle sends a caller's request to an engine that grants a place, or refuses it.
+func (r *router) handle(c *caller) {
+	if c.finished {
 		return
 	}
-	c.knownBack = r.play.cameBack(r, c)
-	e, choice, ok := r.place(c)
+	c.detectedRetry = r.sim.detectRetry(r, c)
+	e, choice, ok := r.acquirePlace(c)
 	if !ok {
 		r.callers.Refused()
 		r.refuse(c)
 		return
 	}
-	c.done = func(outcome balance.Outcome) {
+	c.onDone = func(outcome balance.Outcome) {
 		choice.Done(outcome)
 		if outcome == balance.Served {
-			r.pace.RecordServed(service, c.lastByte-c.firstByte)
+			r.loadTracker.RecordServed(service, c.lastByte-c.firstByte)
 		}
 	}
-	r.play.events.after(travel, func() { e.add(c) })
+	r.sim.events.after(networkDelay, func() { e.enqueue(c) })
 }
 
-// service is the only one.
+// service is the name of the only service.
 const service = "s"
 
-// known is what the router knows of the service's engines.
-func (r *router) known() admission.Service {
-	spec := r.play.Engine
+// serviceState returns the router's view of the service's engines.
+func (r *router) serviceState() admission.Service {
+	spec := r.sim.Engine
 	return admission.Service{
-		Places: spec.Places, ReadTime: r.play.readTime(), Objective: r.play.objective(),
-		PlaceEvery: r.pace.HoldTime(service) / time.Duration(spec.Places), Full: r.pace.FullShare(service),
+		Places: spec.Places, ReadTime: r.sim.readTime(), Objective: r.sim.objective(),
+		PlaceEvery: r.loadTracker.HoldTime(service) / time.Duration(spec.Places), Full: r.loadTracker.FullShare(service),
 	}
 }
 
-// place asks engines for a place, as a real router does.
-func (r *router) place(c *caller) (*engine, balance.Choice, bool) {
-	known := r.known()
-	search := admission.Search{Service: known, Request: admission.Request{Returned: c.knownBack}}
-	if r.play.policy.Ways != nil {
-		search.Ways = *r.play.policy.Ways
+// acquirePlace requests a place from one engine after the other.
+func (r *router) acquirePlace(c *caller) (*engine, balance.Choice, bool) {
+	state := r.serviceState()
+	search := admission.Search{Service: state, Request: admission.Request{Returned: c.detectedRetry}}
+	if r.sim.policy.Ways != nil {
+		search.Ways = *r.sim.policy.Ways
 	}
-	lasts := admission.Lasts(known, r.pace.HoldTime(service), c.hint, r.play.usualAnswer())
-	query := balance.Query{Model: model, Duration: lasts}
+	duration := admission.Lasts(state, r.loadTracker.HoldTime(service), c.lengthHint, r.sim.meanAnswer())
+	query := balance.Query{Model: model, Duration: duration}
 	for !search.Over() {
-		choice, ok := r.pool.Choose(r.list, query)
+		choice, ok := r.pool.Choose(r.upstreams, query)
 		if !ok {
 			break
 		}
 		limit := search.Limit(choice.Candidates == 1)
 		if limit != admission.Unlimited {
-			limit.Lasts = lasts
+			limit.Lasts = duration
 		}
-		e := r.engine(choice)
-		load, given := e.ledger.Take(places.Question{Limit: limit, Engine: ratelimit.Upstream{ID: e.record.ID}, Known: e.known()})
+		e := r.engineOf(choice)
+		load, granted := e.ledger.Take(places.Question{Limit: limit, Engine: ratelimit.Upstream{ID: e.upstream.ID}, Known: e.limitNote()})
 		r.pool.ReportLoad(choice.Upstream.ID, load.Running, load.Waiting, load.Loading)
-		if given {
-			r.pace.RecordFull(service, load.Running+load.Waiting >= choice.Upstream.Places)
+		if granted {
+			r.loadTracker.RecordFull(service, load.Running+load.Waiting >= choice.Upstream.Places)
 			return e, choice, true
 		}
 		if load.Wait > 0 {
@@ -134,21 +134,21 @@
 		choice.Done(balance.Canceled)
 		query.Exclude = append(query.Exclude, choice.Upstream.ID)
 	}
-	r.pace.RecordFull(service, search.AllFull())
+	r.loadTracker.RecordFull(service, search.AllFull())
 	return nil, balance.Choice{}, false
 }
 
-// engine returns the chosen one.
-func (r *router) engine(choice balance.Choice) *engine {
-	for _, e := range r.play.engines {
-		if e.record == choice.Upstream {
+// engineOf returns the chosen engine.
+func (r *router) engineOf(choice balance.Choice) *engine {
+	for _, e := range r.sim.engines {
+		if e.upstream == choice.Upstream {
 			return e
 		}
 	}
 	return nil
 }
 
-// refuse tells a caller when to come back.
+// refuse sends a caller the time after which to retry.
 func (r *router) refuse(c *caller) {
-	c.refused(r.play.policy.back(r.play.draw, c))
+	c.refused(r.sim.policy.retryDelay(r.sim.rng, c))
 }
