--- a/cli/internal/bench/control.go
+++ b/cli/internal/bench/control.go
@@ -17,14 +17,13 @@
 	"github.com/wheelcleat/wheelcleat/standin/kv"
 )
 
-// Control describes one run of the control bench: a fleet at rest, then
-// declarations that race through different entries, with what the key-value
-// service does meanwhile.
+// Control configures a run of the control plane bench: an idle fleet first, then concurrent
+// declarations through different entries while the key-value store has a fault.
 type Control struct {
 	Halls, EntriesPerHall, Agents int
-	// Rest is the time for which the fleet's use at rest is measured.
+	// Rest is the duration of the measurement on the idle fleet.
 	Rest time.Duration
-	// Changes is the number of declarations, one every Every.
+	// Changes is the number of declarations, Every their interval.
 	Changes int
 	Every   time.Duration
 	// Fault is none, slow, down or lost-answers.
@@ -33,9 +32,9 @@
 	LogOutput io.Writer
 }
 
-// ControlResult is what a run measured. Figures per daemon are means over all
-// entries and agents; the CPU and memory of the stand-ins and of the bench itself
-// are in them, so they are upper limits.
+// ControlResult holds the measurements of a run. Figures per daemon are means over all entries
+// and agents. They include the CPU time and memory of the stand-ins and of the bench, so they are
+// upper limits.
 type ControlResult struct {
 	Fault    string `json:"fault"`
 	Daemons  int    `json:"daemons"`
@@ -44,56 +43,56 @@
 	Halls    int    `json:"halls"`
 	Changes  int    `json:"changes"`
 	Accepted int    `json:"accepted"`
-	// InForce are the times from the answer that accepted a write until it is
-	// in force at every entry.
+	// InForce figures are percentiles of the time from the accepted write until it is in force at
+	// every entry.
 	InForceP50MS float64 `json:"in_force_p50_ms"`
 	InForceP99MS float64 `json:"in_force_p99_ms"`
 	InForceMaxMS float64 `json:"in_force_max_ms"`
-	// Reverts counts entries seen with an older value after a newer one,
-	// LostAccepted accepted writes that are not in force in the end, and
-	// FalseFailures writes that were said to have failed and took effect.
+	// Reverts is the number of times an entry showed an older value after a newer one,
+	// LostAccepted the number of accepted writes that never came into force, and FalseFailures
+	// the number of writes that were reported as failed but took effect.
 	Reverts       int `json:"reverts"`
 	LostAccepted  int `json:"lost_accepted"`
 	FalseFailures int `json:"false_failures"`
-	// At rest, and per second.
+	// Rates per second on the idle fleet.
 	KVReadsPerSecond  float64 `json:"kv_reads_per_s"`
 	KVWritesPerSecond float64 `json:"kv_writes_per_s"`
 	EntryBytes        float64 `json:"control_bytes_per_s_per_entry"`
 	AgentBytes        float64 `json:"control_bytes_per_s_per_agent"`
 	DaemonBytes       float64 `json:"control_bytes_per_s_per_daemon"`
 	CPUPercent        float64 `json:"control_cpu_percent_per_daemon"`
-	// Heap is live Go memory over the number of daemons.
+	// HeapMB is the live heap and stack memory per daemon.
 	HeapMB float64 `json:"control_heap_mb_per_daemon"`
-	// KVCallsPerChange is the reads that one change cost beyond rest.
+	// KVCallsPerChange is the number of reads per declaration.
 	KVCallsPerChange float64 `json:"kv_calls_per_change"`
 }
 
-// controlFaults are what the key-value service may do during the changes.
+// controlFaults are the faults of the key-value store during the declarations.
 var controlFaults = map[string]func(n int64) kv.Fault{
 	"none":         func(int64) kv.Fault { return kv.Fault{} },
 	"slow":         func(int64) kv.Fault { return kv.Fault{Delay: 200 * time.Millisecond} },
-	"down":         func(n int64) kv.Fault { return kv.Fault{Down: coin(n)} },
-	"lost-answers": func(n int64) kv.Fault { return kv.Fault{LoseAnswer: coin(n)} },
+	"down":         func(n int64) kv.Fault { return kv.Fault{Down: randomBool(n)} },
+	"lost-answers": func(n int64) kv.Fault { return kv.Fault{LoseAnswer: randomBool(n)} },
 }
 
-// coin falls one way or the other for each call, the same in every run. Taking
-// every second call instead falls into step with a writer's own pairs of calls:
-// every read then came through and every write was lost, for ever.
-func coin(n int64) bool {
+// randomBool returns a pseudo-random value for the n-th call, the same in every run. Alternating
+// values would synchronize with the paired calls of a writer, so that every read succeeds and
+// every write fails.
+func randomBool(n int64) bool {
 	return rand.New(rand.NewPCG(uint64(n), 0)).IntN(2) == 0 //nolint:gosec // a count of calls
 }
 
-// controlling is one run under way.
-type controlling struct {
+// controlRun is the state of one run.
+type controlRun struct {
 	*Control
 	fleet  *fleet.Fleet
 	result ControlResult
 
-	// mu guards all below.
-	mu     sync.Mutex
-	faulty func(n int64) kv.Fault
-	calls  int64
-	// newest is the highest value that each entry was seen with, by resource.
+	// mu guards the fields below.
+	mu       sync.Mutex
+	faultFor func(n int64) kv.Fault
+	calls    int64
+	// newest is the highest value seen, by entry and resource.
 	newest  map[string]int
 	inForce []time.Duration
 }
@@ -105,28 +104,28 @@
 	if controlFaults[c.Fault] == nil {
 		return nil, fmt.Errorf("unknown fault %q; use none, slow, down or lost-answers", c.Fault)
 	}
-	r := &controlling{Control: c, faulty: controlFaults["none"], newest: map[string]int{}}
+	r := &controlRun{Control: c, faultFor: controlFaults["none"], newest: map[string]int{}}
 	if err := r.start(ctx); err != nil {
 		return nil, err
 	}
 	defer r.fleet.Kill()
-	if err := r.rest(ctx); err != nil {
+	if err := r.measureIdle(ctx); err != nil {
 		return nil, err
 	}
-	if err := r.change(ctx); err != nil {
+	if err := r.runChanges(ctx); err != nil {
 		return nil, err
 	}
 	return &r.result, nil
 }
 
-func (r *controlling) start(ctx context.Context) error {
+func (r *controlRun) start(ctx context.Context) error {
 	config := fleet.Config{Halls: fleet.HallNames(r.Halls), EntriesPerHall: r.EntriesPerHall, Agents: r.Agents, LogOutput: r.LogOutput, LogLevel: "error"}
 	config.SetUpKV = func(s *kv.Server) {
 		s.Fault = func(kv.Op, string) kv.Fault {
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			r.calls++
-			return r.faulty(r.calls)
+			return r.faultFor(r.calls)
 		}
 	}
 	var err error
@@ -143,8 +142,8 @@
 	return r.fleet.AwaitMembers(ctx, r.Agents)
 }
 
-// rest measures the fleet while nothing changes.
-func (r *controlling) rest(ctx context.Context) error {
+// measureIdle measures the fleet while nothing changes.
+func (r *controlRun) measureIdle(ctx context.Context) error {
 	if err := wait(ctx, time.Second); err != nil {
 		return err
 	}
@@ -161,8 +160,8 @@
 	out := &r.result
 	out.EntryBytes = float64(entries-entriesBefore) / seconds / float64(out.Entries)
 	out.AgentBytes = float64(agents-agentsBefore) / seconds / float64(max(out.Agents, 1))
-	// A message is counted where its connection was made; it costs its
-	// receiver as much.
+	// Each message is counted at the end that opened its connection and costs the other end as
+	// much.
 	out.DaemonBytes = 2 * float64(entries-entriesBefore+agents-agentsBefore) / seconds / float64(out.Daemons)
 	out.KVReadsPerSecond = float64(counts.Reads-countsBefore.Reads) / seconds
 	out.KVWritesPerSecond = float64(counts.Writes-countsBefore.Writes) / seconds
@@ -174,17 +173,17 @@
 	return nil
 }
 
-// racers is the number of resources that are changed in turn, each through
-// another entry than the time before.
-const racers = 4
+// accountCount is the number of accounts that are changed in turn, each through another entry
+// than before.
+const accountCount = 4
 
-func (r *controlling) account(name string, value int) *api.Resource {
+func (r *controlRun) account(name string, value int) *api.Resource {
 	digest := fmt.Sprintf("%064x", 1)
 	return &api.Resource{Kind: api.KindAccount, Name: name, Account: &api.AccountSpec{KeyDigests: []string{digest}, Concurrency: value}}
 }
 
-// change writes declarations and watches them come into force.
-func (r *controlling) change(ctx context.Context) error {
+// runChanges writes the declarations and measures when they come into force.
+func (r *controlRun) runChanges(ctx context.Context) error {
 	watchCtx, stopWatching := context.WithCancel(ctx)
 	defer stopWatching()
 	var watching sync.WaitGroup
@@ -196,13 +195,13 @@
 	accepted := map[string]int{}
 	var group sync.WaitGroup
 	for i := range r.Changes {
-		name := fmt.Sprint("account-", i%racers)
+		name := fmt.Sprint("account-", i%accountCount)
 		value := i + 1
-		took, err := r.write(ctx, r.fleet.Entries()[i%r.result.Entries], name, value, &group)
+		ok, err := r.write(ctx, r.fleet.Entries()[i%r.result.Entries], name, value, &group)
 		if err != nil {
 			return err
 		}
-		if took {
+		if ok {
 			accepted[name] = value
 		}
 		if err := wait(ctx, r.Every); err != nil {
@@ -220,25 +219,25 @@
 	return err
 }
 
-func (r *controlling) setFault(name string) {
+func (r *controlRun) setFault(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.faulty = controlFaults[name]
+	r.faultFor = controlFaults[name]
 }
 
-// write declares one value and times it into force. It reports whether the
+// write declares one value and measures the time until it is in force. It reports whether the
 // write was accepted.
-func (r *controlling) write(ctx context.Context, e *fleet.Entry, name string, value int, group *sync.WaitGroup) (bool, error) {
+func (r *controlRun) write(ctx context.Context, e *fleet.Entry, name string, value int, group *sync.WaitGroup) (bool, error) {
 	operator := &client.Client{Entries: []string{"http://" + e.Process.Addresses().Operators.String()}}
 	got, err := operator.Put(ctx, r.account(name, value), client.PutOptions{})
 	if err != nil {
 		if ctx.Err() != nil {
 			return false, ctx.Err()
 		}
-		if failedForSure(err) && r.tookEffect(name, value) {
+		if definitelyFailed(err) && r.wasWritten(name, value) {
 			r.result.FalseFailures++
 		}
-		return false, nil // refused or unknown: not a promise
+		return false, nil // rejected or unknown, so not counted as accepted
 	}
 	r.result.Accepted++
 	started := time.Now()
@@ -252,13 +251,13 @@
 	return true, nil
 }
 
-// failedForSure reports whether an error says that nothing was written.
-func failedForSure(err error) bool {
+// definitelyFailed reports whether an error implies that nothing was written.
+func definitelyFailed(err error) bool {
 	problem, ok := err.(*api.Problem) //nolint:errorlint // the client returns it unwrapped
 	return ok && (problem.Code == api.CodeUnavailable || problem.Code == api.CodeConflict)
 }
 
-func (r *controlling) tookEffect(name string, value int) bool {
+func (r *controlRun) wasWritten(name string, value int) bool {
 	item, ok := r.fleet.KV.Store.Get("wheelcleat/resources/accounts/" + name)
 	if !ok {
 		return false
@@ -270,19 +269,19 @@
 	return err == nil && stored.Resource.Account.Concurrency == value
 }
 
-// watchEntry holds one entry to never showing an older value after a newer one.
-func (r *controlling) watchEntry(ctx context.Context, e *fleet.Entry) {
+// watchEntry polls an entry and records the values that it shows.
+func (r *controlRun) watchEntry(ctx context.Context, e *fleet.Entry) {
 	operator := &client.Client{Entries: []string{"http://" + e.Process.Addresses().Operators.String()}}
 	for ctx.Err() == nil {
 		list, err := operator.List(ctx, api.KindAccount)
 		if err == nil {
-			r.note(e.Name, list)
+			r.recordList(e.Name, list)
 		}
 		_ = wait(ctx, 20*time.Millisecond)
 	}
 }
 
-func (r *controlling) note(entry string, list *api.List) {
+func (r *controlRun) recordList(entry string, list *api.List) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := range list.Items {
@@ -295,8 +294,8 @@
 	}
 }
 
-// settle waits until every entry has every accepted value, or a later one.
-func (r *controlling) settle(ctx context.Context, accepted map[string]int) error {
+// settle waits until every entry has every accepted value or a later one.
+func (r *controlRun) settle(ctx context.Context, accepted map[string]int) error {
 	missing := func() int {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -315,7 +314,7 @@
 	return err
 }
 
-func (r *controlling) summarize() {
+func (r *controlRun) summarize() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	slices.Sort(r.inForce)
--- a/cli/internal/bench/control_test.go
+++ b/cli/internal/bench/control_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestControlUnderFaults holds the fleet to its word on configuration while
-// declarations race and the key-value service misbehaves.
+// TestControlUnderFaults guards against lost, reverted or misreported configuration while
+// declarations are concurrent and the key-value store has a fault.
 func TestControlUnderFaults(t *testing.T) {
 	for fault := range controlFaults {
 		t.Run(fault, func(t *testing.T) {
--- a/cli/internal/bench/distribute.go
+++ b/cli/internal/bench/distribute.go
@@ -1,6 +1,10 @@
-// Package bench measures what wheelcleat is judged by, on the small fleet:
-// real entries and agents over loopback, with stand-ins around them and a
-// stopwatch. It models nothing.
+// Package bench measures the distribution of versions, the control plane and the request path on
+// a fleet of real entries and agents over loopback, with stand-ins for the engines, the origin,
+// the host list and the key-value store. It also runs the simulations of package lab and prints
+// and plots their results. The bench commands of the CLI call it.
+//
+// The fleet benches run in one process, so CPU and memory figures include the stand-ins and the
+// bench itself.
 package bench
 
 import (
@@ -18,44 +22,43 @@
 	"github.com/wheelcleat/wheelcleat/standin/weights"
 )
 
-// The brief's proportions, in copies of the model per time unit.
+// Link capacities, in copies of the model per time unit.
 const (
 	originCopies = 4
 	hostCopies   = 2
 )
 
-// Distribute describes one run of the distribution bench.
+// Distribute configures a run of the distribution bench.
 type Distribute struct {
 	Hosts, Halls int
 	ModelBytes   int64
-	// ChunkBytes is the chunk size; 0 plans it.
+	// ChunkBytes is the chunk size; 0 selects it by the model's size.
 	ChunkBytes int64
-	// Unit is the time in which the origin's link carries four copies of the
-	// model and each host's two up and two down.
+	// Unit is the time in which the origin's link carries four copies of the model and each
+	// host's link two in each direction.
 	Unit time.Duration
-	// HalfDuplex makes a host's two directions share one rate.
+	// HalfDuplex makes both directions of a host's link share one rate.
 	HalfDuplex bool
-	// Policy is a fetch policy; empty means the swarm.
+	// Policy is the fetch policy; empty selects the swarm.
 	Policy string
-	// Uploads, Downloads and Neighbours vary each host's transfers at a time and
-	// the peers it follows; 0 takes the defaults.
+	// Uploads and Downloads limit each host's concurrent transfers, Neighbours the peers that it
+	// follows; 0 selects the defaults.
 	Uploads, Downloads, Neighbours int
-	// Fault names what goes wrong; empty means nothing.
-	Fault string
-	Seed  uint64
-	// Timeout bounds the run.
+	// Fault is a name of Faults; empty means none.
+	Fault   string
+	Seed    uint64
 	Timeout time.Duration
-	// LogOutput takes the processes' log lines; nil drops them.
+	// LogOutput receives the processes' log lines; nil discards them.
 	LogOutput io.Writer
 }
 
-// Point is the number of hosts that serve from a time on.
+// Point is the number of ready hosts from a time on.
 type Point struct {
 	Seconds float64 `json:"seconds"`
 	Ready   int     `json:"ready"`
 }
 
-// DistributeResult is what a run measured.
+// DistributeResult holds the measurements of a run.
 type DistributeResult struct {
 	Policy     string `json:"policy"`
 	Fault      string `json:"fault"`
@@ -64,43 +67,43 @@
 	ModelBytes int64  `json:"model_bytes"`
 	Chunks     int    `json:"chunks"`
 	Duplex     string `json:"duplex"`
-	// OriginCopies and CrossHallCopies are bytes sent over the model's size.
+	// OriginCopies and CrossHallCopies are the bytes sent, relative to the model's size.
 	OriginCopies    float64 `json:"origin_copies"`
 	CrossHallCopies float64 `json:"cross_hall_copies"`
-	// DuplicateCopies are bytes that a host had already, over the model's size.
+	// DuplicateCopies are the bytes that a host received but already had, relative to the model's
+	// size.
 	DuplicateCopies float64 `json:"duplicate_copies"`
 	TimeTo50        float64 `json:"time_to_50_s"`
 	TimeTo90        float64 `json:"time_to_90_s"`
 	TimeTo100       float64 `json:"time_to_100_s"`
-	// Bound is the least time to all hosts for these rates.
+	// Bound is the minimum time to distribute the version to all hosts at these rates.
 	Bound        float64 `json:"bound_s"`
 	RatioToBound float64 `json:"ratio_to_bound"`
-	// CorruptServed counts engines that came to hold anything but a declared
-	// version.
+	// CorruptServed is the number of engine states that match no declared version.
 	CorruptServed  int `json:"corrupt_chunks_served_to_engines"`
 	FaultsInjected int `json:"faults_injected"`
 	HostsCompleted int `json:"hosts_completed"`
 	// HostsExpected is the number of hosts that survive the fault.
 	HostsExpected int `json:"hosts_expected"`
-	// CPUShare is the process's CPU time over the machine's in the run: near 1
-	// the machine is what was measured.
+	// CPUShare is the process's share of the machine's CPU time. Near 1, the machine limits the
+	// result.
 	CPUShare     float64 `json:"cpu_share"`
 	MaxRSSMB     float64 `json:"max_rss_mb"`
 	ControlBytes int64   `json:"control_bytes"`
 	Series       []Point `json:"-"`
 }
 
-// bound is the minimum distribution time of Kumar and Ross (2006) for one
-// source and equal hosts: the source must send the file once, each host must
-// receive it, and all uplinks together must carry it to every host. With a
-// half-duplex link the uplink can only use what receiving leaves.
+// bound returns the minimum distribution time of Kumar and Ross (2006) for one source and equal
+// hosts: the source must send the file once, each host must receive it, and all uplinks together
+// must carry it to every host. With a half-duplex link the uplink can only use the capacity that
+// receiving leaves.
 func (d *Distribute) bound() time.Duration {
 	file, n := 1.0, float64(d.Hosts)
 	origin, up, down := float64(originCopies), float64(hostCopies), float64(hostCopies)
 	seconds := max(file/origin, file/down, n*file/(origin+n*up))
 	if d.HalfDuplex {
-		// Every byte but the origin's takes its time on two links of hosts:
-		// n files received and n files less one sent, over n links.
+		// Every byte except the origin's occupies the links of two hosts: n files received and n
+		// files less one sent, over n links.
 		seconds = max(file/origin, file/down, (2*n*file-file)/(n*up))
 	}
 	return time.Duration(seconds * float64(d.Unit))
@@ -123,7 +126,7 @@
 	return config
 }
 
-// transfers sums what the agents received.
+// transfers sums the bytes that the agents received.
 type transfers struct {
 	mu     sync.Mutex
 	byKind map[string]int64
@@ -142,22 +145,22 @@
 	}
 }
 
-// distribution is one run under way.
-type distribution struct {
+// distributeRun is the state of one run.
+type distributeRun struct {
 	*Distribute
-	fleet     *fleet.Fleet
-	transfers transfers
-	versions  []manifest.Digest
-	wholes    map[string]bool // digests of whole files that may be served
-	target    manifest.Digest
-	faults    faultRun
+	fleet           *fleet.Fleet
+	transfers       transfers
+	versions        []manifest.Digest
+	declaredDigests map[string]bool // file digests of all declared versions
+	target          manifest.Digest
+	faults          faultRun
 }
 
-// Run measures one rollout from its declaration to the last host that serves.
+// Run measures a rollout from its declaration until the last host serves the version.
 func (d *Distribute) Run(ctx context.Context) (*DistributeResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, d.Timeout)
 	defer cancel()
-	run := &distribution{Distribute: d, wholes: map[string]bool{}}
+	run := &distributeRun{Distribute: d, declaredDigests: map[string]bool{}}
 	if err := run.prepare(ctx); err != nil {
 		return nil, err
 	}
@@ -165,7 +168,7 @@
 	return run.measure(ctx)
 }
 
-func (r *distribution) prepare(ctx context.Context) error {
+func (r *distributeRun) prepare(ctx context.Context) error {
 	fault, err := findFault(r.Fault)
 	if err != nil {
 		return err
@@ -184,16 +187,16 @@
 			return err
 		}
 		r.versions = append(r.versions, id)
-		r.wholes[manifest.Sum(data).String()] = true
+		r.declaredDigests[manifest.Sum(data).String()] = true
 	}
 	if err := r.fleet.AwaitReady(ctx); err != nil {
 		return err
 	}
-	// The clock starts on a fleet at rest.
+	// The measurement starts on an idle fleet.
 	return r.fleet.AwaitMembers(ctx, r.Hosts)
 }
 
-func (r *distribution) model() *api.Resource {
+func (r *distributeRun) model() *api.Resource {
 	spec := &api.ModelSpec{FetchPolicy: api.FetchOriginBytes}
 	for i, id := range r.versions {
 		spec.Versions = append(spec.Versions, api.Version{Name: fmt.Sprint("v", i+1), Manifest: id.String()})
@@ -201,24 +204,24 @@
 	return &api.Resource{Kind: api.KindModel, Name: "m", Model: spec}
 }
 
-func (r *distribution) service(version string) *api.Resource {
+func (r *distributeRun) service(version string) *api.Resource {
 	perHall := (r.Hosts + r.Halls - 1) / r.Halls
 	return &api.Resource{Kind: api.KindService, Name: "s", Service: &api.ServiceSpec{Model: "m", Version: version, Replicas: perHall}}
 }
 
-// settleFor is the time after the model's declaration in which the fleet comes
-// to rest, so that the service's declaration is not measured as one of a burst.
-const settleFor = 3 * time.Second
+// settleTime is the pause between the declarations of the model and of the service, which keeps
+// the traffic of the first out of the measurement.
+const settleTime = 3 * time.Second
 
-// sampleEvery is the interval of the ready count, and so the error of times.
-const sampleEvery = 10 * time.Millisecond
+// sampleInterval is the interval of the ready count and the error of the measured times.
+const sampleInterval = 10 * time.Millisecond
 
-func (r *distribution) measure(ctx context.Context) (*DistributeResult, error) {
+func (r *distributeRun) measure(ctx context.Context) (*DistributeResult, error) {
 	if err := r.fleet.Declare(ctx, r.model()); err != nil {
 		return nil, err
 	}
 	r.target = r.versions[0]
-	if err := wait(ctx, settleFor); err != nil {
+	if err := wait(ctx, settleTime); err != nil {
 		return nil, err
 	}
 	usage := startUsage()
@@ -238,21 +241,21 @@
 	return result, nil
 }
 
-// sample counts ready hosts until all surviving ones are, and lets the fault
-// act on the way.
-func (r *distribution) sample(ctx context.Context, started time.Time) []Point {
+// sample counts ready hosts until all surviving ones are ready, and injects the fault when it is
+// due.
+func (r *distributeRun) sample(ctx context.Context, started time.Time) []Point {
 	var series []Point
-	ticker := time.NewTicker(sampleEvery)
+	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
 	last := -1
 	for {
-		r.faults.act(ctx)
+		r.faults.injectWhenDue(ctx)
 		ready := r.fleet.Ready(r.target)
 		if ready != last {
 			series = append(series, Point{time.Since(started).Seconds(), ready})
 			last = ready
 		}
-		if ready >= len(r.fleet.EngineHosts()) && r.faults.over() {
+		if ready >= len(r.fleet.EngineHosts()) && r.faults.ended() {
 			return series
 		}
 		select {
@@ -263,7 +266,7 @@
 	}
 }
 
-func (r *distribution) result(series []Point) *DistributeResult {
+func (r *distributeRun) result(series []Point) *DistributeResult {
 	expected := len(r.fleet.EngineHosts())
 	size := float64(r.ModelBytes)
 	result := &DistributeResult{
@@ -291,23 +294,23 @@
 	result.Chunks = int((r.ModelBytes + chunkBytes - 1) / chunkBytes)
 	result.RatioToBound = result.TimeTo100 / result.Bound
 	for _, host := range r.fleet.EngineHosts() {
-		result.CorruptServed += r.wrongStates(host.Engine)
+		result.CorruptServed += r.undeclaredStates(host.Engine)
 	}
 	return result
 }
 
-// wrongStates counts the states of an engine that no declared version explains.
-func (r *distribution) wrongStates(e *engine.Server) int {
-	wrong := 0
+// undeclaredStates counts the states of an engine that match no declared version.
+func (r *distributeRun) undeclaredStates(e *engine.Server) int {
+	count := 0
 	for _, state := range e.History() {
-		if !r.wholes[state.Digest] {
-			wrong++
+		if !r.declaredDigests[state.Digest] {
+			count++
 		}
 	}
-	return wrong
+	return count
 }
 
-// timeTo returns when a percentage of the hosts served, 0 for never.
+// timeTo returns when a percentage of the hosts was ready, or 0 if it never was.
 func timeTo(series []Point, hosts, percent int) float64 {
 	wanted := (hosts*percent + 99) / 100
 	at := sort.Search(len(series), func(i int) bool { return series[i].Ready >= wanted })
--- a/cli/internal/bench/distribute_test.go
+++ b/cli/internal/bench/distribute_test.go
@@ -11,22 +11,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// small is a run of a second or so.
-func small(fault string) *Distribute {
+// smallRun returns a run that takes about a second.
+func smallRun(fault string) *Distribute {
 	return &Distribute{
 		Hosts: 9, Halls: 3, ModelBytes: 2 << 20, ChunkBytes: 32 << 10, Unit: 2 * time.Second,
 		Seed: 3, Fault: fault, Timeout: time.Minute, LogOutput: io.Discard,
 	}
 }
 
-// TestFaultTable runs real agents through every fault. Whatever happens, no
-// engine holds anything but a declared version, and every host that survives
-// comes to serve it.
-func TestFaultTable(t *testing.T) {
+// TestDistributionUnderFaults guards against engines that load undeclared data, surviving hosts
+// that never serve the version, and excess load on the origin, for every fault.
+func TestDistributionUnderFaults(t *testing.T) {
 	for _, name := range Faults() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			result, err := small(name).Run(t.Context())
+			result, err := smallRun(name).Run(t.Context())
 			require.NoError(t, err)
 			assert.Zero(t, result.CorruptServed)
 			assert.Equal(t, result.HostsExpected, result.HostsCompleted)
@@ -43,17 +42,17 @@
 	}
 }
 
-func TestPolicies(t *testing.T) {
+func TestPoliciesMeetOriginCopyLimits(t *testing.T) {
 	for policy, copies := range map[string][2]float64{"swarm": {1, 1.5}, "tree": {3, 3.5}, "naive-swarm": {1, 9}, "origin-only": {9, 9}} {
 		t.Run(policy, func(t *testing.T) {
 			t.Parallel()
-			run := small("")
+			run := smallRun("")
 			run.Policy = policy
 			result, err := run.Run(t.Context())
 			require.NoError(t, err)
 			assert.GreaterOrEqual(t, result.OriginCopies, copies[0])
 			assert.LessOrEqual(t, result.OriginCopies, copies[1])
-			assert.GreaterOrEqual(t, result.RatioToBound, 1.0, "nothing beats the bound")
+			assert.GreaterOrEqual(t, result.RatioToBound, 1.0, "no run is faster than the bound")
 		})
 	}
 }
@@ -64,10 +63,10 @@
 		half  bool
 		want  time.Duration
 	}{
-		{1, false, 5 * time.Second},           // the host's downlink
-		{64, false, 5 * time.Second},          // downlinks again: 64/132 of a unit is less
-		{1, true, 5 * time.Second},            //
-		{1000, true, 9995 * time.Millisecond}, // nearly every byte takes two links' time
+		{1, false, 5 * time.Second},           // the downlink of a host
+		{64, false, 5 * time.Second},          // the downlink; all uplinks together need 64/132 of a unit
+		{1, true, 5 * time.Second},            // a single host receives only
+		{1000, true, 9995 * time.Millisecond}, // nearly every byte occupies two links
 	}
 	for _, test := range tests {
 		run := &Distribute{Hosts: test.hosts, Unit: 10 * time.Second, HalfDuplex: test.half}
@@ -84,7 +83,7 @@
 }
 
 func TestUnknownFault(t *testing.T) {
-	_, err := small("gremlins").Run(t.Context())
+	_, err := smallRun("gremlins").Run(t.Context())
 	require.ErrorContains(t, err, "use one of none, host-dies")
 }
 
--- a/cli/internal/bench/fault.go
+++ b/cli/internal/bench/fault.go
@@ -15,63 +15,62 @@
 	"github.com/wheelcleat/wheelcleat/standin/weights"
 )
 
-// fault is one row of the fault table.
+// fault is an entry of the fault table.
 type fault struct {
 	name string
-	// configure varies the fleet before it starts; nil means not at all.
+	// configure changes the fleet before it starts; nil leaves it unchanged.
 	configure func(*faultRun, *fleet.Config)
-	// at is the share of the model's copies that must have arrived before hit
-	// is called; hit is called once.
-	at  float64
-	hit func(ctx context.Context, r *faultRun)
+	// at is the share of the model's copies that must have arrived before inject is called.
+	// inject is called once.
+	at     float64
+	inject func(ctx context.Context, r *faultRun)
 }
 
-// faultRun is the fault of one run.
+// faultRun is the state of a run's fault.
 type faultRun struct {
-	fault    fault
-	run      *distribution
-	injected int
-	hasHit   bool
-	// pending is closed when a fault that lasts has ended; nil for none.
+	fault        fault
+	run          *distributeRun
+	injected     int
+	injectCalled bool
+	// pending is closed when a temporary fault has ended; nil if the fault is not temporary.
 	pending chan struct{}
-	// uploads counts the chunks that hosts with a faulty link have sent.
+	// uploads counts the chunks sent by hosts with a faulty link.
 	uploads atomic.Int64
 }
 
-// corruptRanges is the number of ranges that a corrupting origin spoils.
+// corruptRanges is the number of ranges that a faulty origin corrupts.
 const corruptRanges = 20
 
-// outage is how long a fault that ends by itself lasts.
-const outage = 3 * time.Second
+// outageDuration is the duration of a temporary fault.
+const outageDuration = 3 * time.Second
 
-// faults is the fault table.
 var faults = []fault{
 	{name: "none"},
-	{name: "host-dies", at: 0.3, hit: func(_ context.Context, r *faultRun) { r.kill(1) }},
-	{name: "primary-dies", at: 0.1, hit: func(_ context.Context, r *faultRun) { r.kill(2) }},
-	{name: "link-stalls", configure: func(r *faultRun, c *fleet.Config) { r.breakUploads(c, agent.UploadFault{Stall: true}) }},
-	{name: "corrupt-peer", configure: func(r *faultRun, c *fleet.Config) { r.breakUploads(c, agent.UploadFault{Corrupt: true}) }},
+	{name: "host-dies", at: 0.3, inject: func(_ context.Context, r *faultRun) { r.kill(1) }},
+	{name: "primary-dies", at: 0.1, inject: func(_ context.Context, r *faultRun) { r.kill(2) }},
+	{name: "link-stalls", configure: func(r *faultRun, c *fleet.Config) { r.setUploadFault(c, agent.UploadFault{Stall: true}) }},
+	{name: "corrupt-peer", configure: func(r *faultRun, c *fleet.Config) { r.setUploadFault(c, agent.UploadFault{Corrupt: true}) }},
 	{name: "corrupt-origin", configure: func(r *faultRun, c *fleet.Config) {
-		var spoiled atomic.Int64
+		var corrupted atomic.Int64
 		c.SetUpOrigin = func(s *weights.Server) {
 			s.Fault = func(manifest.Digest, int64, int64) weights.Fault {
-				return weights.Fault{Corrupt: spoiled.Add(1) <= corruptRanges}
+				return weights.Fault{Corrupt: corrupted.Add(1) <= corruptRanges}
 			}
 		}
 		r.injected = corruptRanges
 	}},
 	{name: "origin-slow", configure: func(r *faultRun, c *fleet.Config) { c.OriginBytesPerSecond /= 4; r.injected = 1 }},
-	{name: "origin-down", configure: func(r *faultRun, c *fleet.Config) { r.downAfterHalf(c) }},
-	{name: "hall-cut", at: 0.3, hit: func(ctx context.Context, r *faultRun) { r.cutHall(ctx) }},
-	{name: "superseded", at: 0.3, hit: func(ctx context.Context, r *faultRun) { r.supersede(ctx) }},
-	{name: "agent-replaced", at: 0.5, hit: func(_ context.Context, r *faultRun) { r.replace() }},
+	{name: "origin-down", configure: func(r *faultRun, c *fleet.Config) { r.failOriginAfterHalf(c) }},
+	{name: "hall-cut", at: 0.3, inject: func(ctx context.Context, r *faultRun) { r.partitionHall(ctx) }},
+	{name: "superseded", at: 0.3, inject: func(ctx context.Context, r *faultRun) { r.supersede(ctx) }},
+	{name: "agent-replaced", at: 0.5, inject: func(_ context.Context, r *faultRun) { r.replaceAgent() }},
 	{
-		name: "host-dies+corrupt-peer", at: 0.3, hit: func(_ context.Context, r *faultRun) { r.kill(1) },
-		configure: func(r *faultRun, c *fleet.Config) { r.breakUploads(c, agent.UploadFault{Corrupt: true}) },
+		name: "host-dies+corrupt-peer", at: 0.3, inject: func(_ context.Context, r *faultRun) { r.kill(1) },
+		configure: func(r *faultRun, c *fleet.Config) { r.setUploadFault(c, agent.UploadFault{Corrupt: true}) },
 	},
 }
 
-// Faults returns the names of the fault table.
+// Faults returns the names of all faults.
 func Faults() []string {
 	names := make([]string, len(faults))
 	for i, f := range faults {
@@ -98,18 +97,18 @@
 	}
 }
 
-// act lets the fault happen once its time has come.
-func (r *faultRun) act(ctx context.Context) {
-	if r.fault.hit == nil || r.hasHit || r.progress() < r.fault.at {
+// injectWhenDue injects the fault once enough copies have arrived.
+func (r *faultRun) injectWhenDue(ctx context.Context) {
+	if r.fault.inject == nil || r.injectCalled || r.progress() < r.fault.at {
 		return
 	}
-	r.hasHit = true
-	r.fault.hit(ctx, r)
+	r.injectCalled = true
+	r.fault.inject(ctx, r)
 }
 
-// over reports whether the fault has happened and ended.
-func (r *faultRun) over() bool {
-	if r.fault.hit != nil && !r.hasHit {
+// ended reports whether the fault has been injected and, if temporary, has ended.
+func (r *faultRun) ended() bool {
+	if r.fault.inject != nil && !r.injectCalled {
 		return false
 	}
 	if r.pending == nil {
@@ -123,7 +122,7 @@
 	}
 }
 
-// progress is the share of all copies that have arrived.
+// progress returns the share of all copies that have arrived.
 func (r *faultRun) progress() float64 {
 	t := &r.run.transfers
 	t.mu.Lock()
@@ -135,7 +134,7 @@
 	return float64(arrived) / float64(r.run.ModelBytes*int64(r.run.Hosts))
 }
 
-// kill ends a few hosts and takes them off the list.
+// kill kills hosts and removes them from the host list.
 func (r *faultRun) kill(count int) {
 	hosts := r.run.fleet.EngineHosts()
 	for i := range count {
@@ -147,46 +146,44 @@
 	}
 }
 
-// breakUploads gives the first host of each hall a faulty link.
-func (r *faultRun) breakUploads(config *fleet.Config, broken agent.UploadFault) {
+// setUploadFault gives the first host of each hall a faulty link.
+func (r *faultRun) setUploadFault(config *fleet.Config, uploadFault agent.UploadFault) {
 	config.SetUpAgent = func(name string, options *agent.Options) {
 		if !strings.HasSuffix(name, "-host-001") {
 			return
 		}
 		options.UploadFault = func() agent.UploadFault {
 			r.uploads.Add(1)
-			return broken
+			return uploadFault
 		}
 	}
 	r.injected = len(config.Halls)
 }
 
-// downAfterHalf ends every connection of the origin from the moment on that it
-// has sent half a copy, for a while.
-func (r *faultRun) downAfterHalf(config *fleet.Config) {
-	var until atomic.Int64
+// failOriginAfterHalf makes the origin fail temporarily, once it has sent half a copy.
+func (r *faultRun) failOriginAfterHalf(config *fleet.Config) {
+	var downUntil atomic.Int64
 	config.SetUpOrigin = func(s *weights.Server) {
 		s.Fault = func(manifest.Digest, int64, int64) weights.Fault {
 			if s.SentBytes() < r.run.ModelBytes/2 {
 				return weights.Fault{}
 			}
-			until.CompareAndSwap(0, time.Now().Add(outage).UnixNano())
-			return weights.Fault{Down: time.Now().UnixNano() < until.Load()}
+			downUntil.CompareAndSwap(0, time.Now().Add(outageDuration).UnixNano())
+			return weights.Fault{Down: time.Now().UnixNano() < downUntil.Load()}
 		}
 	}
 	r.injected = 1
 }
 
-// cutHall cuts one hall off from the others, but not from the origin, for a
-// while.
-func (r *faultRun) cutHall(ctx context.Context) {
+// partitionHall temporarily disconnects one hall from the others, but not from the origin.
+func (r *faultRun) partitionHall(ctx context.Context) {
 	hall := r.run.fleet.Config.Halls[len(r.run.fleet.Config.Halls)-1]
 	r.run.fleet.CutHall(hall, false)
 	r.injected++
 	r.pending = make(chan struct{})
 	go func() {
 		defer close(r.pending)
-		timer := time.NewTimer(outage)
+		timer := time.NewTimer(outageDuration)
 		defer timer.Stop()
 		select {
 		case <-timer.C:
@@ -196,15 +193,15 @@
 	}()
 }
 
-// supersede declares another version in the middle of the rollout.
+// supersede declares another version during the rollout.
 func (r *faultRun) supersede(ctx context.Context) {
 	r.injected++
 	r.run.target = r.run.versions[1]
 	_ = r.run.fleet.Declare(ctx, r.run.service("v2"))
 }
 
-// replace ends a host and starts an empty one of the same name.
-func (r *faultRun) replace() {
+// replaceAgent kills a host and starts an empty one of the same name.
+func (r *faultRun) replaceAgent() {
 	hosts := r.run.fleet.EngineHosts()
 	victim := hosts[len(hosts)/2]
 	r.run.fleet.KillHost(victim)
--- a/cli/internal/bench/fleet.go
+++ b/cli/internal/bench/fleet.go
@@ -12,13 +12,12 @@
 	"github.com/wheelcleat/wheelcleat/daemon/lab"
 )
 
-// RunFleets plays fleets one after the other. Progress is told after each play how many of
-// how many are done; it may be nil.
+// RunFleets simulates fleets sequentially. It calls progress after each one, unless that is nil.
 func RunFleets(ctx context.Context, setups []lab.Fleet, progress func(done, all int)) ([]*lab.FleetResult, error) {
 	var results []*lab.FleetResult
 	for i, setup := range setups {
 		if err := ctx.Err(); err != nil {
-			return nil, fmt.Errorf("given up: %w", err)
+			return nil, fmt.Errorf("canceled: %w", err)
 		}
 		result, err := lab.PlayFleet(setup)
 		if err != nil {
@@ -32,7 +31,7 @@
 	return results, nil
 }
 
-// WriteFleetTable writes a line for each result.
+// WriteFleetTable writes one line per result.
 func WriteFleetTable(out io.Writer, results []*lab.FleetResult) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(table, "fault\tspread\trouters\tloaders\tfirst s\thalf s\t99 in 100 s\tlast s\tstore calls\treaders\tregion KB\tsender KB\twasted KB\t")
@@ -48,11 +47,11 @@
 	return nil
 }
 
-// PlotFleets draws when the last router had the change by the number of routers, a line for
-// each fault and spread, both axes in powers of ten.
+// PlotFleets plots the time until the last router had the change against the number of routers,
+// on logarithmic axes, one line per fault and strategy.
 func PlotFleets(path string, results []*lab.FleetResult) error {
 	p := plot.New()
-	p.X.Label.Text, p.Y.Label.Text = "routers", "seconds to the last"
+	p.X.Label.Text, p.Y.Label.Text = "routers", "seconds to the last router"
 	p.X.Scale, p.Y.Scale = plot.LogScale{}, plot.LogScale{}
 	p.X.Tick.Marker, p.Y.Tick.Marker = plot.LogTicks{}, plot.LogTicks{}
 	var lines []any
--- a/cli/internal/bench/limit.go
+++ b/cli/internal/bench/limit.go
@@ -13,12 +13,12 @@
 	"github.com/wheelcleat/wheelcleat/daemon/lab"
 )
 
-// RunLimits plays setups with upstreams that name limits, one after the other.
+// RunLimits simulates setups with limited upstreams sequentially.
 func RunLimits(ctx context.Context, setups []lab.LimitSetup) ([]*lab.LimitResult, error) {
 	var results []*lab.LimitResult
 	for _, setup := range setups {
 		if err := ctx.Err(); err != nil {
-			return nil, fmt.Errorf("given up: %w", err)
+			return nil, fmt.Errorf("canceled: %w", err)
 		}
 		result, err := lab.PlayLimit(setup)
 		if err != nil {
@@ -29,7 +29,7 @@
 	return results, nil
 }
 
-// WriteLimitTable writes a line for each result.
+// WriteLimitTable writes one line per result.
 func WriteLimitTable(out io.Writer, results []*lab.LimitResult) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(table, "fault\trouters\tlimit\tseed\tworst\tmean\tfalls after\tback after\tserved\t")
@@ -43,16 +43,16 @@
 	return nil
 }
 
-// PlotLimits draws what comes to the limited upstreams in each second, a line for each play.
+// PlotLimits plots the requests per second to limited upstreams, one line per run.
 func PlotLimits(path string, results []*lab.LimitResult) error {
 	p := plot.New()
-	p.X.Label.Text = "seconds since the begin"
-	p.Y.Label.Text = "requests a second to upstreams that name limits"
+	p.X.Label.Text = "seconds since the start"
+	p.Y.Label.Text = "requests per second to limited upstreams"
 	var lines []any
 	for _, result := range results {
 		points := make(plotter.XYs, 0, len(result.Seconds))
-		for i, came := range result.Seconds {
-			points = append(points, plotter.XY{X: (time.Duration(i) * time.Second).Seconds(), Y: float64(came)})
+		for i, requests := range result.Seconds {
+			points = append(points, plotter.XY{X: (time.Duration(i) * time.Second).Seconds(), Y: float64(requests)})
 		}
 		lines = append(lines, fmt.Sprintf("%s, %d routers, %g", result.Fault, result.Routers, result.PerSecond), points)
 	}
--- a/cli/internal/bench/load.go
+++ b/cli/internal/bench/load.go
@@ -12,23 +12,23 @@
 	"github.com/wheelcleat/wheelcleat/daemon/lab"
 )
 
-// Load describes plays of loads in simulated time: each pattern with each policy and seed.
+// Load describes simulations of each pattern with each policy and seed.
 type Load struct {
 	Setup    lab.Setup
 	Patterns []lab.Pattern
 	Policies []lab.Policy
 	Seeds    []uint64
-	// Progress is told after each play how many of how many are done; nil means nobody is.
+	// Progress is called after each simulation; nil disables it.
 	Progress func(done, all int)
 }
 
-// LoadResult is what came of one pattern and policy, the mean of all seeds.
+// LoadResult is the mean over all seeds for one pattern and policy.
 type LoadResult struct {
 	lab.Result
 	Seeds int `json:"seeds"`
 }
 
-// Run plays all, one after the other.
+// Run runs all simulations sequentially.
 func (b *Load) Run(ctx context.Context) ([]*LoadResult, error) {
 	var results []*LoadResult
 	all := len(b.Patterns) * len(b.Policies) * len(b.Seeds)
@@ -48,12 +48,12 @@
 	return results, nil
 }
 
-// runSeeds plays a pattern with a policy for each seed.
+// runSeeds simulates a pattern under a policy for each seed.
 func (b *Load) runSeeds(ctx context.Context, pattern lab.Pattern, policy lab.Policy, done func(int)) (*LoadResult, error) {
-	var plays []*lab.Result
+	var runs []*lab.Result
 	for _, seed := range b.Seeds {
 		if err := ctx.Err(); err != nil {
-			return nil, fmt.Errorf("given up: %w", err)
+			return nil, fmt.Errorf("canceled: %w", err)
 		}
 		setup := b.Setup
 		setup.Pattern, setup.Seed = pattern, seed
@@ -61,13 +61,13 @@
 		if err != nil {
 			return nil, err
 		}
-		plays = append(plays, result)
-		done(len(plays))
+		runs = append(runs, result)
+		done(len(runs))
 	}
-	return &LoadResult{Result: lab.Mean(plays), Seeds: len(plays)}, nil
+	return &LoadResult{Result: lab.Mean(runs), Seeds: len(runs)}, nil
 }
 
-// WriteLoadTable writes a line for each result.
+// WriteLoadTable writes one line per result.
 func WriteLoadTable(out io.Writer, results []*LoadResult) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(table, "pattern\tpolicy\tworth\tbest\tbest in turn\tin time\tlate\trefused\tagain\tcut\tback known\tlimit used\t")
@@ -81,11 +81,11 @@
 	return nil
 }
 
-// PlotLoad draws the worth of each time, a line for each pattern and policy.
+// PlotLoad plots the worth over time, one line per pattern and policy.
 func PlotLoad(path string, results []*LoadResult) error {
 	p := plot.New()
-	p.X.Label.Text = "seconds since the begin"
-	p.Y.Label.Text = "worth of the callers of that time"
+	p.X.Label.Text = "seconds since the start"
+	p.Y.Label.Text = "worth by time of arrival"
 	p.Y.Max = 1
 	p.Legend.Top = false
 	var lines []any
--- a/cli/internal/bench/load_test.go
+++ b/cli/internal/bench/load_test.go
@@ -15,8 +15,9 @@
 	"github.com/wheelcleat/wheelcleat/daemon/lab"
 )
 
-// TestLoadsAreCompared: each pattern with each policy is one line, and one more of a plot.
-func TestLoadsAreCompared(t *testing.T) {
+// TestLoadRunsAllPatternsAndPolicies checks the number of results, table lines and progress
+// calls, and that a canceled run stops.
+func TestLoadRunsAllPatternsAndPolicies(t *testing.T) {
 	setup := lab.Default()
 	setup.Engines, setup.Rate, setup.Length = 6, 50, 6*time.Second
 	var patterns []lab.Pattern
@@ -34,7 +35,7 @@
 	require.NoError(t, err)
 	require.Len(t, results, 4)
 	assert.Equal(t, 8, done)
-	assert.Greater(t, results[0].Worth, results[2].Worth, "half of what they bear is borne better")
+	assert.Greater(t, results[0].Worth, results[2].Worth, "half load yields more worth than overload")
 	var table bytes.Buffer
 	require.NoError(t, bench.WriteLoadTable(&table, results))
 	assert.Len(t, strings.Split(strings.TrimSpace(table.String()), "\n"), 5)
--- a/cli/internal/bench/plot.go
+++ b/cli/internal/bench/plot.go
@@ -9,23 +9,22 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Size of a plot.
 const (
 	plotWidth  = 16 * vg.Centimeter
 	plotHeight = 10 * vg.Centimeter
 )
 
-// PlotReplicas draws the hosts that serve over time, a line per run.
+// PlotReplicas plots the number of ready hosts over time, one line per run.
 func PlotReplicas(path string, results []*DistributeResult) error {
 	p := plot.New()
 	p.X.Label.Text = "seconds after the declaration"
-	p.Y.Label.Text = "hosts that serve the version"
+	p.Y.Label.Text = "ready hosts"
 	p.Legend.Top = false
 	var lines []any
 	for _, result := range results {
 		points := make(plotter.XYs, 0, 2*len(result.Series))
 		for i, point := range result.Series {
-			if i > 0 { // a step, not a slope
+			if i > 0 { // draw a step instead of a slope
 				points = append(points, plotter.XY{X: point.Seconds, Y: float64(result.Series[i-1].Ready)})
 			}
 			points = append(points, plotter.XY{X: point.Seconds, Y: float64(point.Ready)})
@@ -35,12 +34,12 @@
 	if len(results) > 0 {
 		p.Title.Text = fmt.Sprintf("%d hosts in %d halls, %s duplex, fault %s", results[0].Hosts, results[0].Halls, results[0].Duplex, results[0].Fault)
 		bound := plotter.XYs{{X: results[0].Bound, Y: 0}, {X: results[0].Bound, Y: float64(results[0].Hosts)}}
-		lines = append(lines, "least time to all", bound)
+		lines = append(lines, "minimum time to all", bound)
 	}
 	return saveLines(p, path, lines)
 }
 
-// saveLines draws lines, each a name and its points, and saves the plot.
+// saveLines plots lines, each given as a name followed by its points, and saves the plot.
 func saveLines(p *plot.Plot, path string, lines []any) error {
 	if err := plotutil.AddLines(p, lines...); err != nil {
 		return fmt.Errorf("plot: %w", err)
--- a/cli/internal/bench/route.go
+++ b/cli/internal/bench/route.go
@@ -24,28 +24,28 @@
 	"github.com/wheelcleat/wheelcleat/standin/weights"
 )
 
-// Route describes one run of the routing bench: the same streaming load first
-// straight to the engines, then through entries and agents. Arrival times are
-// fixed beforehand, so that slow answers do not slow the load.
+// Route configures a run of the routing bench: the same streaming load first directly to the
+// engines, then through entries and agents. Arrival times are drawn in advance, so that slow
+// answers do not reduce the load.
 type Route struct {
 	Halls, EntriesPerHall, Hosts int
-	// Rate is the number of requests a second.
+	// Rate is the number of requests per second.
 	Rate float64
-	// Duration is the time of each of the two parts.
+	// Duration is the length of each of the two phases.
 	Duration time.Duration
-	// Tokens is the length of each answer; Prefill and PerToken are the
-	// engines' times.
+	// Tokens is the length of each answer. Prefill and PerToken are the engines' processing
+	// times.
 	Tokens            int
 	Prefill, PerToken time.Duration
-	// Fault is none, host-dies, drain or version-change, a third into the
-	// routed part.
+	// Fault is none, host-dies, drain or version-change. It is injected after a third of the
+	// routed phase.
 	Fault     string
 	Seed      uint64
 	Timeout   time.Duration
 	LogOutput io.Writer
 }
 
-// RouteResult is what a run measured.
+// RouteResult holds the measurements of a run.
 type RouteResult struct {
 	Fault    string  `json:"fault"`
 	Rate     float64 `json:"rate"`
@@ -53,56 +53,55 @@
 	Done     int     `json:"done"`
 	NotRun   int     `json:"not_run"`
 	Unknown  int     `json:"unknown"`
-	// Cut counts answers whose connection ended before the end.
+	// Cut is the number of answers whose connection ended early.
 	Cut int `json:"cut"`
 	// Doubled, FalseNotRun, Mixed and CutInDrain must be 0.
 	Doubled     int `json:"doubled"`
 	FalseNotRun int `json:"false_not_run"`
 	Mixed       int `json:"mixed_answers"`
 	CutInDrain  int `json:"cut_in_drain"`
-	// Times to the first token and between tokens, through the fleet.
+	// Times to the first token and between tokens in the routed phase.
 	FirstP50US int64 `json:"first_token_p50_us"`
 	FirstP95US int64 `json:"first_token_p95_us"`
 	FirstP99US int64 `json:"first_token_p99_us"`
 	GapP95US   int64 `json:"between_tokens_p95_us"`
-	// Direct are the same figures straight from the engines.
+	// The same figures in the direct phase, and the latency that routing adds.
 	DirectP50US int64 `json:"direct_first_token_p50_us"`
 	DirectP99US int64 `json:"direct_first_token_p99_us"`
 	AddedP50US  int64 `json:"relay_added_p50_us"`
 	AddedP99US  int64 `json:"relay_added_p99_us"`
-	// CPU that the way through entry and agent costs beyond the direct one.
+	// Additional CPU time in the routed phase.
 	CPUPerRequestUS float64 `json:"cpu_us_per_request"`
 	CPUPerTokenUS   float64 `json:"cpu_us_per_token"`
 	CPUShare        float64 `json:"cpu_share"`
 }
 
-// routeKey is the load's account key.
 const routeKey = "bench-key"
 
-// routing is one run under way.
-type routing struct {
+// routeRun is the state of one run.
+type routeRun struct {
 	*Route
 	fleet    *fleet.Fleet
-	hosts    []*fleet.Host // all that ever ran, for the record of runs
+	hosts    []*fleet.Host // all hosts, including killed ones, for their engine records
 	versions []manifest.Digest
 	result   RouteResult
 }
 
-// RouteFaults are the names of the routing bench's faults.
+// RouteFaults returns the names of the routing bench's faults.
 func RouteFaults() []string { return []string{"none", "host-dies", "drain", "version-change"} }
 
 // Run measures one fleet.
 func (b *Route) Run(ctx context.Context) (*RouteResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, b.Timeout)
 	defer cancel()
-	r := &routing{Route: b, result: RouteResult{Fault: b.Fault, Rate: b.Rate}}
+	r := &routeRun{Route: b, result: RouteResult{Fault: b.Fault, Rate: b.Rate}}
 	if err := r.start(ctx); err != nil {
 		return nil, err
 	}
 	defer r.fleet.Kill()
-	direct := r.part(ctx, "direct", r.directTarget, func() {})
-	routed := r.part(ctx, "routed", r.entryTarget, func() { r.hit(ctx) })
-	r.judge(routed)
+	direct := r.runPhase(ctx, "direct", r.directTarget, func() {})
+	routed := r.runPhase(ctx, "routed", r.entryTarget, func() { r.injectFault(ctx) })
+	r.verify(routed)
 	r.summarize(direct, routed)
 	perRequest := float64((routed.cpu - direct.cpu).Microseconds()) / float64(max(len(routed.answers), 1))
 	r.result.CPUPerRequestUS = perRequest
@@ -111,7 +110,7 @@
 	return &r.result, nil
 }
 
-func (r *routing) start(ctx context.Context) error {
+func (r *routeRun) start(ctx context.Context) error {
 	config := fleet.Config{
 		Halls: fleet.HallNames(r.Halls), EntriesPerHall: r.EntriesPerHall, Agents: r.Hosts, LogOutput: r.LogOutput, LogLevel: "error",
 		SetUpEngine: func(e *engine.Server) { e.Prefill, e.PerToken = r.Prefill, r.PerToken },
@@ -141,11 +140,11 @@
 	if err := fleet.Await(ctx, "the version on all hosts", func() bool { return r.fleet.Ready(r.versions[0]) == r.Hosts }); err != nil {
 		return err
 	}
-	return fleet.Await(ctx, "every entry to know all hosts", func() bool { return r.allKnow(ctx) })
+	return fleet.Await(ctx, "all hosts known to every entry", func() bool { return r.allSynced(ctx) })
 }
 
-// allKnow asks every entry for the number of ready hosts.
-func (r *routing) allKnow(ctx context.Context) bool {
+// allSynced reports whether every entry sees the rollout as done.
+func (r *routeRun) allSynced(ctx context.Context) bool {
 	for _, address := range r.fleet.Operator().Entries {
 		operator := r.fleet.Operator()
 		operator.Entries = []string{address}
@@ -157,7 +156,7 @@
 	return true
 }
 
-func (r *routing) resources(version string) []*api.Resource {
+func (r *routeRun) resources(version string) []*api.Resource {
 	sum := sha256.Sum256([]byte(routeKey))
 	spec := &api.ModelSpec{}
 	for i, id := range r.versions {
@@ -171,8 +170,8 @@
 	}
 }
 
-// hit lets the fault happen.
-func (r *routing) hit(ctx context.Context) {
+// injectFault injects the run's fault.
+func (r *routeRun) injectFault(ctx context.Context) {
 	switch r.Fault {
 	case "host-dies":
 		r.fleet.KillHost(r.fleet.EngineHosts()[0])
@@ -183,32 +182,32 @@
 	}
 }
 
-// target is where one request goes.
+// target is the URL of a request and its account key.
 type target struct{ url, key string }
 
-func (r *routing) directTarget(i int) target {
+func (r *routeRun) directTarget(i int) target {
 	hosts := r.fleet.EngineHosts()
 	return target{url: hosts[i%len(hosts)].UpstreamURL() + "/v1/completions"}
 }
 
-func (r *routing) entryTarget(i int) target {
+func (r *routeRun) entryTarget(i int) target {
 	entries := r.fleet.Entries()
 	return target{url: "http://" + entries[i%len(entries)].Process.Addresses().Callers.String() + "/v1/services/s/v1/completions", key: routeKey}
 }
 
-// answered is what became of one request.
-type answered struct {
-	id      string
-	outcome api.Outcome
-	version string
-	cut     bool
-	tokens  []engine.Token
-	ended   bool
+// answerRecord records the answer to one request.
+type answerRecord struct {
+	id       string
+	outcome  api.Outcome
+	version  string
+	cut      bool
+	tokens   []engine.Token
+	finished bool
 }
 
-// part is one half of a run.
-type part struct {
-	answers []answered
+// phase holds the measurements of one phase of a run.
+type phase struct {
+	answers []answerRecord
 	first   *hdrhistogram.Histogram
 	gaps    *hdrhistogram.Histogram
 	cpu     time.Duration
@@ -216,16 +215,16 @@
 	mu      sync.Mutex
 }
 
-// Range of the histograms in microseconds, and their digits.
+// Range of the histograms in microseconds, and their significant digits.
 const (
 	histMin    = 1
 	histMax    = 60_000_000
 	histDigits = 3
 )
 
-// part sends the load to one kind of target; hit is called a third in.
-func (r *routing) part(ctx context.Context, name string, where func(int) target, hit func()) *part {
-	p := &part{first: hdrhistogram.New(histMin, histMax, histDigits), gaps: hdrhistogram.New(histMin, histMax, histDigits)}
+// runPhase sends the load to one kind of target and calls injectFault after a third of the time.
+func (r *routeRun) runPhase(ctx context.Context, name string, targetOf func(int) target, injectFault func()) *phase {
+	p := &phase{first: hdrhistogram.New(histMin, histMax, histDigits), gaps: hdrhistogram.New(histMin, histMax, histDigits)}
 	arrivals := r.arrivals()
 	transport := &http.Transport{MaxIdleConnsPerHost: 1024}
 	defer transport.CloseIdleConnections()
@@ -234,7 +233,7 @@
 	var group sync.WaitGroup
 	group.Go(func() {
 		if wait(ctx, r.Duration/3) == nil {
-			hit()
+			injectFault()
 		}
 	})
 	for i, at := range arrivals {
@@ -242,7 +241,7 @@
 			break
 		}
 		due := started.Add(at)
-		group.Go(func() { r.send(ctx, p, transport, where(i), fmt.Sprintf("%s-%d", name, i), due) })
+		group.Go(func() { r.send(ctx, p, transport, targetOf(i), fmt.Sprintf("%s-%d", name, i), due) })
 	}
 	group.Wait()
 	p.cpu = cpuTime() - cpuBefore
@@ -250,19 +249,19 @@
 	return p
 }
 
-// arrivals returns the times at which requests are due, from the start.
-func (r *routing) arrivals() []time.Duration {
-	source := rand.New(rand.NewPCG(r.Seed, 0))
+// arrivals returns the arrival times of requests, relative to the start.
+func (r *routeRun) arrivals() []time.Duration {
+	rng := rand.New(rand.NewPCG(r.Seed, 0))
 	var times []time.Duration
-	for at := 0.0; at < r.Duration.Seconds(); at += source.ExpFloat64() / r.Rate {
+	for at := 0.0; at < r.Duration.Seconds(); at += rng.ExpFloat64() / r.Rate {
 		times = append(times, time.Duration(at*float64(time.Second)))
 	}
 	return times
 }
 
-// send makes one request and reads its answer token by token.
-func (r *routing) send(ctx context.Context, p *part, transport *http.Transport, to target, id string, due time.Time) {
-	answer := answered{id: id}
+// send sends one request and reads its answer token by token.
+func (r *routeRun) send(ctx context.Context, p *phase, transport *http.Transport, to target, id string, due time.Time) {
+	answer := answerRecord{id: id}
 	defer func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
@@ -290,34 +289,34 @@
 	answer.cut = !r.read(p, response.Body, &answer, due)
 }
 
-// read takes the events of an answer and reports whether it ended as it should.
-func (r *routing) read(p *part, body io.Reader, answer *answered, due time.Time) bool {
+// read reads the events of an answer and reports whether it was complete.
+func (r *routeRun) read(p *phase, body io.Reader, answer *answerRecord, due time.Time) bool {
 	lines := bufio.NewReader(body)
 	last := due
 	for {
 		line, err := lines.ReadString('\n')
 		if err != nil {
-			return answer.ended
+			return answer.finished
 		}
 		data, isEvent := strings.CutPrefix(strings.TrimSuffix(line, "\n"), "data: ")
 		switch {
 		case !isEvent:
 		case data == "[DONE]":
-			answer.ended = true
+			answer.finished = true
 		default:
 			now := time.Now()
 			var token engine.Token
 			if json.Unmarshal([]byte(data), &token) != nil {
 				return false
 			}
-			p.note(len(answer.tokens) == 0, now.Sub(last))
+			p.record(len(answer.tokens) == 0, now.Sub(last))
 			answer.tokens = append(answer.tokens, token)
 			last = now
 		}
 	}
 }
 
-func (p *part) note(first bool, took time.Duration) {
+func (p *phase) record(first bool, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	histogram := p.gaps
@@ -327,18 +326,18 @@
 	_ = histogram.RecordValue(max(took.Microseconds(), histMin))
 }
 
-// judge holds the answers to what the engines recorded.
-func (r *routing) judge(p *part) {
-	ran := map[string]int{}
+// verify compares the answers with the engines' records.
+func (r *routeRun) verify(p *phase) {
+	executions := map[string]int{}
 	for _, host := range r.hosts {
 		for id, run := range host.Engine.Runs() {
-			ran[id] += run.Count
+			executions[id] += run.Count
 		}
 	}
 	for i := range p.answers {
 		answer := &p.answers[i]
 		r.result.Requests++
-		if ran[answer.id] > 1 {
+		if executions[answer.id] > 1 {
 			r.result.Doubled++
 		}
 		switch {
@@ -349,12 +348,12 @@
 			}
 		case answer.outcome == api.OutcomeNotRun:
 			r.result.NotRun++
-			if ran[answer.id] > 0 {
+			if executions[answer.id] > 0 {
 				r.result.FalseNotRun++
 			}
 		case answer.outcome == api.OutcomeDone:
 			r.result.Done++
-			if !r.isWhole(answer) {
+			if !r.isComplete(answer) {
 				r.result.Mixed++
 			}
 		default:
@@ -363,10 +362,10 @@
 	}
 }
 
-// isWhole reports whether an answer is the whole answer to its own request, by
-// the version that it names.
-func (r *routing) isWhole(answer *answered) bool {
-	if len(answer.tokens) != r.Tokens || !answer.ended {
+// isComplete reports whether an answer is complete, belongs to its request and is by the version
+// that it names.
+func (r *routeRun) isComplete(answer *answerRecord) bool {
+	if len(answer.tokens) != r.Tokens || !answer.finished {
 		return false
 	}
 	for i, token := range answer.tokens {
@@ -378,7 +377,7 @@
 	return true
 }
 
-func (r *routing) summarize(direct, routed *part) {
+func (r *routeRun) summarize(direct, routed *phase) {
 	out := &r.result
 	out.FirstP50US, out.FirstP95US = routed.first.ValueAtQuantile(50), routed.first.ValueAtQuantile(95)
 	out.FirstP99US, out.GapP95US = routed.first.ValueAtQuantile(99), routed.gaps.ValueAtQuantile(95)
--- a/cli/internal/bench/route_test.go
+++ b/cli/internal/bench/route_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRouteUnderFaults sends an open-loop load through each fault and holds the
-// answers to the engines' own record.
+// TestRouteUnderFaults guards against repeated executions, false not-run outcomes, mixed answers
+// and requests that are lost in a drain or a version change.
 func TestRouteUnderFaults(t *testing.T) {
 	for _, fault := range RouteFaults() {
 		t.Run(fault, func(t *testing.T) {
--- a/cli/internal/bench/usage.go
+++ b/cli/internal/bench/usage.go
@@ -9,7 +9,7 @@
 	"github.com/wheelcleat/wheelcleat/cli/internal/fleet"
 )
 
-// usage measures this process's use of the machine.
+// usage is a reading of this process's CPU time.
 type usage struct {
 	started time.Time
 	cpu     time.Duration
@@ -26,8 +26,8 @@
 
 func startUsage() usage { return usage{time.Now(), cpuTime()} }
 
-// end returns the share of the machine's CPU time used since the start, and
-// the process's largest resident size in MiB.
+// end returns the share of the machine's CPU time used since the start, and the process's maximum
+// resident size in MiB.
 func (u usage) end() (cpuShare, rssMB float64) {
 	elapsed := time.Since(u.started) * time.Duration(runtime.NumCPU())
 	var used syscall.Rusage
@@ -35,7 +35,7 @@
 	return float64(cpuTime()-u.cpu) / float64(elapsed), float64(used.Maxrss) / 1024
 }
 
-// controlBytes sums the bytes of control messages of entries and of agents.
+// controlBytes returns the total bytes of control messages of entries and of agents.
 func controlBytes(f *fleet.Fleet) (entries, agents int64) {
 	for _, e := range f.Entries() {
 		entries += e.Process.ControlBytes()
@@ -46,7 +46,7 @@
 	return entries, agents
 }
 
-// wait waits, or returns the context's error when that ends first.
+// wait waits for a duration, or returns the context's error if the context ends first.
 func wait(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
