--- a/cli/internal/bench/fleet.go
+++ b/cli/internal/bench/fleet.go
@@ -19,7 +19,7 @@
 		if err := ctx.Err(); err != nil {
 			return nil, fmt.Errorf("canceled: %w", err)
 		}
-		result, err := lab.PlayFleet(setup)
+		result, err := lab.RunFleet(setup)
 		if err != nil {
 			return nil, fmt.Errorf("fault %s, %d routers: %w", setup.Fault, setup.Routers, err)
 		}
--- a/cli/internal/bench/limit.go
+++ b/cli/internal/bench/limit.go
@@ -20,7 +20,7 @@
 		if err := ctx.Err(); err != nil {
 			return nil, fmt.Errorf("canceled: %w", err)
 		}
-		result, err := lab.PlayLimit(setup)
+		result, err := lab.RunLimit(setup)
 		if err != nil {
 			return nil, fmt.Errorf("fault %s, %d routers, limit %g: %w", setup.Fault, setup.Routers, setup.PerSecond, err)
 		}
--- a/cli/internal/bench/load.go
+++ b/cli/internal/bench/load.go
@@ -57,7 +57,7 @@
 		}
 		setup := b.Setup
 		setup.Pattern, setup.Seed = pattern, seed
-		result, err := lab.Play(setup, policy)
+		result, err := lab.Run(setup, policy)
 		if err != nil {
 			return nil, err
 		}
--- a/daemon/lab/fleet.go
+++ b/daemon/lab/fleet.go
@@ -144,8 +144,8 @@
 	}
 }
 
-// PlayFleet simulates one fault.
-func PlayFleet(setup Fleet) (*FleetResult, error) {
+// RunFleet simulates one fault.
+func RunFleet(setup Fleet) (*FleetResult, error) {
 	if err := setup.Check(); err != nil {
 		return nil, err
 	}
--- a/daemon/lab/fleet_test.go
+++ b/daemon/lab/fleet_test.go
@@ -13,7 +13,7 @@
 	setup := DefaultFleet()
 	setup.Routers, setup.Loaders = setup.Routers*factor, setup.Loaders*factor
 	change(&setup)
-	result, err := PlayFleet(setup)
+	result, err := RunFleet(setup)
 	require.NoError(t, err)
 	return result
 }
@@ -67,7 +67,7 @@
 	} {
 		setup := DefaultFleet()
 		change(&setup)
-		_, err := PlayFleet(setup)
+		_, err := RunFleet(setup)
 		require.ErrorContains(t, err, name)
 	}
 }
--- a/daemon/lab/lab.go
+++ b/daemon/lab/lab.go
@@ -81,8 +81,8 @@
 
 func (s *simulation) now() time.Time { return epoch.Add(s.events.now) }
 
-// Play simulates a setup under a policy.
-func Play(setup Setup, policy Policy) (*Result, error) {
+// Run simulates a setup under a policy.
+func Run(setup Setup, policy Policy) (*Result, error) {
 	if err := setup.validate(); err != nil {
 		return nil, err
 	}
--- a/daemon/lab/lab_test.go
+++ b/daemon/lab/lab_test.go
@@ -25,7 +25,7 @@
 		setup.Seed = seed + 1
 		chosen, err := lab.FindPolicy(policy)
 		require.NoError(t, err)
-		result, err := lab.Play(setup, chosen)
+		result, err := lab.Run(setup, chosen)
 		require.NoError(t, err)
 		runs = append(runs, result)
 	}
@@ -97,7 +97,7 @@
 	for name, change := range changes {
 		setup := lab.Default()
 		change(&setup)
-		_, err := lab.Play(setup, lab.Policy{})
+		_, err := lab.Run(setup, lab.Policy{})
 		require.ErrorIs(t, err, lab.ErrSetup, name)
 	}
 	for _, text := range []string{"", "flat", "steady:", "steady:0", "steady:x", "steady:1000", "steady:NaN"} {
--- a/daemon/lab/limit.go
+++ b/daemon/lab/limit.go
@@ -145,8 +145,8 @@
 	deferred []func()
 }
 
-// PlayLimit simulates a setup.
-func PlayLimit(setup LimitSetup) (*LimitResult, error) {
+// RunLimit simulates a setup.
+func RunLimit(setup LimitSetup) (*LimitResult, error) {
 	if setup.Routers < 1 || setup.Halls < 1 || setup.Upstreams < limitedOneIn || setup.Rate <= 0 || setup.PerSecond < 0 {
 		return nil, fmt.Errorf("%w: at least one router, one hall, %d upstreams, a positive request rate and a limit of 0 or more are required", ErrSetup, limitedOneIn)
 	}
--- a/daemon/lab/limit_test.go
+++ b/daemon/lab/limit_test.go
@@ -21,7 +21,7 @@
 		for _, perSecond := range []float64{0.2, 1, 5} {
 			setup := lab.DefaultLimit()
 			setup.Fault, setup.PerSecond = fault, perSecond
-			result, err := lab.PlayLimit(setup)
+			result, err := lab.RunLimit(setup)
 			require.NoError(t, err)
 			assert.LessOrEqual(t, result.Worst, 1.0, "%s, %g", fault, perSecond)
 			assert.LessOrEqual(t, result.Mean, 0.8, "%s, %g", fault, perSecond)
@@ -35,7 +35,7 @@
 
 // TestRunLimitRejectsInvalidSetups checks the errors for invalid setups and fault names.
 func TestRunLimitRejectsInvalidSetups(t *testing.T) {
-	_, err := lab.PlayLimit(lab.LimitSetup{})
+	_, err := lab.RunLimit(lab.LimitSetup{})
 	require.ErrorIs(t, err, lab.ErrSetup)
 	_, err = lab.FindLimitFault("flood")
 	require.ErrorContains(t, err, "hall-cut")
