--- a/cli/internal/bench/load_test.go
+++ b/cli/internal/bench/load_test.go
@@ -19,7 +19,7 @@
 // calls, and that a canceled run stops.
 func TestLoadRunsAllPatternsAndPolicies(t *testing.T) {
 	setup := lab.Default()
-	setup.Engines, setup.Rate, setup.Length = 6, 50, 6*time.Second
+	setup.Engines, setup.Rate, setup.Duration = 6, 50, 6*time.Second
 	var patterns []lab.Pattern
 	for _, name := range []string{"steady:0.5", "steady:1.2"} {
 		pattern, err := lab.ParsePattern(name)
--- a/cli/internal/command/load.go
+++ b/cli/internal/command/load.go
@@ -27,8 +27,8 @@
 			&cli.IntFlag{Name: "routers", Value: setup.Routers, Usage: "routers, `N`"},
 			&cli.IntFlag{Name: "data-halls", Value: setup.Halls, Usage: "data halls, `N`"},
 			&cli.FloatFlag{Name: "rate", Value: setup.Rate, Usage: "callers a second at a pattern's level 1, `N`"},
-			&cli.DurationFlag{Name: "length", Value: setup.Length, Usage: "`TIME` for which callers come"},
-			&cli.FloatFlag{Name: "patience", Value: setup.Patience, Usage: "`PART` by which the times of callers differ"},
+			&cli.DurationFlag{Name: "length", Value: setup.Duration, Usage: "`TIME` for which callers come"},
+			&cli.FloatFlag{Name: "patience", Value: setup.DeadlineSpread, Usage: "`PART` by which the times of callers differ"},
 			&cli.StringFlag{Name: "pattern", Value: "steady:1,steady:1.25,burst", Usage: "`PATTERNS`, by comma, each with a level as in steady:1.25, or all: " + strings.Join(lab.PatternNames(), ", ")},
 			&cli.StringFlag{Name: "policy", Value: "now", Usage: "`POLICIES`, by comma, or all: " + strings.Join(lab.PolicyNames(), ", ")},
 			&cli.StringFlag{Name: "seed", Aliases: []string{"seeds"}, Value: "1", Usage: "`SEEDS`, by comma; figures are their means"},
@@ -88,7 +88,7 @@
 func loadOf(command *cli.Command) (*bench.Load, error) {
 	load := &bench.Load{Setup: lab.Default()}
 	load.Setup.Engines, load.Setup.Routers, load.Setup.Halls = command.Int("engines"), command.Int("routers"), command.Int("data-halls")
-	load.Setup.Rate, load.Setup.Length, load.Setup.Patience = command.Float("rate"), command.Duration("length"), command.Float("patience")
+	load.Setup.Rate, load.Setup.Duration, load.Setup.DeadlineSpread = command.Float("rate"), command.Duration("length"), command.Float("patience")
 	var err error
 	if load.Patterns, err = parseList(command.String("pattern"), lab.PatternNames(), lab.ParsePattern); err != nil {
 		return nil, fmt.Errorf("--pattern: %w", err)
--- a/daemon/lab/caller.go
+++ b/daemon/lab/caller.go
@@ -12,15 +12,15 @@
 	Name string
 	// Share is the kind's share of all callers.
 	Share float64
-	// Prompt and Answer are mean lengths in tokens, MostPrompt and MostAnswer their upper limits.
-	Prompt, Answer         float64
-	MostPrompt, MostAnswer float64
+	// Prompt and Answer are mean lengths in tokens, MaxPrompt and MaxAnswer their upper limits.
+	Prompt, Answer       float64
+	MaxPrompt, MaxAnswer float64
 	// Objective is the time limit for the first byte, Deadline the time after which callers
 	// abandon the request.
 	Objective, Deadline time.Duration
-	// Worth is the value of an answer whose first byte met the objective, Late that of a later
+	// Worth is the value of an answer whose first byte met the objective, LateWorth that of a later
 	// one.
-	Worth, Late float64
+	Worth, LateWorth float64
 }
 
 // DefaultKinds returns three kinds of callers of one service.
@@ -45,7 +45,7 @@
 	lengthHint       float64
 	worth, lateWorth float64
 
-	written             int
+	received            int
 	firstByte, lastByte time.Duration
 	refusals            int
 	// detectedRetry is the router's classification of the latest attempt.
@@ -65,12 +65,12 @@
 // newCaller draws the properties of a caller that arrives at the given time.
 func (s *simulation) newCaller(at time.Duration) *caller {
 	kind := &s.Kinds[s.Pattern.kindAt(at, s.Kinds, s.arrivalRand.Float64())]
-	timeLimit := time.Duration((1 - s.Patience*s.arrivalRand.Float64()) * float64(kind.Deadline))
+	timeLimit := time.Duration((1 - s.DeadlineSpread*s.arrivalRand.Float64()) * float64(kind.Deadline))
 	c := &caller{sim: s, kind: kind, arrivedAt: at, deadline: at + timeLimit, content: s.arrivalRand.Uint64()}
-	c.prompt = int(clampTokens(kind.Prompt*lengthFactor(s.arrivalRand.NormFloat64()), kind.MostPrompt))
-	c.answer = int(clampTokens(kind.Answer*lengthFactor(s.arrivalRand.NormFloat64()), kind.MostAnswer))
+	c.prompt = int(clampTokens(kind.Prompt*lengthFactor(s.arrivalRand.NormFloat64()), kind.MaxPrompt))
+	c.answer = int(clampTokens(kind.Answer*lengthFactor(s.arrivalRand.NormFloat64()), kind.MaxAnswer))
 	c.lengthHint = float64(c.answer) * math.Exp(hintSpread*s.arrivalRand.NormFloat64())
-	c.worth, c.lateWorth = kind.Worth*c.relativeSize(), kind.Late*c.relativeSize()
+	c.worth, c.lateWorth = kind.Worth*c.relativeSize(), kind.LateWorth*c.relativeSize()
 	return c
 }
 
@@ -103,7 +103,7 @@
 	if c.firstByte == 0 {
 		c.firstByte = now + networkDelay
 	}
-	if c.written += tokens; c.written < c.answer {
+	if c.received += tokens; c.received < c.answer {
 		return
 	}
 	c.lastByte = now + networkDelay
@@ -154,7 +154,7 @@
 
 func (s *simulation) readTime() time.Duration {
 	prompt := s.mean(func(k Kind) float64 { return k.Prompt })
-	return time.Duration(prompt / s.Engine.ReadRate * float64(time.Second))
+	return time.Duration(prompt / s.Engine.PrefillRate * float64(time.Second))
 }
 
 func (s *simulation) mean(value func(Kind) float64) float64 {
--- a/daemon/lab/engine.go
+++ b/daemon/lab/engine.go
@@ -16,25 +16,25 @@
 type EngineSpec struct {
 	// Places is the number of requests that run concurrently.
 	Places int
-	// ReadRate is the number of prompt tokens read per second; ReadMost limits the prompt tokens
-	// of one pass.
-	ReadRate float64
-	ReadMost int
-	// Step is the time to generate one token for the whole batch; StepEach is added for each
-	// request in the batch.
-	Step, StepEach time.Duration
-	// Stride is the number of tokens that a pass generates for each request. They arrive
+	// PrefillRate is the number of prompt tokens read per second; MaxPrefill limits the prompt
+	// tokens of one pass.
+	PrefillRate float64
+	MaxPrefill  int
+	// TokenTime is the time to generate one token for the whole batch; TokenTimePerRequest is
+	// added for each request in the batch.
+	TokenTime, TokenTimePerRequest time.Duration
+	// TokensPerPass is the number of tokens that a pass generates for each request. They arrive
 	// together.
-	Stride int
-	// Load is the time an idle engine needs to load a version.
-	Load time.Duration
+	TokensPerPass int
+	// LoadTime is the time an idle engine needs to load a version.
+	LoadTime time.Duration
 }
 
 // DefaultEngine returns an engine of 12 places that reads 19,100 prompt tokens per second.
 func DefaultEngine() EngineSpec {
 	return EngineSpec{
-		Places: 12, ReadRate: 19100, ReadMost: 10240, Step: 8870 * time.Microsecond, StepEach: 60 * time.Microsecond,
-		Stride: 5, Load: 300 * time.Millisecond,
+		Places: 12, PrefillRate: 19100, MaxPrefill: 10240, TokenTime: 8870 * time.Microsecond, TokenTimePerRequest: 60 * time.Microsecond,
+		TokensPerPass: 5, LoadTime: 300 * time.Millisecond,
 	}
 }
 
@@ -151,7 +151,7 @@
 // startPass starts the next pass.
 func (e *engine) startPass() {
 	spec, tokens := e.sim.Engine, 0
-	for len(e.waiting) > 0 && len(e.running)+len(e.reading) < spec.Places && tokens < spec.ReadMost {
+	for len(e.waiting) > 0 && len(e.running)+len(e.reading) < spec.Places && tokens < spec.MaxPrefill {
 		tokens += e.waiting[0].prompt
 		e.reading = append(e.reading, e.waiting[0])
 		e.waiting = e.waiting[1:]
@@ -162,8 +162,8 @@
 		e.loadVersion()
 		return
 	}
-	passTime := time.Duration(float64(tokens) / spec.ReadRate * float64(time.Second))
-	passTime += time.Duration(spec.Stride) * (spec.Step + time.Duration(batch)*spec.StepEach)
+	passTime := time.Duration(float64(tokens) / spec.PrefillRate * float64(time.Second))
+	passTime += time.Duration(spec.TokensPerPass) * (spec.TokenTime + time.Duration(batch)*spec.TokenTimePerRequest)
 	generation := e.generation
 	e.sim.events.after(passTime, func() {
 		if generation == e.generation {
@@ -178,7 +178,7 @@
 	e.reading = nil
 	now := e.sim.events.now
 	for _, c := range e.running {
-		c.receiveTokens(now, e.sim.Engine.Stride)
+		c.receiveTokens(now, e.sim.Engine.TokensPerPass)
 	}
 	e.running = slices.DeleteFunc(e.running, func(c *caller) bool { return c.finished })
 	e.waiting = slices.DeleteFunc(e.waiting, func(c *caller) bool { return c.finished })
@@ -198,7 +198,7 @@
 		return
 	}
 	e.draining, e.loaded = false, true
-	e.unavailableUntil = e.sim.events.now + e.sim.Engine.Load
+	e.unavailableUntil = e.sim.events.now + e.sim.Engine.LoadTime
 }
 
 // fail aborts all requests and makes the engine unavailable for a duration.
--- a/daemon/lab/fleet_model.go
+++ b/daemon/lab/fleet_model.go
@@ -217,8 +217,8 @@
 	return listed
 }
 
-// listRouters lists the routers of all halls or of the own shard, depending on the strategy. The first
-// router of a shard lists its whole hall.
+// listRouters lists the routers of all halls or of the own shard, depending on the strategy. The
+// first router of a shard lists its whole hall.
 func (r *fleetRouter) listRouters() {
 	names := r.hall.announcedNames()
 	if r.hall.sim.Spread.AwaitOwn {
--- a/daemon/lab/lab.go
+++ b/daemon/lab/lab.go
@@ -24,24 +24,24 @@
 	Engines, Routers, Halls int
 	Engine                  EngineSpec
 	Kinds                   []Kind
-	// Patience is the maximum relative reduction of a caller's deadline: each caller gets the
+	// DeadlineSpread is the maximum relative reduction of a caller's deadline: each caller gets the
 	// deadline of its kind, reduced by a random share of up to this value.
-	Patience float64
-	// Rate is the number of callers per second at pattern level 1.
+	DeadlineSpread float64
+	// Rate is the number of callers per second at level 1.
 	Rate float64
-	// Length is the time during which callers arrive. Callers that arrive within Warm are
+	// Duration is the time during which callers arrive. Callers that arrive within WarmUp are
 	// excluded from the results.
-	Length, Warm time.Duration
-	Pattern      Pattern
-	Seed         uint64
+	Duration, WarmUp time.Duration
+	Pattern          Pattern
+	Seed             uint64
 }
 
 // Default returns a fleet of 45 engines in three halls with three kinds of callers, loaded to its
-// capacity at pattern level 1.
+// capacity at level 1.
 func Default() Setup {
 	return Setup{
 		Engines: 45, Routers: 15, Halls: 3, Engine: DefaultEngine(), Kinds: DefaultKinds(),
-		Patience: 0.15, Rate: 365, Length: 30 * time.Second, Warm: 4 * time.Second, Seed: 1,
+		DeadlineSpread: 0.15, Rate: 365, Duration: 30 * time.Second, WarmUp: 4 * time.Second, Seed: 1,
 	}
 }
 
@@ -52,12 +52,12 @@
 	switch {
 	case s.Engines < 1 || s.Routers < 1 || s.Halls < 1:
 		return fmt.Errorf("%w: at least one engine, one router and one hall are required", ErrSetup)
-	case s.Engine.Places < 1 || s.Engine.ReadRate <= 0 || s.Engine.Stride < 1:
+	case s.Engine.Places < 1 || s.Engine.PrefillRate <= 0 || s.Engine.TokensPerPass < 1:
 		return fmt.Errorf("%w: places, prompt token rate and tokens per pass of engines must be positive", ErrSetup)
-	case len(s.Kinds) == 0 || s.Rate <= 0 || s.Length <= s.Warm:
-		return fmt.Errorf("%w: kinds of callers, a positive rate and a length above the warm-up of %s are required", ErrSetup, s.Warm)
-	case s.Patience < 0 || s.Patience >= 1:
-		return fmt.Errorf("%w: patience %.2f is not in [0, 1)", ErrSetup, s.Patience)
+	case len(s.Kinds) == 0 || s.Rate <= 0 || s.Duration <= s.WarmUp:
+		return fmt.Errorf("%w: kinds of callers, a positive rate and a duration above the warm-up of %s are required", ErrSetup, s.WarmUp)
+	case s.DeadlineSpread < 0 || s.DeadlineSpread >= 1:
+		return fmt.Errorf("%w: deadline spread %.2f is not in [0, 1)", ErrSetup, s.DeadlineSpread)
 	}
 	return nil
 }
@@ -105,7 +105,7 @@
 
 // scheduleArrivals draws the arrival of each caller and schedules its first request.
 func (s *simulation) scheduleArrivals() {
-	for at := time.Duration(0); at < s.Length; {
+	for at := time.Duration(0); at < s.Duration; {
 		rate := s.Rate * s.Pattern.rate(at)
 		at += time.Duration(s.arrivalRand.ExpFloat64() / max(rate, 1) * float64(time.Second))
 		c := s.newCaller(at)
--- a/daemon/lab/lab_test.go
+++ b/daemon/lab/lab_test.go
@@ -18,7 +18,7 @@
 	for seed := range uint64(seeds) {
 		setup := lab.Default()
 		setup.Engines, setup.Routers, setup.Rate = setup.Engines/3, setup.Routers/3, setup.Rate/3
-		setup.Length = 20 * time.Second
+		setup.Duration = 20 * time.Second
 		var err error
 		setup.Pattern, err = lab.ParsePattern(pattern)
 		require.NoError(t, err)
@@ -88,11 +88,11 @@
 // TestInvalidSetupsAreRejected covers setups, patterns and policy names.
 func TestInvalidSetupsAreRejected(t *testing.T) {
 	changes := map[string]func(*lab.Setup){
-		"no engines":  func(s *lab.Setup) { s.Engines = 0 },
-		"no places":   func(s *lab.Setup) { s.Engine.Places = 0 },
-		"no callers":  func(s *lab.Setup) { s.Rate = 0 },
-		"no time":     func(s *lab.Setup) { s.Length = time.Second },
-		"no patience": func(s *lab.Setup) { s.Patience = 1 },
+		"no engines":           func(s *lab.Setup) { s.Engines = 0 },
+		"no places":            func(s *lab.Setup) { s.Engine.Places = 0 },
+		"no callers":           func(s *lab.Setup) { s.Rate = 0 },
+		"only warm-up":         func(s *lab.Setup) { s.Duration = time.Second },
+		"deadline spread of 1": func(s *lab.Setup) { s.DeadlineSpread = 1 },
 	}
 	for name, change := range changes {
 		setup := lab.Default()
--- a/daemon/lab/oracle.go
+++ b/daemon/lab/oracle.go
@@ -16,8 +16,8 @@
 // engineTime returns the engine time that the request needs on a fully occupied engine.
 func (c *caller) engineTime() time.Duration {
 	spec := c.sim.Engine
-	read := time.Duration(float64(c.prompt) / spec.ReadRate * float64(time.Second))
-	step := spec.Step + time.Duration(spec.Places)*spec.StepEach
+	read := time.Duration(float64(c.prompt) / spec.PrefillRate * float64(time.Second))
+	step := spec.TokenTime + time.Duration(spec.Places)*spec.TokenTimePerRequest
 	return read + time.Duration(c.answer)*step/time.Duration(spec.Places)
 }
 
@@ -65,7 +65,7 @@
 	if v := s.Pattern.Version; v != nil {
 		length := v.Turns.To - v.Turns.From
 		overlap := min(to, v.Turns.To) - max(from, v.Turns.From)
-		loads := time.Duration(len(s.engines)) * s.Engine.Load
+		loads := time.Duration(len(s.engines)) * s.Engine.LoadTime
 		total -= time.Duration(float64(loads) * max(overlap.Seconds(), 0) / length.Seconds())
 	}
 	return total
--- a/daemon/lab/result.go
+++ b/daemon/lab/result.go
@@ -76,8 +76,8 @@
 	r := &Result{Pattern: s.Pattern.Name, Policy: s.policy.Name, Seed: s.Seed, KindWorth: map[string]float64{}}
 	var all tally
 	kinds := make([]tally, len(s.Kinds))
-	windows := make([]tally, (s.Length+WindowLength-1)/WindowLength)
-	measured := slices.DeleteFunc(slices.Clone(s.callers), func(c *caller) bool { return c.arrivedAt < s.Warm })
+	windows := make([]tally, (s.Duration+WindowLength-1)/WindowLength)
+	measured := slices.DeleteFunc(slices.Clone(s.callers), func(c *caller) bool { return c.arrivedAt < s.WarmUp })
 	for _, c := range s.callers {
 		windows[min(int(c.arrivedAt/WindowLength), len(windows)-1)].add(c.worth, c.earned())
 	}
--- a/daemon/lab/router.go
+++ b/daemon/lab/router.go
@@ -46,7 +46,7 @@
 	var tick func()
 	tick = func() {
 		fn()
-		if s.events.now < s.Length+reportTail {
+		if s.events.now < s.Duration+reportTail {
 			s.events.after(every, tick)
 		}
 	}
