--- a/daemon/lab/lab.go
+++ b/daemon/lab/lab.go
@@ -122,16 +122,16 @@
 
 // scheduleFaults schedules the pattern's outages and its rollout.
 func (s *simulation) scheduleFaults() {
-	for _, d := range s.Pattern.Disturbances {
+	for _, outage := range s.Pattern.Outages {
 		for _, e := range s.engines {
-			if d.affects(e.index, len(s.engines)) {
-				s.events.at(d.At, func() { e.fail(d.For) })
+			if outage.affects(e.index, len(s.engines)) {
+				s.events.at(outage.At, func() { e.fail(outage.Duration) })
 			}
 		}
 	}
-	if v := s.Pattern.Version; v != nil {
+	if rollout := s.Pattern.Rollout; rollout != nil {
 		for _, e := range s.engines {
-			e.loadAt = v.loadTimeOf(e.index, len(s.engines))
+			e.loadAt = rollout.loadTimeOf(e.index, len(s.engines))
 			s.events.at(e.loadAt, e.startDrain)
 		}
 	}
--- a/daemon/lab/oracle.go
+++ b/daemon/lab/oracle.go
@@ -58,13 +58,13 @@
 // capacity returns the available engine time in an interval.
 func (s *simulation) capacity(from, to time.Duration) time.Duration {
 	total := time.Duration(len(s.engines)) * (to - from)
-	for _, d := range s.Pattern.Disturbances {
-		outage := min(to, d.At+d.For) - max(from, d.At)
-		total -= time.Duration(d.Share * float64(len(s.engines)) * float64(max(outage, 0)))
+	for _, o := range s.Pattern.Outages {
+		overlap := min(to, o.At+o.Duration) - max(from, o.At)
+		total -= time.Duration(o.Share * float64(len(s.engines)) * float64(max(overlap, 0)))
 	}
-	if v := s.Pattern.Version; v != nil {
-		length := v.Turns.To - v.Turns.From
-		overlap := min(to, v.Turns.To) - max(from, v.Turns.From)
+	if r := s.Pattern.Rollout; r != nil {
+		length := r.Schedule.To - r.Schedule.From
+		overlap := min(to, r.Schedule.To) - max(from, r.Schedule.From)
 		loads := time.Duration(len(s.engines)) * s.Engine.LoadTime
 		total -= time.Duration(float64(loads) * max(overlap.Seconds(), 0) / length.Seconds())
 	}
--- a/daemon/lab/pattern.go
+++ b/daemon/lab/pattern.go
@@ -13,45 +13,45 @@
 	Name string
 	// Level is the load relative to the setup's rate.
 	Level float64
-	// Swing is the amplitude of a sinusoidal variation relative to Level, Period its period.
-	Swing  float64
-	Period time.Duration
-	// Burst is a period of increased load. Factor multiplies the load of the kind named by
+	// Amplitude is that of a sinusoidal variation relative to Level, Period its period.
+	Amplitude float64
+	Period    time.Duration
+	// Burst is a period of increased load. BurstFactor multiplies the load of the kind named by
 	// BurstKind, or of all kinds if that is empty.
-	Burst        Span
-	Factor       float64
-	BurstKind    string
-	Disturbances []Disturbance
-	Version      *Version
-	Limits       *Limits
+	Burst       Interval
+	BurstFactor float64
+	BurstKind   string
+	Outages     []Outage
+	Rollout     *Rollout
+	Limits      *Limits
 }
 
-// Span is a half-open interval of time.
-type Span struct{ From, To time.Duration }
+// Interval is a half-open interval of time.
+type Interval struct{ From, To time.Duration }
 
-func (s Span) contains(at time.Duration) bool { return at >= s.From && at < s.To }
+func (s Interval) contains(at time.Duration) bool { return at >= s.From && at < s.To }
 
-// Disturbance is an outage of several engines.
-type Disturbance struct {
-	At, For time.Duration
+// Outage is a temporary failure of several engines.
+type Outage struct {
+	At, Duration time.Duration
 	// Share is the fraction of the engines that fail.
 	Share float64
 }
 
-func (d Disturbance) affects(index, engines int) bool {
-	return float64(index) < d.Share*float64(engines)
+func (o Outage) affects(index, engines int) bool {
+	return float64(index) < o.Share*float64(engines)
 }
 
-// Version is a rollout: engines load a version one after the other within a time span.
-type Version struct{ Turns Span }
+// Rollout schedules the load of a new version, one engine after the other.
+type Rollout struct{ Schedule Interval }
 
-func (v Version) loadTimeOf(index, engines int) time.Duration {
-	return v.Turns.From + (v.Turns.To-v.Turns.From)*time.Duration(index)/time.Duration(max(engines-1, 1))
+func (r Rollout) loadTimeOf(index, engines int) time.Duration {
+	return r.Schedule.From + (r.Schedule.To-r.Schedule.From)*time.Duration(index)/time.Duration(max(engines-1, 1))
 }
 
 // Limits describes a period in which some engines announce a request rate limit.
 type Limits struct {
-	Span
+	Interval
 	// Share is the fraction of the engines that are limited.
 	Share     float64
 	PerSecond float64
@@ -65,13 +65,13 @@
 func (p Pattern) rate(at time.Duration) float64 {
 	rate := p.Level
 	if p.Period > 0 {
-		rate *= 1 + p.Swing*math.Sin(2*math.Pi*at.Seconds()/p.Period.Seconds())
+		rate *= 1 + p.Amplitude*math.Sin(2*math.Pi*at.Seconds()/p.Period.Seconds())
 	}
 	if p.Burst.contains(at) && p.BurstKind == "" {
-		rate *= p.Factor
+		rate *= p.BurstFactor
 	}
 	if p.Burst.contains(at) && p.BurstKind != "" {
-		rate *= 1 + (p.Factor-1)*burstShare
+		rate *= 1 + (p.BurstFactor-1)*burstShare
 	}
 	return rate
 }
@@ -83,7 +83,7 @@
 func (p Pattern) kindAt(at time.Duration, kinds []Kind, variate float64) int {
 	weight := func(k Kind) float64 {
 		if p.Burst.contains(at) && k.Name == p.BurstKind {
-			return k.Share * p.Factor
+			return k.Share * p.BurstFactor
 		}
 		return k.Share
 	}
@@ -121,21 +121,21 @@
 	switch name {
 	case "steady":
 	case "burst":
-		p.Burst, p.Factor = Span{8 * second, 12 * second}, 1.7
+		p.Burst, p.BurstFactor = Interval{8 * second, 12 * second}, 1.7
 	case "swing":
-		p.Swing, p.Period = 0.3, 8*second
+		p.Amplitude, p.Period = 0.3, 8*second
 	case "one-kind":
-		p.Burst, p.Factor, p.BurstKind = Span{8 * second, 16 * second}, 4, "long"
+		p.Burst, p.BurstFactor, p.BurstKind = Interval{8 * second, 16 * second}, 4, "long"
 	case "half-gone":
-		p.Disturbances = []Disturbance{{At: 10 * second, For: 6 * second, Share: 0.5}}
+		p.Outages = []Outage{{At: 10 * second, Duration: 6 * second, Share: 0.5}}
 	case "all-back":
-		p.Disturbances = []Disturbance{{At: 10 * second, For: 2 * second, Share: 1}}
+		p.Outages = []Outage{{At: 10 * second, Duration: 2 * second, Share: 1}}
 	case "version":
-		p.Version = &Version{Turns: Span{10 * second, 15500 * time.Millisecond}}
+		p.Rollout = &Rollout{Schedule: Interval{10 * second, 15500 * time.Millisecond}}
 	case "some-limited":
-		p.Limits = &Limits{Span: Span{10 * second, 20 * second}, Share: 1.0 / 3, PerSecond: 2}
+		p.Limits = &Limits{Interval: Interval{10 * second, 20 * second}, Share: 1.0 / 3, PerSecond: 2}
 	case "all-limited":
-		p.Limits = &Limits{Span: Span{10 * second, 20 * second}, Share: 1, PerSecond: 5}
+		p.Limits = &Limits{Interval: Interval{10 * second, 20 * second}, Share: 1, PerSecond: 5}
 	default:
 		return p, fmt.Errorf("unknown pattern %q; use one of %s", text, strings.Join(PatternNames(), ", "))
 	}
