--- a/daemon/lab/policy.go
+++ b/daemon/lab/policy.go
@@ -12,14 +12,14 @@
 // Policy is a set of decision parameters. The zero value is the policy of the production router.
 type Policy struct {
 	Name string
-	// CameBack creates, for each run, the function that classifies requests as first attempts or
-	// retries; nil selects that of the router.
-	CameBack func() retryDetector
-	// Ways vary the search for a place; nil selects those of the router.
-	Ways *admission.Ways
-	// Back returns the delay after which a refused caller retries; nil selects that of the
+	// NewRetryDetector creates, for each run, the function that classifies requests as first
+	// attempts or retries; nil selects that of the router.
+	NewRetryDetector func() retryDetector
+	// Search vary the search for a place; nil selects those of the router.
+	Search *admission.Ways
+	// RetryDelay returns the delay after which a refused caller retries; nil selects that of the
 	// router.
-	Back func(rng *rand.Rand, remaining time.Duration) time.Duration
+	RetryDelay func(rng *rand.Rand, remaining time.Duration) time.Duration
 }
 
 // retryDetector reports whether a router classifies a request as a retry.
@@ -33,10 +33,10 @@
 
 // newDetector returns the retry detector for one run.
 func (p Policy) newDetector() retryDetector {
-	if p.CameBack == nil {
+	if p.NewRetryDetector == nil {
 		return byRemainingTime
 	}
-	return p.CameBack()
+	return p.NewRetryDetector()
 }
 
 // detectRetry classifies a request and records whether the result is correct.
@@ -52,8 +52,8 @@
 }
 
 func (p Policy) retryDelay(rng *rand.Rand, c *caller) time.Duration {
-	if p.Back != nil {
-		return p.Back(rng, c.remaining())
+	if p.RetryDelay != nil {
+		return p.RetryDelay(rng, c.remaining())
 	}
 	return admission.Back(admission.EnginesFull, rng.Float64())
 }
@@ -77,22 +77,22 @@
 	const second = time.Second
 	return []Policy{
 		{Name: "now"},
-		{Name: "back-unknown", CameBack: func() retryDetector { return neverRetry }},
-		{Name: "back-same-time", CameBack: byLongestTime},
-		{Name: "back-sketch", CameBack: bySharedRefusals},
-		{Name: "back-known", CameBack: func() retryDetector { return exactRetry }},
-		{Name: "return-soon", Back: uniformDelay(second*3/10, second*9/10)},
-		{Name: "return-late", Back: uniformDelay(second*16/10, second*2)},
-		{Name: "return-wide", Back: uniformDelay(second*3/10, second*2)},
-		{Name: "look-5", Ways: variant(func(w *admission.Ways) { w.Questions, w.Beyond = 5, 0 })},
-		{Name: "look-8", Ways: variant(func(w *admission.Ways) { w.Questions, w.Beyond = 8, 0 })},
-		{Name: "look-5-beyond-1", Ways: variant(func(w *admission.Ways) { w.Questions, w.Beyond = 5, 1 })},
-		{Name: "look-8-beyond-1", Ways: variant(func(w *admission.Ways) { w.Questions, w.Beyond = 8, 1 })},
-		{Name: "look-8-beyond-2", Ways: variant(func(w *admission.Ways) { w.Questions, w.Beyond = 8, 2 })},
-		{Name: "look-8-wait-soon", Ways: variant(func(w *admission.Ways) { w.Questions, w.Each, w.Beyond = 8, 1, 1 })},
-		{Name: "look-10-beyond-1", Ways: variant(func(w *admission.Ways) { w.Questions, w.Beyond = 10, 1 })},
-		{Name: "back-any-place", Ways: variant(func(w *admission.Ways) { w.BackLeaves = 0 })},
-		{Name: "back-half-free", Ways: variant(func(w *admission.Ways) { w.BackLeaves = 0.5 })},
+		{Name: "back-unknown", NewRetryDetector: func() retryDetector { return neverRetry }},
+		{Name: "back-same-time", NewRetryDetector: byLongestTime},
+		{Name: "back-sketch", NewRetryDetector: bySharedRefusals},
+		{Name: "back-known", NewRetryDetector: func() retryDetector { return exactRetry }},
+		{Name: "return-soon", RetryDelay: uniformDelay(second*3/10, second*9/10)},
+		{Name: "return-late", RetryDelay: uniformDelay(second*16/10, second*2)},
+		{Name: "return-wide", RetryDelay: uniformDelay(second*3/10, second*2)},
+		{Name: "look-5", Search: variant(func(w *admission.Ways) { w.Questions, w.Beyond = 5, 0 })},
+		{Name: "look-8", Search: variant(func(w *admission.Ways) { w.Questions, w.Beyond = 8, 0 })},
+		{Name: "look-5-beyond-1", Search: variant(func(w *admission.Ways) { w.Questions, w.Beyond = 5, 1 })},
+		{Name: "look-8-beyond-1", Search: variant(func(w *admission.Ways) { w.Questions, w.Beyond = 8, 1 })},
+		{Name: "look-8-beyond-2", Search: variant(func(w *admission.Ways) { w.Questions, w.Beyond = 8, 2 })},
+		{Name: "look-8-wait-soon", Search: variant(func(w *admission.Ways) { w.Questions, w.Each, w.Beyond = 8, 1, 1 })},
+		{Name: "look-10-beyond-1", Search: variant(func(w *admission.Ways) { w.Questions, w.Beyond = 10, 1 })},
+		{Name: "back-any-place", Search: variant(func(w *admission.Ways) { w.BackLeaves = 0 })},
+		{Name: "back-half-free", Search: variant(func(w *admission.Ways) { w.BackLeaves = 0.5 })},
 	}
 }
 
--- a/daemon/lab/router.go
+++ b/daemon/lab/router.go
@@ -105,8 +105,8 @@
 func (r *router) acquirePlace(c *caller) (*engine, balance.Choice, bool) {
 	state := r.serviceState()
 	search := admission.Search{Service: state, Request: admission.Request{Returned: c.detectedRetry}}
-	if r.sim.policy.Ways != nil {
-		search.Ways = *r.sim.policy.Ways
+	if r.sim.policy.Search != nil {
+		search.Ways = *r.sim.policy.Search
 	}
 	duration := admission.Lasts(state, r.loadTracker.HoldTime(service), c.lengthHint, r.sim.meanAnswer())
 	query := balance.Query{Model: model, Duration: duration}
