--- a/cli/internal/bench/load.go
+++ b/cli/internal/bench/load.go
@@ -73,7 +73,7 @@
 	_, _ = fmt.Fprintln(table, "pattern\tpolicy\tworth\tbest\tbest in turn\tin time\tlate\trefused\tagain\tcut\tback known\tlimit used\t")
 	for _, r := range results {
 		_, _ = fmt.Fprintf(table, "%s\t%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.2f\t%.2f\t\n",
-			r.Pattern, r.Policy, r.Worth, r.Best, r.BestInTurn, r.InTime, r.Late, r.Refused, r.RefusedAgain, r.Cut, r.KnownBack, r.LimitUsed)
+			r.Pattern, r.Policy, r.Worth, r.OracleWorth, r.OracleInOrderWorth, r.InTime, r.Late, r.Refused, r.RefusedTwice, r.Truncated, r.DetectedRetries, r.LimitUtilization)
 	}
 	if err := table.Flush(); err != nil {
 		return fmt.Errorf("write the table: %w", err)
@@ -90,8 +90,8 @@
 	p.Legend.Top = false
 	var lines []any
 	for _, result := range results {
-		points := make(plotter.XYs, 0, len(result.Windows))
-		for i, worth := range result.Windows {
+		points := make(plotter.XYs, 0, len(result.WindowWorth))
+		for i, worth := range result.WindowWorth {
 			points = append(points, plotter.XY{X: float64(i) * lab.WindowLength.Seconds(), Y: worth})
 		}
 		lines = append(lines, fmt.Sprintf("%s, %s", result.Pattern, result.Policy), points)
--- a/cli/internal/command/load_test.go
+++ b/cli/internal/command/load_test.go
@@ -52,7 +52,7 @@
 	}
 	for _, result := range bothForms[bench.LoadResult](t, args, 4) {
 		assert.Equal(t, 2, result.Seeds)
-		assert.Len(t, result.Windows, 3)
+		assert.Len(t, result.WindowWorth, 3)
 	}
 }
 
--- a/daemon/lab/lab_test.go
+++ b/daemon/lab/lab_test.go
@@ -31,7 +31,7 @@
 	}
 	mean := lab.Mean(runs)
 	t.Logf("%s, %s: worth %.3f (best %.3f), in time %.3f, late %.3f, refused %.3f, refused twice %.3f",
-		pattern, policy, mean.Worth, mean.Best, mean.InTime, mean.Late, mean.Refused, mean.RefusedAgain)
+		pattern, policy, mean.Worth, mean.OracleWorth, mean.InTime, mean.Late, mean.Refused, mean.RefusedTwice)
 	return mean
 }
 
@@ -41,8 +41,8 @@
 	for pattern, gain := range map[string]float64{"steady:1.25": 0.1, "burst": 0.05, "all-back": 0.05} {
 		current, baseline := simulate(t, pattern, "now"), simulate(t, pattern, "back-same-time")
 		assert.Greater(t, current.Worth, baseline.Worth+gain, pattern)
-		assert.Greater(t, current.KnownBack, 0.95, pattern)
-		assert.Less(t, current.TakenForBack, 0.01, pattern)
+		assert.Greater(t, current.DetectedRetries, 0.95, pattern)
+		assert.Less(t, current.MisdetectedRetries, 0.01, pattern)
 	}
 }
 
@@ -52,7 +52,7 @@
 	for pattern, gain := range map[string]float64{"steady:0.9": 0.005, "steady:1": 0.005, "version": 0.005} {
 		current, baseline := simulate(t, pattern, "now"), simulate(t, pattern, "look-5")
 		assert.Greater(t, current.Worth, baseline.Worth+gain, pattern)
-		assert.Less(t, current.RefusedAgain, baseline.RefusedAgain, pattern)
+		assert.Less(t, current.RefusedTwice, baseline.RefusedTwice, pattern)
 	}
 }
 
@@ -69,7 +69,7 @@
 func TestSharedRefusalsMatchExactDetection(t *testing.T) {
 	shared, exact := simulate(t, "steady:1.25", "back-sketch"), simulate(t, "steady:1.25", "back-known")
 	assert.InDelta(t, exact.Worth, shared.Worth, 0.01)
-	assert.Less(t, shared.TakenForBack, 0.001)
+	assert.Less(t, shared.MisdetectedRetries, 0.001)
 }
 
 // TestWorthStaysBelowOracle checks that no run exceeds the upper bound, that shares add up, and
@@ -77,9 +77,9 @@
 func TestWorthStaysBelowOracle(t *testing.T) {
 	for _, pattern := range lab.PatternNames() {
 		r := simulate(t, pattern, "now")
-		assert.LessOrEqual(t, r.Worth, r.Best, pattern)
-		assert.LessOrEqual(t, r.BestInTurn, r.Best+1e-9, pattern)
-		assert.InDelta(t, 1, r.InTime+r.Late+r.Refused+r.Cut, 0.01, pattern)
+		assert.LessOrEqual(t, r.Worth, r.OracleWorth, pattern)
+		assert.LessOrEqual(t, r.OracleInOrderWorth, r.OracleWorth+1e-9, pattern)
+		assert.InDelta(t, 1, r.InTime+r.Late+r.Refused+r.Truncated, 0.01, pattern)
 	}
 	halfLoad := simulate(t, "steady:0.5", "now")
 	assert.Greater(t, halfLoad.Worth, 0.99)
--- a/daemon/lab/result.go
+++ b/daemon/lab/result.go
@@ -13,30 +13,30 @@
 	Seed    uint64 `json:"seed"`
 	Callers int    `json:"callers"`
 	// Worth is the share of the total worth that was earned, minus the penalty for refused
-	// retries. Best is the upper bound that an oracle reaches; BestInTurn is the same without
-	// selection among callers.
-	Worth      float64 `json:"worth"`
-	Best       float64 `json:"best"`
-	BestInTurn float64 `json:"best_in_turn"`
-	// Shares of callers by result. RefusedAgain is included in Refused.
+	// retries. OracleWorth is the upper bound that an oracle reaches; OracleInOrderWorth is the
+	// same without selection among callers.
+	Worth              float64 `json:"worth"`
+	OracleWorth        float64 `json:"best"`
+	OracleInOrderWorth float64 `json:"best_in_turn"`
+	// Shares of callers by result. RefusedTwice is included in Refused.
 	InTime       float64 `json:"in_time"`
 	Late         float64 `json:"late"`
 	Refused      float64 `json:"refused"`
-	RefusedAgain float64 `json:"refused_again"`
-	Cut          float64 `json:"cut"`
-	// KnownBack is the share of retrying callers that routers classified as retries, TakenForBack
-	// the share of all callers whose first attempt was classified as a retry.
-	KnownBack    float64 `json:"known_back"`
-	TakenForBack float64 `json:"taken_for_back"`
-	// LimitUsed is the highest number of requests that a limited engine received in 4 s, relative
-	// to its limit; 0 without limits.
-	LimitUsed float64 `json:"limit_used"`
-	// KindWorth is the worth by kind, Windows the worth by window of arrival.
-	KindWorth map[string]float64 `json:"kind_worth"`
-	Windows   []float64          `json:"windows"`
+	RefusedTwice float64 `json:"refused_again"`
+	Truncated    float64 `json:"cut"`
+	// DetectedRetries is the share of retrying callers that routers classified as retries,
+	// MisdetectedRetries the share of all callers whose first attempt was classified as a retry.
+	DetectedRetries    float64 `json:"known_back"`
+	MisdetectedRetries float64 `json:"taken_for_back"`
+	// LimitUtilization is the highest number of requests that a limited engine received in 4 s,
+	// relative to its limit; 0 without limits.
+	LimitUtilization float64 `json:"limit_used"`
+	// KindWorth is the worth by kind, WindowWorth the worth by window of arrival.
+	KindWorth   map[string]float64 `json:"kind_worth"`
+	WindowWorth []float64          `json:"windows"`
 }
 
-// WindowLength is the length of a window of Result.Windows.
+// WindowLength is the length of a window of Result.WindowWorth.
 const WindowLength = 2 * time.Second
 
 // refusedRetryPenalty is the cost of a refused retry, relative to the caller's worth.
@@ -94,23 +94,23 @@
 		misdetected += c.falsePositive
 	}
 	r.Callers, r.Worth = len(measured), all.earnedShare()
-	r.KnownBack, r.TakenForBack = detected/max(retried, 1), misdetected*weight
+	r.DetectedRetries, r.MisdetectedRetries = detected/max(retried, 1), misdetected*weight
 	for i, kind := range s.Kinds {
 		r.KindWorth[kind.Name] = kinds[i].earnedShare()
 	}
 	for i := range windows {
-		r.Windows = append(r.Windows, windows[i].earnedShare())
+		r.WindowWorth = append(r.WindowWorth, windows[i].earnedShare())
 	}
-	r.Best, r.BestInTurn = s.oracleWorth(measured)
-	r.LimitUsed = s.limitUsed()
+	r.OracleWorth, r.OracleInOrderWorth = s.oracleWorth(measured)
+	r.LimitUtilization = s.limitUtilization()
 	return r
 }
 
 // limitWindow is the window over which requests are counted against a limit.
 const limitWindow = 4 * time.Second
 
-// limitUsed returns the highest utilization of any engine's limit.
-func (s *simulation) limitUsed() float64 {
+// limitUtilization returns the highest utilization of any engine's limit.
+func (s *simulation) limitUtilization() float64 {
 	highest := 0
 	for _, e := range s.engines {
 		highest = max(highest, e.maxInWindow(limitWindow))
@@ -133,11 +133,11 @@
 	case c.served:
 		r.Late += weight
 	case c.truncated:
-		r.Cut += weight
+		r.Truncated += weight
 	default:
 		r.Refused += weight
 		if c.refusals > 1 {
-			r.RefusedAgain += weight
+			r.RefusedTwice += weight
 		}
 	}
 }
@@ -148,7 +148,7 @@
 		return Result{}
 	}
 	mean := Result{Pattern: runs[0].Pattern, Policy: runs[0].Policy, Seed: runs[0].Seed, KindWorth: map[string]float64{}}
-	mean.Windows = make([]float64, len(runs[0].Windows))
+	mean.WindowWorth = make([]float64, len(runs[0].WindowWorth))
 	weight := 1 / float64(len(runs))
 	for _, r := range runs {
 		mean.Callers += r.Callers
@@ -157,16 +157,16 @@
 			from float64
 		}{
 			{&mean.Worth, r.Worth},
-			{&mean.Best, r.Best},
-			{&mean.BestInTurn, r.BestInTurn},
+			{&mean.OracleWorth, r.OracleWorth},
+			{&mean.OracleInOrderWorth, r.OracleInOrderWorth},
 			{&mean.InTime, r.InTime},
 			{&mean.Late, r.Late},
 			{&mean.Refused, r.Refused},
-			{&mean.RefusedAgain, r.RefusedAgain},
-			{&mean.Cut, r.Cut},
-			{&mean.KnownBack, r.KnownBack},
-			{&mean.TakenForBack, r.TakenForBack},
-			{&mean.LimitUsed, r.LimitUsed},
+			{&mean.RefusedTwice, r.RefusedTwice},
+			{&mean.Truncated, r.Truncated},
+			{&mean.DetectedRetries, r.DetectedRetries},
+			{&mean.MisdetectedRetries, r.MisdetectedRetries},
+			{&mean.LimitUtilization, r.LimitUtilization},
 		}
 		for _, sum := range sums {
 			*sum.to += weight * sum.from
@@ -174,8 +174,8 @@
 		for name, worth := range r.KindWorth {
 			mean.KindWorth[name] += weight * worth
 		}
-		for i, worth := range r.Windows {
-			mean.Windows[i] += weight * worth
+		for i, worth := range r.WindowWorth {
+			mean.WindowWorth[i] += weight * worth
 		}
 	}
 	return mean
