--- a/cli/internal/bench/limit.go
+++ b/cli/internal/bench/limit.go
@@ -35,7 +35,7 @@
 	_, _ = fmt.Fprintln(table, "fault\trouters\tlimit\tseed\tworst\tmean\tfalls after\tback after\tserved\t")
 	for _, r := range results {
 		_, _ = fmt.Fprintf(table, "%s\t%d\t%g\t%d\t%.2f\t%.2f\t%s\t%s\t%.3f\t\n",
-			r.Fault, r.Routers, r.PerSecond, r.Seed, r.Worst, r.Mean, r.Falls, r.Back, r.Served)
+			r.Fault, r.Routers, r.PerSecond, r.Seed, r.MaxUtilization, r.MeanUtilization, r.OverloadDuration, r.RecoveryTime, r.ServedShare)
 	}
 	if err := table.Flush(); err != nil {
 		return fmt.Errorf("write the table: %w", err)
@@ -50,8 +50,8 @@
 	p.Y.Label.Text = "requests per second to limited upstreams"
 	var lines []any
 	for _, result := range results {
-		points := make(plotter.XYs, 0, len(result.Seconds))
-		for i, requests := range result.Seconds {
+		points := make(plotter.XYs, 0, len(result.RequestsBySecond))
+		for i, requests := range result.RequestsBySecond {
 			points = append(points, plotter.XY{X: (time.Duration(i) * time.Second).Seconds(), Y: float64(requests)})
 		}
 		lines = append(lines, fmt.Sprintf("%s, %d routers, %g", result.Fault, result.Routers, result.PerSecond), points)
--- a/cli/internal/command/load_test.go
+++ b/cli/internal/command/load_test.go
@@ -67,7 +67,7 @@
 func TestBenchLimit(t *testing.T) {
 	args := []string{"bench", "limit", "--routers", "3,5", "--limit", "1,2", "--fault", "none,plain", "--rate", "30"}
 	for _, result := range bothForms[lab.LimitResult](t, args, 2*2*2) {
-		assert.Positive(t, result.Served)
+		assert.Positive(t, result.ServedShare)
 	}
 	refusesFlags(t, "limit", map[string]string{"--routers": "x", "--limit": "-1", "--fault": "flood", "--seed": "one"})
 	assert.ErrorContains(t, run(t.Context(), "bench", "limit", "--routers", "0").err, "at least one router")
--- a/daemon/lab/limit.go
+++ b/daemon/lab/limit.go
@@ -19,25 +19,25 @@
 // LimitFault is a fault that is injected into a limit simulation.
 type LimitFault string
 
-// The faults. LimitLoaderGone to LimitRoutersFreeze are active from second 12 to second 17, the
+// The faults. LimitLoaderDown to LimitRoutersFreeze are active from second 12 to second 17, the
 // others for the whole run.
 const (
 	LimitNoFault        LimitFault = "none"
-	LimitLoaderGone     LimitFault = "loader-gone"     // loaders are unreachable, then restart with empty tables
-	LimitHallCut        LimitFault = "hall-cut"        // one hall cannot reach the others
+	LimitLoaderDown     LimitFault = "loader-gone"     // loaders are unreachable, then restart with empty tables
+	LimitHallPartition  LimitFault = "hall-cut"        // one hall cannot reach the others
 	LimitRoutersRestart LimitFault = "routers-restart" // one after the other, each losing its table
 	LimitRoutersFreeze  LimitFault = "routers-freeze"  // a quarter; deferred work runs at the end
-	LimitPlain          LimitFault = "plain"           // upstreams without loaders
+	LimitNoLoaders      LimitFault = "plain"           // upstreams without loaders
 	LimitAllLimited     LimitFault = "all-limited"     // all upstreams instead of one in three
 	LimitFlapping       LimitFault = "flapping"        // announced for half of each second
-	LimitGarbled        LimitFault = "garbled"         // every second limit header is malformed
+	LimitMalformed      LimitFault = "garbled"         // every second limit header is malformed
 )
 
 // LimitFaults returns all faults.
 func LimitFaults() []LimitFault {
 	return []LimitFault{
-		LimitNoFault, LimitLoaderGone, LimitHallCut, LimitRoutersRestart, LimitRoutersFreeze, LimitPlain,
-		LimitAllLimited, LimitFlapping, LimitGarbled,
+		LimitNoFault, LimitLoaderDown, LimitHallPartition, LimitRoutersRestart, LimitRoutersFreeze, LimitNoLoaders,
+		LimitAllLimited, LimitFlapping, LimitMalformed,
 	}
 }
 
@@ -85,7 +85,7 @@
 	loaderMuteTime                        = 600 * time.Millisecond
 	limitMinResponse, limitResponseJitter = 30 * time.Millisecond, 300 * time.Millisecond // response time
 	limitResyncDelay                      = 200 * time.Millisecond                        // after a restart
-	limitSettleTime                       = 3 * time.Second                               // excluded from Worst and Mean
+	limitSettleTime                       = 3 * time.Second                               // excluded from the utilization
 	limitTolerance, limitAllowance        = 1.5, 5.0
 	limitRecoveryWindow                   = time.Second
 )
@@ -96,20 +96,21 @@
 	Routers   int        `json:"routers"`
 	PerSecond float64    `json:"per_second"`
 	Seed      uint64     `json:"seed"`
-	// Worst is the highest number of requests that an upstream received in 4 s, relative to the
-	// allowed number, from 3 s after the first announcement on; Mean is the mean over all such
-	// windows.
-	Worst float64 `json:"worst"`
-	Mean  float64 `json:"mean"`
-	// Falls is the time from the first announcement to the last second in which more requests
-	// arrived than are allowed in 4 s. Back is the time from the end of the limits to the first
-	// second in which the limited upstreams received half of their usual share.
-	Falls time.Duration `json:"falls"`
-	Back  time.Duration `json:"back"`
-	// Served is the share of the requests that were sent to an upstream.
-	Served float64 `json:"served"`
-	// Seconds is the number of requests to limited upstreams in each second.
-	Seconds []int `json:"seconds"`
+	// MaxUtilization is the highest number of requests that an upstream received in 4 s, relative
+	// to the allowed number, from 3 s after the first announcement on; MeanUtilization is the
+	// mean over all such windows.
+	MaxUtilization  float64 `json:"worst"`
+	MeanUtilization float64 `json:"mean"`
+	// OverloadDuration is the time from the first announcement to the last second in which more
+	// requests arrived than are allowed in 4 s. RecoveryTime is the time from the end of the
+	// limits to the first second in which the limited upstreams received half of their usual
+	// share.
+	OverloadDuration time.Duration `json:"falls"`
+	RecoveryTime     time.Duration `json:"back"`
+	// ServedShare is the share of the requests that were sent to an upstream.
+	ServedShare float64 `json:"served"`
+	// RequestsBySecond is the number of requests to limited upstreams in each second.
+	RequestsBySecond []int `json:"seconds"`
 }
 
 // limitSim is the state of one run.
@@ -187,7 +188,7 @@
 // scheduleFaults schedules the fault's events.
 func (s *limitSim) scheduleFaults() {
 	switch s.Fault {
-	case LimitLoaderGone:
+	case LimitLoaderDown:
 		s.events.at(limitFaultTo, func() {
 			for _, u := range s.upstreams {
 				u.loader = ratelimit.Table{Draw: s.rng.Float64}
@@ -214,7 +215,7 @@
 
 // reachable reports whether two halls can communicate.
 func (s *limitSim) reachable(from, to string) bool {
-	return from == to || !s.faultActive(LimitHallCut) || from != hallOf(0, s.Halls) && to != hallOf(0, s.Halls)
+	return from == to || !s.faultActive(LimitHallPartition) || from != hallOf(0, s.Halls) && to != hallOf(0, s.Halls)
 }
 
 // run runs a function at the router, or defers it while the router is frozen.
@@ -285,10 +286,10 @@
 // limit if the loader cannot be reached.
 func (r *limitRouter) allow(u *limitUpstream) (time.Duration, bool) {
 	key, now, routers := ratelimit.Upstream{ID: u.upstream.ID}, r.sim.now(), len(r.sim.routers)
-	if r.sim.Fault == LimitPlain {
+	if r.sim.Fault == LimitNoLoaders {
 		return r.table.Allow(key, ratelimit.Without.Among(routers), now)
 	}
-	if r.sim.faultActive(LimitLoaderGone) || r.muted[key.ID] > r.sim.events.now {
+	if r.sim.faultActive(LimitLoaderDown) || r.muted[key.ID] > r.sim.events.now {
 		if r.muted[key.ID] <= r.sim.events.now {
 			r.muted[key.ID] = r.sim.events.now + loaderMuteTime
 		}
@@ -325,7 +326,7 @@
 	switch {
 	case !u.limited || now < limitFrom || now >= limitTo || s.Fault == LimitFlapping && now%time.Second >= time.Second/2:
 		return ratelimit.Said{Kind: ratelimit.Unlimited}
-	case s.Fault == LimitGarbled && u.answers%2 == 0:
+	case s.Fault == LimitMalformed && u.answers%2 == 0:
 		return ratelimit.Parse([]string{"x"})
 	default:
 		return ratelimit.Said{Kind: ratelimit.Limited, PerSecond: s.PerSecond}
@@ -351,8 +352,8 @@
 
 // summarize computes the result of a finished run.
 func (s *limitSim) summarize() *LimitResult {
-	r := &LimitResult{Fault: s.Fault, Routers: s.Routers, PerSecond: s.PerSecond, Seed: s.Seed, Seconds: make([]int, int(limitRunLength/time.Second)+1)}
-	r.Served = float64(s.served) / float64(max(s.requests, 1))
+	r := &LimitResult{Fault: s.Fault, Routers: s.Routers, PerSecond: s.PerSecond, Seed: s.Seed, RequestsBySecond: make([]int, int(limitRunLength/time.Second)+1)}
+	r.ServedShare = float64(s.served) / float64(max(s.requests, 1))
 	limited, allowed := 0, limitTolerance*s.PerSecond*limitWindow.Seconds()+limitAllowance
 	sum, windows := 0.0, 0
 	for _, u := range s.upstreams {
@@ -361,20 +362,20 @@
 		}
 		limited++
 		for _, at := range u.arrivals {
-			r.Seconds[min(int(at/time.Second), len(r.Seconds)-1)]++
+			r.RequestsBySecond[min(int(at/time.Second), len(r.RequestsBySecond)-1)]++
 		}
 		for from := limitFrom + limitSettleTime; from+limitWindow <= limitTo; from += limitWindow / 16 {
 			utilization := float64(u.arrivalsIn(from, from+limitWindow)) / allowed
-			r.Worst, sum, windows = max(r.Worst, utilization), sum+utilization, windows+1
+			r.MaxUtilization, sum, windows = max(r.MaxUtilization, utilization), sum+utilization, windows+1
 		}
 		for from := limitFrom; from < limitFrom+limitSettleTime; from += limitWindow / 16 {
 			if float64(u.arrivalsIn(from, from+time.Second)) > allowed {
-				r.Falls = max(r.Falls, from-limitFrom)
+				r.OverloadDuration = max(r.OverloadDuration, from-limitFrom)
 			}
 		}
 	}
-	r.Mean = sum / float64(max(windows, 1))
-	r.Back = s.recoveryTime(limited)
+	r.MeanUtilization = sum / float64(max(windows, 1))
+	r.RecoveryTime = s.recoveryTime(limited)
 	return r
 }
 
--- a/daemon/lab/limit_test.go
+++ b/daemon/lab/limit_test.go
@@ -23,11 +23,11 @@
 			setup.Fault, setup.PerSecond = fault, perSecond
 			result, err := lab.RunLimit(setup)
 			require.NoError(t, err)
-			assert.LessOrEqual(t, result.Worst, 1.0, "%s, %g", fault, perSecond)
-			assert.LessOrEqual(t, result.Mean, 0.8, "%s, %g", fault, perSecond)
-			assert.LessOrEqual(t, result.Back, 2*time.Second, "%s, %g", fault, perSecond)
-			if fault != lab.LimitAllLimited && fault != lab.LimitHallCut {
-				assert.Greater(t, result.Served, 0.99, "%s, %g: unlimited upstreams have capacity", fault, perSecond)
+			assert.LessOrEqual(t, result.MaxUtilization, 1.0, "%s, %g", fault, perSecond)
+			assert.LessOrEqual(t, result.MeanUtilization, 0.8, "%s, %g", fault, perSecond)
+			assert.LessOrEqual(t, result.RecoveryTime, 2*time.Second, "%s, %g", fault, perSecond)
+			if fault != lab.LimitAllLimited && fault != lab.LimitHallPartition {
+				assert.Greater(t, result.ServedShare, 0.99, "%s, %g: unlimited upstreams have capacity", fault, perSecond)
 			}
 		}
 	}
