--- a/cli/internal/bench/fleet.go
+++ b/cli/internal/bench/fleet.go
@@ -13,7 +13,7 @@
 )
 
 // RunFleets simulates fleets sequentially. It calls progress after each one, unless that is nil.
-func RunFleets(ctx context.Context, setups []lab.Fleet, progress func(done, all int)) ([]*lab.FleetResult, error) {
+func RunFleets(ctx context.Context, setups []lab.FleetSetup, progress func(done, all int)) ([]*lab.FleetResult, error) {
 	var results []*lab.FleetResult
 	for i, setup := range setups {
 		if err := ctx.Err(); err != nil {
@@ -38,8 +38,8 @@
 	const kilo = 1000
 	for _, r := range results {
 		_, _ = fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%.2f\t%.2f\t%.2f\t%.2f\t%d\t%d\t%d\t%d\t%d\t\n",
-			r.Fault, r.Spread, r.Routers, r.Loaders, r.First, r.Half, r.Most, r.Last, r.StoreCalls, r.Readers,
-			r.RegionBytes/kilo, r.SenderBytes/kilo, r.Wasted/kilo)
+			r.Fault, r.Strategy, r.Routers, r.Loaders, r.FirstSeconds, r.MedianSeconds, r.P99Seconds, r.LastSeconds, r.StoreCalls, r.Readers,
+			r.RegionBytes/kilo, r.SenderBytes/kilo, r.WastedBytes/kilo)
 	}
 	if err := table.Flush(); err != nil {
 		return fmt.Errorf("write the table: %w", err)
@@ -57,12 +57,12 @@
 	var lines []any
 	points := map[string]plotter.XYs{}
 	for _, r := range results {
-		name := fmt.Sprintf("%s, %s", r.Fault, r.Spread)
+		name := fmt.Sprintf("%s, %s", r.Fault, r.Strategy)
 		if points[name] == nil {
 			lines = append(lines, name, nil)
 		}
-		if r.Last > 0 {
-			points[name] = append(points[name], plotter.XY{X: float64(r.Routers), Y: r.Last})
+		if r.LastSeconds > 0 {
+			points[name] = append(points[name], plotter.XY{X: float64(r.Routers), Y: r.LastSeconds})
 		}
 	}
 	for i := 0; i < len(lines); i += 2 {
--- a/cli/internal/command/fleet.go
+++ b/cli/internal/command/fleet.go
@@ -20,10 +20,10 @@
 			&cli.StringFlag{Name: "routers", Value: strconv.Itoa(setup.Routers), Usage: "routers, `NUMBERS` by comma, such as 30,546,4000"},
 			&cli.FloatFlag{Name: "loaders", Value: float64(setup.Loaders) / float64(setup.Routers), Usage: "loaders for each router, `N`"},
 			&cli.IntFlag{Name: "data-halls", Value: setup.Halls, Usage: "data halls, `N`"},
-			&cli.FloatFlag{Name: "wide", Value: setup.Wide, Usage: "`PART` of the routers whose links are wide"},
+			&cli.FloatFlag{Name: "wide", Value: setup.WideShare, Usage: "`PART` of the routers whose links are wide"},
 			&cli.StringFlag{Name: "configuration-bytes", Value: strconv.Itoa(setup.ConfigurationBytes) + "B", Usage: "`SIZE` of a configuration"},
 			&cli.StringFlag{Name: "fault", Value: "all", Usage: "`FAULTS`, by comma, or all: " + strings.Join(lab.FleetFaultNames(), ", ")},
-			&cli.StringFlag{Name: "spread", Value: setup.Spread.Name, Usage: "`WAYS` to spread changes, by comma: now, flat"},
+			&cli.StringFlag{Name: "spread", Value: setup.Strategy.Name, Usage: "`WAYS` to spread changes, by comma: now, flat"},
 			&cli.StringFlag{Name: "seed", Aliases: []string{"seeds"}, Value: "1", Usage: "`SEEDS`, by comma, a play each"},
 			&cli.BoolFlag{Name: "json", Usage: "only the JSON lines, one a play"},
 			&cli.StringFlag{Name: "plot", Usage: "draw the time to the last router by their number into `FILE.png`"},
@@ -45,7 +45,7 @@
 }
 
 // fleetSetups reads the flags: a play for each of their values with each.
-func fleetSetups(command *cli.Command) ([]lab.Fleet, error) {
+func fleetSetups(command *cli.Command) ([]lab.FleetSetup, error) {
 	routers, err := parseList(command.String("routers"), nil, strconv.Atoi)
 	if err != nil {
 		return nil, fmt.Errorf("--routers: %w", err)
@@ -54,7 +54,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("--fault: %w", err)
 	}
-	spreads, err := parseList(command.String("spread"), nil, lab.FindFleetSpread)
+	strategies, err := parseList(command.String("spread"), nil, lab.FindFleetStrategy)
 	if err != nil {
 		return nil, fmt.Errorf("--spread: %w", err)
 	}
@@ -66,17 +66,17 @@
 	if err != nil {
 		return nil, fmt.Errorf("--configuration-bytes: %w", err)
 	}
-	var setups []lab.Fleet
+	var setups []lab.FleetSetup
 	for _, fault := range faults {
-		for _, spread := range spreads {
+		for _, strategy := range strategies {
 			for _, count := range routers {
 				for _, seed := range seeds {
 					setup := lab.DefaultFleet()
 					setup.Routers, setup.Loaders = count, int(float64(count)*command.Float("loaders"))
-					setup.Halls, setup.Wide = command.Int("data-halls"), command.Float("wide")
+					setup.Halls, setup.WideShare = command.Int("data-halls"), command.Float("wide")
 					setup.ConfigurationBytes = int(bytes)
-					setup.Fault, setup.Spread, setup.Seed = fault, spread, seed
-					if err := setup.Check(); err != nil {
+					setup.Fault, setup.Strategy, setup.Seed = fault, strategy, seed
+					if err := setup.Validate(); err != nil {
 						return nil, err
 					}
 					setups = append(setups, setup)
--- a/cli/internal/command/fleet_test.go
+++ b/cli/internal/command/fleet_test.go
@@ -14,7 +14,7 @@
 func TestBenchFleet(t *testing.T) {
 	args := []string{"bench", "fleet", "--routers", "10,20", "--data-halls", "2", "--fault", "start,change", "--spread", "now,flat"}
 	for _, result := range bothForms[lab.FleetResult](t, args, 2*2*2) {
-		assert.Positive(t, result.Last, "a small fleet is in force, whichever way")
+		assert.Positive(t, result.LastSeconds, "a small fleet is in force, whichever way")
 	}
 	refusesFlags(t, "fleet", map[string]string{
 		"--routers": "x", "--fault": "flood", "--spread": "up", "--seed": "one", "--configuration-bytes": "80",
--- a/daemon/lab/fleet.go
+++ b/daemon/lab/fleet.go
@@ -16,26 +16,26 @@
 // modelled. A link sends one message at a time, so the times include queueing. Processor time is
 // not modelled.
 
-// Fleet describes a run. All counts must be positive.
-type Fleet struct {
+// FleetSetup describes a run. All counts must be positive.
+type FleetSetup struct {
 	Routers, Loaders, Halls int
-	// Wide is the share of each hall's routers that have links of WideMbps; all others have
+	// WideShare is the share of each hall's routers that have links of WideMbps; all others have
 	// NarrowMbps.
-	Wide                 float64
+	WideShare            float64
 	WideMbps, NarrowMbps float64
 	// RegionMbps is the rate of the link from the store's region to each other hall.
 	RegionMbps         float64
 	ConfigurationBytes int
 	Fault              FleetFault
-	Spread             FleetSpread
+	Strategy           FleetStrategy
 	Seed               uint64
 }
 
 // DefaultFleet returns a fleet of 546 routers and 440 loaders in 5 halls.
-func DefaultFleet() Fleet {
-	return Fleet{
-		Routers: 546, Loaders: 440, Halls: 5, Wide: 0.1, WideMbps: 1000, NarrowMbps: 40, RegionMbps: 26,
-		ConfigurationBytes: 80_000, Fault: FleetStart, Spread: SpreadNow, Seed: 1,
+func DefaultFleet() FleetSetup {
+	return FleetSetup{
+		Routers: 546, Loaders: 440, Halls: 5, WideShare: 0.1, WideMbps: 1000, NarrowMbps: 40, RegionMbps: 26,
+		ConfigurationBytes: 80_000, Fault: FleetStart, Strategy: StrategyCurrent, Seed: 1,
 	}
 }
 
@@ -46,22 +46,22 @@
 const (
 	// FleetStart starts all processes within 0.3 s, with an empty store.
 	FleetStart FleetFault = "start"
-	// FleetPower starts all processes while the store still lists the routers of the previous
+	// FleetPowerCycle starts all processes while the store still lists the routers of the previous
 	// run.
-	FleetPower FleetFault = "power"
+	FleetPowerCycle FleetFault = "power"
 	// FleetChange writes one configuration, FleetStorm nine in quick succession.
 	FleetChange FleetFault = "change"
 	FleetStorm  FleetFault = "storm"
-	// FleetReader crashes the reader of each hall as a configuration is written.
-	FleetReader FleetFault = "reader"
-	// FleetTenth crashes a tenth of all routers as a configuration is written.
-	FleetTenth FleetFault = "tenth"
+	// FleetReaderCrash crashes the reader of each hall as a configuration is written.
+	FleetReaderCrash FleetFault = "reader"
+	// FleetTenthCrash crashes a tenth of all routers as a configuration is written.
+	FleetTenthCrash FleetFault = "tenth"
 )
 
 // FleetFaultNames returns the names of all faults.
 func FleetFaultNames() []string {
 	return []string{
-		string(FleetStart), string(FleetPower), string(FleetChange), string(FleetStorm), string(FleetReader), string(FleetTenth),
+		string(FleetStart), string(FleetPowerCycle), string(FleetChange), string(FleetStorm), string(FleetReaderCrash), string(FleetTenthCrash),
 	}
 }
 
@@ -73,62 +73,64 @@
 	return FleetFault(name), nil
 }
 
-// FleetSpread is a strategy for propagating changes from the store to all routers.
-type FleetSpread struct {
+// FleetStrategy is a strategy for propagating changes from the store to all routers.
+type FleetStrategy struct {
 	Name string
 	// Decide selects a router's next action.
 	Decide func(own readers.Router, hall []readers.Router, sinceStoreSeen time.Duration) (readers.Action, string)
-	// AwaitOwn makes a starting router list its hall until it has a router to follow or its own
-	// record is listed. Otherwise it lists all routers once.
-	AwaitOwn bool
-	// Packed compresses the snapshots that routers send.
-	Packed bool
-	// LoadersRead makes loaders list upstreams from the store while they have no router.
-	LoadersRead bool
+	// AwaitOwnRecord makes a starting router list its hall until it has a router to follow or its
+	// own record is listed. Otherwise it lists all routers once.
+	AwaitOwnRecord bool
+	// Compressed compresses the snapshots that routers send.
+	Compressed bool
+	// LoadersReadStore makes loaders list upstreams from the store while they have no router.
+	LoadersReadStore bool
 }
 
 // The strategies.
 var (
-	SpreadNow = FleetSpread{Name: "now", Decide: readers.Decide, AwaitOwn: true, Packed: true}
-	// SpreadFlat selects one reader in each hall by name alone, which sends to all others.
-	SpreadFlat = FleetSpread{Name: "flat", Decide: decideFlat, LoadersRead: true}
+	StrategyCurrent = FleetStrategy{Name: "now", Decide: readers.Decide, AwaitOwnRecord: true, Compressed: true}
+	// StrategyFlat selects one reader in each hall by name. All other routers follow it.
+	StrategyFlat = FleetStrategy{Name: "flat", Decide: decideFlat, LoadersReadStore: true}
 )
 
-// FindFleetSpread returns the strategy of a name.
-func FindFleetSpread(name string) (FleetSpread, error) {
-	for _, spread := range []FleetSpread{SpreadNow, SpreadFlat} {
-		if spread.Name == name {
-			return spread, nil
+// FindFleetStrategy returns the strategy of a name.
+func FindFleetStrategy(name string) (FleetStrategy, error) {
+	for _, strategy := range []FleetStrategy{StrategyCurrent, StrategyFlat} {
+		if strategy.Name == name {
+			return strategy, nil
 		}
 	}
-	return FleetSpread{}, fmt.Errorf("unknown spread %q; use one of %s, %s", name, SpreadNow.Name, SpreadFlat.Name)
+	return FleetStrategy{}, fmt.Errorf("unknown spread %q; use one of %s, %s", name, StrategyCurrent.Name, StrategyFlat.Name)
 }
 
 // FleetResult summarizes a run. Times are relative to the fault and cover the routers that did
 // not crash.
 type FleetResult struct {
-	Fault   FleetFault `json:"fault"`
-	Spread  string     `json:"spread"`
-	Routers int        `json:"routers"`
-	Loaders int        `json:"loaders"`
-	// First, Half, Most and Last are the times in seconds at which the newest configuration was
-	// in force at the first router, at half of them, at 99% and at the last; -1 if it never was.
-	First float64 `json:"first"`
-	Half  float64 `json:"half"`
-	Most  float64 `json:"most"`
-	Last  float64 `json:"last"`
+	Fault    FleetFault `json:"fault"`
+	Strategy string     `json:"spread"`
+	Routers  int        `json:"routers"`
+	Loaders  int        `json:"loaders"`
+	// FirstSeconds, MedianSeconds, P99Seconds and LastSeconds are the times in seconds at which
+	// the newest configuration was in force at the first router, at half of them, at 99% and at
+	// the last; -1 if it never was.
+	FirstSeconds  float64 `json:"first"`
+	MedianSeconds float64 `json:"half"`
+	P99Seconds    float64 `json:"most"`
+	LastSeconds   float64 `json:"last"`
 	// StoreCalls is the number of calls to the store, Readers the number of routers that read it.
 	StoreCalls int `json:"storeCalls"`
 	Readers    int `json:"readers"`
 	// RegionBytes is the number of bytes over the busiest link between regions, SenderBytes that
-	// of the busiest router's uplink, and Wasted the bytes of answers whose call had timed out.
+	// of the busiest router's uplink, and WastedBytes the bytes of answers whose call had timed
+	// out.
 	RegionBytes int `json:"regionBytes"`
 	SenderBytes int `json:"senderBytes"`
-	Wasted      int `json:"wasted"`
+	WastedBytes int `json:"wasted"`
 }
 
-// Check validates the setup.
-func (f *Fleet) Check() error {
+// Validate checks the setup.
+func (f *FleetSetup) Validate() error {
 	const maxRouters = 20_000
 	switch {
 	case f.Routers < 1 || f.Routers > maxRouters:
@@ -145,8 +147,8 @@
 }
 
 // RunFleet simulates one fault.
-func RunFleet(setup Fleet) (*FleetResult, error) {
-	if err := setup.Check(); err != nil {
+func RunFleet(setup FleetSetup) (*FleetResult, error) {
+	if err := setup.Validate(); err != nil {
 		return nil, err
 	}
 	s := newFleetSim(setup)
@@ -168,7 +170,7 @@
 
 // fleetSim is the state of one run.
 type fleetSim struct {
-	Fleet
+	FleetSetup
 	events  eventLoop
 	rng     *rand.Rand
 	halls   []*fleetHall
@@ -179,8 +181,8 @@
 	crashed, upToDate int
 }
 
-func newFleetSim(setup Fleet) *fleetSim {
-	s := &fleetSim{Fleet: setup, rng: rand.New(rand.NewPCG(setup.Seed, setup.Seed))}
+func newFleetSim(setup FleetSetup) *fleetSim {
+	s := &fleetSim{FleetSetup: setup, rng: rand.New(rand.NewPCG(setup.Seed, setup.Seed))}
 	for i := range setup.Halls {
 		hall := &fleetHall{sim: s, name: fmt.Sprint("hall-", i), storeLink: &fleetLink{rate: mbps(setup.RegionMbps)}}
 		if i == 0 { // the hall of the store
@@ -199,9 +201,9 @@
 func (s *fleetSim) begin() {
 	const settleTime = 6 * time.Second
 	s.store.revision = 1
-	listed := s.Fault == FleetPower
+	listed := s.Fault == FleetPowerCycle
 	s.startAll(listed)
-	if s.Fault == FleetStart || s.Fault == FleetPower {
+	if s.Fault == FleetStart || s.Fault == FleetPowerCycle {
 		return
 	}
 	s.faultAt = settleTime
@@ -245,12 +247,12 @@
 func (s *fleetSim) injectCrashes() {
 	for _, hall := range s.halls {
 		switch s.Fault {
-		case FleetReader:
+		case FleetReaderCrash:
 			ranked := readers.Rank(hall.all())
 			for _, router := range hall.routers {
 				s.crash(router, router.Name == ranked[0].Name)
 			}
-		case FleetTenth:
+		case FleetTenthCrash:
 			for _, router := range hall.routers {
 				s.crash(router, s.rng.IntN(10) == 0)
 			}
@@ -287,12 +289,12 @@
 
 func (s *fleetSim) result() *FleetResult {
 	result := &FleetResult{
-		Fault: s.Fault, Spread: s.Spread.Name, Routers: s.Routers, Loaders: s.Loaders, StoreCalls: s.store.calls,
+		Fault: s.Fault, Strategy: s.Strategy.Name, Routers: s.Routers, Loaders: s.Loaders, StoreCalls: s.store.calls,
 	}
 	var times []float64
 	for _, hall := range s.halls {
 		result.RegionBytes = max(result.RegionBytes, hall.storeLink.sent)
-		result.Wasted += hall.wasted
+		result.WastedBytes += hall.wasted
 		for _, router := range hall.routers {
 			result.SenderBytes = max(result.SenderBytes, router.uplink.sent)
 			if router.readsStore {
@@ -308,10 +310,10 @@
 		}
 	}
 	slices.Sort(times)
-	result.First, result.Half = times[0], times[len(times)/2]
-	result.Most, result.Last = times[len(times)*99/100], times[len(times)-1]
+	result.FirstSeconds, result.MedianSeconds = times[0], times[len(times)/2]
+	result.P99Seconds, result.LastSeconds = times[len(times)*99/100], times[len(times)-1]
 	if times[0] < 0 {
-		result.Last = -1
+		result.LastSeconds = -1
 	}
 	return result
 }
--- a/daemon/lab/fleet_model.go
+++ b/daemon/lab/fleet_model.go
@@ -87,7 +87,7 @@
 func (h *fleetHall) add(index int) {
 	count := h.sim.Routers / h.sim.Halls
 	rate := h.sim.NarrowMbps
-	if float64(index) < float64(count)*h.sim.Wide {
+	if float64(index) < float64(count)*h.sim.WideShare {
 		rate = h.sim.WideMbps
 	}
 	router := &fleetRouter{
@@ -143,14 +143,14 @@
 	s := h.sim
 	names := h.announcedNames()
 	factor := s.Halls // all halls are listed and have the same size
-	if s.Spread.AwaitOwn {
+	if s.Strategy.AwaitOwnRecord {
 		names, factor = inShard(names, readers.Shard(fmt.Sprint("loader-", s.rng.Uint32()))), 1
 	}
 	retry := func() { s.events.after(loaderListInterval, h.startLoader) }
 	h.read(callBytes+factor*len(names)*memberBytes, func() {
 		switch {
 		case len(names) > 0:
-		case s.Spread.LoadersRead:
+		case s.Strategy.LoadersReadStore:
 			h.read(s.Loaders*upstreamBytes, retry, retry)
 		default:
 			s.events.after(listInterval, h.startLoader)
@@ -195,12 +195,12 @@
 	s := r.hall.sim
 	r.started, r.storeSeen = s.events.now, s.events.now
 	s.store.calls += 2 // a lease and the record
-	if !s.Spread.AwaitOwn {
+	if !s.Strategy.AwaitOwnRecord {
 		r.listRouters()
 	}
 	s.events.after(2*(2*regionDelay+storeDelay), func() {
 		r.announced = true
-		if s.Spread.AwaitOwn {
+		if s.Strategy.AwaitOwnRecord {
 			r.listRouters()
 		}
 	})
@@ -221,7 +221,7 @@
 // first router of a shard lists its whole hall.
 func (r *fleetRouter) listRouters() {
 	names := r.hall.announcedNames()
-	if r.hall.sim.Spread.AwaitOwn {
+	if r.hall.sim.Strategy.AwaitOwnRecord {
 		r.listNames(inShard(names, readers.Shard(r.Name)), 1, func() {
 			if action, _ := readers.Decide(r.Router, r.view(), 0); action != readers.Follow {
 				r.listNames(r.hall.announcedNames(), 1, r.decide)
@@ -242,7 +242,7 @@
 		r.addPeers(names)
 		then()
 	}, func() {
-		if s.events.now-r.started < maxListTime && s.Spread.AwaitOwn {
+		if s.events.now-r.started < maxListTime && s.Strategy.AwaitOwnRecord {
 			s.events.after(listInterval, r.listRouters)
 			return
 		}
@@ -288,7 +288,7 @@
 		r.follow(r.following)
 		return
 	}
-	action, name := s.Spread.Decide(r.Router, r.view(), s.events.now-r.storeSeen)
+	action, name := s.Strategy.Decide(r.Router, r.view(), s.events.now-r.storeSeen)
 	switch action {
 	case readers.Follow:
 		if len(r.muted) == 0 {
@@ -424,7 +424,7 @@
 		return bytes
 	}
 	records := s.Routers*memberBytes + s.Loaders*upstreamBytes
-	if s.Spread.Packed {
+	if s.Strategy.Compressed {
 		records /= compressionRatio
 	}
 	return bytes + records
