--- a/cli/internal/bench/control.go
+++ b/cli/internal/bench/control.go
@@ -21,11 +21,11 @@
 // declarations through different entries while the key-value store has a fault.
 type Control struct {
 	Halls, EntriesPerHall, Agents int
-	// Rest is the duration of the measurement on the idle fleet.
-	Rest time.Duration
-	// Changes is the number of declarations, Every their interval.
-	Changes int
-	Every   time.Duration
+	// IdleDuration is the duration of the measurement on the idle fleet.
+	IdleDuration time.Duration
+	// Changes is the number of declarations, Interval their interval.
+	Changes  int
+	Interval time.Duration
 	// Fault is none, slow, down or lost-answers.
 	Fault     string
 	Timeout   time.Duration
@@ -55,12 +55,12 @@
 	LostAccepted  int `json:"lost_accepted"`
 	FalseFailures int `json:"false_failures"`
 	// Rates per second on the idle fleet.
-	KVReadsPerSecond  float64 `json:"kv_reads_per_s"`
-	KVWritesPerSecond float64 `json:"kv_writes_per_s"`
-	EntryBytes        float64 `json:"control_bytes_per_s_per_entry"`
-	AgentBytes        float64 `json:"control_bytes_per_s_per_agent"`
-	DaemonBytes       float64 `json:"control_bytes_per_s_per_daemon"`
-	CPUPercent        float64 `json:"control_cpu_percent_per_daemon"`
+	KVReadsPerSecond     float64 `json:"kv_reads_per_s"`
+	KVWritesPerSecond    float64 `json:"kv_writes_per_s"`
+	EntryBytesPerSecond  float64 `json:"control_bytes_per_s_per_entry"`
+	AgentBytesPerSecond  float64 `json:"control_bytes_per_s_per_agent"`
+	DaemonBytesPerSecond float64 `json:"control_bytes_per_s_per_daemon"`
+	CPUPercent           float64 `json:"control_cpu_percent_per_daemon"`
 	// HeapMB is the live heap and stack memory per daemon.
 	HeapMB float64 `json:"control_heap_mb_per_daemon"`
 	// KVCallsPerChange is the number of reads per declaration.
@@ -150,7 +150,7 @@
 	entriesBefore, agentsBefore := controlBytes(r.fleet)
 	countsBefore := r.fleet.KV.Counts()
 	cpuBefore, started := cpuTime(), time.Now()
-	if err := wait(ctx, r.Rest); err != nil {
+	if err := wait(ctx, r.IdleDuration); err != nil {
 		return err
 	}
 	seconds := time.Since(started).Seconds()
@@ -158,11 +158,11 @@
 	counts := r.fleet.KV.Counts()
 	entries, agents := controlBytes(r.fleet)
 	out := &r.result
-	out.EntryBytes = float64(entries-entriesBefore) / seconds / float64(out.Entries)
-	out.AgentBytes = float64(agents-agentsBefore) / seconds / float64(max(out.Agents, 1))
+	out.EntryBytesPerSecond = float64(entries-entriesBefore) / seconds / float64(out.Entries)
+	out.AgentBytesPerSecond = float64(agents-agentsBefore) / seconds / float64(max(out.Agents, 1))
 	// Each message is counted at the end that opened its connection and costs the other end as
 	// much.
-	out.DaemonBytes = 2 * float64(entries-entriesBefore+agents-agentsBefore) / seconds / float64(out.Daemons)
+	out.DaemonBytesPerSecond = 2 * float64(entries-entriesBefore+agents-agentsBefore) / seconds / float64(out.Daemons)
 	out.KVReadsPerSecond = float64(counts.Reads-countsBefore.Reads) / seconds
 	out.KVWritesPerSecond = float64(counts.Writes-countsBefore.Writes) / seconds
 	out.CPUPercent = 100 * cpu.Seconds() / seconds / float64(out.Daemons)
@@ -204,7 +204,7 @@
 		if ok {
 			accepted[name] = value
 		}
-		if err := wait(ctx, r.Every); err != nil {
+		if err := wait(ctx, r.Interval); err != nil {
 			return err
 		}
 	}
--- a/cli/internal/command/bench.go
+++ b/cli/internal/command/bench.go
@@ -137,7 +137,7 @@
 func benchControl(ctx context.Context, command *cli.Command) error {
 	run := bench.Control{
 		Halls: command.Int("data-halls"), EntriesPerHall: command.Int("entries"), Agents: command.Int("hosts"),
-		Rest: command.Duration("rest"), Changes: command.Int("changes"), Every: command.Duration("every"),
+		IdleDuration: command.Duration("rest"), Changes: command.Int("changes"), Interval: command.Duration("every"),
 		Fault: command.String("fault"), Timeout: command.Duration("timeout"),
 	}
 	if run.Halls < 1 || run.EntriesPerHall < 1 || run.Agents < run.Halls {
