--- a/cli/internal/bench/route.go
+++ b/cli/internal/bench/route.go
@@ -53,23 +53,23 @@
 	Done     int     `json:"done"`
 	NotRun   int     `json:"not_run"`
 	Unknown  int     `json:"unknown"`
-	// Cut is the number of answers whose connection ended early.
-	Cut int `json:"cut"`
-	// Doubled, FalseNotRun, Mixed and CutInDrain must be 0.
-	Doubled     int `json:"doubled"`
-	FalseNotRun int `json:"false_not_run"`
-	Mixed       int `json:"mixed_answers"`
-	CutInDrain  int `json:"cut_in_drain"`
+	// Truncated is the number of answers whose connection ended early.
+	Truncated int `json:"cut"`
+	// RepeatedExecutions, FalseNotRun, MixedAnswers and TruncatedInDrain must be 0.
+	RepeatedExecutions int `json:"doubled"`
+	FalseNotRun        int `json:"false_not_run"`
+	MixedAnswers       int `json:"mixed_answers"`
+	TruncatedInDrain   int `json:"cut_in_drain"`
 	// Times to the first token and between tokens in the routed phase.
-	FirstP50US int64 `json:"first_token_p50_us"`
-	FirstP95US int64 `json:"first_token_p95_us"`
-	FirstP99US int64 `json:"first_token_p99_us"`
-	GapP95US   int64 `json:"between_tokens_p95_us"`
+	FirstTokenP50US int64 `json:"first_token_p50_us"`
+	FirstTokenP95US int64 `json:"first_token_p95_us"`
+	FirstTokenP99US int64 `json:"first_token_p99_us"`
+	TokenGapP95US   int64 `json:"between_tokens_p95_us"`
 	// The same figures in the direct phase, and the latency that routing adds.
-	DirectP50US int64 `json:"direct_first_token_p50_us"`
-	DirectP99US int64 `json:"direct_first_token_p99_us"`
-	AddedP50US  int64 `json:"relay_added_p50_us"`
-	AddedP99US  int64 `json:"relay_added_p99_us"`
+	DirectFirstTokenP50US int64 `json:"direct_first_token_p50_us"`
+	DirectFirstTokenP99US int64 `json:"direct_first_token_p99_us"`
+	AddedP50US            int64 `json:"relay_added_p50_us"`
+	AddedP99US            int64 `json:"relay_added_p99_us"`
 	// Additional CPU time in the routed phase.
 	CPUPerRequestUS float64 `json:"cpu_us_per_request"`
 	CPUPerTokenUS   float64 `json:"cpu_us_per_token"`
@@ -197,12 +197,12 @@
 
 // answerRecord records the answer to one request.
 type answerRecord struct {
-	id       string
-	outcome  api.Outcome
-	version  string
-	cut      bool
-	tokens   []engine.Token
-	finished bool
+	id        string
+	outcome   api.Outcome
+	version   string
+	truncated bool
+	tokens    []engine.Token
+	finished  bool
 }
 
 // phase holds the measurements of one phase of a run.
@@ -276,7 +276,7 @@
 	request.Header.Set("Authorization", "Bearer "+to.key)
 	response, err := transport.RoundTrip(request)
 	if err != nil {
-		answer.cut = true
+		answer.truncated = true
 		return
 	}
 	defer func() { _ = response.Body.Close() }()
@@ -286,7 +286,7 @@
 		_, _ = io.Copy(io.Discard, response.Body)
 		return
 	}
-	answer.cut = !r.read(p, response.Body, &answer, due)
+	answer.truncated = !r.read(p, response.Body, &answer, due)
 }
 
 // read reads the events of an answer and reports whether it was complete.
@@ -338,13 +338,13 @@
 		answer := &p.answers[i]
 		r.result.Requests++
 		if executions[answer.id] > 1 {
-			r.result.Doubled++
+			r.result.RepeatedExecutions++
 		}
 		switch {
-		case answer.cut:
-			r.result.Cut++
+		case answer.truncated:
+			r.result.Truncated++
 			if r.Fault == "drain" || r.Fault == "version-change" {
-				r.result.CutInDrain++
+				r.result.TruncatedInDrain++
 			}
 		case answer.outcome == api.OutcomeNotRun:
 			r.result.NotRun++
@@ -354,7 +354,7 @@
 		case answer.outcome == api.OutcomeDone:
 			r.result.Done++
 			if !r.isComplete(answer) {
-				r.result.Mixed++
+				r.result.MixedAnswers++
 			}
 		default:
 			r.result.Unknown++
@@ -379,9 +379,9 @@
 
 func (r *routeRun) summarize(direct, routed *phase) {
 	out := &r.result
-	out.FirstP50US, out.FirstP95US = routed.first.ValueAtQuantile(50), routed.first.ValueAtQuantile(95)
-	out.FirstP99US, out.GapP95US = routed.first.ValueAtQuantile(99), routed.gaps.ValueAtQuantile(95)
-	out.DirectP50US, out.DirectP99US = direct.first.ValueAtQuantile(50), direct.first.ValueAtQuantile(99)
-	out.AddedP50US = out.FirstP50US - out.DirectP50US
-	out.AddedP99US = out.FirstP99US - out.DirectP99US
+	out.FirstTokenP50US, out.FirstTokenP95US = routed.first.ValueAtQuantile(50), routed.first.ValueAtQuantile(95)
+	out.FirstTokenP99US, out.TokenGapP95US = routed.first.ValueAtQuantile(99), routed.gaps.ValueAtQuantile(95)
+	out.DirectFirstTokenP50US, out.DirectFirstTokenP99US = direct.first.ValueAtQuantile(50), direct.first.ValueAtQuantile(99)
+	out.AddedP50US = out.FirstTokenP50US - out.DirectFirstTokenP50US
+	out.AddedP99US = out.FirstTokenP99US - out.DirectFirstTokenP99US
 }
--- a/cli/internal/bench/route_test.go
+++ b/cli/internal/bench/route_test.go
@@ -22,16 +22,16 @@
 			}
 			result, err := run.Run(t.Context())
 			require.NoError(t, err)
-			assert.Zero(t, result.Doubled)
+			assert.Zero(t, result.RepeatedExecutions)
 			assert.Zero(t, result.FalseNotRun)
-			assert.Zero(t, result.Mixed)
-			assert.Zero(t, result.CutInDrain)
-			assert.Equal(t, result.Requests, result.Done+result.NotRun+result.Unknown+result.Cut)
+			assert.Zero(t, result.MixedAnswers)
+			assert.Zero(t, result.TruncatedInDrain)
+			assert.Equal(t, result.Requests, result.Done+result.NotRun+result.Unknown+result.Truncated)
 			assert.Greater(t, result.Done, result.Requests/2)
 			if fault != "host-dies" {
 				assert.Equal(t, result.Requests, result.Done, "%+v", *result)
 			}
-			assert.GreaterOrEqual(t, result.FirstP50US, run.Prefill.Microseconds())
+			assert.GreaterOrEqual(t, result.FirstTokenP50US, run.Prefill.Microseconds())
 		})
 	}
 }
--- a/cli/internal/command/bench.go
+++ b/cli/internal/command/bench.go
@@ -205,7 +205,7 @@
 	out := command.Root().Writer
 	if !command.Bool("json") {
 		_, _ = fmt.Fprintf(out, "%d requests at %.0f/s, fault %s: relay adds %d us (p50), %d us (p99) to the first token, %.0f us CPU a request; doubled %d, false not-run %d, mixed %d, cut in drain %d\n",
-			r.Requests, r.Rate, r.Fault, r.AddedP50US, r.AddedP99US, r.CPUPerRequestUS, r.Doubled, r.FalseNotRun, r.Mixed, r.CutInDrain)
+			r.Requests, r.Rate, r.Fault, r.AddedP50US, r.AddedP99US, r.CPUPerRequestUS, r.RepeatedExecutions, r.FalseNotRun, r.MixedAnswers, r.TruncatedInDrain)
 	}
 	return json.NewEncoder(out).Encode(r)
 }
