--- a/cli/internal/bench/control.go
+++ b/cli/internal/bench/control.go
@@ -23,7 +23,7 @@
 	Halls, EntriesPerHall, Agents int
 	// IdleDuration is the duration of the measurement on the idle fleet.
 	IdleDuration time.Duration
-	// Changes is the number of declarations, Interval their interval.
+	// Changes is the number of declarations, Interval the time between two of them.
 	Changes  int
 	Interval time.Duration
 	// Fault is none, slow, down or lost-answers.
--- a/cli/internal/bench/distribute.go
+++ b/cli/internal/bench/distribute.go
@@ -128,9 +128,9 @@
 
 // transfers sums the bytes that the agents received.
 type transfers struct {
-	mu     sync.Mutex
-	byKind map[string]int64
-	wasted int64
+	mu         sync.Mutex
+	byKind     map[string]int64
+	duplicates int64
 }
 
 func (t *transfers) add(kind string, bytes int64, useful bool) {
@@ -141,7 +141,7 @@
 	}
 	t.byKind[kind] += bytes
 	if !useful {
-		t.wasted += bytes
+		t.duplicates += bytes
 	}
 }
 
@@ -273,7 +273,7 @@
 		Policy: r.Policy, Fault: r.Fault, Hosts: r.Hosts, Halls: r.Halls, ModelBytes: r.ModelBytes, Duplex: "full",
 		OriginCopies:    float64(r.fleet.Origin.SentBytes()) / size,
 		CrossHallCopies: float64(r.transfers.byKind["hall"]) / size,
-		DuplicateCopies: float64(r.transfers.wasted) / size,
+		DuplicateCopies: float64(r.transfers.duplicates) / size,
 		TimeTo50:        timeTo(series, expected, 50), TimeTo90: timeTo(series, expected, 90), TimeTo100: timeTo(series, expected, 100),
 		Bound: r.bound().Seconds(), FaultsInjected: r.faults.injected, HostsExpected: expected,
 		HostsCompleted: r.fleet.Ready(r.target), Series: series,
--- a/cli/internal/bench/route.go
+++ b/cli/internal/bench/route.go
@@ -207,12 +207,12 @@
 
 // phase holds the measurements of one phase of a run.
 type phase struct {
-	answers []answerRecord
-	first   *hdrhistogram.Histogram
-	gaps    *hdrhistogram.Histogram
-	cpu     time.Duration
-	share   float64
-	mu      sync.Mutex
+	answers     []answerRecord
+	firstTokens *hdrhistogram.Histogram
+	tokenGaps   *hdrhistogram.Histogram
+	cpu         time.Duration
+	share       float64
+	mu          sync.Mutex
 }
 
 // Range of the histograms in microseconds, and their significant digits.
@@ -224,7 +224,7 @@
 
 // runPhase sends the load to one kind of target and calls injectFault after a third of the time.
 func (r *routeRun) runPhase(ctx context.Context, name string, targetOf func(int) target, injectFault func()) *phase {
-	p := &phase{first: hdrhistogram.New(histMin, histMax, histDigits), gaps: hdrhistogram.New(histMin, histMax, histDigits)}
+	p := &phase{firstTokens: hdrhistogram.New(histMin, histMax, histDigits), tokenGaps: hdrhistogram.New(histMin, histMax, histDigits)}
 	arrivals := r.arrivals()
 	transport := &http.Transport{MaxIdleConnsPerHost: 1024}
 	defer transport.CloseIdleConnections()
@@ -319,9 +319,9 @@
 func (p *phase) record(first bool, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	histogram := p.gaps
+	histogram := p.tokenGaps
 	if first {
-		histogram = p.first
+		histogram = p.firstTokens
 	}
 	_ = histogram.RecordValue(max(took.Microseconds(), histMin))
 }
@@ -379,9 +379,9 @@
 
 func (r *routeRun) summarize(direct, routed *phase) {
 	out := &r.result
-	out.FirstTokenP50US, out.FirstTokenP95US = routed.first.ValueAtQuantile(50), routed.first.ValueAtQuantile(95)
-	out.FirstTokenP99US, out.TokenGapP95US = routed.first.ValueAtQuantile(99), routed.gaps.ValueAtQuantile(95)
-	out.DirectFirstTokenP50US, out.DirectFirstTokenP99US = direct.first.ValueAtQuantile(50), direct.first.ValueAtQuantile(99)
+	out.FirstTokenP50US, out.FirstTokenP95US = routed.firstTokens.ValueAtQuantile(50), routed.firstTokens.ValueAtQuantile(95)
+	out.FirstTokenP99US, out.TokenGapP95US = routed.firstTokens.ValueAtQuantile(99), routed.tokenGaps.ValueAtQuantile(95)
+	out.DirectFirstTokenP50US, out.DirectFirstTokenP99US = direct.firstTokens.ValueAtQuantile(50), direct.firstTokens.ValueAtQuantile(99)
 	out.AddedP50US = out.FirstTokenP50US - out.DirectFirstTokenP50US
 	out.AddedP99US = out.FirstTokenP99US - out.DirectFirstTokenP99US
 }
