--- a/daemon/internal/process/balance/score.go
+++ b/daemon/internal/process/balance/score.go
@@ -27,10 +27,10 @@
 // report, or by its record in the store if that report is missing or too old.
 func (s *state) heldVersion(candidate *provider.Upstream, model string, now time.Time) int {
 	if now.Sub(s.modelsReportedAt) > reportMaxAge {
-		return candidate.Holds(model)
+		return candidate.LoadedVersion(model)
 	}
 	reported := provider.Upstream{Models: s.report.Models}
-	return reported.Holds(model)
+	return reported.LoadedVersion(model)
 }
 
 // Scores and penalties are in units of one waiting request.
--- a/daemon/internal/process/replica/peer.go
+++ b/daemon/internal/process/replica/peer.go
@@ -132,7 +132,7 @@
 func (f *Follower) ApplyUpdate(update Update) int {
 	applied := 0
 	if update.After == 0 && update.Revision > 0 {
-		applied = f.Table.Replace(f.Prefix, provider.Listing{Entries: update.Entries, At: update.Revision})
+		applied = f.Table.Replace(f.Prefix, provider.Listing{Entries: update.Entries, Revision: update.Revision})
 	} else {
 		applied = f.Table.Apply(update.Entries)
 	}
--- a/daemon/internal/process/replica/table.go
+++ b/daemon/internal/process/replica/table.go
@@ -80,8 +80,8 @@
 	update := listing.Entries
 	t.mu.Lock()
 	for key, entry := range t.entries {
-		if strings.HasPrefix(key, prefix) && !present[key] && !entry.Gone && entry.Revision <= listing.At {
-			update = append(update, provider.Entry{Key: key, Revision: listing.At, Gone: true})
+		if strings.HasPrefix(key, prefix) && !present[key] && !entry.Deleted && entry.Revision <= listing.Revision {
+			update = append(update, provider.Entry{Key: key, Revision: listing.Revision, Deleted: true})
 		}
 	}
 	t.mu.Unlock()
@@ -108,7 +108,7 @@
 		applied = append(applied, entry)
 	}
 	for key, entry := range t.entries {
-		if entry.Gone && now.Sub(entry.received) > tombstoneRetention {
+		if entry.Deleted && now.Sub(entry.received) > tombstoneRetention {
 			delete(t.entries, key)
 		}
 	}
@@ -149,13 +149,13 @@
 func (t *Table) PrefixEntriesAfter(prefix string, after provider.Revision) provider.Listing {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	listing := provider.Listing{At: after}
+	listing := provider.Listing{Revision: after}
 	for key, entry := range t.entries {
 		if entry.Revision <= after || !strings.HasPrefix(key, prefix) {
 			continue
 		}
 		listing.Entries = append(listing.Entries, entry.Entry)
-		listing.At = max(listing.At, entry.Revision)
+		listing.Revision = max(listing.Revision, entry.Revision)
 	}
 	return listing
 }
--- a/daemon/lab/engine.go
+++ b/daemon/lab/engine.go
@@ -71,7 +71,7 @@
 	e := &engine{sim: s, index: index}
 	e.upstream = &provider.Upstream{
 		ID: fmt.Sprintf("e%d", index), Hall: hallOf(index, s.Halls), Places: s.Engine.Places,
-		Models: []provider.Loaded{{Model: model, Version: 1}},
+		Models: []provider.LoadedModel{{Model: model, Version: 1}},
 	}
 	e.ledger.Now = s.now
 	return e
--- a/daemon/lab/fleet_test.go
+++ b/daemon/lab/fleet_test.go
@@ -33,8 +33,8 @@
 	assert.True(t, flat.LastSeconds < 0 || flat.LastSeconds > 10, "%+v", flat)
 }
 
-// TestChangesAreInForceWithin5Seconds guards the propagation time of changes while readers or a
-// tenth of the routers crash.
+// TestChangesAreInForceWithin5Seconds guards the required propagation time of changes, also while
+// readers or a tenth of the routers crash.
 func TestChangesAreInForceWithin5Seconds(t *testing.T) {
 	for _, fault := range []FleetFault{FleetChange, FleetStorm, FleetReaderCrash, FleetTenthCrash} {
 		for _, factor := range []int{1, 2} {
--- a/daemon/lab/lab.go
+++ b/daemon/lab/lab.go
@@ -27,7 +27,7 @@
 	// DeadlineSpread is the maximum relative reduction of a caller's deadline: each caller gets the
 	// deadline of its kind, reduced by a random share of up to this value.
 	DeadlineSpread float64
-	// Rate is the number of callers per second at level 1.
+	// Rate is the number of callers per second at pattern level 1.
 	Rate float64
 	// Duration is the time during which callers arrive. Callers that arrive within WarmUp are
 	// excluded from the results.
@@ -37,7 +37,7 @@
 }
 
 // Default returns a fleet of 45 engines in three halls with three kinds of callers, loaded to its
-// capacity at level 1.
+// capacity at pattern level 1.
 func Default() Setup {
 	return Setup{
 		Engines: 45, Routers: 15, Halls: 3, Engine: DefaultEngine(), Kinds: DefaultKinds(),
--- a/daemon/lab/policy.go
+++ b/daemon/lab/policy.go
@@ -15,7 +15,7 @@
 	// NewRetryDetector creates, for each run, the function that classifies requests as first
 	// attempts or retries; nil selects that of the router.
 	NewRetryDetector func() retryDetector
-	// Search vary the search for a place; nil selects those of the router.
+	// Search holds the parameters of the search for a place; nil selects those of the router.
 	Search *admission.Ways
 	// RetryDelay returns the delay after which a refused caller retries; nil selects that of the
 	// router.
