--- a/daemon/loader/events.go
+++ b/daemon/loader/events.go
@@ -25,7 +25,7 @@
 	switch target := change.Record.Target; {
 	case change.Err != nil:
 		fields["reason"] = change.Err.Error()
-		p.log.WithFields(fields).Error("entry not taken, the last good one stays")
+		p.log.WithFields(fields).Error("invalid store entry; keeping the last valid one")
 	case target != nil:
 		fields["model"], fields["version"] = target.Model, target.Version
 		p.log.WithFields(fields).Info("belief changed")
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -379,7 +379,7 @@
 	current := p.current.Load()
 	if file.Loader == nil || file.Loader.Listen != current.Listen || file.Loader.Engine != current.Engine ||
 		file.Loader.Store != current.Store || file.Loader.Name != current.Name {
-		p.log.WithField("reason", "a changed role, name or address requires a restart").Error("changed settings not taken, the last good ones stay")
+		p.log.WithField("reason", "a changed role, name or address requires a restart").Error("changed settings rejected; keeping those in force")
 		return
 	}
 	p.current.Store(file.Loader)
