--- a/cli/internal/explain/line.go
+++ b/cli/internal/explain/line.go
@@ -1,12 +1,12 @@
-// Package explain tells a request's story from the logs of any number of hosts.
+// Package explain reconstructs what happened to one request from the logs of any number of
+// hosts. It is used by the command "wheelcleat explain".
 //
-// Logs are what is left when somebody complains. A request's own lines say what
-// was decided, but not why it seemed right: that is in lines from before, about
-// what the deciding process believed. So the story has both, the request's
-// lines and, for each process that wrote one, the beliefs in force then.
+// The lines of a request say what was decided, but not on which state. A trace therefore joins
+// them with earlier lines of the processes that decided: the store entries, verdicts, limits and
+// lost connections that each process held at that time.
 //
-// Lines are joined by request id and by process, never by time across hosts
-// alone, because hosts' clocks differ.
+// Lines are joined by request id and by process. They are never joined by time across hosts
+// alone, because the clocks of hosts differ.
 package explain
 
 import (
@@ -19,25 +19,25 @@
 	"time"
 )
 
-// maxLine bounds a log line, in bytes.
-const maxLine = 4 << 20
+// maxLineBytes bounds the length of a log line.
+const maxLineBytes = 4 << 20
 
-// Messages of the lines that are read for more than their text.
+// Messages of the log lines whose fields are evaluated.
 const (
-	messageEnded    = "request ended"
-	messageBroke    = "connection to upstream broke"
-	messageBelief   = "belief changed"
-	messageLost     = "dependency lost"
-	messageRegained = "dependency regained"
-	messageWeights  = "weights"
-	messageVerdict  = "verdict on a content changed"
-	messageLimit    = "limit of an upstream changed"
-	messageStarted  = "started"
-	messageDropped  = "log lines dropped"
-	messageLeftOut  = "request lines left out"
+	messageEnded      = "request ended"
+	messageBroke      = "connection to upstream broke"
+	messageUpdate     = "belief changed"
+	messageLost       = "dependency lost"
+	messageRegained   = "dependency regained"
+	messageWeights    = "weights"
+	messageVerdict    = "verdict on a content changed"
+	messageLimit      = "limit of an upstream changed"
+	messageStarted    = "started"
+	messageDropped    = "log lines dropped"
+	messageSuppressed = "request lines left out"
 )
 
-// Line is one log line. Fields that a kind of line lacks are zero.
+// Line is one log line. Fields that are absent from it are zero.
 type Line struct {
 	At      time.Time `json:"timestamp"`
 	Level   string    `json:"level"`
@@ -45,9 +45,9 @@
 	Fields  Fields    `json:"fields"`
 }
 
-// Fields are the fields of log lines that the story is made of.
+// Fields are the fields of log lines that a trace is built from.
 type Fields struct {
-	// Name and Role are those of the process.
+	// Name and Role identify the process that wrote the line.
 	Name string `json:"name"`
 	Role string `json:"role"`
 
@@ -56,44 +56,44 @@
 	Choice   string `json:"choice"`
 	Reason   string `json:"reason"`
 
-	// Of a request that ended.
-	Route         string  `json:"route"`
-	Service       string  `json:"service"`
-	Account       string  `json:"account"`
-	Outcome       string  `json:"outcome"`
-	Status        int     `json:"status"`
-	Took          string  `json:"took"`
-	FirstByte     string  `json:"firstByte"`
-	Asked         []Asked `json:"asked"`
-	Tries         []Try   `json:"tries"`
-	Configuration uint64  `json:"configuration"`
-	Stale         bool    `json:"stale"`
-	Returned      bool    `json:"returned"`
-	Left          string  `json:"left"`
-	RetryAfter    string  `json:"retryAfter"`
-	BudgetLeft    *int    `json:"budgetLeft"`
-	Host          string  `json:"host"`
-
-	// Content names what a request asks for, Upstream is the one whose connection broke
-	// After the request was sent there, and Ended says whether it ended itself.
+	// Fields of a completed request.
+	Route            string         `json:"route"`
+	Service          string         `json:"service"`
+	Account          string         `json:"account"`
+	Outcome          string         `json:"outcome"`
+	Status           int            `json:"status"`
+	Duration         string         `json:"took"`
+	FirstByte        string         `json:"firstByte"`
+	PlaceRequests    []PlaceRequest `json:"asked"`
+	Attempts         []Attempt      `json:"tries"`
+	Configuration    uint64         `json:"configuration"`
+	Stale            bool           `json:"stale"`
+	Retried          bool           `json:"returned"`
+	RemainingTime    string         `json:"left"`
+	RetryAfter       string         `json:"retryAfter"`
+	RemainingRetries *int           `json:"budgetLeft"`
+	Host             string         `json:"host"`
+
+	// Fields of a broken connection. Content is the digest of what the request asks for, Elapsed
+	// the time since the request was sent to Upstream, and Crashed whether the upstream crashed.
 	Content  string `json:"content"`
 	Upstream string `json:"upstream"`
-	After    string `json:"after"`
-	Ended    bool   `json:"ended"`
+	Elapsed  string `json:"after"`
+	Crashed  bool   `json:"ended"`
 
-	// Of a verdict on a content: what may be done with it, whence the news came, and the
-	// ends that it rests on.
-	Verdict string `json:"verdict"`
-	From    string `json:"from"`
-	Ends    []End  `json:"ends"`
+	// Fields of a verdict on a content: the verdict, the source of the update, and the crashes
+	// that the verdict is based on.
+	Verdict string  `json:"verdict"`
+	Source  string  `json:"from"`
+	Crashes []Crash `json:"ends"`
 
-	// Of a limit that an upstream names, in requests a second, or "none".
+	// Limit is the rate limit that an upstream states, in requests a second, or "none".
 	Limit string `json:"limit"`
 
-	// Of beliefs.
+	// Fields of an updated store entry.
 	Key      string         `json:"key"`
 	Revision uint64         `json:"revision"`
-	Gone     bool           `json:"gone"`
+	Deleted  bool           `json:"gone"`
 	Leaving  bool           `json:"leaving"`
 	Address  string         `json:"address"`
 	Model    string         `json:"model"`
@@ -102,62 +102,61 @@
 	Accounts int            `json:"accounts"`
 	Models   []ModelVersion `json:"models"`
 
-	// Of dependencies, loads, starts and left out lines.
+	// Fields of lost dependencies, loads, starts and suppressed lines.
 	Dependency string `json:"dependency"`
 	Prefix     string `json:"prefix"`
 	Engine     string `json:"engine"`
 	Count      int    `json:"count"`
 }
 
-// End is an upstream's end under a content; see package quarantine.
-type End struct {
+// Crash is the crash of an upstream while it ran a content; see package quarantine.
+type Crash struct {
 	Upstream string `json:"upstream"`
 	Depth    int    `json:"depth"`
 }
 
-// Try is one send of a request; see package dispatch.
-type Try struct {
-	Upstream string        `json:"upstream"`
-	At       time.Duration `json:"at"`
-	Took     time.Duration `json:"took"`
-	Fate     string        `json:"fate"`
-	Cause    string        `json:"cause"`
-	BrokenBy string        `json:"brokenBy"`
-	Loading  bool          `json:"loading"`
-	Version  int           `json:"version"`
-	Waiting  int           `json:"waiting"`
-	Beyond   int           `json:"beyond"`
-	Running  int           `json:"running"`
-	Age      time.Duration `json:"age"`
-	Door     string        `json:"door"`
-	Limit    string        `json:"limit"`
+// Attempt is one attempt to send a request to an upstream; see package dispatch.
+type Attempt struct {
+	Upstream  string        `json:"upstream"`
+	Offset    time.Duration `json:"at"`
+	Duration  time.Duration `json:"took"`
+	Result    string        `json:"fate"`
+	Cause     string        `json:"cause"`
+	Interrupt string        `json:"brokenBy"`
+	Loading   bool          `json:"loading"`
+	Version   int           `json:"version"`
+	Waiting   int           `json:"waiting"`
+	Excess    int           `json:"beyond"`
+	Running   int           `json:"running"`
+	ReportAge time.Duration `json:"age"`
+	Path      string        `json:"door"`
+	Limit     string        `json:"limit"`
 }
 
-// Asked is a question for a place at an engine; see package dispatch.
-type Asked struct {
-	Upstream string        `json:"upstream"`
-	Given    bool          `json:"given"`
-	Running  int           `json:"running"`
-	Waiting  int           `json:"waiting"`
-	Most     int           `json:"most"`
-	Taken    int           `json:"taken"`
-	Wait     time.Duration `json:"wait"`
-	Took     time.Duration `json:"took"`
-	Cause    string        `json:"cause"`
+// PlaceRequest is a request to a loader for a place at its engine; see package dispatch.
+type PlaceRequest struct {
+	Upstream   string        `json:"upstream"`
+	Granted    bool          `json:"given"`
+	Running    int           `json:"running"`
+	Waiting    int           `json:"waiting"`
+	MaxWaiting int           `json:"most"`
+	MaxInUse   int           `json:"taken"` // running and waiting
+	RetryAfter time.Duration `json:"wait"`
+	Duration   time.Duration `json:"took"`
+	Cause      string        `json:"cause"`
 }
 
-// ModelVersion is what an upstream holds.
+// ModelVersion is a model version that an upstream has loaded.
 type ModelVersion struct {
 	Model   string `json:"Model"`
 	Version int    `json:"Version"`
 }
 
-// read calls onLine with each log line of a source. Text before a line's first
-// brace, as collectors put there, is passed over, and so are lines that are no
-// log lines.
+// read calls onLine with each log line of a source. It ignores text before the first brace of a
+// line, which log collectors may add, and lines that do not parse as log lines.
 func read(source io.Reader, onLine func(Line)) error {
 	scanner := bufio.NewScanner(source)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		start := bytes.IndexByte(scanner.Bytes(), '{')
 		if start < 0 {
@@ -174,14 +173,14 @@
 	return nil
 }
 
-// upstreams are those that a request was sent to, or for which it asked for a place.
+// upstreams returns the ids of the upstreams that the request was sent to or requested a place at.
 func (l *Line) upstreams() []string {
 	var ids []string
-	for _, try := range l.Fields.Tries {
-		ids = append(ids, try.Upstream)
+	for _, attempt := range l.Fields.Attempts {
+		ids = append(ids, attempt.Upstream)
 	}
-	for _, asked := range l.Fields.Asked {
-		ids = append(ids, asked.Upstream)
+	for _, req := range l.Fields.PlaceRequests {
+		ids = append(ids, req.Upstream)
 	}
 	slices.Sort(ids)
 	return slices.Compact(ids)
--- a/cli/internal/explain/print.go
+++ b/cli/internal/explain/print.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// clock is the form of times of day in the story.
-const clock = "15:04:05.000"
+// timeLayout formats the times of day in the output.
+const timeLayout = "15:04:05.000"
 
-// printer writes lines until the first error, which it keeps.
+// printer writes lines until the first error, which it retains.
 type printer struct {
 	out io.Writer
 	err error
@@ -22,47 +22,47 @@
 	}
 }
 
-// Print writes the story for a reader.
-func (s *Story) Print(out io.Writer) error {
+// Print writes the trace as indented text.
+func (t *Trace) Print(out io.Writer) error {
 	p := &printer{out: out}
-	if len(s.Lines) == 0 {
-		p.linef(0, "request %s: no line among %d", s.ID, s.Total)
-		s.printMissing(p)
+	if len(t.Lines) == 0 {
+		p.linef(0, "request %s: not mentioned in any of %d log lines", t.ID, t.Total)
+		t.printMissing(p)
 		return p.err
 	}
-	p.linef(0, "request %s", s.ID)
-	told := map[string]bool{}
-	for _, line := range s.Lines {
-		s.printLine(p, line)
+	p.linef(0, "request %s", t.ID)
+	printed := map[string]bool{}
+	for _, line := range t.Lines {
+		t.printLine(p, line)
 		key := line.Fields.Role + " " + line.Fields.Name
-		if process := s.processes[key]; process != nil && !told[key] {
-			told[key] = true
-			s.printBeliefs(p, process, line)
+		if process := t.processes[key]; process != nil && !printed[key] {
+			printed[key] = true
+			t.printState(p, process, line)
 		}
 	}
-	s.printMissing(p)
+	t.printMissing(p)
 	return p.err
 }
 
-func (s *Story) printMissing(p *printer) {
-	if s.Missing > 0 {
-		p.linef(0, "%d lines were dropped or left out of these logs; some may be about this request", s.Missing)
+func (t *Trace) printMissing(p *printer) {
+	if t.Missing > 0 {
+		p.linef(0, "%d log lines were dropped or suppressed; some of them may concern this request", t.Missing)
 	}
 }
 
-// printLine writes one line of the request.
-func (s *Story) printLine(p *printer, line Line) {
+// printLine writes one log line of the request.
+func (t *Trace) printLine(p *printer, line Line) {
 	f := line.Fields
 	if line.Message == messageBroke {
-		p.linef(0, "%s %s %s: the connection to %s broke %s after it was sent there; %s", line.At.Format(clock), f.Role, f.Name, f.Upstream, f.After, afterwards(f.Ended))
+		p.linef(0, "%s %s %s: the connection to %s broke %s after the request was sent; %s", line.At.Format(timeLayout), f.Role, f.Name, f.Upstream, f.Elapsed, crashText(f.Crashed))
 		return
 	}
 	if line.Message != messageEnded {
-		p.linef(0, "%s %s %s: %s", line.At.Format(clock), f.Role, f.Name, line.Message)
-		p.linef(1, "%s", joined(f.Choice, f.Host, f.Reason))
+		p.linef(0, "%s %s %s: %s", line.At.Format(timeLayout), f.Role, f.Name, line.Message)
+		p.linef(1, "%s", joinNonEmpty(f.Choice, f.Host, f.Reason))
 		return
 	}
-	p.linef(0, "%s %s %s: ended %s, status %d, after %s", line.At.Format(clock), f.Role, f.Name, f.Outcome, f.Status, f.Took)
+	p.linef(0, "%s %s %s: outcome %s, status %d, after %s", line.At.Format(timeLayout), f.Role, f.Name, f.Outcome, f.Status, f.Duration)
 	p.linef(1, "route %s, service %s, account %s", orNone(f.Route), orNone(f.Service), orNone(f.Account))
 	if f.FirstByte != "" {
 		p.linef(1, "first byte after %s", f.FirstByte)
@@ -71,124 +71,123 @@
 		p.linef(1, "cause: %s", f.Reason)
 	}
 	if f.Stale {
-		p.linef(1, "decided by a configuration that may have been out of date")
+		p.linef(1, "routed by a configuration that may have been stale")
 	}
-	if len(f.Tries) > 0 && f.BudgetLeft != nil && *f.BudgetLeft < 1 {
-		p.linef(1, "the retry budget of the service was used up")
+	if len(f.Attempts) > 0 && f.RemainingRetries != nil && *f.RemainingRetries < 1 {
+		p.linef(1, "the retry budget of the service was exhausted")
 	}
-	if f.Left != "" {
-		p.linef(1, "the caller said that it had %s left", f.Left)
+	if f.RemainingTime != "" {
+		p.linef(1, "time remaining until the caller's deadline: %s", f.RemainingTime)
 	}
 	if f.RetryAfter != "" {
-		p.linef(1, "it was told to come back after %s", f.RetryAfter)
+		p.linef(1, "the caller was told to retry after %s", f.RetryAfter)
 	}
-	if f.Returned {
-		p.linef(1, "the caller has less time than others of the route: it was likely refused before, and gets what others leave")
+	if f.Retried {
+		p.linef(1, "likely a retry of a refused request, since its deadline is shorter than usual for the route: it gets only capacity that other requests leave")
 	}
-	for _, asked := range f.Asked {
-		printAsked(p, asked)
+	for _, req := range f.PlaceRequests {
+		printPlaceRequest(p, req)
 	}
-	for i, try := range f.Tries {
-		printTry(p, i+1, try)
+	for i, attempt := range f.Attempts {
+		printAttempt(p, i+1, attempt)
 	}
-	if ended := s.endedUnder(f.Content); len(ended) > 0 {
-		p.linef(1, "upstreams that ended while the same content %s ran there: %s", f.Content, strings.Join(ended, ", "))
+	if crashed := t.crashedWhileRunning(f.Content); len(crashed) > 0 {
+		p.linef(1, "upstreams that crashed while running the same content %s: %s", f.Content, strings.Join(crashed, ", "))
 	}
 }
 
-func endsText(ends []End) string {
-	names := make([]string, 0, len(ends))
-	for _, end := range ends {
-		names = append(names, fmt.Sprintf("%s (%d deep)", end.Upstream, end.Depth))
+func crashesText(crashes []Crash) string {
+	names := make([]string, 0, len(crashes))
+	for _, crash := range crashes {
+		names = append(names, fmt.Sprintf("%s (depth %d)", crash.Upstream, crash.Depth))
 	}
 	return strings.Join(names, ", ")
 }
 
-func afterwards(ended bool) string {
-	if ended {
-		return "the upstream itself ended"
+func crashText(crashed bool) string {
+	if crashed {
+		return "the upstream crashed"
 	}
-	return "the upstream still listened, or said nothing"
+	return "the upstream was still listening or did not respond"
 }
 
-// printAsked writes a question for a place at an engine.
-func printAsked(p *printer, asked Asked) {
+// printPlaceRequest writes a request for a place at an engine.
+func printPlaceRequest(p *printer, req PlaceRequest) {
 	switch {
-	case asked.Cause != "":
-		p.linef(1, "asked for a place at %s: no answer after %s: %s", asked.Upstream, rounded(asked.Took), asked.Cause)
-	case asked.Wait > 0:
-		p.linef(1, "asked for a place at %s: none after %s, the limit that it named is used up; not asked again for %s", asked.Upstream, rounded(asked.Took), rounded(asked.Wait))
-	case asked.Given:
-		p.linef(1, "asked for a place at %s: given after %s, %d running, %d waiting", asked.Upstream, rounded(asked.Took), asked.Running, asked.Waiting)
+	case req.Cause != "":
+		p.linef(1, "requested a place at %s: no answer after %s: %s", req.Upstream, rounded(req.Duration), req.Cause)
+	case req.RetryAfter > 0:
+		p.linef(1, "requested a place at %s: denied after %s, rate limit of the upstream reached; not requested again for %s", req.Upstream, rounded(req.Duration), rounded(req.RetryAfter))
+	case req.Granted:
+		p.linef(1, "requested a place at %s: granted after %s, %d running, %d waiting", req.Upstream, rounded(req.Duration), req.Running, req.Waiting)
 	default:
-		p.linef(1, "asked for a place at %s: none after %s, %d running, %d waiting; at most %d may wait and %d be there",
-			asked.Upstream, rounded(asked.Took), asked.Running, asked.Waiting, asked.Most, asked.Taken)
+		p.linef(1, "requested a place at %s: denied after %s, %d running, %d waiting; limits: %d waiting, %d in total",
+			req.Upstream, rounded(req.Duration), req.Running, req.Waiting, req.MaxWaiting, req.MaxInUse)
 	}
 }
 
-func printTry(p *printer, number int, try Try) {
-	p.linef(1, "try %d after %s at %s: %s in %s", number, rounded(try.At), try.Upstream, try.Fate, rounded(try.Took))
-	if try.Age > 0 {
-		p.linef(2, "chosen by: version %d, %d running, %d waiting, %d beyond its places, told %s before", try.Version, try.Running, try.Waiting, try.Beyond, rounded(try.Age))
+func printAttempt(p *printer, number int, attempt Attempt) {
+	p.linef(1, "attempt %d after %s at %s: %s in %s", number, rounded(attempt.Offset), attempt.Upstream, attempt.Result, rounded(attempt.Duration))
+	if attempt.ReportAge > 0 {
+		p.linef(2, "chosen by: version %d, %d running, %d waiting, %d in excess of its places, load report %s old", attempt.Version, attempt.Running, attempt.Waiting, attempt.Excess, rounded(attempt.ReportAge))
 	}
-	if try.Limit != "" {
-		p.linef(2, "its answer named a limit, in requests a second of all routers: %s; let through by: %s", try.Limit, orNone(try.Door))
+	if attempt.Limit != "" {
+		p.linef(2, "rate limit stated in its answer, in requests a second over all routers: %s; admitted by: %s", attempt.Limit, orNone(attempt.Path))
 	}
-	if try.Cause != "" {
-		p.linef(2, "cause: %s", try.Cause)
+	if attempt.Cause != "" {
+		p.linef(2, "cause: %s", attempt.Cause)
 	}
-	if try.BrokenBy != "" {
-		p.linef(2, "ended by: %s%s", try.BrokenBy, whileLoading(try))
+	if attempt.Interrupt != "" {
+		p.linef(2, "interrupted by: %s%s", attempt.Interrupt, whileLoading(attempt))
 	}
 }
 
-func whileLoading(try Try) string {
-	if try.Loading {
-		return ", while the upstream was known to take a version"
+func whileLoading(attempt Attempt) string {
+	if attempt.Loading {
+		return ", while the upstream was known to be loading a version"
 	}
 	return ""
 }
 
-// printBeliefs writes what the process of a line believed then: the
-// configuration, the declared versions, the upstreams tried and lost
-// dependencies.
-func (s *Story) printBeliefs(p *printer, process *process, line Line) {
-	p.linef(1, "%s believed then:", process.name)
-	for _, belief := range process.believed(line.At) {
-		if text := beliefText(belief, line.Fields.Tries); text != "" {
-			p.linef(2, "%s (revision %d, since %s before)", text, belief.Fields.Revision, rounded(line.At.Sub(belief.At)))
+// printState writes the state that the process of a line held at that time: the configuration,
+// the declared versions, the upstreams of the request, and lost dependencies.
+func (t *Trace) printState(p *printer, process *process, line Line) {
+	p.linef(1, "%s held at that time:", process.name)
+	for _, update := range process.state(line.At) {
+		if text := updateText(update, line.Fields.Attempts); text != "" {
+			p.linef(2, "%s (revision %d, received %s earlier)", text, update.Fields.Revision, rounded(line.At.Sub(update.At)))
 		}
 	}
 	if verdict, ok := process.verdict(line.Fields.Content, line.At); ok {
-		p.linef(2, "content %s is %s, since %s before, by news from: %s; upstreams that ended under it: %s",
-			line.Fields.Content, verdict.Fields.Verdict, rounded(line.At.Sub(verdict.At)), verdict.Fields.From, endsText(verdict.Fields.Ends))
+		p.linef(2, "verdict on content %s: %s, set %s earlier, source: %s; upstreams that crashed while running it: %s",
+			line.Fields.Content, verdict.Fields.Verdict, rounded(line.At.Sub(verdict.At)), verdict.Fields.Source, crashesText(verdict.Fields.Crashes))
 	}
-	for _, contact := range process.lost(line.At) {
-		p.linef(2, "%s lost since %s before: %s", contact.Fields.Dependency, rounded(line.At.Sub(contact.At)), contact.Fields.Reason)
+	for _, outage := range process.lost(line.At) {
+		p.linef(2, "%s unreachable, lost %s earlier: %s", outage.Fields.Dependency, rounded(line.At.Sub(outage.At)), outage.Fields.Reason)
 	}
 	for _, upstream := range line.upstreams() {
 		if limit, ok := process.limit(upstream, line.At); ok {
-			p.linef(2, "%s takes at most, in requests a second of all routers: %s (since %s before, by news from: %s)",
-				upstream, limit.Fields.Limit, rounded(line.At.Sub(limit.At)), limit.Fields.From)
+			p.linef(2, "rate limit of %s, in requests a second over all routers: %s (set %s earlier, source: %s)",
+				upstream, limit.Fields.Limit, rounded(line.At.Sub(limit.At)), limit.Fields.Source)
 		}
 	}
-	for _, try := range line.Fields.Tries {
-		s.printLoads(p, process, line, try.Upstream)
+	for _, attempt := range line.Fields.Attempts {
+		t.printLoads(p, process, line, attempt.Upstream)
 	}
 }
 
-// beliefText says a belief that the request may have hung on, or returns "".
-func beliefText(belief Line, tries []Try) string {
-	f := belief.Fields
+// updateText describes an update that may have affected the request, or returns "".
+func updateText(update Line, attempts []Attempt) string {
+	f := update.Fields
 	switch {
 	case f.Routes > 0:
 		return fmt.Sprintf("configuration version %d, %d routes, %d accounts", f.Version, f.Routes, f.Accounts)
 	case f.Model != "":
 		return fmt.Sprintf("model %s is declared at version %d", f.Model, f.Version)
 	}
-	for _, try := range tries {
-		if isOf(belief, try.Upstream) {
-			return "upstream " + try.Upstream + " " + upstreamText(f)
+	for _, attempt := range attempts {
+		if isUpdateOf(update, attempt.Upstream) {
+			return "upstream " + attempt.Upstream + " " + upstreamText(f)
 		}
 	}
 	return ""
@@ -196,7 +195,7 @@
 
 func upstreamText(f Fields) string {
 	switch {
-	case f.Gone:
+	case f.Deleted:
 		return "is gone"
 	case f.Leaving:
 		return "is leaving"
@@ -207,32 +206,32 @@
 	}
 }
 
-// printLoads writes what the loader beside an upstream did to it shortly before
-// and during the request.
-func (s *Story) printLoads(p *printer, process *process, line Line, upstream string) {
+// printLoads writes what the loader of an upstream did in the loadWindow before a line of the
+// request.
+func (t *Trace) printLoads(p *printer, process *process, line Line, upstream string) {
 	address := ""
-	for _, belief := range process.believed(line.At) {
-		if isOf(belief, upstream) && belief.Fields.Address != "" {
-			address = belief.Fields.Address
+	for _, update := range process.state(line.At) {
+		if isUpdateOf(update, upstream) && update.Fields.Address != "" {
+			address = update.Fields.Address
 		}
 	}
-	loader := s.loaderOf(address)
+	loader := t.loaderOf(address)
 	if loader == nil {
 		return
 	}
 	for _, load := range loader.loads {
-		before := line.At.Sub(load.At)
-		if before < 0 || before > loadsBefore {
+		elapsed := line.At.Sub(load.At)
+		if elapsed < 0 || elapsed > loadWindow {
 			continue
 		}
 		f := load.Fields
-		what := joined(f.Decision, fmt.Sprintf("version %d", f.Version), f.Choice, f.Reason)
-		p.linef(2, "%s beside %s, %s before: %s", loader.name, upstream, rounded(before), what)
+		action := joinNonEmpty(f.Decision, fmt.Sprintf("version %d", f.Version), f.Choice, f.Reason)
+		p.linef(2, "%s, loader of %s, %s earlier: %s", loader.name, upstream, rounded(elapsed), action)
 	}
 }
 
-// joined joins what is there by blanks.
-func joined(parts ...string) string {
+// joinNonEmpty joins the non-empty parts with spaces.
+func joinNonEmpty(parts ...string) string {
 	return strings.Join(strings.Fields(strings.Join(parts, " ")), " ")
 }
 
