--- a/cli/internal/command/explain.go
+++ b/cli/internal/command/explain.go
@@ -14,7 +14,7 @@
 
 func explainCommand() *cli.Command {
 	return &cli.Command{
-		Name: "explain", Usage: "tell a request's story from the logs of any number of hosts; standard input where no file is named",
+		Name: "explain", Usage: "show what happened to a request, from the logs of any number of hosts; reads standard input if no file is named",
 		ArgsUsage: "REQUEST-ID [FILE...]",
 		Action:    explainAction,
 	}
@@ -22,24 +22,24 @@
 
 func explainAction(_ context.Context, command *cli.Command) error {
 	if command.Args().Len() == 0 {
-		return fmt.Errorf("%w: name a request id", errUsage)
+		return fmt.Errorf("%w: missing request id", errUsage)
 	}
 	sources, closeAll, err := openLogs(command.Args().Tail(), command.Root().Reader)
 	defer closeAll()
 	if err != nil {
 		return err
 	}
-	story, err := explain.Tell(command.Args().First(), sources...)
+	trace, err := explain.Collect(command.Args().First(), sources...)
 	if err != nil && !errors.Is(err, explain.ErrNotFound) {
 		return err
 	}
-	if printErr := story.Print(command.Root().Writer); printErr != nil {
+	if printErr := trace.Print(command.Root().Writer); printErr != nil {
 		return printErr
 	}
 	return err
 }
 
-// openLogs opens log files, or takes standard input where none is named.
+// openLogs opens the log files, or returns the input if no file is named.
 func openLogs(paths []string, input io.Reader) (sources []io.Reader, closeAll func(), err error) {
 	var files []*os.File
 	closeAll = func() {
@@ -53,7 +53,7 @@
 	for _, path := range paths {
 		file, err := os.Open(path) //nolint:gosec // the operator names the file
 		if err != nil {
-			return nil, closeAll, fmt.Errorf("open the log: %w", err)
+			return nil, closeAll, fmt.Errorf("open log: %w", err)
 		}
 		files = append(files, file)
 		sources = append(sources, file)
--- a/cli/internal/explain/explain_test.go
+++ b/cli/internal/explain/explain_test.go
@@ -27,7 +27,7 @@
 				t.Cleanup(func() { _ = file.Close() })
 				sources = append(sources, file)
 			}
-			trace, err := explain.Tell(id, sources...)
+			trace, err := explain.Collect(id, sources...)
 			if id == "nobody" {
 				require.ErrorIs(t, err, explain.ErrNotFound)
 			} else {
@@ -49,7 +49,7 @@
 		`{"upstream":"u1","fate":"unknown","cause":"no head","brokenBy":"silence"},` +
 		`{"upstream":"u2","fate":"answered","cause":"connection reset by peer","brokenBy":"upstream","loading":true}]},` +
 		`"level":"info","timestamp":"2026-12-02T22:02:17Z","message":"request ended"}`
-	trace, err := explain.Tell("cut-1", strings.NewReader(line))
+	trace, err := explain.Collect("cut-1", strings.NewReader(line))
 	require.NoError(t, err)
 	var got bytes.Buffer
 	require.NoError(t, trace.Print(&got))
@@ -64,7 +64,7 @@
 {"fields":{"name":"router-2","role":"router","decision":"witness","request":"beside","content":"c2","upstream":"u7","ended":true,"after":"400ms"},"timestamp":"2026-12-02T22:02:16Z","message":"connection to upstream broke"}
 {"fields":{"name":"router-1","role":"router","decision":"witness","request":"now","content":"c1","upstream":"u2","ended":true,"after":"101ms"},"timestamp":"2026-12-02T22:02:17Z","message":"connection to upstream broke"}
 {"fields":{"name":"router-1","role":"router","request":"now","content":"c1","outcome":"unknown","status":502,"took":"120ms","tries":[{"upstream":"u2","fate":"unknown","cause":"EOF","brokenBy":"upstream"}]},"timestamp":"2026-12-02T22:02:18Z","message":"request ended"}`
-	trace, err := explain.Tell("now", strings.NewReader(lines))
+	trace, err := explain.Collect("now", strings.NewReader(lines))
 	require.NoError(t, err)
 	var got bytes.Buffer
 	require.NoError(t, trace.Print(&got))
@@ -78,7 +78,7 @@
 	const lines = `{"fields":{"name":"router-1","role":"router","decision":"quarantine","content":"c1","verdict":"once","from":"router","ends":[{"upstream":"u1","depth":1},{"upstream":"u2","depth":2}]},"timestamp":"2026-12-02T22:02:16Z","message":"verdict on a content changed"}
 {"fields":{"name":"router-1","role":"router","decision":"quarantine","content":"c1","verdict":"held","from":"answer","ends":[{"upstream":"u1","depth":1},{"upstream":"u2","depth":2},{"upstream":"u3","depth":3}]},"timestamp":"2026-12-02T22:02:17Z","message":"verdict on a content changed"}
 {"fields":{"name":"router-1","role":"router","request":"now","content":"c1","outcome":"held","status":503,"took":"1ms","reason":"too many upstreams ended under the same content"},"timestamp":"2026-12-02T22:02:19Z","message":"request ended"}`
-	trace, err := explain.Tell("now", strings.NewReader(lines))
+	trace, err := explain.Collect("now", strings.NewReader(lines))
 	require.NoError(t, err)
 	var got bytes.Buffer
 	require.NoError(t, trace.Print(&got))
@@ -91,7 +91,7 @@
 func TestPrintNamesDeadlineAndRetryAfterOfRefusal(t *testing.T) {
 	const line = `{"fields":{"name":"router-1","role":"router","request":"late-2","outcome":"refused","status":503,"took":"9ms",` +
 		`"left":"4.485s","retryAfter":"1.311s","returned":true},"level":"info","timestamp":"2026-05-04T09:18:47Z","message":"request ended"}`
-	trace, err := explain.Tell("late-2", strings.NewReader(line))
+	trace, err := explain.Collect("late-2", strings.NewReader(line))
 	require.NoError(t, err)
 	var got bytes.Buffer
 	require.NoError(t, trace.Print(&got))
@@ -106,7 +106,7 @@
 	const lines = `{"fields":{"name":"router-1","role":"router","decision":"limit","upstream":"u1","limit":"2.5","before":"none","from":"loader"},"timestamp":"2026-12-02T22:02:16Z","message":"limit of an upstream changed"}
 {"fields":{"name":"router-2","role":"router","decision":"limit","upstream":"u1","limit":"none","before":"2.5","from":"own"},"timestamp":"2026-12-02T22:02:16Z","message":"limit of an upstream changed"}
 {"fields":{"name":"router-1","role":"router","request":"now","outcome":"served","status":200,"took":"1ms","asked":[{"upstream":"u1","wait":400000000},{"upstream":"u2","given":true}],"tries":[{"upstream":"u2","fate":"answered","door":"loader","limit":"4"}]},"timestamp":"2026-12-02T22:02:19Z","message":"request ended"}`
-	trace, err := explain.Tell("now", strings.NewReader(lines))
+	trace, err := explain.Collect("now", strings.NewReader(lines))
 	require.NoError(t, err)
 	var got bytes.Buffer
 	require.NoError(t, trace.Print(&got))
--- a/cli/internal/explain/trace.go
+++ b/cli/internal/explain/trace.go
@@ -43,9 +43,9 @@
 	engine string
 }
 
-// Tell reads logs and returns the trace of a request. If no line mentions the request, it
+// Collect reads logs and returns the trace of a request. If no line mentions the request, it
 // returns ErrNotFound together with a trace without lines.
-func Tell(id string, sources ...io.Reader) (*Trace, error) {
+func Collect(id string, sources ...io.Reader) (*Trace, error) {
 	t := &Trace{ID: id, processes: map[string]*process{}}
 	for _, source := range sources {
 		if err := read(source, t.add); err != nil {
