--- a/daemon/cmd/wheelcleatd/main.go
+++ b/daemon/cmd/wheelcleatd/main.go
@@ -1,11 +1,11 @@
-// Command wheelcleatd runs one process of wheelcleat, in the role that its
-// settings file names.
+// Command wheelcleatd runs one daemon of wheelcleat in the role given by its settings file: entry,
+// agent, router or loader.
 //
-// Exit codes: 0 after a clean stop, 1 when the process failed or had to cut
-// requests, 2 for a faulty command line or settings file.
+// Exit codes: 0 after a clean stop, 1 if the daemon failed or aborted requests while it stopped,
+// 2 for an invalid command line or settings file.
 //
-// SIGTERM and SIGINT stop the process and let requests finish. SIGHUP, and a
-// settings file that changed without a signal, have it read its settings again.
+// SIGTERM and SIGINT drain requests and stop the daemon. SIGHUP, or a change of the settings file,
+// reloads the settings.
 package main
 
 import (
@@ -29,7 +29,8 @@
 	"github.com/wheelcleat/wheelcleat/platform"
 )
 
-// settingsVariable names the settings file where the command line does not.
+// settingsVariable is the environment variable with the path of the settings file. The command
+// line takes precedence.
 const settingsVariable = "WHEELCLEAT_SETTINGS"
 
 const (
@@ -37,46 +38,46 @@
 	exitUsage  = 2
 )
 
-// signals are those that a process takes.
-type signals struct {
-	// stop and reload have a channel each: in one for both a stop that came while a reload
-	// waited there was dropped, and the process never ended.
+// signalChannels holds the channels on which the process receives signals.
+type signalChannels struct {
+	// stop and reload are separate because signal.Notify drops a signal if the channel is full:
+	// with one channel a pending reload would cause a stop to be lost.
 	stop, reload chan os.Signal
 }
 
-// takeSignals has signals come to the process. Before that a stop ends it with a failure.
-func takeSignals() signals {
-	s := signals{stop: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
+// notifySignals subscribes to the signals. Until then, the default action of SIGTERM and SIGINT
+// applies and the process exits with a failure.
+func notifySignals() signalChannels {
+	s := signalChannels{stop: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
 	signal.Notify(s.stop, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(s.reload, syscall.SIGHUP)
 	return s
 }
 
 func main() {
-	taken := takeSignals()
+	signals := notifySignals()
 	command := &cli.Command{
 		Name:      "wheelcleatd",
 		Usage:     "run an entry, agent, router or loader from its settings file",
 		ArgsUsage: "[SETTINGS.json]",
-		Action:    func(_ context.Context, command *cli.Command) error { return run(command, taken) },
+		Action:    func(_ context.Context, command *cli.Command) error { return run(command, signals) },
 		ExitErrHandler: func(_ context.Context, _ *cli.Command, err error) {
 			fmt.Fprintln(os.Stderr, err)
 		},
 	}
 	if err := command.Run(context.Background(), os.Args); err != nil {
-		var faulty *settings.FileError
-		if errors.As(err, &faulty) || errors.Is(err, errUsage) {
+		var invalid *settings.FileError
+		if errors.As(err, &invalid) || errors.Is(err, errUsage) {
 			os.Exit(exitUsage)
 		}
 		os.Exit(exitFailed)
 	}
 }
 
-var errUsage = errors.New("usage: wheelcleatd [SETTINGS.json], or the file's path in " + settingsVariable +
-	"; 'wheelcleat settings example entry' prints a file to start from")
+var errUsage = errors.New("usage: wheelcleatd [SETTINGS.json], or set the path of the file in " + settingsVariable +
+	"; 'wheelcleat settings example entry' prints an example")
 
-// process is what all roles have. A role without reload keeps its settings
-// until it is started again.
+// process is a daemon of any role. If reload is nil, changed settings require a restart.
 type process struct {
 	start  func() error
 	stop   func(context.Context) error
@@ -84,7 +85,7 @@
 	drain  time.Duration
 }
 
-func run(command *cli.Command, taken signals) error {
+func run(command *cli.Command, signals signalChannels) error {
 	log.SetFlags(0)
 	log.SetOutput(telemetry.NewStandardLogWriter(telemetry.NewBoundedWriter(os.Stdout)))
 	path, err := settingsPath(command)
@@ -102,13 +103,13 @@
 	if err := p.start(); err != nil {
 		return err
 	}
-	followSettings(path, p, taken)
+	followSettings(path, p, signals)
 	ctx, cancel := context.WithTimeout(context.Background(), p.drain)
 	defer cancel()
 	return p.stop(ctx)
 }
 
-// settingsPath takes the path from the command line or the environment.
+// settingsPath returns the path from the command line, or else from the environment.
 func settingsPath(command *cli.Command) (string, error) {
 	switch path := os.Getenv(settingsVariable); {
 	case command.Args().Len() == 1:
@@ -120,16 +121,16 @@
 	}
 }
 
-// followSettings reads the settings again when told to or when the file has
-// changed, until the process is to stop.
-func followSettings(path string, p process, taken signals) {
+// followSettings reloads the settings on a reload signal or when the file changes, and returns on a
+// stop signal.
+func followSettings(path string, p process, signals signalChannels) {
 	watcher := settings.NewWatcher(path)
 	defer watcher.Stop()
 	for {
 		select {
-		case <-taken.stop:
+		case <-signals.stop:
 			return
-		case <-taken.reload:
+		case <-signals.reload:
 			watcher.ReadAgain()
 		case result := <-watcher.Changed:
 			applySettings(p, result)
@@ -137,11 +138,11 @@
 	}
 }
 
-// applySettings hands changed settings on. Faulty ones are reported and the
-// last good ones stay in force.
+// applySettings passes changed settings to the process. If they are invalid, it reports the error
+// and the process keeps the settings in force.
 func applySettings(p process, changed settings.Changed) {
 	if changed.Err != nil {
-		fmt.Fprintf(os.Stderr, "settings not taken, the last good ones stay in force: %v\n", changed.Err)
+		fmt.Fprintf(os.Stderr, "changed settings rejected; keeping those in force: %v\n", changed.Err)
 		return
 	}
 	if p.reload != nil {
@@ -149,6 +150,7 @@
 	}
 }
 
+// prepare creates the process of the role that the settings name, without starting it.
 func prepare(file settings.File) (process, error) {
 	switch file.Role() {
 	case settings.RoleEntry:
