--- a/cli/internal/command/declare.go
+++ b/cli/internal/command/declare.go
@@ -105,7 +105,7 @@
 	} else {
 		for _, change := range differing {
 			_, _ = fmt.Fprintf(out, "%s %s/%s\n", change.Type, change.Kind.Plural(), change.Name)
-			for _, line := range lineDiff(specLines(change.Present), specLines(change.Wanted)) {
+			for _, line := range lineDiff(specLines(change.Current), specLines(change.Desired)) {
 				_, _ = fmt.Fprintln(out, "  "+line)
 			}
 		}
--- a/cli/internal/declare/declare.go
+++ b/cli/internal/declare/declare.go
@@ -1,5 +1,8 @@
-// Package declare reads declarations from files, compares them with what is in
-// force, and applies them.
+// Package declare loads resource declarations from files, compares them with the resources that
+// the entries hold, and applies the differences. The commands apply and diff use it.
+//
+// Each change is conditional on the revision that the plan was made for, so that a concurrent
+// change fails the apply instead of being overwritten.
 package declare
 
 import (
@@ -19,16 +22,16 @@
 	"github.com/wheelcleat/wheelcleat/api/client"
 )
 
-// Declaration is a resource with the place it was read from.
+// Declaration is a resource and the position it was read from.
 type Declaration struct {
 	Resource *api.Resource
-	// File is the file's path, Index the resource's place in it, from 0.
+	// File is the path of the file, Index the zero-based index of the resource in it.
 	File  string
 	Index int
 }
 
-// Load reads a file, or every .json file of a directory in order of name. A
-// file holds one or more resources, one after the other. Each is checked.
+// Load reads a file, or every .json file of a directory in lexical order. A file contains one or
+// more concatenated JSON resources. Load validates each of them.
 func Load(path string) ([]Declaration, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -42,18 +45,18 @@
 		}
 		sort.Strings(files)
 	}
-	var all []Declaration
+	var declarations []Declaration
 	for _, file := range files {
-		declarations, err := loadFile(file)
+		loaded, err := loadFile(file)
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, declarations...)
+		declarations = append(declarations, loaded...)
 	}
-	if len(all) == 0 {
+	if len(declarations) == 0 {
 		return nil, fmt.Errorf("%s: no declarations; a declaration is a JSON object with kind, name and spec", path)
 	}
-	return all, check(all)
+	return declarations, validate(declarations)
 }
 
 func loadFile(file string) ([]Declaration, error) {
@@ -77,28 +80,29 @@
 	}
 }
 
-// check validates every declaration and refuses two of the same resource.
-func check(all []Declaration) error {
-	var lines []string
-	first := map[string]Declaration{}
-	for _, d := range all {
-		place := fmt.Sprintf("%s: resource %d (%s %q)", d.File, d.Index, d.Resource.Kind, d.Resource.Name)
-		for _, fault := range api.Validate(d.Resource) {
-			lines = append(lines, place+": "+fault.Error())
+// validate validates every declaration and rejects duplicates. The error has a line for each
+// problem.
+func validate(declarations []Declaration) error {
+	var problems []string
+	seen := map[string]Declaration{}
+	for _, d := range declarations {
+		position := fmt.Sprintf("%s: resource %d (%s %q)", d.File, d.Index, d.Resource.Kind, d.Resource.Name)
+		for _, problem := range api.Validate(d.Resource) {
+			problems = append(problems, position+": "+problem.Error())
 		}
 		key := string(d.Resource.Kind) + "/" + d.Resource.Name
-		if other, twice := first[key]; twice {
-			lines = append(lines, fmt.Sprintf("%s: is declared in %s too (declare each resource once)", place, other.File))
+		if other, duplicate := seen[key]; duplicate {
+			problems = append(problems, fmt.Sprintf("%s: already declared in %s; declare each resource once", position, other.File))
 		}
-		first[key] = d
+		seen[key] = d
 	}
-	if len(lines) > 0 {
-		return errors.New(strings.Join(lines, "\n"))
+	if len(problems) > 0 {
+		return errors.New(strings.Join(problems, "\n"))
 	}
 	return nil
 }
 
-// ChangeType says what applying does to a resource.
+// ChangeType is the effect of a change on a resource.
 type ChangeType string
 
 // The change types.
@@ -114,91 +118,91 @@
 	Type    ChangeType    `json:"change"`
 	Kind    api.Kind      `json:"kind"`
 	Name    string        `json:"name"`
-	Present *api.Resource `json:"present,omitempty"`
-	Wanted  *api.Resource `json:"wanted,omitempty"`
+	Current *api.Resource `json:"present,omitempty"`
+	Desired *api.Resource `json:"wanted,omitempty"`
 }
 
-// Plan compares declarations with what is in force. With prune, resources that
-// no declaration names are deleted. The changes stand in the order in which
-// they can be applied: models before the services that name them, and deletes
-// last, services before models.
-func Plan(ctx context.Context, operator *client.Client, all []Declaration, prune bool) ([]Change, error) {
+// Plan compares declarations with the current resources. With prune, it deletes resources that are
+// not declared. The changes are in an order in which they can be applied: models before the
+// services that refer to them, and deletes last, services before models.
+func Plan(ctx context.Context, operator *client.Client, declarations []Declaration, prune bool) ([]Change, error) {
 	var changes, deletes []Change
 	for _, kind := range api.Kinds() {
 		list, err := operator.List(ctx, kind)
 		if err != nil {
 			return nil, fmt.Errorf("list %s: %w", kind.Plural(), err)
 		}
-		present := map[string]*api.Resource{}
+		current := map[string]*api.Resource{}
 		for i := range list.Items {
-			present[list.Items[i].Name] = &list.Items[i]
+			current[list.Items[i].Name] = &list.Items[i]
 		}
-		for _, d := range all {
+		for _, d := range declarations {
 			if d.Resource.Kind == kind {
-				changes = append(changes, compare(present[d.Resource.Name], d.Resource))
-				delete(present, d.Resource.Name)
+				changes = append(changes, compare(current[d.Resource.Name], d.Resource))
+				delete(current, d.Resource.Name)
 			}
 		}
 		if prune {
-			deletes = append(deletes, deletesOf(present)...)
+			deletes = append(deletes, deletesOf(current)...)
 		}
 	}
 	slices.Reverse(deletes)
 	return append(changes, deletes...), nil
 }
 
-func compare(present, wanted *api.Resource) Change {
-	change := Change{Type: ChangeUpdate, Kind: wanted.Kind, Name: wanted.Name, Present: present, Wanted: wanted}
+func compare(current, desired *api.Resource) Change {
+	change := Change{Type: ChangeUpdate, Kind: desired.Kind, Name: desired.Name, Current: current, Desired: desired}
 	switch {
-	case present == nil:
+	case current == nil:
 		change.Type = ChangeCreate
-	case api.SameSpec(present, wanted):
+	case api.SameSpec(current, desired):
 		change.Type = ChangeNone
 	}
 	return change
 }
 
-func deletesOf(present map[string]*api.Resource) []Change {
+// deletesOf returns the changes that delete resources, sorted by name.
+func deletesOf(resources map[string]*api.Resource) []Change {
 	var deletes []Change
-	for name, r := range present {
-		deletes = append(deletes, Change{Type: ChangeDelete, Kind: r.Kind, Name: name, Present: r})
+	for name, r := range resources {
+		deletes = append(deletes, Change{Type: ChangeDelete, Kind: r.Kind, Name: name, Current: r})
 	}
 	sort.Slice(deletes, func(i, j int) bool { return deletes[i].Name < deletes[j].Name })
 	return deletes
 }
 
-// Apply makes the changes of a plan, each under the condition that the
-// resource is still as it was planned for, and tells about each one.
-func Apply(ctx context.Context, operator *client.Client, changes []Change, dryRun bool, tell func(Change, *api.Resource)) error {
+// Apply applies the changes of a plan in order and calls report after each one. A change fails if
+// the resource is no longer at the revision that the plan was made for.
+func Apply(ctx context.Context, operator *client.Client, changes []Change, dryRun bool, report func(Change, *api.Resource)) error {
 	for _, change := range changes {
-		accepted := change.Present
+		accepted := change.Current
 		var err error
 		switch change.Type {
 		case ChangeCreate:
-			accepted, err = operator.Put(ctx, change.Wanted, client.PutOptions{DryRun: dryRun, Create: true})
+			accepted, err = operator.Put(ctx, change.Desired, client.PutOptions{DryRun: dryRun, Create: true})
 		case ChangeUpdate:
-			accepted, err = operator.Put(ctx, change.Wanted, client.PutOptions{DryRun: dryRun, IfRevision: change.Present.Revision})
+			accepted, err = operator.Put(ctx, change.Desired, client.PutOptions{DryRun: dryRun, IfRevision: change.Current.Revision})
 		case ChangeDelete:
 			if !dryRun {
-				err = operator.Delete(ctx, change.Kind, change.Name, change.Present.Revision)
+				err = operator.Delete(ctx, change.Kind, change.Name, change.Current.Revision)
 			}
 		case ChangeNone:
 		}
 		if dryRun && isMissingReference(err, changes) {
-			// In a dry run nothing before this change was written, so a
-			// service may name a model that only this plan brings.
+			// A dry run does not write the earlier changes, so a service may refer to a model that
+			// only this plan creates.
 			err = nil
 		}
 		if err != nil {
 			return fmt.Errorf("%s %s %q: %w", change.Type, change.Kind, change.Name, err)
 		}
-		tell(change, accepted)
+		report(change, accepted)
 	}
 	return nil
 }
 
-// isMissingReference reports whether a dry run failed only because a model of
-// the same plan has not been written.
+// isMissingReference reports whether the error may come only from a model or version that an
+// earlier change of the same plan would write.
 func isMissingReference(err error, changes []Change) bool {
 	var problem *api.Problem
 	if !errors.As(err, &problem) || problem.Code != api.CodeInvalid {
