--- a/cli/cmd/wheelcleat/main.go
+++ b/cli/cmd/wheelcleat/main.go
@@ -1,5 +1,5 @@
-// Command wheelcleat is the operators' command line, and runs small fleets to
-// try things out.
+// Command wheelcleat is the command line for operators. It manages resources and diagnoses
+// requests, and runs development fleets, benchmarks and soak tests.
 package main
 
 import (
--- a/cli/examples/examples.go
+++ b/cli/examples/examples.go
@@ -1,5 +1,5 @@
-// Package examples holds sample declarations: a model, a service that serves
-// it, and a client account.
+// Package examples embeds sample declarations: a model, a service that serves it, and a client
+// account. The command dev applies them to its fleet.
 package examples
 
 import (
@@ -16,7 +16,7 @@
 // Key is the bearer key of the sample account.
 const Key = "dev-key"
 
-// Load returns the samples in the order in which they can be applied.
+// Load returns the samples in an order in which they can be applied.
 func Load() ([]*api.Resource, error) {
 	var resources []*api.Resource
 	for _, name := range []string{"model.json", "account.json", "service.json"} {
