--- a/cli/internal/command/bench.go
+++ b/cli/internal/command/bench.go
@@ -16,37 +16,37 @@
 
 func benchCommand() *cli.Command {
 	return &cli.Command{
-		Name: "bench", Usage: "measure wheelcleat on a small fleet in this process",
+		Name: "bench", Usage: "run benchmarks on a small in-process fleet or in simulated time",
 		Commands: []*cli.Command{benchDistributeCommand(), benchControlCommand(), benchRouteCommand(), benchLoadCommand(), benchLimitCommand(), benchFleetCommand()},
 	}
 }
 
 func benchDistributeCommand() *cli.Command {
 	return &cli.Command{
-		Name: "distribute", Usage: "time from a declaration to N hosts that serve it, and what the origin sends",
+		Name: "distribute", Usage: "measure the time until N hosts serve a declared version, and the bytes that the origin sends",
 		Flags: []cli.Flag{
-			&cli.IntFlag{Name: "hosts", Value: 64, Usage: "engine hosts over all data halls, `N`"},
-			&cli.IntFlag{Name: "data-halls", Value: 3, Usage: "data halls, `N`"},
+			&cli.IntFlag{Name: "hosts", Value: 64, Usage: "number `N` of engine hosts in all data halls together"},
+			&cli.IntFlag{Name: "data-halls", Value: 3, Usage: "number `N` of data halls"},
 			&cli.StringFlag{Name: "model-bytes", Value: "64MiB", Usage: "`SIZE` of the weights"},
-			&cli.StringFlag{Name: "chunk-bytes", Usage: "`SIZE` of a chunk; the default is planned"},
-			&cli.DurationFlag{Name: "unit", Value: 20 * time.Second, Usage: "`TIME` in which the origin's link carries 4 copies and a host's 2 up and 2 down"},
-			&cli.StringFlag{Name: "duplex", Value: "full", Usage: "`WAY` that a host's link carries both directions: full or half"},
-			&cli.StringFlag{Name: "policy", Value: "swarm", Usage: "`POLICIES`, by comma, run one after the other: swarm, naive-swarm, tree, origin-only"},
-			&cli.IntFlag{Name: "uploads", Usage: "uploads at a time of a host, `N`"},
-			&cli.IntFlag{Name: "downloads", Usage: "downloads from peers at a time of a host, `N`"},
-			&cli.IntFlag{Name: "neighbours", Usage: "peers whose chunks a host follows, `N`"},
-			&cli.StringFlag{Name: "fault", Value: "none", Usage: "`FAULTS`, by comma, or all: " + strings.Join(bench.Faults(), ", ")},
-			&cli.Uint64Flag{Name: "seed", Aliases: []string{"seeds"}, Value: 1, Usage: "`SEED` of the weights and of the fault's victims"},
-			&cli.DurationFlag{Name: "timeout", Value: 5 * time.Minute, Usage: "`TIME` after which a run is given up"},
-			&cli.BoolFlag{Name: "json", Usage: "only the JSON lines, one a run"},
-			&cli.StringFlag{Name: "plot", Usage: "draw the hosts that serve over time into `FILE.png`"},
-			&cli.StringFlag{Name: "log", Usage: "write the log lines of all processes to `FILE`"},
+			&cli.StringFlag{Name: "chunk-bytes", Usage: "`SIZE` of a chunk; derived from the model by default"},
+			&cli.DurationFlag{Name: "unit", Value: 20 * time.Second, Usage: "`DURATION` in which the link of the origin carries 4 copies of the model, and that of a host 2 up and 2 down"},
+			&cli.StringFlag{Name: "duplex", Value: "full", Usage: "duplex `MODE` of the links of hosts: full or half"},
+			&cli.StringFlag{Name: "policy", Value: "swarm", Usage: "comma-separated `POLICIES`, run one after the other: swarm, naive-swarm, tree, origin-only"},
+			&cli.IntFlag{Name: "uploads", Usage: "maximum number `N` of concurrent uploads of a host"},
+			&cli.IntFlag{Name: "downloads", Usage: "maximum number `N` of concurrent downloads of a host from peers"},
+			&cli.IntFlag{Name: "neighbours", Usage: "number `N` of peers whose chunk lists a host follows"},
+			&cli.StringFlag{Name: "fault", Value: "none", Usage: "comma-separated `FAULTS`, or all: " + strings.Join(bench.Faults(), ", ")},
+			&cli.Uint64Flag{Name: "seed", Aliases: []string{"seeds"}, Value: 1, Usage: "`SEED` of the weights and of the choice of faulty hosts"},
+			&cli.DurationFlag{Name: "timeout", Value: 5 * time.Minute, Usage: "`DURATION` after which a run is aborted"},
+			&cli.BoolFlag{Name: "json", Usage: "print only JSON, one line per run"},
+			&cli.StringFlag{Name: "plot", Usage: "plot the number of serving hosts over time to `FILE.png`"},
+			&cli.StringFlag{Name: "log", Usage: "write the logs of all processes to `FILE`"},
 		},
 		Action: benchDistribute,
 	}
 }
 
-// distributeConfig reads the flags that all runs share.
+// distributeConfig returns the configuration that is common to all runs.
 func distributeConfig(command *cli.Command) (bench.Distribute, error) {
 	config := bench.Distribute{
 		Hosts: command.Int("hosts"), Halls: command.Int("data-halls"), Unit: command.Duration("unit"),
@@ -66,7 +66,7 @@
 		return config, fmt.Errorf("%w: --duplex %q: use full or half", errUsage, duplex)
 	}
 	if config.Hosts < config.Halls || config.Halls < 1 || config.Unit <= 0 {
-		return config, fmt.Errorf("%w: every hall needs a host, and --unit is above 0", errUsage)
+		return config, fmt.Errorf("%w: --hosts must be at least --data-halls, and --unit positive", errUsage)
 	}
 	return config, nil
 }
@@ -110,7 +110,7 @@
 func showDistribution(command *cli.Command, r *bench.DistributeResult) {
 	out := command.Root().Writer
 	if !command.Bool("json") {
-		_, _ = fmt.Fprintf(out, "%s, %s: all %d hosts after %.2f s, %.2f of the bound; %.2f origin copies, %.2f across halls, %.2f twice; CPU %.0f %%\n",
+		_, _ = fmt.Fprintf(out, "%s, %s: all %d hosts after %.2f s, %.2f times the bound; %.2f origin copies, %.2f cross-hall copies, %.2f duplicate copies; CPU %.0f %%\n",
 			r.Policy, r.Fault, r.HostsCompleted, r.TimeTo100, r.RatioToBound, r.OriginCopies, r.CrossHallCopies, r.DuplicateCopies, 100*r.CPUShare)
 	}
 	_ = json.NewEncoder(out).Encode(r)
@@ -118,17 +118,17 @@
 
 func benchControlCommand() *cli.Command {
 	return &cli.Command{
-		Name: "control", Usage: "time from an accepted declaration to in force everywhere, and what control costs at rest",
+		Name: "control", Usage: "measure the time until a declaration is in force everywhere, and the cost of the control plane when idle",
 		Flags: []cli.Flag{
-			&cli.IntFlag{Name: "data-halls", Value: 2, Usage: "data halls, `N`"},
-			&cli.IntFlag{Name: "entries", Value: 4, Usage: "entries in each data hall, `N`"},
-			&cli.IntFlag{Name: "hosts", Value: 16, Usage: "engine hosts over all data halls, `N`"},
-			&cli.DurationFlag{Name: "rest", Value: 10 * time.Second, Usage: "`TIME` at rest that is measured"},
-			&cli.IntFlag{Name: "changes", Value: 60, Usage: "declarations, `N`"},
-			&cli.DurationFlag{Name: "every", Value: 100 * time.Millisecond, Usage: "`TIME` between two declarations"},
+			&cli.IntFlag{Name: "data-halls", Value: 2, Usage: "number `N` of data halls"},
+			&cli.IntFlag{Name: "entries", Value: 4, Usage: "number `N` of entries per data hall"},
+			&cli.IntFlag{Name: "hosts", Value: 16, Usage: "number `N` of engine hosts in all data halls together"},
+			&cli.DurationFlag{Name: "rest", Value: 10 * time.Second, Usage: "`DURATION` of the idle measurement"},
+			&cli.IntFlag{Name: "changes", Value: 60, Usage: "number `N` of declarations"},
+			&cli.DurationFlag{Name: "every", Value: 100 * time.Millisecond, Usage: "`INTERVAL` between declarations"},
 			&cli.StringFlag{Name: "fault", Value: "none", Usage: "`FAULT` of the key-value service: none, slow, down (half of the calls), lost-answers"},
-			&cli.DurationFlag{Name: "timeout", Value: 5 * time.Minute, Usage: "`TIME` after which the run is given up"},
-			&cli.BoolFlag{Name: "json", Usage: "only the JSON line"},
+			&cli.DurationFlag{Name: "timeout", Value: 5 * time.Minute, Usage: "`DURATION` after which the run is aborted"},
+			&cli.BoolFlag{Name: "json", Usage: "print only JSON"},
 		},
 		Action: benchControl,
 	}
@@ -141,7 +141,7 @@
 		Fault: command.String("fault"), Timeout: command.Duration("timeout"),
 	}
 	if run.Halls < 1 || run.EntriesPerHall < 1 || run.Agents < run.Halls {
-		return fmt.Errorf("%w: every hall needs an entry and a host", errUsage)
+		return fmt.Errorf("%w: --entries must be at least 1, and --hosts at least --data-halls", errUsage)
 	}
 	r, err := run.Run(ctx)
 	if err != nil {
@@ -149,7 +149,7 @@
 	}
 	out := command.Root().Writer
 	if !command.Bool("json") {
-		_, _ = fmt.Fprintf(out, "%d daemons, fault %s: in force after %.0f ms (p50), %.0f ms (p99); %d reverts, %d accepted and lost, %d false failures\n",
+		_, _ = fmt.Fprintf(out, "%d daemons, fault %s: in force after %.0f ms (p50), %.0f ms (p99); %d reverts, %d accepted but lost, %d false failures\n",
 			r.Daemons, r.Fault, r.InForceP50MS, r.InForceP99MS, r.Reverts, r.LostAccepted, r.FalseFailures)
 	}
 	return json.NewEncoder(out).Encode(r)
@@ -157,21 +157,21 @@
 
 func benchRouteCommand() *cli.Command {
 	return &cli.Command{
-		Name: "route", Usage: "what the way through entry and agent adds to the same load sent straight to the engines",
+		Name: "route", Usage: "measure the latency that entry and agent add, compared with the same load sent directly to the engines",
 		Flags: []cli.Flag{
-			&cli.IntFlag{Name: "data-halls", Value: 2, Usage: "data halls, `N`"},
-			&cli.IntFlag{Name: "entries", Value: 2, Usage: "entries in each data hall, `N`"},
-			&cli.IntFlag{Name: "hosts", Value: 8, Usage: "engine hosts over all data halls, `N`"},
-			&cli.FloatFlag{Name: "rate", Value: 500, Usage: "requests a second, `N`"},
-			&cli.DurationFlag{Name: "duration", Value: 10 * time.Second, Usage: "`TIME` of each of the two parts"},
-			&cli.IntFlag{Name: "tokens", Value: 16, Usage: "tokens of an answer, `N`"},
-			&cli.DurationFlag{Name: "prefill", Value: 20 * time.Millisecond, Usage: "`TIME` of an engine to the first token"},
-			&cli.DurationFlag{Name: "per-token", Value: 10 * time.Millisecond, Usage: "`TIME` of an engine between tokens"},
-			&cli.StringFlag{Name: "fault", Value: "none", Usage: "`FAULT` a third into the routed part: " + strings.Join(bench.RouteFaults(), ", ")},
-			&cli.Uint64Flag{Name: "seed", Aliases: []string{"seeds"}, Value: 1, Usage: "`SEED` of the arrivals"},
-			&cli.DurationFlag{Name: "timeout", Value: 5 * time.Minute, Usage: "`TIME` after which the run is given up"},
-			&cli.BoolFlag{Name: "json", Usage: "only the JSON line"},
-			&cli.StringFlag{Name: "log", Usage: "write the log lines of all processes to `FILE`; costs CPU that counts"},
+			&cli.IntFlag{Name: "data-halls", Value: 2, Usage: "number `N` of data halls"},
+			&cli.IntFlag{Name: "entries", Value: 2, Usage: "number `N` of entries per data hall"},
+			&cli.IntFlag{Name: "hosts", Value: 8, Usage: "number `N` of engine hosts in all data halls together"},
+			&cli.FloatFlag{Name: "rate", Value: 500, Usage: "`N` requests per second"},
+			&cli.DurationFlag{Name: "duration", Value: 10 * time.Second, Usage: "`DURATION` of each of the two phases"},
+			&cli.IntFlag{Name: "tokens", Value: 16, Usage: "number `N` of tokens per answer"},
+			&cli.DurationFlag{Name: "prefill", Value: 20 * time.Millisecond, Usage: "`TIME` to the first token at an engine"},
+			&cli.DurationFlag{Name: "per-token", Value: 10 * time.Millisecond, Usage: "`TIME` between tokens at an engine"},
+			&cli.StringFlag{Name: "fault", Value: "none", Usage: "`FAULT` injected after a third of the routed phase: " + strings.Join(bench.RouteFaults(), ", ")},
+			&cli.Uint64Flag{Name: "seed", Aliases: []string{"seeds"}, Value: 1, Usage: "`SEED` of the arrival process"},
+			&cli.DurationFlag{Name: "timeout", Value: 5 * time.Minute, Usage: "`DURATION` after which the run is aborted"},
+			&cli.BoolFlag{Name: "json", Usage: "print only JSON"},
+			&cli.StringFlag{Name: "log", Usage: "write the log lines of all processes to `FILE`; adds to the measured CPU time"},
 		},
 		Action: benchRoute,
 	}
@@ -185,7 +185,7 @@
 		Fault: command.String("fault"), Seed: command.Uint64("seed"), Timeout: command.Duration("timeout"),
 	}
 	if run.Halls < 1 || run.EntriesPerHall < 1 || run.Hosts < run.Halls || run.Rate <= 0 || run.Tokens < 1 {
-		return fmt.Errorf("%w: every hall needs an entry and a host, and rate and tokens are above 0", errUsage)
+		return fmt.Errorf("%w: --entries must be at least 1, --hosts at least --data-halls, and --rate and --tokens positive", errUsage)
 	}
 	if !slices.Contains(bench.RouteFaults(), run.Fault) {
 		return fmt.Errorf("%w: unknown --fault %q; use one of %s", errUsage, run.Fault, strings.Join(bench.RouteFaults(), ", "))
@@ -204,7 +204,7 @@
 	}
 	out := command.Root().Writer
 	if !command.Bool("json") {
-		_, _ = fmt.Fprintf(out, "%d requests at %.0f/s, fault %s: relay adds %d us (p50), %d us (p99) to the first token, %.0f us CPU a request; doubled %d, false not-run %d, mixed %d, cut in drain %d\n",
+		_, _ = fmt.Fprintf(out, "%d requests at %.0f/s, fault %s: relay adds %d us (p50), %d us (p99) to the first token, %.0f us CPU per request; doubled %d, false not-run %d, mixed %d, cut in drain %d\n",
 			r.Requests, r.Rate, r.Fault, r.AddedP50US, r.AddedP99US, r.CPUPerRequestUS, r.Doubled, r.FalseNotRun, r.Mixed, r.CutInDrain)
 	}
 	return json.NewEncoder(out).Encode(r)
--- a/cli/internal/command/command.go
+++ b/cli/internal/command/command.go
@@ -1,4 +1,8 @@
-// Package command holds the commands of wheelcleat, one file each.
+// Package command implements the subcommands of wheelcleat. The binary in cli/cmd/wheelcleat runs
+// New and exits with ExitCode.
+//
+// Commands write results to the Writer and progress to the ErrWriter of the root command. Errors of
+// the command line or of files wrap errUsage, so that scripts can tell them from failures.
 package command
 
 import (
@@ -22,53 +26,53 @@
 // Exit codes of wheelcleat.
 const (
 	ExitFailed = 1
-	// ExitUsage: the command line or a file is faulty; nothing was sent.
+	// ExitUsage means that the command line or a file is invalid, and that nothing was sent.
 	ExitUsage = 2
-	// ExitChanges: diff found differences.
+	// ExitChanges means that diff found differences.
 	ExitChanges = 3
 )
 
-// errUsage marks a faulty command line.
+// errUsage is wrapped by errors of the command line.
 var errUsage = errors.New("usage")
 
-// errChanges tells that diff found differences.
+// errChanges is returned by diff if there are differences.
 var errChanges = errors.New("differences found")
 
 // ExitCode returns the exit code for a command's error.
 func ExitCode(err error) int {
-	var faulty *settings.FileError
+	var invalid *settings.FileError
 	switch {
 	case err == nil:
 		return 0
 	case errors.Is(err, errChanges):
 		return ExitChanges
-	case errors.As(err, &faulty), errors.Is(err, errUsage):
+	case errors.As(err, &invalid), errors.Is(err, errUsage):
 		return ExitUsage
 	default:
 		return ExitFailed
 	}
 }
 
-// New returns the whole command line.
+// New returns the root command.
 func New() *cli.Command {
 	return &cli.Command{
 		Name:    "wheelcleat",
-		Usage:   "declare, follow and try out model distribution and routing",
+		Usage:   "manage, observe and test model distribution and routing",
 		Version: version(),
 		Flags: []cli.Flag{
-			&cli.StringSliceFlag{Name: "entry", Usage: "operators' address of an entry, `URL`; repeat for more", Sources: cli.EnvVars("WHEELCLEAT_ENTRY"), Value: []string{"http://127.0.0.1:7001"}},
+			&cli.StringSliceFlag{Name: "entry", Usage: "`URL` of the operators' address of an entry; may be repeated", Sources: cli.EnvVars("WHEELCLEAT_ENTRY"), Value: []string{"http://127.0.0.1:7001"}},
 			&cli.StringFlag{Name: "key", Usage: "operator's bearer `KEY`", Sources: cli.EnvVars("WHEELCLEAT_KEY")},
 		},
 		Commands: []*cli.Command{
 			applyCommand(), diffCommand(), getCommand(), deleteCommand(), watchCommand(), rolloutCommand(),
 			explainCommand(), suspectsCommand(), settingsCommand(), devCommand(), standinsCommand(), benchCommand(), soakCommand(),
 		},
-		// The caller prints the error and chooses the exit code.
+		// The caller prints the error and sets the exit code.
 		ExitErrHandler: func(context.Context, *cli.Command, error) {},
 	}
 }
 
-// version is the module's version, or the revision that the program was built from.
+// version returns the revision that the binary was built from, or else the version of the module.
 func version() string {
 	const unknown = "unknown"
 	info, ok := debug.ReadBuildInfo()
@@ -83,15 +87,15 @@
 	return cmp.Or(info.Main.Version, unknown)
 }
 
-// operator returns a client for the entries that the command line names.
+// operator returns a client for the entries given on the command line.
 func operator(command *cli.Command) *client.Client {
 	return &client.Client{Entries: command.StringSlice("entry"), Key: command.String("key")}
 }
 
 func outputFlag() cli.Flag {
-	return &cli.StringFlag{Name: "output", Aliases: []string{"o"}, Value: "table", Usage: "`FORM` of the output: table or json", Validator: func(form string) error {
-		if form != "table" && form != "json" {
-			return fmt.Errorf("%w: -o %q: use table or json", errUsage, form)
+	return &cli.StringFlag{Name: "output", Aliases: []string{"o"}, Value: "table", Usage: "output `FORMAT`: table or json", Validator: func(format string) error {
+		if format != "table" && format != "json" {
+			return fmt.Errorf("%w: -o %q: use table or json", errUsage, format)
 		}
 		return nil
 	}}
@@ -122,15 +126,15 @@
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// oneArgument returns the only argument of a command.
+// oneArgument returns the argument of a command that takes exactly one.
 func oneArgument(command *cli.Command, what string) (string, error) {
 	if command.Args().Len() != 1 {
-		return "", fmt.Errorf("%w: name one %s", errUsage, what)
+		return "", fmt.Errorf("%w: give exactly one %s", errUsage, what)
 	}
 	return command.Args().First(), nil
 }
 
-// kindArgument reads a kind such as "models".
+// kindArgument parses a kind such as "models".
 func kindArgument(text string) (api.Kind, error) {
 	kind, err := api.KindOf(text)
 	if err != nil {
--- a/cli/internal/command/command_test.go
+++ b/cli/internal/command/command_test.go
@@ -19,7 +19,7 @@
 	"github.com/wheelcleat/wheelcleat/standin/weights"
 )
 
-// output is what a run of the command line gave.
+// output is the result of a command line.
 type output struct {
 	stdout, stderr string
 	err            error
@@ -34,22 +34,22 @@
 	return output{stdout.String(), stderr.String(), err, ExitCode(err)}
 }
 
-func write(t *testing.T, name, text string) string {
+func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	return path
 }
 
-func TestSettingsCommands(t *testing.T) {
+func TestSettingsExamplesPassCheck(t *testing.T) {
 	for _, role := range []string{"entry", "agent"} {
 		example := run(t.Context(), "settings", "example", role)
 		require.NoError(t, example.err)
-		got := run(t.Context(), "settings", "check", write(t, "s.json", example.stdout))
+		got := run(t.Context(), "settings", "check", writeFile(t, "s.json", example.stdout))
 		require.NoError(t, got.err)
-		assert.Contains(t, got.stdout, "good settings for role "+role)
+		assert.Contains(t, got.stdout, "valid settings for role "+role)
 	}
-	got := run(t.Context(), "settings", "check", write(t, "s.json", `{"role":"entry","nam":"x"}`))
+	got := run(t.Context(), "settings", "check", writeFile(t, "s.json", `{"role":"entry","nam":"x"}`))
 	assert.Equal(t, ExitUsage, got.code)
 	assert.ErrorContains(t, got.err, "nam: unknown field")
 	assert.Equal(t, ExitUsage, run(t.Context(), "settings", "check").code)
@@ -57,7 +57,7 @@
 	assert.Equal(t, ExitFailed, run(t.Context(), "settings", "check", "/does/not/exist").code)
 }
 
-func TestExamplesMatchTheSampleModel(t *testing.T) {
+func TestExamplesReferToManifestOfSampleModel(t *testing.T) {
 	samples, err := examples.Load()
 	require.NoError(t, err)
 	require.Len(t, samples, 3)
@@ -70,7 +70,7 @@
 	assert.Equal(t, id.String(), samples[0].Model.Versions[0].Manifest)
 }
 
-func TestDevOnce(t *testing.T) {
+func TestDevOnceServesAndLogsDecisions(t *testing.T) {
 	logFile := filepath.Join(t.TempDir(), "log")
 	got := run(t.Context(), "dev", "--once", "--hosts", "4", "--entries", "1", "--model-bytes", "2MiB", "--log", logFile)
 	require.NoError(t, got.err, got.stdout)
@@ -89,26 +89,27 @@
 		var entry struct {
 			Fields map[string]any `json:"fields"`
 		}
-		require.NoError(t, json.Unmarshal([]byte(line), &entry), "every log line is JSON: %s", line)
+		require.NoError(t, json.Unmarshal([]byte(line), &entry), "log line is not JSON: %s", line)
 		if decision, ok := entry.Fields["decision"].(string); ok {
 			decisions[decision]++
 			assert.NotEmpty(t, entry.Fields["reason"])
 		}
 	}
-	assert.GreaterOrEqual(t, decisions["route"], onceRequests, "a line for each routing decision")
-	assert.GreaterOrEqual(t, decisions["place"], 4, "a line for each placement decision")
+	assert.GreaterOrEqual(t, decisions["route"], onceRequests, "missing lines of routing decisions")
+	assert.GreaterOrEqual(t, decisions["place"], 4, "missing lines of placement decisions")
 	assert.GreaterOrEqual(t, decisions["activate"], 4)
 }
 
-func TestDevRefusesBadFlags(t *testing.T) {
+func TestDevRejectsInvalidFlags(t *testing.T) {
 	for _, args := range [][]string{{"--model-bytes", "16"}, {"--hosts", "1"}, {"--data-halls", "0"}} {
 		got := run(t.Context(), append([]string{"dev", "--once"}, args...)...)
 		assert.Equal(t, ExitUsage, got.code, "%v: %v", args, got.err)
 	}
 }
 
-// small is a running fleet with its operators' address.
-func small(t *testing.T) (*fleet.Fleet, []string) {
+// startFleet starts a fleet of one entry and two agents, and returns it with the --entry flag that
+// selects it.
+func startFleet(t *testing.T) (*fleet.Fleet, []string) {
 	t.Helper()
 	config := fleet.Config{Halls: []string{"hall-1"}, EntriesPerHall: 1, Agents: 2}
 	config.Entry.HostsInterval, config.Agent.HostsInterval = 50*time.Millisecond, 50*time.Millisecond
@@ -119,19 +120,19 @@
 	return f, []string{"--entry", f.Operator().Entries[0]}
 }
 
-func TestDeclarationsFromFiles(t *testing.T) {
-	f, at := small(t)
+func TestApplyDiffAndPruneDeclarations(t *testing.T) {
+	f, entryFlag := startFleet(t)
 	id, err := f.AddModel(weights.Generate(1, 1<<20), 0)
 	require.NoError(t, err)
 	dir := t.TempDir()
 	put := func(name, text string) {
 		require.NoError(t, os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600))
 	}
-	// The service comes first by name; apply sorts it behind its model.
+	// The file of the service sorts first; apply must still create the model before it.
 	put("a-service.json", `{"kind":"Service","name":"s","spec":{"model":"m","version":"v1","replicas":2}}`)
 	put("b-model.json", `{"kind":"Model","name":"m","spec":{"versions":[{"name":"v1","manifest":"`+id.String()+`"}]}}`+"\n"+
 		`{"kind":"Account","name":"till","spec":{"keyDigests":["`+strings.Repeat("ab", 32)+`"]}}`)
-	cli := func(args ...string) output { return run(t.Context(), append(at, args...)...) }
+	cli := func(args ...string) output { return run(t.Context(), append(entryFlag, args...)...) }
 
 	got := cli("diff", "-f", dir)
 	assert.Equal(t, ExitChanges, got.code)
@@ -139,7 +140,7 @@
 	got = cli("apply", "-f", dir, "--dry-run")
 	require.NoError(t, got.err)
 	assert.Contains(t, got.stdout, "create services/s (dry run)")
-	require.Contains(t, cli("get", "models", "-o", "json").stdout, `"items": []`, "a dry run writes nothing")
+	require.Contains(t, cli("get", "models", "-o", "json").stdout, `"items": []`, "a dry run must not write")
 
 	got = cli("apply", "-f", dir)
 	require.NoError(t, got.err)
@@ -152,7 +153,7 @@
 	got = cli("rollout", "status", "s", "--wait", "--timeout", "30s")
 	require.NoError(t, got.err)
 	assert.Contains(t, got.stdout, "service s, version v1: done")
-	assert.Contains(t, got.stderr, "2 of 2 hosts ready", "plain lines where there is no terminal")
+	assert.Contains(t, got.stderr, "2 of 2 hosts ready", "progress is printed as lines without a terminal")
 	got = cli("rollout", "status", "s", "-o", "json")
 	var status api.RolloutStatus
 	require.NoError(t, json.Unmarshal([]byte(got.stdout), &status))
@@ -164,7 +165,7 @@
 	assert.Contains(t, got.stdout, `+   "replicas": 1`)
 	require.NoError(t, os.Remove(filepath.Join(dir, "a-service.json")))
 	require.NoError(t, cli("apply", "-f", dir).err)
-	assert.Contains(t, cli("get", "services").stdout, "m  v1, 2 hosts a hall", "without --prune nothing is deleted")
+	assert.Contains(t, cli("get", "services").stdout, "m  v1, 2 hosts per hall", "nothing may be deleted without --prune")
 	got = cli("apply", "-f", dir, "--prune", "-o", "json")
 	require.NoError(t, got.err)
 	assert.Contains(t, got.stdout, `{"change":"delete","kind":"Service","name":"s"}`)
@@ -172,7 +173,7 @@
 	require.NoError(t, cli("delete", "accounts", "till").err)
 }
 
-func TestFaultyDeclarations(t *testing.T) {
+func TestApplyRejectsInvalidDeclarations(t *testing.T) {
 	tests := []struct{ name, text, want string }{
 		{"not JSON", `{"kind":`, "f.json:1: resource 0"},
 		{"second resource", "{\"kind\":\"Model\",\"name\":\"m\",\"spec\":{}}\n{\"kind\":\"Pod\"}", "f.json:2: resource 1: kind: unknown kind"},
@@ -182,15 +183,15 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			got := run(t.Context(), "apply", "-f", write(t, "f.json", test.text))
+			got := run(t.Context(), "apply", "-f", writeFile(t, "f.json", test.text))
 			assert.Equal(t, ExitUsage, got.code)
 			assert.ErrorContains(t, got.err, test.want)
 		})
 	}
 }
 
-func TestWatchCommand(t *testing.T) {
-	f, at := small(t)
+func TestWatchPrintsChanges(t *testing.T) {
+	f, entryFlag := startFleet(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	reader, writer, err := os.Pipe()
 	require.NoError(t, err)
@@ -199,7 +200,7 @@
 		defer close(done)
 		command := New()
 		command.Writer = writer
-		_ = command.Run(ctx, append(append([]string{"wheelcleat"}, at...), "watch", "--after", "0"))
+		_ = command.Run(ctx, append(append([]string{"wheelcleat"}, entryFlag...), "watch", "--after", "0"))
 		_ = writer.Close()
 	}()
 	require.NoError(t, f.Declare(t.Context(), &api.Resource{Kind: api.KindAccount, Name: "till", Account: &api.AccountSpec{KeyDigests: []string{strings.Repeat("ab", 32)}}}))
@@ -211,7 +212,7 @@
 	<-done
 }
 
-func TestParseSize(t *testing.T) {
+func TestParseSizeRequiresUnitAndBounds(t *testing.T) {
 	for text, want := range map[string]int64{"1B": 1, "64KiB": 64 << 10, "16MiB": 16 << 20, "2GiB": 2 << 30} {
 		got, err := ParseSize(text)
 		require.NoError(t, err)
--- a/cli/internal/command/daemon_test.go
+++ b/cli/internal/command/daemon_test.go
@@ -26,7 +26,7 @@
 	"github.com/wheelcleat/wheelcleat/standin/weights"
 )
 
-// buildDaemon builds wheelcleatd once for a test.
+// buildDaemon builds wheelcleatd and returns its path.
 func buildDaemon(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "wheelcleatd")
@@ -41,7 +41,7 @@
 	return address
 }
 
-func read(t *testing.T, path string) string {
+func readFile(t *testing.T, path string) string {
 	t.Helper()
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
@@ -56,9 +56,9 @@
 	return server.Address
 }
 
-// TestDaemons starts the example settings' entry and agent as processes, each
-// example value kept but for the addresses, which must be free.
-func TestDaemons(t *testing.T) {
+// TestDaemonsServeWithExampleSettings starts an entry and an agent as processes. They use the example
+// settings, with free addresses instead of the fixed ones.
+func TestDaemonsServeWithExampleSettings(t *testing.T) {
 	daemon := buildDaemon(t)
 	list := &hostlist.Server{}
 	origin := &weights.Server{}
@@ -71,8 +71,8 @@
 	agent.Listen.Peers = freeAddress(t)
 	agent.Platform.HostList = entry.Platform.HostList
 	agent.Weights.Origin = startStandin(t, origin)
-	beside := &engine.Server{}
-	agent.Upstream.Address = startStandin(t, beside)
+	upstream := &engine.Server{}
+	agent.Upstream.Address = startStandin(t, upstream)
 	list.Set(hostlist.Host{Name: entry.Name, Role: hostlist.RoleEntry, Hall: entry.Hall, Address: entry.Listen.Peers})
 	list.Set(hostlist.Host{Name: agent.Name, Role: hostlist.RoleAgent, Hall: agent.Hall, Address: agent.Listen.Peers})
 
@@ -84,7 +84,7 @@
 	for name, value := range map[string]any{"entry": entry, "agent": agent} {
 		var text bytes.Buffer
 		require.NoError(t, writeJSON(&text, value))
-		process := exec.Command(daemon, write(t, name+".json", text.String()))
+		process := exec.Command(daemon, writeFile(t, name+".json", text.String()))
 		if name == "entry" {
 			process.Stdout, process.Stderr = output, output
 		}
@@ -102,12 +102,12 @@
 		}
 		_ = response.Body.Close()
 		return response.StatusCode == http.StatusOK
-	}), "the entry wrote:\n%s", read(t, logs))
-	declarations := write(t, "d.json", `{"kind":"Model","name":"m","spec":{"versions":[{"name":"v1","manifest":"`+id.String()+`"}]}}`+
+	}), "output of the entry:\n%s", readFile(t, logs))
+	declarations := writeFile(t, "d.json", `{"kind":"Model","name":"m","spec":{"versions":[{"name":"v1","manifest":"`+id.String()+`"}]}}`+
 		`{"kind":"Service","name":"s","spec":{"model":"m","version":"v1","replicas":1}}`)
 	require.NoError(t, run(ctx, "--entry", operators, "apply", "-f", declarations).err)
 	require.NoError(t, run(ctx, "--entry", operators, "rollout", "status", "s", "--wait").err)
-	assert.Equal(t, id.String(), beside.State().Manifest)
+	assert.Equal(t, id.String(), upstream.State().Manifest)
 
 	response, err := http.Get(operators + "/metrics")
 	require.NoError(t, err)
@@ -119,24 +119,24 @@
 
 	for name, process := range processes {
 		require.NoError(t, process.Process.Signal(syscall.SIGTERM))
-		require.NoError(t, process.Wait(), "%s exits 0 after a drain", name)
+		require.NoError(t, process.Wait(), "%s must exit with 0 after a drain", name)
 	}
-	assert.Contains(t, read(t, logs), `"decision":"place"`)
+	assert.Contains(t, readFile(t, logs), `"decision":"place"`)
 }
 
-func TestDaemonRefusesBadSettings(t *testing.T) {
+func TestDaemonRejectsInvalidSettings(t *testing.T) {
 	daemon := buildDaemon(t)
-	bad := write(t, "bad.json", `{"role":"entry","name":"e","hall":"h","listen":{"callers":"127.0.0.1:x"}}`)
-	for _, args := range [][]string{{bad}, {}, {bad, bad}} {
+	invalid := writeFile(t, "bad.json", `{"role":"entry","name":"e","hall":"h","listen":{"callers":"127.0.0.1:x"}}`)
+	for _, args := range [][]string{{invalid}, {}, {invalid, invalid}} {
 		text, err := exec.Command(daemon, args...).CombinedOutput()
 		var exit *exec.ExitError
 		require.ErrorAs(t, err, &exit)
 		assert.Equal(t, ExitUsage, exit.ExitCode(), "%s", text)
 		if len(args) == 1 {
 			assert.Contains(t, string(text), "bad.json: listen.callers: ")
-			assert.Equal(t, 1, strings.Count(string(text), "\n"), "one clear line: %s", text)
+			assert.Equal(t, 1, strings.Count(string(text), "\n"), "the error must be a single line: %s", text)
 		}
 	}
-	_, err := os.Stat(bad)
+	_, err := os.Stat(invalid)
 	require.NoError(t, err)
 }
--- a/cli/internal/command/declare.go
+++ b/cli/internal/command/declare.go
@@ -14,27 +14,27 @@
 )
 
 func fileFlag() cli.Flag {
-	return &cli.StringFlag{Name: "filename", Aliases: []string{"f"}, Required: true, Usage: "`FILE` or directory with declarations"}
+	return &cli.StringFlag{Name: "filename", Aliases: []string{"f"}, Required: true, Usage: "`FILE` or directory of declarations"}
 }
 
 func pruneFlag() cli.Flag {
-	return &cli.BoolFlag{Name: "prune", Usage: "delete what no declaration names"}
+	return &cli.BoolFlag{Name: "prune", Usage: "delete resources that are not declared"}
 }
 
 func applyCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "apply",
-		Usage: "bring declarations into force",
+		Usage: "apply declarations from a file or directory",
 		Flags: []cli.Flag{
 			fileFlag(), pruneFlag(), outputFlag(),
-			&cli.BoolFlag{Name: "dry-run", Usage: "validate at the entry and write nothing"},
+			&cli.BoolFlag{Name: "dry-run", Usage: "validate at the entry without writing"},
 		},
 		Action: apply,
 	}
 }
 
-// appliedLine is one resource in the JSON output of apply.
-type appliedLine struct {
+// applyResult is a line of the JSON output of apply.
+type applyResult struct {
 	Change   declare.ChangeType `json:"change"`
 	Kind     api.Kind           `json:"kind"`
 	Name     string             `json:"name"`
@@ -50,7 +50,7 @@
 	dryRun := command.Bool("dry-run")
 	out := command.Root().Writer
 	return declare.Apply(ctx, operator(command), changes, dryRun, func(change declare.Change, accepted *api.Resource) {
-		line := appliedLine{Change: change.Type, Kind: change.Kind, Name: change.Name, DryRun: dryRun}
+		line := applyResult{Change: change.Type, Kind: change.Kind, Name: change.Name, DryRun: dryRun}
 		if accepted != nil && change.Type != declare.ChangeDelete {
 			line.Revision = accepted.Revision
 		}
@@ -68,7 +68,8 @@
 	})
 }
 
-// plan loads the declarations that the command line names and compares them.
+// plan loads the declarations given on the command line and compares them with the current
+// resources.
 func plan(ctx context.Context, command *cli.Command) ([]declare.Change, error) {
 	all, err := declare.Load(command.String("filename"))
 	if err != nil {
@@ -80,7 +81,7 @@
 func diffCommand() *cli.Command {
 	return &cli.Command{
 		Name:   "diff",
-		Usage:  "show what apply would change; exit 3 when there is something",
+		Usage:  "show what apply would change; exits with 3 if there are changes",
 		Flags:  []cli.Flag{fileFlag(), pruneFlag(), outputFlag()},
 		Action: diff,
 	}
@@ -128,17 +129,16 @@
 	return strings.Split(string(data), "\n")
 }
 
-// lineDiff returns the lines that differ, marked with - and +, with a line of
-// context where both have one. Specs are short, so the longest common
-// subsequence by table is quick enough.
-func lineDiff(old, wanted []string) []string {
+// lineDiff returns all lines of both texts, with removed lines marked by - and added ones by +. It
+// computes the longest common subsequence in quadratic time, since specs are short.
+func lineDiff(old, desired []string) []string {
 	common := make([][]int, len(old)+1)
 	for i := range common {
-		common[i] = make([]int, len(wanted)+1)
+		common[i] = make([]int, len(desired)+1)
 	}
 	for i := len(old) - 1; i >= 0; i-- {
-		for j := len(wanted) - 1; j >= 0; j-- {
-			if old[i] == wanted[j] {
+		for j := len(desired) - 1; j >= 0; j-- {
+			if old[i] == desired[j] {
 				common[i][j] = common[i+1][j+1] + 1
 			} else {
 				common[i][j] = max(common[i+1][j], common[i][j+1])
@@ -147,17 +147,17 @@
 	}
 	var lines []string
 	i, j := 0, 0
-	for i < len(old) || j < len(wanted) {
+	for i < len(old) || j < len(desired) {
 		switch {
-		case i < len(old) && j < len(wanted) && old[i] == wanted[j]:
+		case i < len(old) && j < len(desired) && old[i] == desired[j]:
 			lines = append(lines, "  "+old[i])
 			i++
 			j++
-		case j >= len(wanted) || i < len(old) && common[i+1][j] >= common[i][j+1]:
+		case j >= len(desired) || i < len(old) && common[i+1][j] >= common[i][j+1]:
 			lines = append(lines, "- "+old[i])
 			i++
 		default:
-			lines = append(lines, "+ "+wanted[j])
+			lines = append(lines, "+ "+desired[j])
 			j++
 		}
 	}
@@ -166,7 +166,7 @@
 
 func getCommand() *cli.Command {
 	return &cli.Command{
-		Name: "get", Usage: "list resources of a kind, or show one", ArgsUsage: "models|services|accounts [NAME]",
+		Name: "get", Usage: "list the resources of a kind, or show one of them", ArgsUsage: "models|services|accounts [NAME]",
 		Flags: []cli.Flag{outputFlag()}, Action: get,
 	}
 }
@@ -204,7 +204,7 @@
 	})
 }
 
-// summary says in a few words what a resource declares.
+// summary describes what a resource declares in a few words.
 func summary(r *api.Resource) string {
 	switch r.Kind {
 	case api.KindModel:
@@ -217,7 +217,7 @@
 		if r.Service.Plain {
 			return "plain"
 		}
-		return fmt.Sprintf("%s %s %s, %d hosts a hall", r.Service.Model, r.Service.Adapter, r.Service.Version, r.Service.Replicas)
+		return fmt.Sprintf("%s %s %s, %d hosts per hall", r.Service.Model, r.Service.Adapter, r.Service.Version, r.Service.Replicas)
 	case api.KindAccount:
 		return fmt.Sprintf("%d keys, weight %v", len(r.Account.KeyDigests), max(r.Account.Weight, 1))
 	default:
@@ -227,8 +227,8 @@
 
 func deleteCommand() *cli.Command {
 	return &cli.Command{
-		Name: "delete", Usage: "delete one resource", ArgsUsage: "models|services|accounts NAME",
-		Flags: []cli.Flag{&cli.UintFlag{Name: "if-revision", Usage: "only if it is at this `REVISION`"}},
+		Name: "delete", Usage: "delete a resource", ArgsUsage: "models|services|accounts NAME",
+		Flags: []cli.Flag{&cli.UintFlag{Name: "if-revision", Usage: "delete only if the resource is at this `REVISION`"}},
 		Action: func(ctx context.Context, command *cli.Command) error {
 			kind, err := kindArgument(command.Args().First())
 			if err != nil {
@@ -236,7 +236,7 @@
 			}
 			name := command.Args().Get(1)
 			if name == "" {
-				return fmt.Errorf("%w: name the resource", errUsage)
+				return fmt.Errorf("%w: missing resource name", errUsage)
 			}
 			if err := operator(command).Delete(ctx, kind, name, uint64(command.Uint("if-revision"))); err != nil {
 				return err
--- a/cli/internal/command/dev.go
+++ b/cli/internal/command/dev.go
@@ -23,11 +23,12 @@
 )
 
 const (
-	// devSeed makes the sample model's bytes the same on every machine.
+	// devSeed is the seed of the weights of the sample model. The digest of the manifest in
+	// cli/examples depends on it.
 	devSeed = 1
-	// devTimeout bounds the time until the fleet is ready.
+	// devTimeout bounds the start of the fleet and the rollout of the sample model.
 	devTimeout = 2 * time.Minute
-	// devDrain bounds the stop.
+	// devDrain bounds the drain of all processes.
 	devDrain = 30 * time.Second
 	// onceRequests is the number of requests that dev --once sends.
 	onceRequests = 64
@@ -39,14 +40,14 @@
 func devCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "dev",
-		Usage: "run a whole small fleet on stand-ins in this process",
+		Usage: "run a small fleet in this process, with stand-ins of the platform services",
 		Flags: []cli.Flag{
-			&cli.IntFlag{Name: "hosts", Value: 8, Usage: "engine hosts over all data halls, `N`"},
-			&cli.IntFlag{Name: "data-halls", Value: 2, Usage: "data halls, `N`"},
-			&cli.IntFlag{Name: "entries", Value: 2, Usage: "entries in each data hall, `N`"},
-			&cli.StringFlag{Name: "model-bytes", Value: "16MiB", Usage: "`SIZE` of the sample model's weights"},
-			&cli.BoolFlag{Name: "once", Usage: "try the main job, print one JSON line, and exit"},
-			&cli.StringFlag{Name: "log", Usage: "write the log lines of all processes to `FILE`"},
+			&cli.IntFlag{Name: "hosts", Value: 8, Usage: "number `N` of engine hosts in all data halls together"},
+			&cli.IntFlag{Name: "data-halls", Value: 2, Usage: "number `N` of data halls"},
+			&cli.IntFlag{Name: "entries", Value: 2, Usage: "number `N` of entries per data hall"},
+			&cli.StringFlag{Name: "model-bytes", Value: "16MiB", Usage: "`SIZE` of the weights of the sample model"},
+			&cli.BoolFlag{Name: "once", Usage: "roll out the sample model, send requests, print a JSON summary and exit"},
+			&cli.StringFlag{Name: "log", Usage: "write the logs of all processes to `FILE`"},
 		},
 		Action: dev,
 	}
@@ -64,7 +65,7 @@
 	summary      DevSummary
 }
 
-// DevSummary is the last line of dev --once.
+// DevSummary is the JSON summary that dev --once prints as its last line.
 type DevSummary struct {
 	Hosts         int     `json:"hosts"`
 	Ready         int     `json:"ready"`
@@ -82,7 +83,7 @@
 	}
 	run := &devRun{hosts: command.Int("hosts"), halls: command.Int("data-halls"), modelBytes: size, out: command.Root().Writer}
 	if run.hosts < 1 || run.halls < 1 || run.hosts < run.halls || command.Int("entries") < 1 {
-		return fmt.Errorf("%w: --hosts, --data-halls and --entries are at least 1, and every hall has a host", errUsage)
+		return fmt.Errorf("%w: --hosts, --data-halls and --entries must be at least 1, and --hosts at least --data-halls", errUsage)
 	}
 	logOutput, closeLog, err := openLog(command.String("log"))
 	if err != nil {
@@ -94,7 +95,7 @@
 	if err := run.start(command.Int("entries"), logOutput); err != nil {
 		return err
 	}
-	err = run.work(ctx, command.Bool("once"))
+	err = run.exercise(ctx, command.Bool("once"))
 	drainCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), devDrain)
 	defer cancel()
 	if stopErr := run.fleet.Stop(drainCtx); err == nil {
@@ -127,8 +128,9 @@
 	return err
 }
 
-// work declares, waits and calls.
-func (d *devRun) work(ctx context.Context, once bool) error {
+// exercise rolls out the samples and sends requests. Without once, it then waits until the context
+// is canceled.
+func (d *devRun) exercise(ctx context.Context, once bool) error {
 	readyCtx, cancel := context.WithTimeout(ctx, devTimeout)
 	defer cancel()
 	if err := d.fleet.AwaitReady(readyCtx); err != nil {
@@ -137,19 +139,19 @@
 	if err := d.rollOut(readyCtx); err != nil {
 		return err
 	}
-	if err := d.oneAnswer(ctx); err != nil {
+	if err := d.sendSampleRequest(ctx); err != nil {
 		return err
 	}
 	if once {
-		return d.manyAnswers(ctx)
+		return d.sendRequests(ctx)
 	}
-	d.explain()
+	d.printInstructions()
 	<-ctx.Done()
 	_, _ = fmt.Fprintln(d.out, "\nstopping: draining every process")
 	return nil
 }
 
-// rollOut declares the samples and waits until every host serves.
+// rollOut declares the samples and waits until every host serves the model.
 func (d *devRun) rollOut(ctx context.Context) error {
 	var err error
 	d.model, err = d.fleet.AddModel(weights.Generate(devSeed, d.modelBytes), 0)
@@ -180,10 +182,10 @@
 	return nil
 }
 
-// readyHosts is the least number of ready hosts that any entry knows of, so
-// that a request to any of them finds all.
+// readyHosts returns the lowest number of ready hosts in the view of any entry, so that a request to
+// any entry can be routed to that many hosts.
 func (d *devRun) readyHosts(ctx context.Context) int {
-	least := d.hosts
+	lowest := d.hosts
 	for _, entry := range d.fleet.Operator().Entries {
 		operator := d.fleet.Operator()
 		operator.Entries = []string{entry}
@@ -195,12 +197,12 @@
 		for _, hall := range status.Halls {
 			ready += hall.Ready
 		}
-		least = min(least, ready)
+		lowest = min(lowest, ready)
 	}
-	return least
+	return lowest
 }
 
-// adapt fits the samples to the size of the fleet and of the model.
+// adapt sets the manifest and the number of replicas of the samples to those of the fleet.
 func (d *devRun) adapt(samples []*api.Resource) {
 	for _, r := range samples {
 		switch r.Kind {
@@ -215,7 +217,7 @@
 	}
 }
 
-// prompt is the body of a sample request.
+// prompt returns the body of a sample request.
 func prompt(text string) []byte {
 	body, _ := json.Marshal(engine.Completion{Prompt: text, MaxTokens: devTokens, Stream: true})
 	return body
@@ -225,7 +227,7 @@
 	return fleet.Call(ctx, e, fleet.CallOptions{Service: d.service, Path: "/v1/completions", Key: d.key, Body: prompt(text)})
 }
 
-func (d *devRun) oneAnswer(ctx context.Context) error {
+func (d *devRun) sendSampleRequest(ctx context.Context) error {
 	answer, err := d.call(ctx, d.fleet.Entries()[0], "a summary of the book")
 	if err != nil {
 		return fmt.Errorf("sample request: %w", err)
@@ -242,9 +244,9 @@
 	return nil
 }
 
-// manyAnswers sends requests to all entries side by side and checks every
-// token of every answer.
-func (d *devRun) manyAnswers(ctx context.Context) error {
+// sendRequests sends onceRequests requests concurrently to all entries and checks every token of the
+// answers.
+func (d *devRun) sendRequests(ctx context.Context) error {
 	entries := d.fleet.Entries()
 	var group sync.WaitGroup
 	var mu sync.Mutex
@@ -268,17 +270,16 @@
 	}
 	group.Wait()
 	if d.summary.AnswersOK < d.summary.Requests {
-		return fmt.Errorf("%d of %d answers were not whole: %w", d.summary.Requests-d.summary.AnswersOK, d.summary.Requests, firstErr)
+		return fmt.Errorf("%d of %d answers failed the check: %w", d.summary.Requests-d.summary.AnswersOK, d.summary.Requests, firstErr)
 	}
 	return nil
 }
 
-// CheckAnswer compares a streaming answer with the tokens that the version
-// must give for the prompt.
+// CheckAnswer compares a streaming answer with the tokens that the version generates for the prompt.
 func CheckAnswer(body []byte, version, text string, tokens int) error {
 	events := strings.Split(strings.TrimSuffix(string(body), "\n\n"), "\n\n")
 	if len(events) != tokens+1 || events[tokens] != "data: [DONE]" {
-		return fmt.Errorf("answer to %q has %d events, wanted %d and the end", text, len(events), tokens)
+		return fmt.Errorf("answer to %q has %d events, want %d tokens and the end marker", text, len(events), tokens)
 	}
 	for index, event := range events[:tokens] {
 		var token engine.Token
@@ -286,14 +287,14 @@
 			return fmt.Errorf("answer to %q, token %d: %w", text, index, err)
 		}
 		if token.Index != index || token.Manifest != version || token.Text != engine.TokenText(version, text, index) {
-			return fmt.Errorf("answer to %q, token %d is another's: %s", text, index, event)
+			return fmt.Errorf("answer to %q, token %d differs from the expected one: %s", text, index, event)
 		}
 	}
 	return nil
 }
 
-// explain prints where the fleet listens and what to try.
-func (d *devRun) explain() {
+// printInstructions prints the addresses of the entries and example commands.
+func (d *devRun) printInstructions() {
 	_, _ = fmt.Fprintln(d.out, "\nentries:")
 	for _, e := range d.fleet.Entries() {
 		a := e.Process.Addresses()
@@ -308,6 +309,6 @@
   wheelcleat --entry http://%s watch
   curl http://%s/metrics
 
-Ctrl-C drains and ends everything.
+Press Ctrl-C to drain and stop all processes.
 `, d.key, prompt("hello"), a.Callers, d.service, a.Operators, d.service, a.Operators, a.Operators, a.Operators)
 }
--- a/cli/internal/command/fleet.go
+++ b/cli/internal/command/fleet.go
@@ -15,18 +15,18 @@
 func benchFleetCommand() *cli.Command {
 	setup := lab.DefaultFleet()
 	return &cli.Command{
-		Name: "fleet", Usage: "when a start or a change reaches every router, and what links and the store carry; in simulated time",
+		Name: "fleet", Usage: "measure how long starts and changes take to reach all routers, and the load on links and store, in simulated time",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "routers", Value: strconv.Itoa(setup.Routers), Usage: "routers, `NUMBERS` by comma, such as 30,546,4000"},
-			&cli.FloatFlag{Name: "loaders", Value: float64(setup.Loaders) / float64(setup.Routers), Usage: "loaders for each router, `N`"},
-			&cli.IntFlag{Name: "data-halls", Value: setup.Halls, Usage: "data halls, `N`"},
-			&cli.FloatFlag{Name: "wide", Value: setup.Wide, Usage: "`PART` of the routers whose links are wide"},
+			&cli.StringFlag{Name: "routers", Value: strconv.Itoa(setup.Routers), Usage: "comma-separated `NUMBERS` of routers, such as 30,546,4000"},
+			&cli.FloatFlag{Name: "loaders", Value: float64(setup.Loaders) / float64(setup.Routers), Usage: "number `N` of loaders per router"},
+			&cli.IntFlag{Name: "data-halls", Value: setup.Halls, Usage: "number `N` of data halls"},
+			&cli.FloatFlag{Name: "wide", Value: setup.Wide, Usage: "`FRACTION` of routers with wide links"},
 			&cli.StringFlag{Name: "configuration-bytes", Value: strconv.Itoa(setup.ConfigurationBytes) + "B", Usage: "`SIZE` of a configuration"},
-			&cli.StringFlag{Name: "fault", Value: "all", Usage: "`FAULTS`, by comma, or all: " + strings.Join(lab.FleetFaultNames(), ", ")},
-			&cli.StringFlag{Name: "spread", Value: setup.Spread.Name, Usage: "`WAYS` to spread changes, by comma: now, flat"},
-			&cli.StringFlag{Name: "seed", Aliases: []string{"seeds"}, Value: "1", Usage: "`SEEDS`, by comma, a play each"},
-			&cli.BoolFlag{Name: "json", Usage: "only the JSON lines, one a play"},
-			&cli.StringFlag{Name: "plot", Usage: "draw the time to the last router by their number into `FILE.png`"},
+			&cli.StringFlag{Name: "fault", Value: "all", Usage: "comma-separated `FAULTS`, or all: " + strings.Join(lab.FleetFaultNames(), ", ")},
+			&cli.StringFlag{Name: "spread", Value: setup.Spread.Name, Usage: "comma-separated `MODES` of spreading changes: now, flat"},
+			&cli.StringFlag{Name: "seed", Aliases: []string{"seeds"}, Value: "1", Usage: "comma-separated `SEEDS`, one run each"},
+			&cli.BoolFlag{Name: "json", Usage: "print only JSON, one line per run"},
+			&cli.StringFlag{Name: "plot", Usage: "plot the time to the last router by the number of routers to `FILE.png`"},
 		},
 		Action: benchFleet,
 	}
@@ -37,14 +37,14 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
-	results, err := bench.RunFleets(ctx, setups, tellProgress(command))
+	results, err := bench.RunFleets(ctx, setups, reportProgress(command))
 	if err != nil {
 		return err
 	}
 	return writeResults(command, results, bench.WriteFleetTable, bench.PlotFleets)
 }
 
-// fleetSetups reads the flags: a play for each of their values with each.
+// fleetSetups returns a setup for each combination of the values of the flags.
 func fleetSetups(command *cli.Command) ([]lab.Fleet, error) {
 	routers, err := parseList(command.String("routers"), nil, strconv.Atoi)
 	if err != nil {
--- a/cli/internal/command/fleet_test.go
+++ b/cli/internal/command/fleet_test.go
@@ -9,30 +9,27 @@
 	"github.com/wheelcleat/wheelcleat/daemon/lab"
 )
 
-// TestBenchFleet prints a line for each play, as a table and as JSON, and says what is wrong
-// with its flags.
-func TestBenchFleet(t *testing.T) {
+// TestBenchFleetPrintsResultOfEachRun also checks that errors name the invalid flag.
+func TestBenchFleetPrintsResultOfEachRun(t *testing.T) {
 	args := []string{"bench", "fleet", "--routers", "10,20", "--data-halls", "2", "--fault", "start,change", "--spread", "now,flat"}
-	for _, result := range bothForms[lab.FleetResult](t, args, 2*2*2) {
-		assert.Positive(t, result.Last, "a small fleet is in force, whichever way")
+	for _, result := range runTableAndJSON[lab.FleetResult](t, args, 2*2*2) {
+		assert.Positive(t, result.Last, "the configuration must reach all routers in each mode")
 	}
-	refusesFlags(t, "fleet", map[string]string{
+	checkFlagErrors(t, "fleet", map[string]string{
 		"--routers": "x", "--fault": "flood", "--spread": "up", "--seed": "one", "--configuration-bytes": "80",
 	})
 	assert.ErrorContains(t, run(t.Context(), "bench", "fleet", "--routers", "0").err, "routers: 0")
 }
 
-// TestSeedAndSeedsAreOneFlag on the benches that play several.
-func TestSeedAndSeedsAreOneFlag(t *testing.T) {
+func TestSeedsIsAliasOfSeed(t *testing.T) {
 	for _, flag := range []string{"--seed", "--seeds"} {
 		got := run(t.Context(), "bench", "fleet", "--routers", "4", "--data-halls", "1", "--fault", "change", flag, "1,2")
 		require.NoError(t, got.err, flag)
-		assert.Len(t, linesOf(got.stdout), 1+2, flag)
+		assert.Len(t, splitLines(got.stdout), 1+2, flag)
 	}
 }
 
-// TestVersionIsTold in one line.
-func TestVersionIsTold(t *testing.T) {
+func TestVersionFlagPrintsVersion(t *testing.T) {
 	got := run(t.Context(), "--version")
 	require.NoError(t, got.err)
 	assert.Contains(t, got.stdout, "wheelcleat version ")
--- a/cli/internal/command/limit.go
+++ b/cli/internal/command/limit.go
@@ -15,17 +15,17 @@
 func benchLimitCommand() *cli.Command {
 	setup := lab.DefaultLimit()
 	return &cli.Command{
-		Name: "limit", Usage: "what comes to upstreams that name limits, while parts of the fleet are gone; in simulated time",
+		Name: "limit", Usage: "measure the request rate at upstreams with rate limits while parts of the fleet fail, in simulated time",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "routers", Value: "7", Usage: "routers, `NUMBERS` by comma, such as 6,40,400"},
-			&cli.IntFlag{Name: "data-halls", Value: setup.Halls, Usage: "data halls, `N`"},
-			&cli.IntFlag{Name: "upstreams", Value: setup.Upstreams, Usage: "upstreams, `N`; one of three names a limit"},
-			&cli.FloatFlag{Name: "rate", Value: setup.Rate, Usage: "requests a second of all callers, `N`"},
-			&cli.StringFlag{Name: "limit", Value: "2", Usage: "requests a second that are named, `NUMBERS` by comma, such as 0.2,1,5,50"},
-			&cli.StringFlag{Name: "fault", Value: "none", Usage: "`FAULTS`, by comma, or all: " + strings.Join(lab.LimitFaultNames(), ", ")},
-			&cli.StringFlag{Name: "seed", Aliases: []string{"seeds"}, Value: "1", Usage: "`SEEDS`, by comma, a play each"},
-			&cli.BoolFlag{Name: "json", Usage: "only the JSON lines, one a play"},
-			&cli.StringFlag{Name: "plot", Usage: "draw what comes to the limited upstreams over time into `FILE.png`"},
+			&cli.StringFlag{Name: "routers", Value: "7", Usage: "comma-separated `NUMBERS` of routers, such as 6,40,400"},
+			&cli.IntFlag{Name: "data-halls", Value: setup.Halls, Usage: "number `N` of data halls"},
+			&cli.IntFlag{Name: "upstreams", Value: setup.Upstreams, Usage: "number `N` of upstreams, one in three of them with a rate limit"},
+			&cli.FloatFlag{Name: "rate", Value: setup.Rate, Usage: "`N` requests per second of all callers together"},
+			&cli.StringFlag{Name: "limit", Value: "2", Usage: "comma-separated `LIMITS` in requests per second, such as 0.2,1,5,50"},
+			&cli.StringFlag{Name: "fault", Value: "none", Usage: "comma-separated `FAULTS`, or all: " + strings.Join(lab.LimitFaultNames(), ", ")},
+			&cli.StringFlag{Name: "seed", Aliases: []string{"seeds"}, Value: "1", Usage: "comma-separated `SEEDS`, one run each"},
+			&cli.BoolFlag{Name: "json", Usage: "print only JSON, one line per run"},
+			&cli.StringFlag{Name: "plot", Usage: "plot the request rate at the limited upstreams over time to `FILE.png`"},
 		},
 		Action: benchLimit,
 	}
@@ -43,7 +43,7 @@
 	return writeResults(command, results, bench.WriteLimitTable, bench.PlotLimits)
 }
 
-// limitSetups reads the flags: a play for each of their values with each.
+// limitSetups returns a setup for each combination of the values of the flags.
 func limitSetups(command *cli.Command) ([]lab.LimitSetup, error) {
 	routers, err := parseList(command.String("routers"), nil, strconv.Atoi)
 	if err != nil {
@@ -79,11 +79,11 @@
 
 func parseNumber(text string) (float64, error) {
 	number, err := strconv.ParseFloat(text, 64)
-	if err != nil || !(number >= 0 && number <= mostNumber) {
-		return 0, fmt.Errorf("%q is not a number from 0 to %g", text, mostNumber)
+	if err != nil || !(number >= 0 && number <= maxNumber) {
+		return 0, fmt.Errorf("%q is not a number from 0 to %g", text, maxNumber)
 	}
 	return number, nil
 }
 
-// mostNumber bounds numbers that are read from flags.
-const mostNumber = 1e6
+// maxNumber bounds floating-point values of list flags.
+const maxNumber = 1e6
--- a/cli/internal/command/load.go
+++ b/cli/internal/command/load.go
@@ -15,36 +15,36 @@
 	"github.com/wheelcleat/wheelcleat/daemon/lab"
 )
 
-// progressAfter is the time after which a long run tells how far it is.
-const progressAfter = 2 * time.Second
+// progressInterval is the minimum interval between progress messages.
+const progressInterval = 2 * time.Second
 
 func benchLoadCommand() *cli.Command {
 	setup := lab.Default()
 	return &cli.Command{
-		Name: "load", Usage: "what callers get under load, by way to decide, beside the best possible; in simulated time",
+		Name: "load", Usage: "compare routing policies under load with the theoretical optimum, in simulated time",
 		Flags: []cli.Flag{
-			&cli.IntFlag{Name: "engines", Value: setup.Engines, Usage: "engines, `N`"},
-			&cli.IntFlag{Name: "routers", Value: setup.Routers, Usage: "routers, `N`"},
-			&cli.IntFlag{Name: "data-halls", Value: setup.Halls, Usage: "data halls, `N`"},
-			&cli.FloatFlag{Name: "rate", Value: setup.Rate, Usage: "callers a second at a pattern's level 1, `N`"},
-			&cli.DurationFlag{Name: "length", Value: setup.Length, Usage: "`TIME` for which callers come"},
-			&cli.FloatFlag{Name: "patience", Value: setup.Patience, Usage: "`PART` by which the times of callers differ"},
-			&cli.StringFlag{Name: "pattern", Value: "steady:1,steady:1.25,burst", Usage: "`PATTERNS`, by comma, each with a level as in steady:1.25, or all: " + strings.Join(lab.PatternNames(), ", ")},
-			&cli.StringFlag{Name: "policy", Value: "now", Usage: "`POLICIES`, by comma, or all: " + strings.Join(lab.PolicyNames(), ", ")},
-			&cli.StringFlag{Name: "seed", Aliases: []string{"seeds"}, Value: "1", Usage: "`SEEDS`, by comma; figures are their means"},
-			&cli.BoolFlag{Name: "json", Usage: "only the JSON lines, one a pattern and policy"},
-			&cli.StringFlag{Name: "plot", Usage: "draw the worth over time into `FILE.png`"},
+			&cli.IntFlag{Name: "engines", Value: setup.Engines, Usage: "number `N` of engines"},
+			&cli.IntFlag{Name: "routers", Value: setup.Routers, Usage: "number `N` of routers"},
+			&cli.IntFlag{Name: "data-halls", Value: setup.Halls, Usage: "number `N` of data halls"},
+			&cli.FloatFlag{Name: "rate", Value: setup.Rate, Usage: "`N` callers per second at level 1 of a pattern"},
+			&cli.DurationFlag{Name: "length", Value: setup.Length, Usage: "`DURATION` of the arrivals"},
+			&cli.FloatFlag{Name: "patience", Value: setup.Patience, Usage: "`FRACTION` by which the deadlines of callers vary"},
+			&cli.StringFlag{Name: "pattern", Value: "steady:1,steady:1.25,burst", Usage: "comma-separated `PATTERNS`, each with an optional level as in steady:1.25, or all: " + strings.Join(lab.PatternNames(), ", ")},
+			&cli.StringFlag{Name: "policy", Value: "now", Usage: "comma-separated `POLICIES`, or all: " + strings.Join(lab.PolicyNames(), ", ")},
+			&cli.StringFlag{Name: "seed", Aliases: []string{"seeds"}, Value: "1", Usage: "comma-separated `SEEDS`; results are averaged over them"},
+			&cli.BoolFlag{Name: "json", Usage: "print only JSON, one line per pattern and policy"},
+			&cli.StringFlag{Name: "plot", Usage: "plot the value served over time to `FILE.png`"},
 		},
 		Action: benchLoad,
 	}
 }
 
 func benchLoad(ctx context.Context, command *cli.Command) error {
-	load, err := loadOf(command)
+	load, err := loadConfig(command)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
-	load.Progress = tellProgress(command)
+	load.Progress = reportProgress(command)
 	results, err := load.Run(ctx)
 	if err != nil {
 		return err
@@ -52,27 +52,26 @@
 	return writeResults(command, results, bench.WriteLoadTable, bench.PlotLoad)
 }
 
-// tellProgress returns what a long run calls after each of its plays; it tells how far the run
-// is now and then.
-func tellProgress(command *cli.Command) func(done, all int) {
-	began, told := time.Now(), time.Now()
-	return func(done, all int) {
-		if time.Since(told) > progressAfter {
-			told = time.Now()
-			_, _ = fmt.Fprintf(command.Root().ErrWriter, "%d of %d plays after %s\n", done, all, time.Since(began).Round(time.Second))
+// reportProgress returns a callback for the end of each simulation run. It prints the progress at
+// most once per progressInterval.
+func reportProgress(command *cli.Command) func(done, total int) {
+	started, reported := time.Now(), time.Now()
+	return func(done, total int) {
+		if time.Since(reported) > progressInterval {
+			reported = time.Now()
+			_, _ = fmt.Fprintf(command.Root().ErrWriter, "%d of %d runs done after %s\n", done, total, time.Since(started).Round(time.Second))
 		}
 	}
 }
 
-// writeResults writes results as JSON lines or as a table, and draws them where that is asked
-// for.
+// writeResults writes results as JSON lines or as a table, and plots them if --plot is given.
 func writeResults[R any](command *cli.Command, results []R, table func(io.Writer, []R) error, plot func(string, []R) error) error {
 	out := command.Root().Writer
 	if command.Bool("json") {
 		encoder := json.NewEncoder(out)
 		for _, r := range results {
 			if err := encoder.Encode(r); err != nil {
-				return fmt.Errorf("write a result: %w", err)
+				return fmt.Errorf("write result: %w", err)
 			}
 		}
 	} else if err := table(out, results); err != nil {
@@ -84,8 +83,8 @@
 	return nil
 }
 
-// loadOf reads the flags.
-func loadOf(command *cli.Command) (*bench.Load, error) {
+// loadConfig returns the benchmark that the flags configure.
+func loadConfig(command *cli.Command) (*bench.Load, error) {
 	load := &bench.Load{Setup: lab.Default()}
 	load.Setup.Engines, load.Setup.Routers, load.Setup.Halls = command.Int("engines"), command.Int("routers"), command.Int("data-halls")
 	load.Setup.Rate, load.Setup.Length, load.Setup.Patience = command.Float("rate"), command.Duration("length"), command.Float("patience")
@@ -102,11 +101,11 @@
 	return load, nil
 }
 
-// parseList parses each of a list of names by comma; "all" stands for all there are.
-func parseList[T any](text string, all []string, parse func(string) (T, error)) ([]T, error) {
+// parseList parses each item of a comma-separated list. "all" selects the known names, if any.
+func parseList[T any](text string, known []string, parse func(string) (T, error)) ([]T, error) {
 	names := strings.Split(text, ",")
-	if text == "all" && len(all) > 0 {
-		names = all
+	if text == "all" && len(known) > 0 {
+		names = known
 	}
 	values := make([]T, 0, len(names))
 	for _, name := range names {
@@ -122,7 +121,7 @@
 func parseSeed(text string) (uint64, error) {
 	seed, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return 0, fmt.Errorf("%q is not a whole number from 0 on", text)
+		return 0, fmt.Errorf("%q is not a non-negative integer", text)
 	}
 	return seed, nil
 }
--- a/cli/internal/command/settings.go
+++ b/cli/internal/command/settings.go
@@ -11,10 +11,10 @@
 
 func settingsCommand() *cli.Command {
 	return &cli.Command{
-		Name: "settings", Usage: "check settings files and print examples",
+		Name: "settings", Usage: "validate settings files and print examples",
 		Commands: []*cli.Command{
-			{Name: "check", Usage: "check a settings file; exit 2 and a line for each fault", ArgsUsage: "FILE", Action: settingsCheck},
-			{Name: "example", Usage: "print a settings file to start from", ArgsUsage: "entry|agent|router|loader", Action: settingsExample},
+			{Name: "check", Usage: "validate a settings file; prints a line per problem and exits with 2 if it is invalid", ArgsUsage: "FILE", Action: settingsCheck},
+			{Name: "example", Usage: "print an example settings file", ArgsUsage: "entry|agent|router|loader", Action: settingsExample},
 		},
 	}
 }
@@ -28,7 +28,7 @@
 	if err != nil {
 		return err
 	}
-	_, _ = fmt.Fprintf(command.Root().Writer, "%s: good settings for role %s\n", path, file.Role())
+	_, _ = fmt.Fprintf(command.Root().Writer, "%s: valid settings for role %s\n", path, file.Role())
 	return nil
 }
 
--- a/cli/internal/command/size.go
+++ b/cli/internal/command/size.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// sizeUnits are the units of ParseSize, longest suffix first.
+// sizeUnits are the units of ParseSize. "B" is last because it is a suffix of the others.
 var sizeUnits = []struct {
 	suffix string
 	bytes  int64
@@ -14,7 +14,7 @@
 	{"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}, {"B", 1},
 }
 
-// ParseSize reads a size with a unit, such as "64MiB".
+// ParseSize parses a positive size with a unit, such as "64MiB", of at most 1 TiB.
 func ParseSize(text string) (int64, error) {
 	for _, unit := range sizeUnits {
 		digits, ok := strings.CutSuffix(text, unit.suffix)
@@ -27,5 +27,5 @@
 		}
 		return count * unit.bytes, nil
 	}
-	return 0, fmt.Errorf("%q is not a size; write a whole number and B, KiB, MiB or GiB, such as \"64MiB\"", text)
+	return 0, fmt.Errorf("%q is not a valid size; use an integer and B, KiB, MiB or GiB, such as \"64MiB\"", text)
 }
--- a/cli/internal/command/soak.go
+++ b/cli/internal/command/soak.go
@@ -17,25 +17,25 @@
 	"github.com/wheelcleat/wheelcleat/cli/internal/soak"
 )
 
-// errViolations tells that a soak found promises that were not kept.
-var errViolations = errors.New("promises were not kept")
+// errViolations is returned if a soak test found violated guarantees.
+var errViolations = errors.New("guarantees violated")
 
 func soakCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "soak",
-		Usage:     "run routers and loaders as processes, let faults strike them, and check what they promise",
+		Usage:     "run routers and loaders as processes, inject faults, and check their guarantees",
 		UsageText: "wheelcleat soak --seeds 10\nwheelcleat soak --seed 7 --length 60s --routers 6 --loaders 8\nwheelcleat soak --plan soak/seed-7/plan.json",
 		Flags: []cli.Flag{
-			&cli.Uint64Flag{Name: "seed", Usage: "first `SEED`; 0 takes the time of day"},
-			&cli.IntFlag{Name: "seeds", Value: 1, Usage: "`NUMBER` of seeds, one after the other"},
-			&cli.StringFlag{Name: "plan", Usage: "play the plan in `FILE` instead of drawing one"},
-			&cli.DurationFlag{Name: "length", Value: 30 * time.Second, Usage: "`TIME` in which steps are drawn; a calm of up to 19 s follows"},
+			&cli.Uint64Flag{Name: "seed", Usage: "first `SEED`; 0 derives it from the current time"},
+			&cli.IntFlag{Name: "seeds", Value: 1, Usage: "`NUMBER` of consecutive seeds, run one after the other"},
+			&cli.StringFlag{Name: "plan", Usage: "run the plan in `FILE` instead of generating one"},
+			&cli.DurationFlag{Name: "length", Value: 30 * time.Second, Usage: "`DURATION` of the fault injection; up to 19 s without faults follow"},
 			&cli.IntFlag{Name: "halls", Value: 2, Usage: "`NUMBER` of data halls"},
-			&cli.IntFlag{Name: "routers", Value: 3, Usage: "routers a hall"},
-			&cli.IntFlag{Name: "loaders", Value: 3, Usage: "engines with a loader, a hall"},
-			&cli.IntFlag{Name: "plain", Value: 2, Usage: "upstreams without a loader, a hall"},
-			&cli.IntFlag{Name: "callers", Value: 4, Usage: "callers a router"},
-			&cli.StringFlag{Name: "daemon", Usage: "`PATH` of wheelcleatd; default: build it"},
+			&cli.IntFlag{Name: "routers", Value: 3, Usage: "routers per hall"},
+			&cli.IntFlag{Name: "loaders", Value: 3, Usage: "engines with a loader per hall"},
+			&cli.IntFlag{Name: "plain", Value: 2, Usage: "upstreams without a loader per hall"},
+			&cli.IntFlag{Name: "callers", Value: 4, Usage: "callers per router"},
+			&cli.StringFlag{Name: "daemon", Usage: "`PATH` of wheelcleatd; built if not given"},
 			&cli.StringFlag{Name: "folder", Value: "soak", Usage: "`FOLDER` for logs, plans, reports and plots"},
 			outputFlag(),
 		},
@@ -45,15 +45,15 @@
 
 func runSoak(ctx context.Context, command *cli.Command) error {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
-	defer stop() // and with the context all that a run started
-	daemon, remove, err := daemonOf(ctx, command.String("daemon"))
+	defer stop() // cancels the context, which stops all processes of a run
+	daemon, remove, err := findDaemon(ctx, command.String("daemon"))
 	if err != nil {
 		return err
 	}
 	defer remove()
 	var reports []*soak.Report
 	for i := range command.Int("seeds") {
-		plan, err := planOf(command, i)
+		plan, err := soakPlan(command, i)
 		if err != nil {
 			return err
 		}
@@ -68,11 +68,11 @@
 	} else {
 		err = writeSoakTable(command.Root().Writer, reports)
 	}
-	return errors.Join(err, violationsOf(reports))
+	return errors.Join(err, violationsError(reports))
 }
 
-// planOf draws the plan of the i-th seed, or reads the one that the command names.
-func planOf(command *cli.Command, i int) (soak.Plan, error) {
+// soakPlan returns the plan given on the command line, or else generates the plan of the i-th seed.
+func soakPlan(command *cli.Command, i int) (soak.Plan, error) {
 	if path := command.String("plan"); path != "" {
 		return soak.Load(path)
 	}
@@ -80,7 +80,7 @@
 	if seed == 0 {
 		seed = uint64(time.Now().UnixNano())
 	}
-	return soak.Draw(seed+uint64(i), command.Duration("length")), nil //nolint:gosec // counts up
+	return soak.Draw(seed+uint64(i), command.Duration("length")), nil //nolint:gosec // i is not negative
 }
 
 func soakOnce(ctx context.Context, command *cli.Command, daemon string, plan soak.Plan) (*soak.Report, error) {
@@ -101,48 +101,49 @@
 	return report, report.Save()
 }
 
-// daemonOf returns the daemon to run, and what removes it where it was built.
-func daemonOf(ctx context.Context, path string) (string, func(), error) {
+// findDaemon returns the path of the daemon to run, and a function that removes it if it was built
+// for this run.
+func findDaemon(ctx context.Context, path string) (string, func(), error) {
 	if path != "" {
 		return path, func() {}, nil
 	}
 	folder, err := os.MkdirTemp("", "wheelcleat-soak")
 	if err != nil {
-		return "", nil, fmt.Errorf("make a folder for the daemon: %w", err)
+		return "", nil, fmt.Errorf("create folder for the daemon: %w", err)
 	}
 	remove := func() { _ = os.RemoveAll(folder) }
 	path = filepath.Join(folder, "wheelcleatd")
 	if err := soak.Build(ctx, path); err != nil {
 		remove()
-		return "", nil, fmt.Errorf("%w; run this in the repository, or name one with --daemon", err)
+		return "", nil, fmt.Errorf("%w; run the command in the repository, or set the path with --daemon", err)
 	}
 	return path, remove, nil
 }
 
 func writeSoakTable(w io.Writer, reports []*soak.Report) error {
 	err := table(w, func(t *tabwriter.Writer) {
-		_, _ = fmt.Fprintln(t, "SEED\tSTEPS\tSTARTS\tASKED\tSERVED\tREFUSED\tFAILED\tCONFIGURATIONS\tVERSIONS\tORIGIN COPIES\tVIOLATIONS")
+		_, _ = fmt.Fprintln(t, "SEED\tSTEPS\tSTARTS\tREQUESTS\tSERVED\tREFUSED\tFAILED\tCONFIGURATIONS\tVERSIONS\tORIGIN COPIES\tVIOLATIONS")
 		for _, r := range reports {
 			_, _ = fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.2f\t%d\n", r.Seed, len(r.Steps), r.Starts,
 				r.Total.Asked, r.Total.Served, r.Total.Refused, r.Total.Failed, r.Changes, r.Versions, r.Copies, len(r.Violations))
 		}
 	})
-	const shown = 10
+	const maxShown = 10
 	for _, r := range reports {
-		for _, v := range r.Violations[:min(shown, len(r.Violations))] {
+		for _, v := range r.Violations[:min(maxShown, len(r.Violations))] {
 			_, _ = fmt.Fprintf(w, "seed %d, %.1f s: %s: %s\n", r.Seed, v.Seconds, v.Check, v.Text)
 			if v.Request != "" {
 				_, _ = fmt.Fprintf(w, "  wheelcleat explain %s %s\n", v.Request, filepath.Join(r.Folder, "*.log"))
 			}
 		}
-		if more := len(r.Violations) - shown; more > 0 {
-			_, _ = fmt.Fprintf(w, "seed %d: %d more in %s\n", r.Seed, more, filepath.Join(r.Folder, "report.json"))
+		if more := len(r.Violations) - maxShown; more > 0 {
+			_, _ = fmt.Fprintf(w, "seed %d: %d more violations in %s\n", r.Seed, more, filepath.Join(r.Folder, "report.json"))
 		}
 	}
 	return err
 }
 
-func violationsOf(reports []*soak.Report) error {
+func violationsError(reports []*soak.Report) error {
 	count := 0
 	for _, r := range reports {
 		count += len(r.Violations)
--- a/cli/internal/command/standins.go
+++ b/cli/internal/command/standins.go
@@ -21,15 +21,15 @@
 func standinsCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "standins",
-		Usage: "run stand-ins of the platform for daemons with the example settings",
+		Usage: "run stand-ins of the platform services at the addresses of the example settings",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "model-bytes", Value: "16MiB", Usage: "`SIZE` of the sample model's weights"},
+			&cli.StringFlag{Name: "model-bytes", Value: "16MiB", Usage: "`SIZE` of the weights of the sample model"},
 		},
 		Action: standins,
 	}
 }
 
-// standins serves what the example settings name until Ctrl-C.
+// standins runs the services that the example settings refer to, until SIGINT or SIGTERM.
 func standins(ctx context.Context, command *cli.Command) error {
 	size, err := ParseSize(command.String("model-bytes"))
 	if err != nil {
@@ -63,7 +63,7 @@
 		defer server.Close()
 		_, _ = fmt.Fprintf(command.Root().Writer, "%-18s http://%s\n", standin.name, server.Address)
 	}
-	_, _ = fmt.Fprintf(command.Root().Writer, "sample model       manifest %s\nCtrl-C ends them.\n", id)
+	_, _ = fmt.Fprintf(command.Root().Writer, "sample model       manifest %s\nPress Ctrl-C to stop.\n", id)
 	<-ctx.Done()
 	return nil
 }
--- a/cli/internal/command/suspects.go
+++ b/cli/internal/command/suspects.go
@@ -17,47 +17,47 @@
 	"github.com/urfave/cli/v3"
 )
 
-// suspectsPath is where routers hand out the contents under which upstreams ended.
+// suspectsPath is the path at which routers list the contents that upstreams crashed on.
 const suspectsPath = "/suspects"
 
-// suspectsTimeout bounds a call to a router.
+// suspectsTimeout bounds a request to a router.
 const suspectsTimeout = 5 * time.Second
 
-// errRouter says that a router answered with another status than the one hoped for.
-var errRouter = errors.New("the router refused")
+// errRouter is returned if a router answers with an unexpected status.
+var errRouter = errors.New("unexpected status from router")
 
-// suspect is a content under which upstreams ended.
+// suspect is a content that upstreams crashed on.
 type suspect struct {
-	Content string       `json:"content"`
-	Ends    []suspectEnd `json:"ends"`
+	Content string         `json:"content"`
+	Crashes []suspectCrash `json:"ends"`
 }
 
-// suspectEnd is an upstream's end; three deep hold a content back.
-type suspectEnd struct {
+// suspectCrash is the crash of an upstream. A content is quarantined at depth 3.
+type suspectCrash struct {
 	Upstream string    `json:"upstream"`
 	Started  time.Time `json:"started,omitzero"`
 	Depth    int       `json:"depth"`
 }
 
-// depth is that of the deepest end.
+// depth returns the highest depth of the crashes.
 func (s suspect) depth() int {
-	deepest := 0
-	for _, end := range s.Ends {
-		deepest = max(deepest, end.Depth)
+	highest := 0
+	for _, crash := range s.Crashes {
+		highest = max(highest, crash.Depth)
 	}
-	return deepest
+	return highest
 }
 
 func suspectsCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "suspects",
-		Usage: "list the requests under which upstreams ended, by their content, as a router knows them; `lift` clears one at all routers",
+		Usage: "list the contents of requests that upstreams crashed on, as held by a router; `lift` clears one at all routers",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "router", Usage: "peers' `ADDRESS` of any router", Sources: cli.EnvVars("WHEELCLEAT_ROUTER"), Value: "127.0.0.1:7002"},
+			&cli.StringFlag{Name: "router", Usage: "peer `ADDRESS` of any router", Sources: cli.EnvVars("WHEELCLEAT_ROUTER"), Value: "127.0.0.1:7002"},
 			outputFlag(),
 		},
 		Action:   listSuspects,
-		Commands: []*cli.Command{{Name: "lift", Usage: "let requests with a content go to upstreams again", ArgsUsage: "CONTENT", Action: liftSuspect}},
+		Commands: []*cli.Command{{Name: "lift", Usage: "lift the quarantine of a content", ArgsUsage: "CONTENT", Action: liftSuspect}},
 	}
 }
 
@@ -69,22 +69,22 @@
 	if err != nil {
 		return err
 	}
-	var answer struct {
+	var listing struct {
 		Notes []suspect `json:"notes"`
 	}
-	if err := json.Unmarshal(body, &answer); err != nil {
-		return fmt.Errorf("decode the answer of router %s: %w", command.String("router"), err)
+	if err := json.Unmarshal(body, &listing); err != nil {
+		return fmt.Errorf("decode response of router %s: %w", command.String("router"), err)
 	}
-	slices.SortFunc(answer.Notes, func(a, b suspect) int { return b.depth() - a.depth() })
+	slices.SortFunc(listing.Notes, func(a, b suspect) int { return b.depth() - a.depth() })
 	if wantsJSON(command) {
-		return writeJSON(command.Root().Writer, answer.Notes)
+		return writeJSON(command.Root().Writer, listing.Notes)
 	}
 	return table(command.Root().Writer, func(t *tabwriter.Writer) {
-		_, _ = fmt.Fprintln(t, "CONTENT\tDEPTH\tUPSTREAMS THAT ENDED")
-		for _, s := range answer.Notes {
-			names := make([]string, 0, len(s.Ends))
-			for _, end := range s.Ends {
-				names = append(names, end.Upstream)
+		_, _ = fmt.Fprintln(t, "CONTENT\tDEPTH\tCRASHED UPSTREAMS")
+		for _, s := range listing.Notes {
+			names := make([]string, 0, len(s.Crashes))
+			for _, crash := range s.Crashes {
+				names = append(names, crash.Upstream)
 			}
 			_, _ = fmt.Fprintf(t, "%s\t%d\t%s\n", s.Content, s.depth(), strings.Join(names, ", "))
 		}
@@ -100,13 +100,14 @@
 	return err
 }
 
-// callRouter makes a call to the router that the command line names.
+// callRouter sends a request to the router given on the command line and returns the body of the
+// response.
 func callRouter(ctx context.Context, command *cli.Command, method, path string, want int) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, suspectsTimeout)
 	defer cancel()
 	router := command.String("router")
 	if _, err := netip.ParseAddrPort(router); err != nil {
-		return nil, fmt.Errorf("%w: --router %q: give an address such as 10.1.0.40:7002", errUsage, router)
+		return nil, fmt.Errorf("%w: --router %q: use an address such as 10.1.0.40:7002", errUsage, router)
 	}
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+router+path, http.NoBody)
 	if err != nil {
@@ -117,10 +118,10 @@
 		return nil, fmt.Errorf("call router %s: %w", router, err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	const most = 8 << 20
-	body, err := io.ReadAll(io.LimitReader(response.Body, most))
+	const maxBodyBytes = 8 << 20
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxBodyBytes))
 	if err != nil {
-		return nil, fmt.Errorf("read the answer of router %s: %w", router, err)
+		return nil, fmt.Errorf("read response of router %s: %w", router, err)
 	}
 	if response.StatusCode != want {
 		return nil, fmt.Errorf("router %s: status %d: %s: %w", router, response.StatusCode, strings.TrimSpace(string(body)), errRouter)
--- a/cli/internal/command/suspects_test.go
+++ b/cli/internal/command/suspects_test.go
@@ -11,8 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSuspects: the deepest first, in a table and as JSON; lifted by the whole name.
-func TestSuspects(t *testing.T) {
+// TestSuspectsAreListedByDepthAndLifted checks the order of the table, the JSON output, and that lift
+// passes the complete name of the content to the router.
+func TestSuspectsAreListedByDepthAndLifted(t *testing.T) {
 	lifted := ""
 	router := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch {
@@ -31,7 +32,7 @@
 
 	got := run(t.Context(), "suspects", "--router", address)
 	require.NoError(t, got.err)
-	assert.Equal(t, "CONTENT  DEPTH  UPSTREAMS THAT ENDED\nbb       3      u1, u2, u3\naa       1      u1\n", got.stdout)
+	assert.Equal(t, "CONTENT  DEPTH  CRASHED UPSTREAMS\nbb       3      u1, u2, u3\naa       1      u1\n", got.stdout)
 	got = run(t.Context(), "suspects", "--router", address, "-o", "json")
 	require.NoError(t, got.err)
 	assert.Contains(t, got.stdout, `"content": "bb"`)
--- a/cli/internal/command/watch.go
+++ b/cli/internal/command/watch.go
@@ -16,23 +16,23 @@
 
 func watchCommand() *cli.Command {
 	return &cli.Command{
-		Name: "watch", Usage: "print every change of a resource as it comes into force",
+		Name: "watch", Usage: "print changes of resources as they take effect",
 		Flags: []cli.Flag{
 			outputFlag(),
-			&cli.UintFlag{Name: "after", Usage: "start after this `REVISION`; the default is now"},
+			&cli.UintFlag{Name: "after", Usage: "start after this `REVISION`; default: the current one"},
 		},
 		Action: watch,
 	}
 }
 
-// watchRetry is the pause before a broken watch is resumed.
-const watchRetry = 500 * time.Millisecond
+// watchRetryDelay is the delay before an interrupted watch is resumed.
+const watchRetryDelay = 500 * time.Millisecond
 
 func watch(ctx context.Context, command *cli.Command) error {
-	from := operator(command)
+	entries := operator(command)
 	after := uint64(command.Uint("after"))
 	if !command.IsSet("after") {
-		list, err := from.List(ctx, api.KindService)
+		list, err := entries.List(ctx, api.KindService)
 		if err != nil {
 			return err
 		}
@@ -40,7 +40,7 @@
 	}
 	out := command.Root().Writer
 	for {
-		err := from.Watch(ctx, after, func(event api.Event) error {
+		err := entries.Watch(ctx, after, func(event api.Event) error {
 			after = max(after, event.Revision)
 			if wantsJSON(command) {
 				return json.NewEncoder(out).Encode(event)
@@ -55,7 +55,7 @@
 			return err
 		}
 		select {
-		case <-time.After(watchRetry):
+		case <-time.After(watchRetryDelay):
 		case <-ctx.Done():
 			return nil
 		}
@@ -71,21 +71,21 @@
 
 func rolloutCommand() *cli.Command {
 	return &cli.Command{
-		Name: "rollout", Usage: "follow how a service's declared version comes into service",
+		Name: "rollout", Usage: "follow the rollout of the declared version of a service",
 		Commands: []*cli.Command{{
-			Name: "status", Usage: "show how far each data hall is", ArgsUsage: "SERVICE",
+			Name: "status", Usage: "show the progress in each data hall", ArgsUsage: "SERVICE",
 			Flags: []cli.Flag{
 				outputFlag(),
-				&cli.BoolFlag{Name: "wait", Usage: "until every hall is done; fail when one halts"},
-				&cli.DurationFlag{Name: "timeout", Value: 10 * time.Minute, Usage: "give up waiting after this `TIME`"},
+				&cli.BoolFlag{Name: "wait", Usage: "wait until all halls are done; fails if one halts"},
+				&cli.DurationFlag{Name: "timeout", Value: 10 * time.Minute, Usage: "maximum `DURATION` to wait"},
 			},
 			Action: rolloutStatus,
 		}},
 	}
 }
 
-// statusEvery is the interval in which a waiting rollout status asks again.
-const statusEvery = 200 * time.Millisecond
+// statusInterval is the poll interval of rollout status --wait.
+const statusInterval = 200 * time.Millisecond
 
 func rolloutStatus(ctx context.Context, command *cli.Command) error {
 	service, err := oneArgument(command, "service")
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// StatusLines returns a rollout's status for reading.
+// StatusLines formats the status of a rollout as text.
 func StatusLines(status *api.RolloutStatus) []string {
 	state := "in progress"
 	if status.Done {
@@ -141,13 +141,13 @@
 	return lines
 }
 
-// WaitRollout asks until a rollout is done and shows its progress. A halted
-// hall is an error.
-func WaitRollout(ctx context.Context, from *client.Client, service string, show func(*api.RolloutStatus)) (*api.RolloutStatus, error) {
-	ticker := time.NewTicker(statusEvery)
+// WaitRollout polls the status of a rollout until it is done, and passes each status to show. It
+// fails if a hall halts or the service does not exist, and retries other errors until ctx ends.
+func WaitRollout(ctx context.Context, operator *client.Client, service string, show func(*api.RolloutStatus)) (*api.RolloutStatus, error) {
+	ticker := time.NewTicker(statusInterval)
 	defer ticker.Stop()
 	for {
-		status, err := from.Rollout(ctx, service)
+		status, err := operator.Rollout(ctx, service)
 		if err == nil {
 			show(status)
 			if status.Done {
@@ -155,7 +155,7 @@
 			}
 			for _, hall := range status.Halls {
 				if hall.Halted != "" {
-					return status, fmt.Errorf("the rollout of %s halted in %s: %s; declare the earlier version to roll back, or a new one", service, hall.Hall, hall.Halted)
+					return status, fmt.Errorf("rollout of %s halted in %s: %s; declare the previous version to roll back, or a new one", service, hall.Hall, hall.Halted)
 				}
 			}
 		}
@@ -166,14 +166,15 @@
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
-			return status, fmt.Errorf("the rollout of %s is not done: %w", service, ctx.Err())
+			return status, fmt.Errorf("rollout of %s is not done: %w", service, ctx.Err())
 		}
 	}
 }
 
 const barWidth = 30
 
-// newProgress shows a bar on a terminal, and elsewhere a line at each change.
+// newProgress returns a function that prints the progress of a rollout: a bar on a terminal, and
+// otherwise a line per change.
 func newProgress(command *cli.Command) func(*api.RolloutStatus) {
 	out := command.Root().ErrWriter
 	terminal := onTerminal(out)
