--- a/cli/internal/command/load.go
+++ b/cli/internal/command/load.go
@@ -29,7 +29,7 @@
 			&cli.FloatFlag{Name: "rate", Value: setup.Rate, Usage: "`N` callers per second at level 1 of a pattern"},
 			&cli.DurationFlag{Name: "length", Value: setup.Length, Usage: "`DURATION` of the arrivals"},
 			&cli.FloatFlag{Name: "patience", Value: setup.Patience, Usage: "`FRACTION` by which the deadlines of callers vary"},
-			&cli.StringFlag{Name: "pattern", Value: "steady:1,steady:1.25,burst", Usage: "comma-separated `PATTERNS`, each with an optional level as in steady:1.25, or all: " + strings.Join(lab.PatternNames(), ", ")},
+			&cli.StringFlag{Name: "pattern", Value: "steady:1,steady:1.25,burst", Usage: "comma-separated `PATTERNS`, with a level as in steady:1.25, or all: " + strings.Join(lab.PatternNames(), ", ")},
 			&cli.StringFlag{Name: "policy", Value: "now", Usage: "comma-separated `POLICIES`, or all: " + strings.Join(lab.PolicyNames(), ", ")},
 			&cli.StringFlag{Name: "seed", Aliases: []string{"seeds"}, Value: "1", Usage: "comma-separated `SEEDS`; results are averaged over them"},
 			&cli.BoolFlag{Name: "json", Usage: "print only JSON, one line per pattern and policy"},
--- a/cli/internal/explain/print.go
+++ b/cli/internal/explain/print.go
@@ -129,7 +129,8 @@
 func printAttempt(p *printer, number int, attempt Attempt) {
 	p.linef(1, "attempt %d after %s at %s: %s in %s", number, rounded(attempt.Offset), attempt.Upstream, attempt.Result, rounded(attempt.Duration))
 	if attempt.ReportAge > 0 {
-		p.linef(2, "chosen by: version %d, %d running, %d waiting, %d in excess of its places, load report %s old", attempt.Version, attempt.Running, attempt.Waiting, attempt.Excess, rounded(attempt.ReportAge))
+		p.linef(2, "chosen by: version %d, %d running, %d waiting, %d in excess of its places, load report %s old",
+			attempt.Version, attempt.Running, attempt.Waiting, attempt.Excess, rounded(attempt.ReportAge))
 	}
 	if attempt.Limit != "" {
 		p.linef(2, "rate limit stated in its answer, in requests a second over all routers: %s; admitted by: %s", attempt.Limit, orNone(attempt.Path))
--- a/cli/internal/explain/trace.go
+++ b/cli/internal/explain/trace.go
@@ -26,12 +26,11 @@
 	Total, Missing int
 	// crashes are the lines about crashed upstreams, of any request.
 	crashes []Line
-	// processes maps the role and name of a process to its other lines.
+	// processes maps the role and name of a process to the lines about its state.
 	processes map[string]*process
 }
 
-// process holds the lines of one process that are not about the request, in the order in which
-// they were read.
+// process holds the lines of one process about its state, in the order in which they were read.
 type process struct {
 	name, role  string
 	updates     []Line
