--- a/standin/hostlist/hostlist.go
+++ b/standin/hostlist/hostlist.go
@@ -1,7 +1,7 @@
-// Package hostlist is a stand-in for the platform's list of live and leaving
-// hosts. What it answers lags behind what was set.
+// Package hostlist simulates the platform's list of live and leaving hosts.
+// Changes become visible after a configurable lag.
 //
-//	GET /hosts?hall=H   {revision, hosts}; If-None-Match with the last ETag gives 304
+//	GET /hosts?hall=H   {revision, hosts}; 304 if If-None-Match is the current ETag
 package hostlist
 
 import (
@@ -15,58 +15,58 @@
 	"github.com/wheelcleat/wheelcleat/standin/serve"
 )
 
-// Role says what runs on a host.
+// Role is the kind of wheelcleat process that runs on a host.
 type Role string
 
-// The roles.
+// Roles of a Host.
 const (
 	RoleEntry Role = "entry"
 	RoleAgent Role = "agent"
 )
 
-// State says whether a host is going.
+// State is the lifecycle state of a host.
 type State string
 
-// The states.
+// States of a Host.
 const (
 	StateLive    State = "live"
 	StateLeaving State = "leaving"
 )
 
-// Host is one line of the list.
+// Host is one entry of the list.
 type Host struct {
 	Name  string `json:"name"`
 	Role  Role   `json:"role"`
 	Hall  string `json:"hall"`
 	State State  `json:"state"`
-	// Address is where the host's wheelcleat process listens to its peers.
+	// Address is the peer listener of the host's wheelcleat process.
 	Address netip.AddrPort `json:"address"`
 }
 
-// List is what the service answers.
+// List is the response to GET /hosts.
 type List struct {
 	Revision uint64 `json:"revision"`
 	Hosts    []Host `json:"hosts"`
 }
 
-// change is one edit of the list, visible from a time on.
+// change is a pending update of the list.
 type change struct {
-	visible time.Time
-	name    string
-	host    Host
-	removed bool
+	visibleAt time.Time
+	name      string
+	host      Host
+	removed   bool
 }
 
-// Server is the list. The zero value is empty and does not lag.
+// Server serves the list. The zero value is empty and has no lag.
 type Server struct {
-	// Lag is the time until a change shows; nil means none.
+	// Lag returns the time until a change becomes visible; nil means none.
 	Lag func() time.Duration
-	// Down makes calls fail; nil means never.
+	// Down reports whether requests fail; nil means never.
 	Down func() bool
 	// Now is the clock; nil means time.Now.
 	Now func() time.Time
 
-	// mu guards all below.
+	// mu guards the fields below.
 	mu       sync.Mutex
 	pending  []change
 	hosts    map[string]Host
@@ -81,32 +81,33 @@
 }
 
 // Set adds or replaces a host.
-func (s *Server) Set(host Host) { s.edit(change{name: host.Name, host: host}) }
+func (s *Server) Set(host Host) { s.enqueue(change{name: host.Name, host: host}) }
 
 // Remove takes a host off the list.
-func (s *Server) Remove(name string) { s.edit(change{name: name, removed: true}) }
+func (s *Server) Remove(name string) { s.enqueue(change{name: name, removed: true}) }
 
-func (s *Server) edit(c change) {
-	c.visible = s.now()
+func (s *Server) enqueue(c change) {
+	c.visibleAt = s.now()
 	if s.Lag != nil {
-		c.visible = c.visible.Add(s.Lag())
+		c.visibleAt = c.visibleAt.Add(s.Lag())
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pending = append(s.pending, c)
 }
 
-// settle applies the changes whose time has come; the caller holds mu.
-func (s *Server) settle() {
+// applyVisible applies the pending changes that have become visible. The caller
+// holds mu.
+func (s *Server) applyVisible() {
 	now := s.now()
 	if s.hosts == nil {
 		s.hosts = map[string]Host{}
 	}
-	var waiting []change
+	var pending []change
 	for _, c := range s.pending {
 		switch {
-		case c.visible.After(now):
-			waiting = append(waiting, c)
+		case c.visibleAt.After(now):
+			pending = append(pending, c)
 			continue
 		case c.removed:
 			delete(s.hosts, c.name)
@@ -115,14 +116,14 @@
 		}
 		s.revision++
 	}
-	s.pending = waiting
+	s.pending = pending
 }
 
-// Current returns the list as callers see it now; an empty hall means all.
+// Current returns the visible list of a hall; an empty hall means all.
 func (s *Server) Current(hall string) List {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.settle()
+	s.applyVisible()
 	list := List{Revision: s.revision}
 	for _, host := range s.hosts {
 		if hall == "" || host.Hall == hall {
@@ -133,7 +134,7 @@
 	return list
 }
 
-// ServeHTTP answers GET /hosts.
+// ServeHTTP serves GET /hosts.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if s.Down != nil && s.Down() {
 		panic(http.ErrAbortHandler)
