--- a/standin/serve/free.go
+++ b/standin/serve/free.go
@@ -10,28 +10,27 @@
 )
 
 const (
-	// firstPort to lastPort lie below the ports that systems give to outgoing
-	// connections, so that no connection takes one between Free and its use.
+	// firstPort to lastPort lie below the ephemeral port range, so that no outgoing
+	// connection occupies a port between Free and its use.
 	firstPort, lastPort = 12000, 31999
-	// portsOfProcess is the part of them that one process tries first, so that
-	// processes that run beside each other do not meet.
-	portsOfProcess = 200
+	// portsPerProcess offsets the first port that a process tries by its process id,
+	// so that concurrent processes try different ports.
+	portsPerProcess = 200
 )
 
-// freePorts counts the ports that this process has looked at.
-var freePorts atomic.Uint32
+// triedPorts counts the ports that this process has tried.
+var triedPorts atomic.Uint32
 
-// errNoPort says that every port was taken.
-var errNoPort = errors.New("every port is taken")
+var errNoPort = errors.New("all ports are in use")
 
-// Free returns a loopback address that nobody listens on, another one at each
-// call. It is for programs that must be told their address before they start;
-// whoever can, listens on port 0 instead.
+// Free returns a loopback address without a listener, a different one at each
+// call. It is for processes whose address has to be configured before they start;
+// others should listen on port 0, which can't race with another process.
 func Free() (netip.AddrPort, error) {
 	const ports = lastPort - firstPort + 1
-	start := os.Getpid() * portsOfProcess
+	start := os.Getpid() * portsPerProcess
 	for range ports {
-		port := firstPort + (start+int(freePorts.Add(1)))%ports
+		port := firstPort + (start+int(triedPorts.Add(1)))%ports
 		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(port)) //nolint:gosec // at most lastPort
 		listener, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(address))
 		if err != nil {
--- a/standin/serve/serve.go
+++ b/standin/serve/serve.go
@@ -1,4 +1,4 @@
-// Package serve runs an http.Handler on a loopback port.
+// Package serve runs an http.Handler on a loopback address, for simulations and tests.
 package serve
 
 import (
@@ -10,23 +10,23 @@
 	"time"
 )
 
-// headerTimeout bounds the time a client may take to send its headers.
+// headerTimeout bounds the time in which a client has to send its headers.
 const headerTimeout = 10 * time.Second
 
 // Server is a running loopback server.
 type Server struct {
-	// Address is where the server listens.
+	// Address is the listening address.
 	Address netip.AddrPort
 	server  *http.Server
 	done    chan struct{}
 }
 
-// Loopback starts handler on an ephemeral loopback port.
+// Loopback serves handler on an ephemeral loopback port.
 func Loopback(handler http.Handler) (*Server, error) {
 	return On(netip.MustParseAddrPort("127.0.0.1:0"), handler)
 }
 
-// On starts handler on the given address.
+// On serves handler on the given address.
 func On(address netip.AddrPort, handler http.Handler) (*Server, error) {
 	listener, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(address))
 	if err != nil {
@@ -48,13 +48,14 @@
 // URL returns the server's base URL.
 func (s *Server) URL() string { return "http://" + s.Address.String() }
 
-// Close cuts all connections, as a host that dies, and waits for the listener.
+// Close closes the listener and all connections at once, as the crash of a host would,
+// and waits until the listener is closed.
 func (s *Server) Close() {
 	_ = s.server.Close()
 	<-s.done
 }
 
-// JSON writes value as the answer's body.
+// JSON writes a response with value as its JSON body.
 func JSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
