--- a/standin/plain/plain.go
+++ b/standin/plain/plain.go
@@ -1,7 +1,7 @@
-// Package plain is a stand-in for a plain service whose calls may not be
-// repeated: each call adds its amount to a ledger and is recorded.
+// Package plain simulates a plain service whose requests are not idempotent: each
+// adds its amount to a ledger and is recorded, so that tests detect repeated runs.
 //
-//	POST /v1/...  {"ledger":"a","amount":5}  answers {"request":…,"ledger":…,"balance":…}
+//	POST /v1/...  {"ledger":"a","amount":5}  returns {"request":…,"ledger":…,"balance":…}
 package plain
 
 import (
@@ -15,44 +15,43 @@
 	"github.com/wheelcleat/wheelcleat/standin/serve"
 )
 
-// maxBodyBytes bounds one call's body.
 const maxBodyBytes = 1 << 20
 
-// Entry is one call of the service.
+// Entry is the body of a request.
 type Entry struct {
 	Ledger string `json:"ledger"`
 	Amount int64  `json:"amount"`
 }
 
-// Receipt is the answer to a call.
+// Receipt is the body of a response.
 type Receipt struct {
 	Request string `json:"request"`
 	Ledger  string `json:"ledger"`
 	Balance int64  `json:"balance"`
 }
 
-// Fault says what goes wrong with one call.
+// Fault describes the faults injected into one request.
 type Fault struct {
-	// CutBefore drops the connection before the call runs.
+	// CutBefore closes the connection before the request runs.
 	CutBefore bool
-	// CutAfter drops the connection after the call ran, before its answer.
+	// CutAfter closes the connection after the request ran, without a response.
 	CutAfter bool
-	// Delay comes between the run and the answer.
+	// Delay is the time between the run and the response.
 	Delay time.Duration
 }
 
-// Server is the service. The zero value has empty ledgers and no faults.
+// Server simulates the service. The zero value has empty ledgers and no faults.
 type Server struct {
-	// Fault is asked at each call; nil means no faults.
+	// Fault returns the faults for a request id; nil means no faults.
 	Fault func(request string) Fault
 
-	// mu guards all below.
+	// mu guards the fields below.
 	mu       sync.Mutex
 	balances map[string]int64
 	runs     map[string]int
 }
 
-// Runs returns how often each request id ran.
+// Runs returns the number of runs of each request id.
 func (s *Server) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,7 +62,7 @@
 	return copied
 }
 
-// Balance returns a ledger's sum.
+// Balance returns the balance of a ledger.
 func (s *Server) Balance(ledger string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,7 +81,7 @@
 	return s.balances[entry.Ledger]
 }
 
-// ServeHTTP runs one call.
+// ServeHTTP runs one request.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(api.HeaderRequestID)
 	var fault Fault
--- a/standin/plain/plain_test.go
+++ b/standin/plain/plain_test.go
@@ -14,7 +14,7 @@
 	"github.com/wheelcleat/wheelcleat/standin/serve"
 )
 
-func TestContract(t *testing.T) {
+func TestRunsAndFaults(t *testing.T) {
 	var fault atomic.Value
 	fault.Store(Fault{})
 	s := &Server{Fault: func(string) Fault { return fault.Load().(Fault) }}
@@ -22,15 +22,15 @@
 	require.NoError(t, err)
 	defer server.Close()
 	post := func(id, body string) (string, error) {
-		request, err := http.NewRequest(http.MethodPost, server.URL()+"/v1/credit", strings.NewReader(body))
+		req, err := http.NewRequest(http.MethodPost, server.URL()+"/v1/credit", strings.NewReader(body))
 		require.NoError(t, err)
-		request.Header.Set(api.HeaderRequestID, id)
-		response, err := http.DefaultClient.Do(request)
+		req.Header.Set(api.HeaderRequestID, id)
+		resp, err := http.DefaultClient.Do(req)
 		if err != nil {
 			return "", err
 		}
-		defer func() { _ = response.Body.Close() }()
-		data, err := io.ReadAll(response.Body)
+		defer func() { _ = resp.Body.Close() }()
+		data, err := io.ReadAll(resp.Body)
 		return string(data), err
 	}
 	body, err := post("a", `{"ledger":"x","amount":5}`)
