--- a/standin/weights/weights.go
+++ b/standin/weights/weights.go
@@ -1,9 +1,8 @@
-// Package weights is a stand-in for the two places that weights come from, the
-// origin and the rate-limited weight store: HTTP ranges over a limited link,
-// with the bytes counted and the faults of the brief.
+// Package weights simulates the two sources of weights, the origin and the weight
+// store: HTTP ranges over a rate-limited link, with byte counts and injected faults.
 //
 //	GET /manifests/{digest}            the manifest's bytes
-//	GET /weights/{digest}, Range: ...  bytes of the whole file
+//	GET /weights/{digest}, Range: ...  a range of the file, or all of it
 package weights
 
 import (
@@ -22,32 +21,34 @@
 	"github.com/wheelcleat/wheelcleat/api/manifest"
 )
 
-// writeBytes is the piece in which bodies are written and paced.
+// writeBytes is the size of the writes in which bodies are sent and rate limited.
 const writeBytes = 16 << 10
 
-// Fault says what goes wrong with one range.
+// Fault describes the faults injected into one range.
 type Fault struct {
 	// Corrupt flips a bit of the range.
 	Corrupt bool
-	// CutAfter ends the connection after that many bytes; 0 means no cut.
+	// CutAfter closes the connection after that many bytes; 0 means never.
 	CutAfter int64
-	// Stall sends half of the range and then nothing until the caller leaves.
+	// Stall sends half of the range and then nothing until the client disconnects.
 	Stall bool
-	// Down cuts the connection at once.
+	// Down closes the connection without a response.
 	Down bool
 }
 
-// file is one version's bytes.
+// file is one version's manifest and weights.
 type file struct {
 	manifest []byte
 	data     []byte
 }
 
-// Server serves versions. The zero value serves none over an unlimited link.
+// Server serves the weights of versions. The zero value has no versions and an unlimited
+// link.
 type Server struct {
-	// BytesPerSecond bounds the link; 0 means no bound. Set before use.
+	// BytesPerSecond is the bandwidth of the link; 0 means unlimited. It must be set before
+	// the first request.
 	BytesPerSecond int64
-	// Fault is asked at each range; nil means no faults.
+	// Fault returns the faults for a range; nil means no faults.
 	Fault func(digest manifest.Digest, offset, length int64) Fault
 
 	once sync.Once
@@ -59,7 +60,7 @@
 	files map[manifest.Digest]file
 }
 
-// Generate returns size bytes that depend only on the seed.
+// Generate returns size pseudorandom bytes that depend only on the seed.
 func Generate(seed uint64, size int64) []byte {
 	data := make([]byte, size)
 	source := rand.NewPCG(seed, 0)
@@ -71,7 +72,7 @@
 	return data
 }
 
-// Add makes a version available and returns its name.
+// Add adds a version and returns the digest of its manifest.
 func (s *Server) Add(data []byte, chunkBytes int64) (manifest.Digest, error) {
 	built, err := manifest.Build(bytes.NewReader(data), int64(len(data)), chunkBytes)
 	if err != nil {
@@ -90,10 +91,10 @@
 	return digest, nil
 }
 
-// SentBytes returns the bytes of weights sent so far, manifests left out.
+// SentBytes returns the bytes of weights sent so far, without manifests.
 func (s *Server) SentBytes() int64 { return s.sent.Load() }
 
-// ServeHTTP answers one request.
+// ServeHTTP serves one request.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.once.Do(func() {
 		if s.BytesPerSecond > 0 {
@@ -148,24 +149,25 @@
 	s.send(w, r, body, fault)
 }
 
-// send writes a body at the link's pace.
+// send writes a body at the bandwidth of the link and applies the faults.
 func (s *Server) send(w http.ResponseWriter, r *http.Request, body []byte, fault Fault) {
-	stop := int64(len(body))
+	end := int64(len(body))
 	if fault.Stall {
-		stop /= 2
+		end /= 2
 	}
 	if fault.CutAfter > 0 {
-		stop = min(stop, fault.CutAfter)
+		end = min(end, fault.CutAfter)
 	}
-	for at := int64(0); at < stop; at += writeBytes {
-		piece := body[at:min(at+writeBytes, stop)]
-		if s.link != nil && s.link.WaitN(r.Context(), len(piece)) != nil {
+	for at := int64(0); at < end; at += writeBytes {
+		part := body[at:min(at+writeBytes, end)]
+		if s.link != nil && s.link.WaitN(r.Context(), len(part)) != nil {
 			return
 		}
-		// Counted first: who has read a piece must find it counted.
-		s.sent.Add(int64(len(piece)))
-		if _, err := w.Write(piece); err != nil {
-			s.sent.Add(-int64(len(piece)))
+		// Counted before the write: a client that has received the bytes must find them
+		// in SentBytes.
+		s.sent.Add(int64(len(part)))
+		if _, err := w.Write(part); err != nil {
+			s.sent.Add(-int64(len(part)))
 			return
 		}
 	}
@@ -173,12 +175,12 @@
 		_ = http.NewResponseController(w).Flush()
 		<-r.Context().Done()
 	}
-	if stop < int64(len(body)) {
+	if end < int64(len(body)) {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// parseRange reads "bytes=first-last"; no header means the whole file.
+// parseRange parses "bytes=first-last"; an empty header selects the complete file.
 func parseRange(header string, size int64) (offset, length int64, err error) {
 	if header == "" {
 		return 0, size, nil
--- a/standin/weights/weights_test.go
+++ b/standin/weights/weights_test.go
@@ -16,29 +16,29 @@
 )
 
 func fetch(ctx context.Context, url, byteRange string) (int, []byte, error) {
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return 0, nil, err
 	}
 	if byteRange != "" {
-		request.Header.Set("Range", byteRange)
+		req.Header.Set("Range", byteRange)
 	}
-	response, err := http.DefaultClient.Do(request)
+	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return 0, nil, err
 	}
-	defer func() { _ = response.Body.Close() }()
-	data, err := io.ReadAll(response.Body)
-	return response.StatusCode, data, err
+	defer func() { _ = resp.Body.Close() }()
+	data, err := io.ReadAll(resp.Body)
+	return resp.StatusCode, data, err
 }
 
-func TestContract(t *testing.T) {
+func TestRangesAndFaults(t *testing.T) {
 	s := &Server{BytesPerSecond: 1 << 30}
 	server, err := serve.Loopback(s)
 	require.NoError(t, err)
 	defer server.Close()
 	data := Generate(7, 100_000)
-	require.Equal(t, data, Generate(7, 100_000), "the same seed gives the same bytes")
+	require.Equal(t, data, Generate(7, 100_000), "equal seeds give equal bytes")
 	require.NotEqual(t, data, Generate(8, 100_000))
 	id, err := s.Add(data, 30_000)
 	require.NoError(t, err)
@@ -68,38 +68,38 @@
 	_, part, err = fetch(ctx, url, "bytes=0-29999")
 	require.NoError(t, err)
 	assert.NotEqual(t, m.Chunks[0], manifest.Sum(part))
-	assert.True(t, bytes.Equal(data, Generate(7, 100_000)), "corruption is only on the wire")
+	assert.True(t, bytes.Equal(data, Generate(7, 100_000)), "corruption does not change the stored data")
 	s.Fault = func(manifest.Digest, int64, int64) Fault { return Fault{CutAfter: 10_000} }
 	_, part, err = fetch(ctx, url, "bytes=0-29999")
 	require.ErrorIs(t, err, io.ErrUnexpectedEOF)
 	assert.Len(t, part, 10_000)
 	stalled, cancel := context.WithCancel(ctx)
-	asked := make(chan struct{})
-	s.Fault = func(manifest.Digest, int64, int64) Fault { close(asked); return Fault{Stall: true} }
-	go func() { <-asked; cancel() }()
+	requested := make(chan struct{})
+	s.Fault = func(manifest.Digest, int64, int64) Fault { close(requested); return Fault{Stall: true} }
+	go func() { <-requested; cancel() }()
 	_, _, err = fetch(stalled, url, "bytes=0-29999")
 	require.ErrorIs(t, err, context.Canceled)
 }
 
-// watchingWriter checks, as the caller would, that what it is given was counted.
-type watchingWriter struct {
+// countingWriter checks at each write that SentBytes already includes the written bytes.
+type countingWriter struct {
 	*httptest.ResponseRecorder
 	t       *testing.T
 	server  *Server
 	written int64
 }
 
-func (w *watchingWriter) Write(p []byte) (int, error) {
+func (w *countingWriter) Write(p []byte) (int, error) {
 	w.written += int64(len(p))
-	assert.GreaterOrEqual(w.t, w.server.SentBytes(), w.written, "bytes reached the caller before they were counted")
+	assert.GreaterOrEqual(w.t, w.server.SentBytes(), w.written, "bytes reached the client before they were counted")
 	return w.ResponseRecorder.Write(p)
 }
 
-func TestBytesAreCountedBeforeTheyAreRead(t *testing.T) {
+func TestSentBytesIncludesBytesBeforeTheyAreWritten(t *testing.T) {
 	s := &Server{}
 	id, err := s.Add(Generate(7, 100_000), 30_000)
 	require.NoError(t, err)
-	w := &watchingWriter{ResponseRecorder: httptest.NewRecorder(), t: t, server: s}
+	w := &countingWriter{ResponseRecorder: httptest.NewRecorder(), t: t, server: s}
 	s.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/weights/"+id.String(), nil))
 	assert.Equal(t, int64(100_000), w.written)
 }
