--- a/standin/engine/completion.go
+++ b/standin/engine/completion.go
@@ -13,27 +13,26 @@
 	"github.com/wheelcleat/wheelcleat/standin/serve"
 )
 
-// maxRequestBytes bounds one completion's body.
 const maxRequestBytes = 4 << 20
 
-// tokenDigits is the length of one generated token.
+// tokenDigits is the number of hex digits of a generated token.
 const tokenDigits = 8
 
-// Completion is one request.
+// Completion is the body of a completion request.
 type Completion struct {
 	Prompt    string `json:"prompt"`
 	MaxTokens int    `json:"max_tokens"`
 	Stream    bool   `json:"stream"`
 }
 
-// Answer is the whole answer to a request that does not stream.
+// Answer is the response to a request that does not stream.
 type Answer struct {
 	Request  string   `json:"request"`
 	Manifest string   `json:"manifest"`
 	Tokens   []string `json:"tokens"`
 }
 
-// Token is one server-sent event of a streaming answer. The stream ends with
+// Token is one server-sent event of a streaming response. The stream ends with
 // the line "data: [DONE]".
 type Token struct {
 	Request  string `json:"request"`
@@ -42,13 +41,15 @@
 	Text     string `json:"text"`
 }
 
-// TokenText is the token at an index, a function of version, prompt and index,
-// so that a caller can check that an answer is whole and its own.
+// TokenText returns the token at an index. It depends only on the version, the
+// prompt and the index, so that clients can check that a response is complete and
+// belongs to their request.
 func TokenText(version, prompt string, index int) string {
 	return manifest.Sum(fmt.Appendf(nil, "%s\n%s\n%d", version, prompt, index)).String()[:tokenDigits]
 }
 
-// begin records a run and returns the version it runs on.
+// begin records a run and returns the loaded version with its context. It reports
+// false if no version is loaded.
 func (s *Server) begin(id string) (State, context.Context, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,8 +66,8 @@
 	return s.state, s.current, true
 }
 
-// cancelled marks a run whose caller left.
-func (s *Server) cancelled(id string) {
+// markCancelled records that the client of a run disconnected.
+func (s *Server) markCancelled(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	run := s.runs[id]
@@ -96,25 +97,25 @@
 	s.reports.add(s.now(), 1)
 	defer func() { s.reports.add(s.now(), -1) }()
 	g := generation{server: s, id: id, request: request, state: state, version: version, fault: fault}
-	if !g.waitForSlot(r.Context()) {
-		s.cancelled(id)
+	if !g.acquireSlot(r.Context()) {
+		s.markCancelled(id)
 		return
 	}
-	defer g.leaveSlot()
-	g.answer(w, r)
+	defer g.releaseSlot()
+	g.respond(w, r)
 }
 
-// generation is one request being answered.
+// generation is one running completion.
 type generation struct {
 	server  *Server
 	id      string
 	request Completion
 	state   State
-	version context.Context //nolint:containedctx // ends when the version is replaced
+	version context.Context //nolint:containedctx // cancelled when the version is replaced
 	fault   Fault
 }
 
-func (g *generation) waitForSlot(ctx context.Context) bool {
+func (g *generation) acquireSlot(ctx context.Context) bool {
 	if g.server.slots == nil {
 		return true
 	}
@@ -126,13 +127,14 @@
 	}
 }
 
-func (g *generation) leaveSlot() {
+func (g *generation) releaseSlot() {
 	if g.server.slots != nil {
 		<-g.server.slots
 	}
 }
 
-// pause waits and reports false when the caller left or the version went.
+// pause waits and reports false if the client disconnected. It aborts the response if
+// the version was replaced.
 func (g *generation) pause(ctx context.Context, wait time.Duration) bool {
 	if wait > 0 {
 		timer := time.NewTimer(wait)
@@ -145,20 +147,20 @@
 	}
 	if g.version.Err() != nil {
 		g.server.mu.Lock()
-		g.server.cut++
+		g.server.aborted++
 		g.server.mu.Unlock()
 		panic(http.ErrAbortHandler)
 	}
 	return ctx.Err() == nil
 }
 
-func (g *generation) answer(w http.ResponseWriter, r *http.Request) {
+func (g *generation) respond(w http.ResponseWriter, r *http.Request) {
 	prefill := g.server.Prefill
 	if g.server.cache.use(g.request.Prompt, g.server.now()) {
 		prefill /= 2
 	}
 	if !g.pause(r.Context(), prefill) {
-		g.server.cancelled(g.id)
+		g.server.markCancelled(g.id)
 		return
 	}
 	if g.request.Stream {
@@ -167,7 +169,7 @@
 	var texts []string
 	for index := range g.request.MaxTokens {
 		if !g.pause(r.Context(), g.server.PerToken) {
-			g.server.cancelled(g.id)
+			g.server.markCancelled(g.id)
 			return
 		}
 		if g.fault.CutAfterTokens > 0 && index == g.fault.CutAfterTokens {
@@ -181,7 +183,7 @@
 	}
 	if g.fault.Stall {
 		<-r.Context().Done()
-		g.server.cancelled(g.id)
+		g.server.markCancelled(g.id)
 		return
 	}
 	if g.request.Stream {
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,12 +1,13 @@
-// Package engine is a stand-in for a model engine: it loads versions by fenced
-// order, serves only a version it holds whole, streams tokens, and records
-// each request that it ran, so that tests can hold the router to its word.
+// Package engine simulates a model engine: it loads versions on orders with a
+// fencing token, serves only completely loaded versions, streams tokens, and
+// records each request that it ran, so that tests can check what the router
+// reported about it.
 //
-//	POST /admin/load       Order; answers State, or 409 for an order below the fence
+//	POST /admin/load       Order; returns State, or 409 for an outdated fencing token
 //	GET  /admin/state      State
-//	POST /v1/completions   Completion; answers Answer, or server-sent events
-//	GET  /load             Load, as of some time ago
-//	GET  /events?after=N   CacheEvents, late and with gaps
+//	POST /v1/completions   Completion; returns Answer, or server-sent events
+//	GET  /load             Load, delayed by ReportLag
+//	GET  /events?after=N   CacheEvents, delayed and with gaps
 package engine
 
 import (
@@ -24,36 +25,36 @@
 	"github.com/wheelcleat/wheelcleat/standin/serve"
 )
 
-// Order tells the engine to load a version.
+// Order instructs the engine to load a version.
 type Order struct {
 	Model    string `json:"model"`
 	Adapter  string `json:"adapter"`
 	Version  string `json:"version"`
 	Manifest string `json:"manifest"`
-	// Weights is the URL that the engine reads the whole file from.
+	// Weights is the URL from which the engine downloads the weights.
 	Weights string `json:"weights"`
 	Size    int64  `json:"size"`
-	// Token is the fencing token: an engine that checks fences refuses an
-	// order whose token is below the highest it has seen.
+	// Token is the fencing token. An engine that checks it rejects an order
+	// whose token is below the highest it has received.
 	Token uint64 `json:"token"`
 }
 
-// State says what the engine holds.
+// State describes the loaded version.
 type State struct {
-	// Manifest names the version as ordered; "" means none.
+	// Manifest is the version's name from the order; "" means none.
 	Manifest string `json:"manifest"`
-	// Digest is the BLAKE3 digest over the bytes that the engine read.
+	// Digest is the BLAKE3 digest of the downloaded bytes.
 	Digest string `json:"digest"`
 	Token  uint64 `json:"token"`
 }
 
-// Fault says what goes wrong with one completion.
+// Fault describes the faults injected into one completion.
 type Fault struct {
-	// CutBefore drops the connection before the request runs.
+	// CutBefore closes the connection before the request runs.
 	CutBefore bool
-	// CutAfterTokens drops it after that many tokens; 0 means never.
+	// CutAfterTokens closes it after that many tokens; 0 means never.
 	CutAfterTokens int
-	// Stall runs the request, sends its tokens and then hangs.
+	// Stall sends all tokens but never completes the resp.
 	Stall bool
 }
 
@@ -61,25 +62,25 @@
 type Run struct {
 	Count    int
 	Manifest string
-	// Cancelled is set when the caller left before the last token.
+	// Cancelled is set if the client disconnected before the end.
 	Cancelled bool
 }
 
-// Server is one engine. The zero value holds no version, checks fences, and
-// answers without delay.
+// Server simulates one engine. The zero value has no version loaded, checks
+// fencing tokens, and responds without delay.
 type Server struct {
-	// IgnoreFence takes any order, as some engines do.
+	// IgnoreFence accepts orders with any fencing token, as some engines do.
 	IgnoreFence bool
-	// Prefill is the time before the first token, halved by a prefix hit;
-	// PerToken the time between tokens.
+	// Prefill is the time before the first token, halved by a hit in the prefix
+	// cache. PerToken is the time per token.
 	Prefill, PerToken time.Duration
-	// Slots bounds the requests running together; 0 means no bound.
+	// Slots bounds the concurrently running requests; 0 means no bound.
 	Slots int
-	// ReportLag is the age of what GET /load says.
+	// ReportLag is the age of the reports of GET /load.
 	ReportLag time.Duration
-	// Fault is asked at each completion; nil means no faults.
+	// Fault returns the faults for a request id; nil means no faults.
 	Fault func(request string) Fault
-	// FailLoad is asked at each order; a non-nil error fails it.
+	// FailLoad returns the error with which an order fails, or nil.
 	FailLoad func(Order) error
 	// Now is the clock; nil means time.Now.
 	Now func() time.Time
@@ -90,18 +91,18 @@
 	cache   prefixCache
 	reports loadReports
 
-	// mu guards all below.
+	// mu guards the fields below.
 	mu      sync.Mutex
 	state   State
-	highest uint64 // highest token seen
+	highest uint64 // highest fencing token accepted
 	runs    map[string]Run
-	// current ends when the version it was made for is replaced, which cuts
-	// every request still running on it.
-	current context.Context //nolint:containedctx // it lives as long as a version, not a call
+	// current is cancelled when the loaded version is replaced, which aborts
+	// the requests that still run on it.
+	current context.Context //nolint:containedctx // its lifetime is that of a version, not of a call
 	replace context.CancelFunc
-	// cut counts requests that a load cut off.
-	cut int
-	// history lists every version served, in order, for the oracle.
+	// aborted counts the requests that a load aborted.
+	aborted int
+	// history lists all versions in service so far, in order, for checks of rollouts.
 	history []State
 }
 
@@ -129,20 +130,20 @@
 	}
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP serves one request.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.once.Do(s.setUp)
 	s.handler.ServeHTTP(w, r)
 }
 
-// State returns what the engine holds.
+// State returns the loaded version.
 func (s *Server) State() State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state
 }
 
-// Runs returns the record of every request that ran.
+// Runs returns the records of all requests that ran, by request id.
 func (s *Server) Runs() map[string]Run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -153,22 +154,22 @@
 	return copied
 }
 
-// History returns every version that the engine came to serve.
+// History returns all versions that were in service, in order.
 func (s *Server) History() []State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]State(nil), s.history...)
 }
 
-// CutByLoad returns how many running requests a load cut off.
+// CutByLoad returns the number of running requests that a load aborted.
 func (s *Server) CutByLoad() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.cut
+	return s.aborted
 }
 
-// fence takes an order's token, or refuses it.
-func (s *Server) fence(token uint64) bool {
+// checkFence reports whether a fencing token is current, and records it if so.
+func (s *Server) checkFence(token uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if token < s.highest && !s.IgnoreFence {
@@ -184,7 +185,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if !s.fence(order.Token) {
+	if !s.checkFence(order.Token) {
 		serve.JSON(w, http.StatusConflict, s.State())
 		return
 	}
@@ -194,13 +195,13 @@
 			return
 		}
 	}
-	digest, err := readWeights(r.Context(), order)
+	digest, err := downloadWeights(r.Context(), order)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadGateway)
 		return
 	}
-	// The fence may have moved while the weights were read.
-	if !s.fence(order.Token) {
+	// An order with a higher token may have arrived during the download.
+	if !s.checkFence(order.Token) {
 		serve.JSON(w, http.StatusConflict, s.State())
 		return
 	}
@@ -208,7 +209,7 @@
 	serve.JSON(w, http.StatusOK, s.State())
 }
 
-// install puts a version in service and cuts requests on the old one.
+// install puts a version into service and aborts the requests on the old one.
 func (s *Server) install(state State) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -220,21 +221,21 @@
 	s.history = append(s.history, state)
 }
 
-func readWeights(ctx context.Context, order Order) (manifest.Digest, error) {
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, order.Weights, nil)
+func downloadWeights(ctx context.Context, order Order) (manifest.Digest, error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, order.Weights, nil)
 	if err != nil {
 		return manifest.Digest{}, fmt.Errorf("read weights: %w", err)
 	}
-	response, err := http.DefaultClient.Do(request)
+	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return manifest.Digest{}, fmt.Errorf("read weights: %w", err)
 	}
-	defer func() { _ = response.Body.Close() }()
-	if response.StatusCode != http.StatusOK {
-		return manifest.Digest{}, fmt.Errorf("read weights from %s: %s", order.Weights, response.Status)
+	defer func() { _ = resp.Body.Close() }()
+	if resp.StatusCode != http.StatusOK {
+		return manifest.Digest{}, fmt.Errorf("read weights from %s: %s", order.Weights, resp.Status)
 	}
 	hash := blake3.New()
-	n, err := io.Copy(hash, response.Body)
+	n, err := io.Copy(hash, resp.Body)
 	if err != nil || n != order.Size {
 		return manifest.Digest{}, fmt.Errorf("read weights: %d of %d bytes: %w", n, order.Size, err)
 	}
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -22,7 +22,7 @@
 	"github.com/wheelcleat/wheelcleat/standin/serve"
 )
 
-// harness is an engine with a place to read weights from.
+// harness is an engine with a server for its weights.
 type harness struct {
 	*testing.T
 	engine  *Server
@@ -69,14 +69,14 @@
 	return response, string(data), err
 }
 
-// awaitRun waits until the engine runs a request.
+// awaitRun waits until the engine has started to run a request.
 func (h *harness) awaitRun() {
 	for len(h.engine.Runs()) == 0 {
 		runtime.Gosched()
 	}
 }
 
-func TestFence(t *testing.T) {
+func TestOrderWithOutdatedFencingTokenIsRejected(t *testing.T) {
 	for _, ignore := range []bool{false, true} {
 		h := start(t, &Server{IgnoreFence: ignore})
 		assert.Equal(t, http.StatusOK, h.load("v2", 7))
@@ -86,18 +86,18 @@
 		}
 		assert.Equal(t, want, h.load("v1", 6))
 		assert.Equal(t, ignore, h.engine.State().Manifest == "v1")
-		assert.Equal(t, http.StatusOK, h.load("v2", 7), "the same order again")
+		assert.Equal(t, http.StatusOK, h.load("v2", 7), "a repeated order is accepted")
 	}
 }
 
-func TestServesOnlyWhatItHolds(t *testing.T) {
+func TestServesOnlyLoadedVersion(t *testing.T) {
 	h := start(t, &Server{})
 	response, _, err := h.complete(t.Context(), "early", Completion{MaxTokens: 1})
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
-	assert.Empty(t, h.engine.Runs(), "refused: did not run")
+	assert.Empty(t, h.engine.Runs(), "a rejected request did not run")
 	h.load("v1", 1)
-	assert.Equal(t, manifest.Sum([]byte("/v1")).String(), h.engine.State().Digest, "the digest of what it read")
+	assert.Equal(t, manifest.Sum([]byte("/v1")).String(), h.engine.State().Digest, "the digest of the downloaded bytes")
 	_, body, err := h.complete(t.Context(), "one", Completion{Prompt: "p", MaxTokens: 2})
 	require.NoError(t, err)
 	var answer Answer
@@ -110,11 +110,11 @@
 	assert.Equal(t, map[string]Run{"one": {Count: 1, Manifest: "v1"}, "two": {Count: 1, Manifest: "v1"}}, h.engine.Runs())
 }
 
-func TestLoadFaults(t *testing.T) {
-	fail := errors.New("out of memory")
+func TestFailedLoadKeepsVersion(t *testing.T) {
+	errLoad := errors.New("out of memory")
 	s := &Server{FailLoad: func(o Order) error {
 		if o.Manifest == "bad" {
-			return fail
+			return errLoad
 		}
 		return nil
 	}}
@@ -126,11 +126,11 @@
 	response, err := http.Post(h.url+"/admin/load", "", bytes.NewReader(body))
 	require.NoError(t, err)
 	_ = response.Body.Close()
-	assert.Equal(t, http.StatusBadGateway, response.StatusCode, "a part is not the whole")
+	assert.Equal(t, http.StatusBadGateway, response.StatusCode, "a truncated download is rejected")
 	assert.Equal(t, "v1", s.State().Manifest)
 }
 
-func TestLoadCutsRunningRequests(t *testing.T) {
+func TestLoadAbortsRunningRequests(t *testing.T) {
 	h := start(t, &Server{PerToken: time.Hour})
 	h.load("v1", 1)
 	done := make(chan error)
@@ -141,10 +141,10 @@
 	h.awaitRun()
 	h.load("v2", 2)
 	require.Error(t, <-done)
-	assert.Equal(t, 1, h.engine.CutByLoad(), "the oracle sees a careless change of version")
+	assert.Equal(t, 1, h.engine.CutByLoad(), "the aborted request is counted")
 }
 
-func TestCancelIsSeen(t *testing.T) {
+func TestCancellationIsRecorded(t *testing.T) {
 	h := start(t, &Server{PerToken: time.Hour})
 	h.load("v1", 1)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -157,7 +157,7 @@
 	require.Eventually(t, func() bool { return h.engine.Runs()["left"].Cancelled }, 5*time.Second, time.Millisecond)
 }
 
-func TestFaults(t *testing.T) {
+func TestInjectedFaults(t *testing.T) {
 	var fault atomic.Value
 	s := &Server{Fault: func(string) Fault { return fault.Load().(Fault) }}
 	h := start(t, s)
@@ -173,7 +173,7 @@
 	assert.Equal(t, 1, s.Runs()["midway"].Count)
 }
 
-func TestReportsLag(t *testing.T) {
+func TestLoadReportsAreDelayed(t *testing.T) {
 	var reports loadReports
 	at := time.Unix(1000, 0)
 	reports.add(at, 1)
@@ -184,7 +184,7 @@
 	assert.Equal(t, 1, reports.asOf(at.Add(time.Hour)).Running)
 }
 
-func TestCacheEvents(t *testing.T) {
+func TestCacheEvictsAndEventsHaveGaps(t *testing.T) {
 	var cache prefixCache
 	at := time.Now().Add(-time.Hour)
 	assert.False(t, cache.use("a prompt", at))
@@ -192,10 +192,10 @@
 	for i := range cachePrefixes {
 		cache.use(fmt.Sprint("x", i), at)
 	}
-	assert.False(t, cache.use("a prompt", at), "the oldest went")
-	for i := range 2 * keptEvents {
+	assert.False(t, cache.use("a prompt", at), "the least recently used prefix is evicted")
+	for i := range 2 * maxEvents {
 		cache.use(fmt.Sprint("y", i), at)
 	}
-	assert.Len(t, cache.events, keptEvents)
-	assert.Greater(t, cache.events[0].Sequence, uint64(1), "a late reader sees a gap")
+	assert.Len(t, cache.events, maxEvents)
+	assert.Greater(t, cache.events[0].Sequence, uint64(1), "a lagging client sees a gap")
 }
