--- a/standin/kv/kv.go
+++ b/standin/kv/kv.go
@@ -1,10 +1,9 @@
-// Package kv is a stand-in for the platform's key-value service: compare and
-// swap, leases, prefix watches with revisions, call counts, rate limits, and
-// the faults that the brief names.
+// Package kv simulates the platform's key-value service: compare-and-swap,
+// leases, prefix watches with revisions, request counts, rate limits, and
+// injected faults.
 //
-// The service's own format is not known yet, so the stand-in speaks plain
-// JSON over HTTP and the daemon meets it in one adapter package. Revisions are
-// global: each accepted write takes the next one.
+// The protocol is plain JSON over HTTP; in the daemons a single adapter package
+// depends on it. Revisions are global: each accepted write takes the next one.
 package kv
 
 import (
@@ -14,13 +13,13 @@
 	"time"
 )
 
-// Defaults of the brief.
+// Defaults and limits of the service.
 const (
 	DefaultWritesPerSecond = 100
 	DefaultReadsPerSecond  = 2000
-	// MaxValueBytes bounds one value.
+	// MaxValueBytes is the maximum size of a value.
 	MaxValueBytes = 1 << 20
-	// DefaultHistory is the number of events kept for watches.
+	// DefaultHistory is the number of events retained for watches.
 	DefaultHistory = 4096
 )
 
@@ -32,45 +31,45 @@
 	Lease    uint64 `json:"lease,omitempty"`
 }
 
-// Event is one change.
+// Event is one change of an item.
 type Event struct {
 	Item
 	Deleted bool `json:"deleted,omitempty"`
 }
 
-// lease is a set of keys that vanish when it is not kept alive.
+// lease is a set of keys that are deleted when it expires.
 type lease struct {
 	ttl     time.Duration
 	expires time.Time
 	keys    map[string]bool
 }
 
-// Counts says how many calls the service has taken.
+// Counts holds the numbers of requests.
 type Counts struct {
 	Reads   int64 `json:"reads"`
 	Writes  int64 `json:"writes"`
-	Watches int64 `json:"watches"` // waiting watches, also counted as reads
-	Refused int64 `json:"refused"` // over the rate
+	Watches int64 `json:"watches"` // also counted as reads
+	Refused int64 `json:"refused"` // rejected by a rate limit
 }
 
-// Store is the service's state. The zero value is empty and ready to use.
+// Store is the state of the service. The zero value is empty and ready to use.
 //
-// Lock order: mu is the only lock and is held for no call outside the package.
+// mu is the only lock and is not held across calls to other packages, except Now.
 type Store struct {
 	// Now is the clock; nil means time.Now.
 	Now func() time.Time
-	// History is the number of events kept; 0 means DefaultHistory.
+	// History is the number of retained events; 0 means DefaultHistory.
 	History int
 
 	mu       sync.Mutex
 	revision uint64
 	items    map[string]Item
 	leases   map[uint64]*lease
-	// nextLease is the last lease id given out.
-	nextLease uint64
-	// events holds the newest changes in order of revision.
+	// lastLease is the most recently granted lease id.
+	lastLease uint64
+	// events holds the most recent changes in order of revision.
 	events []Event
-	// compacted is the highest revision whose event was dropped.
+	// compacted is the highest revision whose event was discarded.
 	compacted uint64
 	// changed is closed and replaced at each change.
 	changed chan struct{}
@@ -83,8 +82,8 @@
 	return time.Now()
 }
 
-// setUp makes the maps; the caller holds mu.
-func (s *Store) setUp() {
+// init initializes the maps. The caller holds mu.
+func (s *Store) init() {
 	if s.items == nil {
 		s.items = map[string]Item{}
 		s.leases = map[uint64]*lease{}
@@ -92,7 +91,7 @@
 	}
 }
 
-// record appends an event, bounds the history and wakes watches; the caller
+// record appends an event, trims the history and wakes the watches. The caller
 // holds mu.
 func (s *Store) record(event Event) {
 	limit := s.History
@@ -108,25 +107,25 @@
 	s.changed = make(chan struct{})
 }
 
-// Any is the condition that accepts any present revision.
+// Any is the condition that accepts every current revision.
 const Any = ^uint64(0)
 
-// Put writes a key if its present revision equals ifRevision, where 0 stands
-// for "absent" and Any for "whatever". It returns the key's revision after the
-// call, and whether the write took effect.
+// Put writes a key if its current revision equals ifRevision. An ifRevision of 0
+// requires the key to be absent, and Any disables the check. It returns the key's
+// revision after the call, and whether the write took effect.
 func (s *Store) Put(key string, value []byte, ifRevision, leaseID uint64) (uint64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.setUp()
+	s.init()
 	s.expire()
-	present := s.items[key].Revision
-	if ifRevision != Any && ifRevision != present {
-		return present, false
+	current := s.items[key].Revision
+	if ifRevision != Any && ifRevision != current {
+		return current, false
 	}
 	if leaseID != 0 {
 		held, ok := s.leases[leaseID]
 		if !ok {
-			return present, false
+			return current, false
 		}
 		held.keys[key] = true
 	}
@@ -141,17 +140,17 @@
 func (s *Store) Delete(key string, ifRevision uint64) (uint64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.setUp()
+	s.init()
 	s.expire()
-	present := s.items[key].Revision
-	if present == 0 || (ifRevision != Any && ifRevision != present) {
-		return present, false
+	current := s.items[key].Revision
+	if current == 0 || (ifRevision != Any && ifRevision != current) {
+		return current, false
 	}
 	s.remove(key)
 	return s.revision, true
 }
 
-// remove deletes a present key; the caller holds mu.
+// remove deletes an existing key. The caller holds mu.
 func (s *Store) remove(key string) {
 	s.revision++
 	delete(s.items, key)
@@ -162,7 +161,7 @@
 func (s *Store) Get(key string) (Item, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.setUp()
+	s.init()
 	s.expire()
 	item, ok := s.items[key]
 	return item, ok
@@ -172,7 +171,7 @@
 func (s *Store) List(prefix string) ([]Item, uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.setUp()
+	s.init()
 	s.expire()
 	var items []Item
 	for key, item := range s.items {
@@ -184,13 +183,13 @@
 	return items, s.revision
 }
 
-// Since returns the events with a prefix after a revision, the store's
-// revision, a channel that closes at the next change, and false where the
-// history no longer reaches back that far.
+// Since returns the events under a prefix after a revision, the store's revision
+// and a channel that closes at the next change. It reports false if the revision
+// was compacted or lies in the future.
 func (s *Store) Since(prefix string, after uint64) ([]Event, uint64, <-chan struct{}, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.setUp()
+	s.init()
 	s.expire()
 	if after < s.compacted || after > s.revision {
 		return nil, s.revision, s.changed, false
@@ -204,21 +203,21 @@
 	return events, s.revision, s.changed, true
 }
 
-// Grant makes a lease.
+// Grant creates a lease and returns its id.
 func (s *Store) Grant(ttl time.Duration) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.setUp()
-	s.nextLease++
-	s.leases[s.nextLease] = &lease{ttl: ttl, expires: s.now().Add(ttl), keys: map[string]bool{}}
-	return s.nextLease
+	s.init()
+	s.lastLease++
+	s.leases[s.lastLease] = &lease{ttl: ttl, expires: s.now().Add(ttl), keys: map[string]bool{}}
+	return s.lastLease
 }
 
-// KeepAlive renews a lease and reports whether it still stood.
+// KeepAlive renews a lease and reports whether it still existed.
 func (s *Store) KeepAlive(id uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.setUp()
+	s.init()
 	s.expire()
 	held, ok := s.leases[id]
 	if ok {
@@ -227,23 +226,23 @@
 	return ok
 }
 
-// Revoke ends a lease at once, as its holder's lapse would.
+// Revoke ends a lease at once and deletes its keys.
 func (s *Store) Revoke(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.setUp()
-	s.drop(id)
+	s.init()
+	s.revoke(id)
 }
 
-// Expire ends the leases whose time has passed. Every call does so too.
+// Expire ends the expired leases, as every other call does first.
 func (s *Store) Expire() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.setUp()
+	s.init()
 	s.expire()
 }
 
-// NextExpiry returns the time until the first lease lapses, at most limit.
+// NextExpiry returns the time until the next lease expires, at most limit.
 func (s *Store) NextExpiry(limit time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -254,16 +253,18 @@
 	return max(limit, 0)
 }
 
+// expire ends the expired leases. The caller holds mu.
 func (s *Store) expire() {
 	now := s.now()
 	for id, held := range s.leases {
 		if now.After(held.expires) {
-			s.drop(id)
+			s.revoke(id)
 		}
 	}
 }
 
-func (s *Store) drop(id uint64) {
+// revoke deletes a lease and the keys that still belong to it. The caller holds mu.
+func (s *Store) revoke(id uint64) {
 	held, ok := s.leases[id]
 	if !ok {
 		return
@@ -276,7 +277,7 @@
 	}
 }
 
-// Compact drops the whole history, so that older watches get 410.
+// Compact discards the history, so that watches from older revisions get 410.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/kv/kv_test.go
+++ b/standin/kv/kv_test.go
@@ -17,8 +17,6 @@
 	"github.com/wheelcleat/wheelcleat/standin/serve"
 )
 
-// Contract of the key-value service, as the brief states it.
-
 func start(t *testing.T, s *Server) string {
 	t.Helper()
 	server, err := serve.Loopback(s)
@@ -29,18 +27,18 @@
 
 func do(t *testing.T, method, url, body string) (int, map[string]any, error) {
 	t.Helper()
-	request, err := http.NewRequest(method, url, bytes.NewBufferString(body))
+	req, err := http.NewRequest(method, url, bytes.NewBufferString(body))
 	require.NoError(t, err)
-	response, err := http.DefaultClient.Do(request)
+	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return 0, nil, err
 	}
-	defer func() { _ = response.Body.Close() }()
-	data, err := io.ReadAll(response.Body)
+	defer func() { _ = resp.Body.Close() }()
+	data, err := io.ReadAll(resp.Body)
 	require.NoError(t, err)
-	answer := map[string]any{}
-	require.NoError(t, json.Unmarshal(data, &answer), "%s", data)
-	return response.StatusCode, answer, nil
+	decoded := map[string]any{}
+	require.NoError(t, json.Unmarshal(data, &decoded), "%s", data)
+	return resp.StatusCode, decoded, nil
 }
 
 func TestCompareAndSwap(t *testing.T) {
@@ -74,7 +72,7 @@
 	assert.Equal(t, http.StatusRequestEntityTooLarge, status)
 }
 
-func TestWatch(t *testing.T) {
+func TestWatchReturnsEventsUnderPrefix(t *testing.T) {
 	s := &Server{Store: Store{History: 4}}
 	url := start(t, s)
 	s.Store.Put("p/a", []byte("1"), Any, 0)
@@ -83,7 +81,7 @@
 	_, answer, err := do(t, "GET", url+"/watch?prefix=p/&after=0&wait=1m", "")
 	require.NoError(t, err)
 	assert.InDelta(t, 3, answer["revision"], 0)
-	assert.Len(t, answer["events"], 2, "only the prefix")
+	assert.Len(t, answer["events"], 2, "only events under the prefix")
 
 	woken := make(chan map[string]any)
 	go func() {
@@ -105,13 +103,13 @@
 	assert.Equal(t, http.StatusGone, status, "compacted")
 	status, _, err = do(t, "GET", url+"/watch?prefix=p/&after=99&wait=1m", "")
 	require.NoError(t, err)
-	assert.Equal(t, http.StatusGone, status, "from the future")
+	assert.Equal(t, http.StatusGone, status, "revision in the future")
 	_, answer, err = do(t, "GET", url+"/watch?prefix=none/&after=15&wait=1ms", "")
 	require.NoError(t, err)
-	assert.Nil(t, answer["events"], "the wait passes")
+	assert.Nil(t, answer["events"], "the wait elapsed without an event")
 }
 
-func TestLease(t *testing.T) {
+func TestLeaseKeepsKeysUntilExpiry(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := &Store{Now: func() time.Time { return now }}
 	id := s.Grant(5 * time.Second)
@@ -124,20 +122,20 @@
 	require.True(t, present, "kept alive")
 	now = now.Add(2 * time.Second)
 	_, present = s.Get("k")
-	require.False(t, present, "lapsed")
+	require.False(t, present, "expired")
 	require.False(t, s.KeepAlive(id))
 	_, ok = s.Put("k", []byte("late"), 0, id)
-	require.False(t, ok, "a lapsed lease holds no keys")
+	require.False(t, ok, "an expired lease accepts no keys")
 
 	other := s.Grant(5 * time.Second)
 	s.Put("k", []byte("other"), 0, other)
 	s.Put("k", []byte("taken over"), Any, 0)
 	s.Revoke(other)
 	_, present = s.Get("k")
-	require.True(t, present, "a key written again without the lease stays")
+	require.True(t, present, "a key overwritten without the lease is kept")
 }
 
-func TestLapseWakesWatch(t *testing.T) {
+func TestLeaseExpiryWakesWatch(t *testing.T) {
 	s := &Server{}
 	url := start(t, s)
 	id := s.Store.Grant(20 * time.Millisecond)
@@ -147,7 +145,7 @@
 	assert.Len(t, answer["events"], 1)
 }
 
-func TestFaults(t *testing.T) {
+func TestInjectedFaults(t *testing.T) {
 	var fault atomic.Value
 	fault.Store(Fault{})
 	s := &Server{Fault: func(Op, string) Fault { return fault.Load().(Fault) }}
@@ -156,16 +154,16 @@
 	_, _, err := do(t, "PUT", url+"/kv/a", "lost before")
 	require.Error(t, err)
 	_, present := s.Store.Get("a")
-	assert.False(t, present, "down: no effect")
+	assert.False(t, present, "the write took no effect")
 	fault.Store(Fault{LoseAnswer: true})
 	_, _, err = do(t, "PUT", url+"/kv/a", "lost after")
 	require.Error(t, err)
 	item, present := s.Store.Get("a")
-	assert.True(t, present, "the answer was lost, the write was not")
+	assert.True(t, present, "the write took effect although its response was lost")
 	assert.Equal(t, "lost after", string(item.Value))
 }
 
-func TestRates(t *testing.T) {
+func TestRateLimits(t *testing.T) {
 	s := &Server{WritesPerSecond: 0.001, ReadsPerSecond: 0.001}
 	url := start(t, s)
 	for _, method := range []string{"PUT", "GET"} {
--- a/standin/kv/server.go
+++ b/standin/kv/server.go
@@ -12,10 +12,10 @@
 	"github.com/wheelcleat/wheelcleat/standin/serve"
 )
 
-// Op names a call, for faults.
+// Op is the kind of a request, for injecting faults.
 type Op string
 
-// The calls.
+// Kinds of requests.
 const (
 	OpGet       Op = "get"
 	OpList      Op = "list"
@@ -27,7 +27,7 @@
 	OpRevoke    Op = "revoke"
 )
 
-func (o Op) writes() bool {
+func (o Op) isWrite() bool {
 	switch o {
 	case OpGet, OpList, OpWatch:
 		return false
@@ -36,17 +36,17 @@
 	}
 }
 
-// Fault says what goes wrong with one call.
+// Fault describes the faults injected into one request.
 type Fault struct {
-	// Down cuts the connection before the call takes effect.
+	// Down closes the connection before the request takes effect.
 	Down bool
-	// LoseAnswer cuts the connection after the call has taken effect.
+	// LoseAnswer closes the connection after the request has taken effect.
 	LoseAnswer bool
-	// Delay comes before the call.
+	// Delay is added before the request is processed.
 	Delay time.Duration
 }
 
-// Server answers the service's HTTP calls:
+// Server serves the HTTP API of the service:
 //
 //	GET    /kv/{key}                       one item
 //	GET    /kv?prefix=P                    {revision, items}
@@ -54,15 +54,15 @@
 //	DELETE /kv/{key}?ifRevision=N
 //	GET    /watch?prefix=P&after=N&wait=D  {revision, events}, or 410
 //	POST   /leases?ttl=D                   {id}
-//	POST   /leases/{id}/keepalive          404 when it has lapsed
+//	POST   /leases/{id}/keepalive          404 if it has expired
 //	DELETE /leases/{id}
 //
-// The zero value answers from an empty store at the brief's rates.
+// The zero value serves an empty store at the default rates.
 type Server struct {
 	Store Store
-	// Fault is asked at each call; nil means no faults.
+	// Fault returns the faults for a request; nil means no faults.
 	Fault func(op Op, key string) Fault
-	// WritesPerSecond and ReadsPerSecond bound the rates; 0 means the brief's.
+	// WritesPerSecond and ReadsPerSecond are the rate limits; 0 means the defaults.
 	WritesPerSecond, ReadsPerSecond float64
 
 	once    sync.Once
@@ -75,14 +75,14 @@
 	counts Counts
 }
 
-// Counts returns the calls taken so far.
+// Counts returns the numbers of requests so far.
 func (s *Server) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts
 }
 
-func limiter(perSecond, fallback float64) *rate.Limiter {
+func newLimiter(perSecond, fallback float64) *rate.Limiter {
 	if perSecond == 0 {
 		perSecond = fallback
 	}
@@ -90,34 +90,34 @@
 }
 
 func (s *Server) setUp() {
-	s.reads = limiter(s.ReadsPerSecond, DefaultReadsPerSecond)
-	s.writes = limiter(s.WritesPerSecond, DefaultWritesPerSecond)
+	s.reads = newLimiter(s.ReadsPerSecond, DefaultReadsPerSecond)
+	s.writes = newLimiter(s.WritesPerSecond, DefaultWritesPerSecond)
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /kv", s.call(OpList, s.list))
-	mux.HandleFunc("GET /kv/{key...}", s.call(OpGet, s.get))
-	mux.HandleFunc("PUT /kv/{key...}", s.call(OpPut, s.put))
-	mux.HandleFunc("DELETE /kv/{key...}", s.call(OpDelete, s.delete))
-	mux.HandleFunc("GET /watch", s.call(OpWatch, s.watch))
-	mux.HandleFunc("POST /leases", s.call(OpGrant, s.grant))
-	mux.HandleFunc("POST /leases/{id}/keepalive", s.call(OpKeepAlive, s.keepAlive))
-	mux.HandleFunc("DELETE /leases/{id}", s.call(OpRevoke, s.revoke))
+	mux.HandleFunc("GET /kv", s.handle(OpList, s.list))
+	mux.HandleFunc("GET /kv/{key...}", s.handle(OpGet, s.get))
+	mux.HandleFunc("PUT /kv/{key...}", s.handle(OpPut, s.put))
+	mux.HandleFunc("DELETE /kv/{key...}", s.handle(OpDelete, s.delete))
+	mux.HandleFunc("GET /watch", s.handle(OpWatch, s.watch))
+	mux.HandleFunc("POST /leases", s.handle(OpGrant, s.grant))
+	mux.HandleFunc("POST /leases/{id}/keepalive", s.handle(OpKeepAlive, s.keepAlive))
+	mux.HandleFunc("DELETE /leases/{id}", s.handle(OpRevoke, s.revoke))
 	s.handler = mux
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP serves one request.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.once.Do(s.setUp)
 	s.handler.ServeHTTP(w, r)
 }
 
-// answer is what a call returns before the faults act on it.
-type answer struct {
+// response is the result of an operation before faults are applied.
+type response struct {
 	status int
 	body   any
 }
 
-// call wraps one operation with counting, rate limits and faults.
-func (s *Server) call(op Op, operate func(r *http.Request) answer) http.HandlerFunc {
+// handle wraps an operation with request counting, rate limits and faults.
+func (s *Server) handle(op Op, operate func(r *http.Request) response) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if !s.count(op) {
 			w.Header().Set("Retry-After", "1")
@@ -148,10 +148,10 @@
 	}
 }
 
-// count adds a call and reports whether the rate allows it.
+// count counts a request and reports whether the rate limit admits it.
 func (s *Server) count(op Op) bool {
 	limit := s.reads
-	if op.writes() {
+	if op.isWrite() {
 		limit = s.writes
 	}
 	allowed := limit.Allow()
@@ -160,7 +160,7 @@
 	switch {
 	case !allowed:
 		s.counts.Refused++
-	case op.writes():
+	case op.isWrite():
 		s.counts.Writes++
 	default:
 		s.counts.Reads++
@@ -189,8 +189,8 @@
 	ID uint64 `json:"id"`
 }
 
-// number reads a numeric parameter; an absent one gives fallback.
-func number(text string, fallback uint64) (uint64, bool) {
+// parseNumber parses a numeric parameter and returns fallback if it is absent.
+func parseNumber(text string, fallback uint64) (uint64, bool) {
 	if text == "" {
 		return fallback, true
 	}
@@ -198,52 +198,53 @@
 	return value, err == nil
 }
 
-var badRequest = answer{http.StatusBadRequest, revisionBody{}}
+var badRequest = response{http.StatusBadRequest, revisionBody{}}
 
-func (s *Server) get(r *http.Request) answer {
+func (s *Server) get(r *http.Request) response {
 	item, ok := s.Store.Get(r.PathValue("key"))
 	if !ok {
-		return answer{http.StatusNotFound, revisionBody{}}
+		return response{http.StatusNotFound, revisionBody{}}
 	}
-	return answer{http.StatusOK, item}
+	return response{http.StatusOK, item}
 }
 
-func (s *Server) list(r *http.Request) answer {
+func (s *Server) list(r *http.Request) response {
 	items, revision := s.Store.List(r.URL.Query().Get("prefix"))
-	return answer{http.StatusOK, listBody{Revision: revision, Items: items}}
+	return response{http.StatusOK, listBody{Revision: revision, Items: items}}
 }
 
-func written(revision uint64, ok bool) answer {
+// writeResponse returns the response to a put or delete.
+func writeResponse(revision uint64, ok bool) response {
 	if !ok {
-		return answer{http.StatusConflict, revisionBody{revision}}
+		return response{http.StatusConflict, revisionBody{revision}}
 	}
-	return answer{http.StatusOK, revisionBody{revision}}
+	return response{http.StatusOK, revisionBody{revision}}
 }
 
-func (s *Server) put(r *http.Request) answer {
-	ifRevision, okRevision := number(r.URL.Query().Get("ifRevision"), Any)
-	leaseID, okLease := number(r.URL.Query().Get("lease"), 0)
+func (s *Server) put(r *http.Request) response {
+	ifRevision, okRevision := parseNumber(r.URL.Query().Get("ifRevision"), Any)
+	leaseID, okLease := parseNumber(r.URL.Query().Get("lease"), 0)
 	value, err := io.ReadAll(io.LimitReader(r.Body, MaxValueBytes+1))
 	if !okRevision || !okLease || err != nil {
 		return badRequest
 	}
 	if len(value) > MaxValueBytes {
-		return answer{http.StatusRequestEntityTooLarge, revisionBody{}}
+		return response{http.StatusRequestEntityTooLarge, revisionBody{}}
 	}
-	return written(s.Store.Put(r.PathValue("key"), value, ifRevision, leaseID))
+	return writeResponse(s.Store.Put(r.PathValue("key"), value, ifRevision, leaseID))
 }
 
-func (s *Server) delete(r *http.Request) answer {
-	ifRevision, ok := number(r.URL.Query().Get("ifRevision"), Any)
+func (s *Server) delete(r *http.Request) response {
+	ifRevision, ok := parseNumber(r.URL.Query().Get("ifRevision"), Any)
 	if !ok {
 		return badRequest
 	}
-	return written(s.Store.Delete(r.PathValue("key"), ifRevision))
+	return writeResponse(s.Store.Delete(r.PathValue("key"), ifRevision))
 }
 
-func (s *Server) watch(r *http.Request) answer {
+func (s *Server) watch(r *http.Request) response {
 	query := r.URL.Query()
-	after, ok := number(query.Get("after"), 0)
+	after, ok := parseNumber(query.Get("after"), 0)
 	wait, err := time.ParseDuration(query.Get("wait"))
 	if !ok || err != nil {
 		return badRequest
@@ -251,19 +252,20 @@
 	deadline := time.Now().Add(wait)
 	prefix := query.Get("prefix")
 	for {
-		events, revision, changed, kept := s.Store.Since(prefix, after)
-		if !kept {
-			return answer{http.StatusGone, revisionBody{revision}}
+		events, revision, changed, ok := s.Store.Since(prefix, after)
+		if !ok {
+			return response{http.StatusGone, revisionBody{revision}}
 		}
 		if len(events) > 0 {
-			return answer{http.StatusOK, watchBody{Revision: revision, Events: events}}
+			return response{http.StatusOK, watchBody{Revision: revision, Events: events}}
 		}
-		left := time.Until(deadline)
-		if left <= 0 {
-			return answer{http.StatusOK, watchBody{Revision: revision}}
+		remaining := time.Until(deadline)
+		if remaining <= 0 {
+			return response{http.StatusOK, watchBody{Revision: revision}}
 		}
-		// A lapse of a lease is a change too, and no call announces it.
-		timer := time.NewTimer(s.Store.NextExpiry(left) + time.Millisecond)
+		// Leases expire lazily, in the next call to the store, so the watch has to wake up
+		// when the next lease expires.
+		timer := time.NewTimer(s.Store.NextExpiry(remaining) + time.Millisecond)
 		select {
 		case <-changed:
 		case <-timer.C:
@@ -275,27 +277,27 @@
 	}
 }
 
-func (s *Server) grant(r *http.Request) answer {
+func (s *Server) grant(r *http.Request) response {
 	ttl, err := time.ParseDuration(r.URL.Query().Get("ttl"))
 	if err != nil || ttl <= 0 {
 		return badRequest
 	}
-	return answer{http.StatusOK, leaseBody{ID: s.Store.Grant(ttl)}}
+	return response{http.StatusOK, leaseBody{ID: s.Store.Grant(ttl)}}
 }
 
-func (s *Server) keepAlive(r *http.Request) answer {
-	id, ok := number(r.PathValue("id"), 0)
+func (s *Server) keepAlive(r *http.Request) response {
+	id, ok := parseNumber(r.PathValue("id"), 0)
 	if !ok || !s.Store.KeepAlive(id) {
-		return answer{http.StatusNotFound, leaseBody{ID: id}}
+		return response{http.StatusNotFound, leaseBody{ID: id}}
 	}
-	return answer{http.StatusOK, leaseBody{ID: id}}
+	return response{http.StatusOK, leaseBody{ID: id}}
 }
 
-func (s *Server) revoke(r *http.Request) answer {
-	id, ok := number(r.PathValue("id"), 0)
+func (s *Server) revoke(r *http.Request) response {
+	id, ok := parseNumber(r.PathValue("id"), 0)
 	if !ok {
 		return badRequest
 	}
 	s.Store.Revoke(id)
-	return answer{http.StatusOK, leaseBody{ID: id}}
+	return response{http.StatusOK, leaseBody{ID: id}}
 }
