--- a/standin/doc.go
+++ b/standin/doc.go
@@ -1,9 +1,9 @@
-// Package standin groups small stand-ins for the outside systems that
-// wheelcleat meets: the key-value service, the weight store and origin, the
-// host list, a model engine and a plain service.
+// Package standin groups simulations of the external systems that wheelcleat
+// depends on: the key-value service, the weight store and origin, the host
+// list, a model engine and a plain service.
 //
-// Each stand-in is an http.Handler whose faults are function fields: a nil
-// field means no fault. They exist so that tests, benches and the dev command
-// can run the real processes without the platform. They keep just enough
-// behaviour to be wrong in the ways the platform can be wrong.
+// Tests, benchmarks and the dev command run the real daemons against them when
+// no platform is available. Each is an http.Handler whose faults are function
+// fields; a nil field injects no fault. A simulation implements only what the
+// daemons use and the ways in which that can fail.
 package standin
