--- a/api/client/client.go
+++ b/api/client/client.go
@@ -1,4 +1,4 @@
-// Package client is the typed client of wheelcleat's resource API.
+// Package client is a typed client for wheelcleat's resource API.
 package client
 
 import (
@@ -16,32 +16,32 @@
 	"github.com/wheelcleat/wheelcleat/api"
 )
 
-// maxAnswerBytes bounds one answer of the resource API.
-const maxAnswerBytes = 64 << 20
+// maxResponseBytes bounds the body of one response.
+const maxResponseBytes = 64 << 20
 
-// Client calls the resource API of the entries in order: a call that cannot
-// reach one goes to the next. A write that reached an entry is never sent to
-// another, because it may have taken effect.
+// Client calls the resource API. It tries the entries in order until it can connect
+// to one. A request that may have reached an entry is not sent to another, because
+// a write may have taken effect.
 type Client struct {
 	// Entries are base addresses such as "http://127.0.0.1:7002".
 	Entries []string
-	// Key is the operator's bearer key, or "".
+	// Key is the operator's bearer key; "" sends none.
 	Key string
-	// HTTP makes the calls; nil means http.DefaultClient.
+	// HTTP is the HTTP client; nil means http.DefaultClient.
 	HTTP *http.Client
 }
 
-// PutOptions vary a Put.
+// PutOptions are the options of Put.
 type PutOptions struct {
-	// IfRevision is the revision the caller has seen; 0 writes over any.
+	// IfRevision is the revision that the write replaces; 0 replaces any.
 	IfRevision uint64
-	// Create refuses to write over a present resource.
+	// Create makes the write fail if the resource exists.
 	Create bool
-	// DryRun validates and reports what the write would do.
+	// DryRun validates the write without applying it.
 	DryRun bool
 }
 
-// Put declares a resource and returns it as accepted.
+// Put writes a resource and returns it as accepted.
 func (c *Client) Put(ctx context.Context, r *api.Resource, options PutOptions) (*api.Resource, error) {
 	body, err := json.Marshal(r)
 	if err != nil {
@@ -67,30 +67,30 @@
 	return list, c.decode(ctx, request{method: http.MethodGet, path: "/v1/resources/" + kind.Plural()}, list)
 }
 
-// Delete removes a resource. An ifRevision of 0 removes any revision.
+// Delete deletes a resource. An ifRevision of 0 deletes any revision.
 func (c *Client) Delete(ctx context.Context, kind api.Kind, name string, ifRevision uint64) error {
 	return c.decode(ctx, request{method: http.MethodDelete, path: resourcePath(kind, name), ifRevision: ifRevision}, nil)
 }
 
-// Rollout returns how far a service's declared version has come.
+// Rollout returns the progress of the rollout of a service's declared version.
 func (c *Client) Rollout(ctx context.Context, service string) (*api.RolloutStatus, error) {
 	status := &api.RolloutStatus{}
 	return status, c.decode(ctx, request{method: http.MethodGet, path: "/v1/rollouts/" + url.PathEscape(service)}, status)
 }
 
-// Watch calls handle for each event after the given revision until the
-// context ends, the stream breaks, or handle returns an error. An *api.Problem
-// with code too-old says that the caller must list again.
+// Watch calls handle for each event after the given revision until ctx is
+// cancelled, the stream ends, or handle returns an error. It returns an
+// *api.Problem with api.CodeTooOld if the caller has to list again.
 func (c *Client) Watch(ctx context.Context, after uint64, handle func(api.Event) error) error {
 	query := url.Values{"after": {strconv.FormatUint(after, 10)}}
-	response, err := c.do(ctx, request{method: http.MethodGet, path: "/v1/watch", query: query})
+	resp, err := c.do(ctx, request{method: http.MethodGet, path: "/v1/watch", query: query})
 	if err != nil {
 		return err
 	}
-	defer func() { _ = response.Body.Close() }()
-	lines := bufio.NewReader(response.Body)
+	defer func() { _ = resp.Body.Close() }()
+	reader := bufio.NewReader(resp.Body)
 	for {
-		line, err := lines.ReadBytes('\n')
+		line, err := reader.ReadBytes('\n')
 		if err != nil {
 			return fmt.Errorf("watch after revision %d: stream ended: %w", after, err)
 		}
@@ -104,7 +104,7 @@
 	}
 }
 
-// request is one call of the resource API.
+// request is one request to the resource API.
 type request struct {
 	method     string
 	path       string
@@ -118,32 +118,33 @@
 	return "/v1/resources/" + kind.Plural() + "/" + url.PathEscape(name)
 }
 
-// decode makes a call and reads its answer into target, which may be nil.
+// decode sends a request and decodes the response into target unless that is nil.
 func (c *Client) decode(ctx context.Context, call request, target any) error {
-	response, err := c.do(ctx, call)
+	resp, err := c.do(ctx, call)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = response.Body.Close() }()
+	defer func() { _ = resp.Body.Close() }()
 	if target == nil {
 		return nil
 	}
-	if err := json.NewDecoder(io.LimitReader(response.Body, maxAnswerBytes)).Decode(target); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(target); err != nil {
 		return fmt.Errorf("%s %s: read answer: %w", call.method, call.path, err)
 	}
 	return nil
 }
 
-// do returns a successful answer whose body the caller closes.
+// do sends a request and returns the response if it is successful. The caller closes
+// its body.
 func (c *Client) do(ctx context.Context, call request) (*http.Response, error) {
 	var lastErr error
 	for _, entry := range c.Entries {
-		response, err := c.send(ctx, entry, call)
+		resp, err := c.send(ctx, entry, call)
 		if err == nil {
-			return response, nil
+			return resp, nil
 		}
 		lastErr = err
-		if !neverSent(err) || ctx.Err() != nil {
+		if !failedToConnect(err) || ctx.Err() != nil {
 			return nil, err
 		}
 	}
@@ -153,8 +154,9 @@
 	return nil, lastErr
 }
 
-// neverSent reports whether a call failed before a connection was made.
-func neverSent(err error) bool {
+// failedToConnect reports whether a request failed before a connection was
+// established.
+func failedToConnect(err error) bool {
 	return strings.Contains(err.Error(), "dial tcp")
 }
 
@@ -163,39 +165,41 @@
 	if len(call.query) > 0 {
 		target += "?" + call.query.Encode()
 	}
-	httpRequest, err := http.NewRequestWithContext(ctx, call.method, target, bytes.NewReader(call.body))
+	httpReq, err := http.NewRequestWithContext(ctx, call.method, target, bytes.NewReader(call.body))
 	if err != nil {
 		return nil, fmt.Errorf("%s %s: %w", call.method, target, err)
 	}
 	if c.Key != "" {
-		httpRequest.Header.Set("Authorization", "Bearer "+c.Key)
+		httpReq.Header.Set("Authorization", "Bearer "+c.Key)
 	}
 	if call.ifRevision != 0 {
-		httpRequest.Header.Set("If-Match", strconv.Quote(strconv.FormatUint(call.ifRevision, 10)))
+		httpReq.Header.Set("If-Match", strconv.Quote(strconv.FormatUint(call.ifRevision, 10)))
 	}
 	if call.create {
-		httpRequest.Header.Set("If-None-Match", "*")
+		httpReq.Header.Set("If-None-Match", "*")
 	}
 	httpClient := c.HTTP
 	if httpClient == nil {
 		httpClient = http.DefaultClient
 	}
-	response, err := httpClient.Do(httpRequest)
+	resp, err := httpClient.Do(httpReq)
 	if err != nil {
 		return nil, fmt.Errorf("%s %s: %w", call.method, target, err)
 	}
-	if response.StatusCode < http.StatusBadRequest {
-		return response, nil
+	if resp.StatusCode < http.StatusBadRequest {
+		return resp, nil
 	}
-	defer func() { _ = response.Body.Close() }()
-	return nil, readProblem(response, call)
+	defer func() { _ = resp.Body.Close() }()
+	return nil, readProblem(resp, call)
 }
 
-func readProblem(response *http.Response, call request) error {
+// readProblem returns the *api.Problem of an error response, or another error if the body
+// is not a problem.
+func readProblem(resp *http.Response, call request) error {
 	problem := &api.Problem{}
-	err := json.NewDecoder(io.LimitReader(response.Body, maxAnswerBytes)).Decode(problem)
+	err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(problem)
 	if err != nil || problem.Code == "" {
-		return fmt.Errorf("%s %s: entry answered %s", call.method, call.path, response.Status)
+		return fmt.Errorf("%s %s: entry answered %s", call.method, call.path, resp.Status)
 	}
 	return problem
 }
