--- a/api/manifest/manifest.go
+++ b/api/manifest/manifest.go
@@ -1,13 +1,12 @@
-// Package manifest describes a version's weights as an ordered list of chunks.
+// Package manifest describes the weights of a version as an ordered list of chunks.
 //
-// A version is named by the BLAKE3 digest of its manifest's bytes. The
-// manifest names each chunk and the whole file by digest, so whoever holds the
-// name can check every byte that arrives, whoever sent it. Chunks are named by
-// content: two versions that share chunks share their transfers.
+// A version is identified by the BLAKE3 digest of its encoded manifest. The
+// manifest contains the digests of each chunk and of the complete file, so a
+// receiver that knows the version's digest can verify data from an untrusted
+// sender. Chunks are content addressed: versions with equal chunks share them.
 //
-// The manifest is JSON with one long string of chunk digests. A binary form
-// would be half the size, but at 500 chunks the JSON is 33 KB, and operators
-// can read it.
+// The encoding is JSON with the chunk digests in a single string. A binary
+// encoding would be half the size but not readable by operators.
 package manifest
 
 import (
@@ -20,14 +19,15 @@
 	"github.com/zeebo/blake3"
 )
 
-// Sizes that Plan works with.
+// Sizes of chunks and manifests.
 const (
-	// TargetChunks is the number of chunks a version aims at: enough that the
-	// ramp of a swarm, about log2(hosts)/chunks of the whole, is small.
+	// TargetChunks is the planned number of chunks of a version. The start-up phase of
+	// a swarm takes about log2(hosts)/chunks of the transfer time, so more chunks
+	// shorten it.
 	TargetChunks = 256
-	// MinChunkBytes keeps the cost of a request per chunk small.
+	// MinChunkBytes limits the overhead of one request per chunk.
 	MinChunkBytes = 64 << 10
-	// MaxBytes bounds an encoded manifest.
+	// MaxBytes is the maximum size of an encoded manifest.
 	MaxBytes = 256 << 10
 )
 
@@ -37,13 +37,13 @@
 // String returns the digest in hex.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// Short returns the first 12 hex digits, for logs.
+// Short returns the first 12 hex digits, for use in logs.
 func (d Digest) Short() string { return d.String()[:12] }
 
 // IsZero reports whether the digest is unset.
 func (d Digest) IsZero() bool { return d == Digest{} }
 
-// ParseDigest reads 64 hex digits.
+// ParseDigest parses a digest in hex.
 func ParseDigest(text string) (Digest, error) {
 	var digest Digest
 	raw, err := hex.DecodeString(text)
@@ -54,32 +54,32 @@
 	return digest, nil
 }
 
-// Sum returns the digest of data.
+// Sum returns the BLAKE3 digest of data.
 func Sum(data []byte) Digest { return blake3.Sum256(data) }
 
-// Manifest describes one version's weights. Manifests made by Build or Decode
-// are complete; treat them as read-only.
+// Manifest describes the weights of one version. Manifests from Build or Decode
+// are valid and must be treated as read-only.
 type Manifest struct {
-	// Size is the length of the whole file in bytes.
+	// Size is the size of the file in bytes.
 	Size int64
-	// ChunkBytes is the length of every chunk but the last.
+	// ChunkBytes is the size of all chunks but the last.
 	ChunkBytes int64
-	// Whole is the digest over the whole file.
+	// Whole is the digest of the complete file.
 	Whole Digest
-	// Chunks holds one digest per chunk, in file order.
+	// Chunks holds the digests of the chunks in file order.
 	Chunks []Digest
 }
 
-// encoded is the manifest's form in JSON.
+// encoded is the JSON encoding of a Manifest.
 type encoded struct {
 	Size       int64  `json:"size"`
 	ChunkBytes int64  `json:"chunkBytes"`
 	Whole      string `json:"whole"`
-	Chunks     string `json:"chunks"` // all chunk digests in hex, one after the other
+	Chunks     string `json:"chunks"` // concatenated chunk digests in hex
 }
 
-// PlanChunkBytes returns the chunk size for a file of the given size: a power
-// of two that gives about TargetChunks chunks.
+// PlanChunkBytes returns the chunk size for a file of the given size: the smallest
+// power of two, from MinChunkBytes, that gives at most TargetChunks chunks.
 func PlanChunkBytes(size int64) int64 {
 	chunk := int64(MinChunkBytes)
 	for chunk*TargetChunks < size {
@@ -88,34 +88,34 @@
 	return chunk
 }
 
-// Build reads a whole file and describes it. A chunkBytes of 0 takes the
-// planned size.
+// Build reads a file and returns its manifest. A chunkBytes of 0 selects the size
+// from PlanChunkBytes.
 func Build(r io.Reader, size, chunkBytes int64) (*Manifest, error) {
 	if chunkBytes <= 0 {
 		chunkBytes = PlanChunkBytes(size)
 	}
 	m := &Manifest{Size: size, ChunkBytes: chunkBytes}
-	whole := blake3.New()
+	fileHash := blake3.New()
 	buffer := make([]byte, chunkBytes)
 	for offset := int64(0); offset < size; offset += chunkBytes {
 		chunk := buffer[:min(chunkBytes, size-offset)]
 		if _, err := io.ReadFull(r, chunk); err != nil {
 			return nil, fmt.Errorf("read chunk at byte %d: %w", offset, err)
 		}
-		_, _ = whole.Write(chunk)
+		_, _ = fileHash.Write(chunk)
 		m.Chunks = append(m.Chunks, Sum(chunk))
 	}
-	whole.Sum(m.Whole[:0])
+	fileHash.Sum(m.Whole[:0])
 	return m, nil
 }
 
-// ChunkRange returns the offset and length of a chunk in the whole file.
+// ChunkRange returns the offset and length of a chunk in the file.
 func (m *Manifest) ChunkRange(index int) (offset, length int64) {
 	offset = int64(index) * m.ChunkBytes
 	return offset, min(m.ChunkBytes, m.Size-offset)
 }
 
-// Encode returns the manifest's bytes and their digest, the version's name.
+// Encode returns the encoded manifest and its digest, which identifies the version.
 func (m *Manifest) Encode() ([]byte, Digest, error) {
 	chunks := make([]byte, 0, len(m.Chunks)*len(Digest{}))
 	for _, chunk := range m.Chunks {
@@ -131,11 +131,12 @@
 	return data, Sum(data), nil
 }
 
-// errShape is returned for a manifest whose numbers do not fit together.
-var errShape = errors.New("manifest: size, chunk size and chunk count do not fit together")
+// errInconsistent is returned for a manifest whose sizes and chunk count contradict each
+// other.
+var errInconsistent = errors.New("manifest: size, chunk size and chunk count do not fit together")
 
-// Decode reads a manifest, checks that its bytes have the expected digest,
-// and that its numbers fit together.
+// Decode decodes a manifest. It checks that the data has the expected digest and
+// that the sizes and the chunk count are consistent.
 func Decode(data []byte, want Digest) (*Manifest, error) {
 	if len(data) > MaxBytes {
 		return nil, fmt.Errorf("manifest takes %d bytes, more than %d", len(data), MaxBytes)
@@ -161,11 +162,11 @@
 	}
 	count := int64(len(raw) / len(Digest{}))
 	if e.Size < 0 || e.ChunkBytes <= 0 || int64(len(raw)) != count*int64(len(Digest{})) {
-		return nil, errShape
+		return nil, errInconsistent
 	}
-	// Written so that no product can overflow.
+	// Division instead of multiplication avoids an overflow.
 	if (count == 0) != (e.Size == 0) || count > 0 && (e.Size-1)/e.ChunkBytes != count-1 {
-		return nil, errShape
+		return nil, errInconsistent
 	}
 	m := &Manifest{Size: e.Size, ChunkBytes: e.ChunkBytes, Whole: whole, Chunks: make([]Digest, count)}
 	for i := range m.Chunks {
--- a/api/manifest/manifest_test.go
+++ b/api/manifest/manifest_test.go
@@ -9,33 +9,33 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestBuildAndDecode(t *testing.T) {
+func TestDecodeReturnsBuiltManifest(t *testing.T) {
 	for _, size := range []int64{0, 1, 99, 100, 101, 1000} {
 		data := bytes.Repeat([]byte("w"), int(size))
 		m, err := Build(bytes.NewReader(data), size, 100)
 		require.NoError(t, err)
 		encoded, id, err := m.Encode()
 		require.NoError(t, err)
-		back, err := Decode(encoded, id)
+		decoded, err := Decode(encoded, id)
 		require.NoError(t, err, "size %d", size)
-		assert.Equal(t, m.Size, back.Size)
-		assert.Equal(t, m.Whole, back.Whole)
+		assert.Equal(t, m.Size, decoded.Size)
+		assert.Equal(t, m.Whole, decoded.Whole)
 		total := int64(0)
-		for i := range back.Chunks {
-			offset, length := back.ChunkRange(i)
-			assert.Equal(t, Sum(data[offset:offset+length]), back.Chunks[i])
+		for i := range decoded.Chunks {
+			offset, length := decoded.ChunkRange(i)
+			assert.Equal(t, Sum(data[offset:offset+length]), decoded.Chunks[i])
 			total += length
 		}
-		assert.Equal(t, size, total, "the chunks are the whole file")
+		assert.Equal(t, size, total, "the chunks cover the file")
 	}
 }
 
-func TestBuildOfShortFile(t *testing.T) {
+func TestBuildRejectsTruncatedFile(t *testing.T) {
 	_, err := Build(strings.NewReader("short"), 10, 4)
 	require.ErrorContains(t, err, "read chunk at byte 4")
 }
 
-func TestDecodeRefuses(t *testing.T) {
+func TestDecodeRejectsInvalidManifests(t *testing.T) {
 	zero := strings.Repeat("00", 32)
 	tests := []struct{ name, data, want string }{
 		{"not JSON", `{`, "decode manifest"},
@@ -65,10 +65,11 @@
 	}
 }
 
+// FuzzDecode checks that the chunks of every decoded manifest cover the file.
 func FuzzDecode(f *testing.F) {
 	m, _ := Build(strings.NewReader("some weights"), 12, 5)
-	good, _, _ := m.Encode()
-	f.Add(good)
+	valid, _, _ := m.Encode()
+	f.Add(valid)
 	f.Add([]byte(`{"size":-1}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		m, err := Decode(data, Sum(data))
