--- a/api/duration.go
+++ b/api/duration.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// Duration is a time.Duration written in JSON as a string with a unit, such
-// as "250ms". A bare number is refused, because its unit would be a guess.
+// Duration is a time.Duration that is encoded in JSON as a string with a unit,
+// such as "250ms". A bare number is rejected because its unit is ambiguous.
 type Duration time.Duration
 
-// Std returns d as the standard library's type.
+// Std returns d as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// MarshalJSON writes d as a string with a unit.
+// MarshalJSON encodes d as a string with a unit.
 func (d Duration) MarshalJSON() ([]byte, error) {
 	return json.Marshal(time.Duration(d).String())
 }
 
-// UnmarshalJSON reads a string with a unit.
+// UnmarshalJSON decodes a string with a unit.
 func (d *Duration) UnmarshalJSON(data []byte) error {
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
--- a/api/headers.go
+++ b/api/headers.go
@@ -1,30 +1,31 @@
 package api
 
-// Headers of the calls that wheelcleat routes.
+// Headers of routed requests and their responses.
 const (
-	// HeaderOutcome says whether a request ran; see Outcome.
+	// HeaderOutcome reports whether the request ran; see Outcome.
 	HeaderOutcome = "Wheelcleat-Outcome"
-	// HeaderTimeout is the caller's deadline as a duration, such as "1.2s".
+	// HeaderTimeout is the time until the client's deadline as a duration, such as "1.2s".
 	HeaderTimeout = "Wheelcleat-Timeout"
-	// HeaderRepeatable is "no" for a request that runs at most once.
+	// HeaderRepeatable is "no" for a request that must run at most once.
 	HeaderRepeatable = "Wheelcleat-Repeatable"
-	// HeaderRequestID names a request; one is made where the caller sends none.
+	// HeaderRequestID identifies the request. It is generated if the client sends none.
 	HeaderRequestID = "Wheelcleat-Request-Id"
-	// HeaderVersion names the version that answered, as model/adapter/version digest.
+	// HeaderVersion identifies the version that served the request, as
+	// model/adapter/version digest.
 	HeaderVersion = "Wheelcleat-Version"
-	// HeaderHost names the host that answered.
+	// HeaderHost is the name of the host that served the request.
 	HeaderHost = "Wheelcleat-Host"
 )
 
-// Outcome is what an answer says of the request's run.
+// Outcome reports in a response whether the request ran.
 type Outcome string
 
-// The outcomes.
+// Outcomes of a request.
 const (
-	// OutcomeDone: the request ran and this is its answer.
+	// OutcomeDone means that the request ran and this is its response.
 	OutcomeDone Outcome = "done"
-	// OutcomeNotRun: no upstream saw the request.
+	// OutcomeNotRun means that the request did not run on any upstream.
 	OutcomeNotRun Outcome = "not-run"
-	// OutcomeUnknown: the request may have run; its answer is lost.
+	// OutcomeUnknown means that the request may have run but its response was lost.
 	OutcomeUnknown Outcome = "unknown"
 )
--- a/api/message.go
+++ b/api/message.go
@@ -2,36 +2,36 @@
 
 import "fmt"
 
-// ProblemCode names why the resource API refused a call.
+// ProblemCode is the reason why the resource API rejected a request.
 type ProblemCode string
 
-// The problem codes of the resource API.
+// Problem codes of the resource API.
 const (
-	CodeInvalid      ProblemCode = "invalid"      // 422: the declaration breaks a rule
-	CodeMalformed    ProblemCode = "malformed"    // 400: the body or a parameter cannot be read
-	CodeConflict     ProblemCode = "conflict"     // 409: another write came first
+	CodeInvalid      ProblemCode = "invalid"      // 422: the declaration is invalid
+	CodeMalformed    ProblemCode = "malformed"    // 400: the body or a parameter cannot be parsed
+	CodeConflict     ProblemCode = "conflict"     // 409: the resource was changed concurrently
 	CodeNotFound     ProblemCode = "not-found"    // 404
-	CodeInUse        ProblemCode = "in-use"       // 409: another resource names this one
-	CodeTooOld       ProblemCode = "too-old"      // 410: the watch's revision is no longer kept
+	CodeInUse        ProblemCode = "in-use"       // 409: another resource references this one
+	CodeTooOld       ProblemCode = "too-old"      // 410: the revision of the watch was compacted
 	CodeUnavailable  ProblemCode = "unavailable"  // 503: nothing was written
 	CodeUnknown      ProblemCode = "unknown"      // 504: the write may have taken effect
 	CodeUnauthorized ProblemCode = "unauthorized" // 401
 	CodeForbidden    ProblemCode = "forbidden"    // 403
 )
 
-// Problem is the body of every answer of the resource API that is not a success.
+// Problem is the body of all error responses of the resource API.
 type Problem struct {
 	Code    ProblemCode `json:"code"`
 	Message string      `json:"message"`
 	Hint    string      `json:"hint,omitempty"`
-	// Revision is the present revision of the resource, for a conflict.
+	// Revision is the current revision of the resource, set for a conflict.
 	Revision uint64 `json:"revision,omitempty"`
-	// WriteID names a write whose fate is unknown.
+	// WriteID identifies a write whose result is unknown.
 	WriteID string       `json:"writeID,omitempty"`
 	Fields  []FieldError `json:"fields,omitempty"`
 }
 
-// Error returns the problem on one line.
+// Error returns the problem in one line.
 func (p *Problem) Error() string {
 	line := fmt.Sprintf("%s: %s", p.Code, p.Message)
 	for _, field := range p.Fields {
@@ -43,58 +43,58 @@
 	return line
 }
 
-// List is the answer to a listing.
+// List is the response to a listing.
 type List struct {
-	// Revision is where a watch that follows this listing resumes.
+	// Revision is the revision from which a watch continues after this listing.
 	Revision uint64     `json:"revision"`
 	Items    []Resource `json:"items"`
 }
 
-// EventType says what happened to a resource.
+// EventType is the kind of an Event.
 type EventType string
 
-// The event types of a watch.
+// Event types of a watch.
 const (
 	EventPut    EventType = "put"
 	EventDelete EventType = "delete"
-	// EventBookmark carries only a revision: nothing newer is known.
+	// EventBookmark carries only a revision, up to which all events were sent.
 	EventBookmark EventType = "bookmark"
 )
 
-// Event is one line of a watch.
+// Event is one line of the response to a watch.
 type Event struct {
 	Type     EventType `json:"type"`
 	Revision uint64    `json:"revision"`
-	// Resource is unset for a bookmark; for a delete it carries kind and name.
+	// Resource is nil for a bookmark. For a delete it holds only kind and name.
 	Resource *Resource `json:"resource,omitempty"`
 }
 
-// RolloutStatus says how far a service's declared version has come.
+// RolloutStatus is the progress of the rollout of a service's declared version.
 type RolloutStatus struct {
 	Service string `json:"service"`
-	// Revision is the service's accepted revision the status was computed for.
+	// Revision is the revision of the service for which the status was computed.
 	Revision uint64       `json:"revision"`
 	Version  string       `json:"version"`
 	Manifest string       `json:"manifest"`
 	Halls    []HallStatus `json:"halls"`
-	// Done is true when every hall has all its replicas ready.
+	// Done is set when all replicas in all halls are ready.
 	Done bool `json:"done"`
 }
 
-// HallStatus is one data hall's part of a rollout.
+// HallStatus is the progress of a rollout in one data hall.
 type HallStatus struct {
 	Hall     string `json:"hall"`
 	Wanted   int    `json:"wanted"`
 	Placed   int    `json:"placed"`
 	Ready    int    `json:"ready"`
-	Old      int    `json:"old"` // hosts that still serve another version
+	Old      int    `json:"old"` // hosts that serve another version
 	Failed   int    `json:"failed"`
 	OpenWave int    `json:"openWave"`
 	Waves    int    `json:"waves"`
-	Halted   string `json:"halted,omitempty"` // why the rollout stopped, or ""
-	// SecondsSinceSeen is the age of the newest word from the hall.
+	Halted   string `json:"halted,omitempty"` // reason why the rollout halted, or ""
+	// SecondsSinceSeen is the age of the most recent report from the hall.
 	SecondsSinceSeen float64 `json:"secondsSinceSeen"`
-	// ChunksHeld and ChunksWanted sum over the hall's placed hosts.
+	// ChunksHeld and ChunksWanted are sums over the placed hosts of the hall.
 	ChunksHeld   int `json:"chunksHeld"`
 	ChunksWanted int `json:"chunksWanted"`
 }
--- a/api/resource.go
+++ b/api/resource.go
@@ -6,21 +6,21 @@
 	"fmt"
 )
 
-// Kind says which spec a Resource carries.
+// Kind is the kind of a Resource and selects its spec.
 type Kind string
 
-// The kinds of resource.
+// Kinds of resources.
 const (
 	KindModel   Kind = "Model"
 	KindService Kind = "Service"
 	KindAccount Kind = "Account"
 )
 
-// Kinds lists every kind in the order in which declarations are applied, so
-// that a Service finds the Model it names.
+// Kinds returns all kinds in the order in which declarations have to be applied:
+// a Model before the Services that reference it.
 func Kinds() []Kind { return []Kind{KindModel, KindAccount, KindService} }
 
-// Plural returns the kind's path segment in the resource API, or "" for an
+// Plural returns the path segment of the kind in the resource API, or "" for an
 // unknown kind.
 func (k Kind) Plural() string {
 	switch k {
@@ -35,7 +35,7 @@
 	}
 }
 
-// KindOf returns the kind for a path segment of the resource API.
+// KindOf returns the kind with the given path segment in the resource API.
 func KindOf(plural string) (Kind, error) {
 	for _, kind := range Kinds() {
 		if kind.Plural() == plural {
@@ -46,15 +46,16 @@
 }
 
 // Resource is one declaration. Exactly one of Model, Service and Account is
-// set, the one that Kind names; in JSON it stands under "spec".
+// set, according to Kind; in JSON it is the value of "spec".
 type Resource struct {
 	Kind Kind
 	Name string
 	// Revision is the key-value service's revision of the last accepted
-	// write, 0 for a declaration that was never written. It only grows.
+	// write, 0 for a declaration that was never written. It increases
+	// monotonically.
 	Revision uint64
-	// WriteID names the accepted write. A caller whose answer was lost
-	// finds its write by this id.
+	// WriteID identifies the accepted write, so that a client whose response
+	// was lost can find out whether its write took effect.
 	WriteID string
 
 	Model   *ModelSpec
@@ -62,41 +63,41 @@
 	Account *AccountSpec
 }
 
-// FetchPolicy says what a model's distribution saves first.
+// FetchPolicy selects what the distribution of a model's weights minimizes.
 type FetchPolicy string
 
-// The fetch policies. The zero value means FetchTime.
+// Fetch policies. The zero value means FetchTime.
 const (
-	// FetchTime takes whatever brings the version to all hosts soonest.
+	// FetchTime minimizes the time until all hosts have the version.
 	FetchTime FetchPolicy = "time"
-	// FetchOriginBytes keeps the origin's bytes near one copy for the whole
-	// fleet, also when a wait for peers would be longer.
+	// FetchOriginBytes minimizes the bytes read from the origin, to about one
+	// copy for the fleet, even if waiting for peers takes longer.
 	FetchOriginBytes FetchPolicy = "origin-bytes"
 )
 
 // ModelSpec declares a model's weights.
 type ModelSpec struct {
 	FetchPolicy FetchPolicy `json:"fetchPolicy,omitempty"`
-	// Priority orders models that share one origin link; higher goes first.
+	// Priority orders models that share an origin link; higher goes first.
 	Priority int       `json:"priority,omitempty"`
 	Versions []Version `json:"versions"`
 	Adapters []Adapter `json:"adapters,omitempty"`
 }
 
-// Adapter is a named set of weights on top of a model.
+// Adapter is a named set of additional weights for a model.
 type Adapter struct {
 	Name     string    `json:"name"`
 	Versions []Version `json:"versions"`
 }
 
-// Version names one set of weights by the digest of its manifest.
+// Version identifies one set of weights by the digest of its manifest.
 type Version struct {
 	Name string `json:"name"`
-	// Manifest is the hex BLAKE3 digest of the manifest's bytes.
+	// Manifest is the BLAKE3 digest of the encoded manifest in hex.
 	Manifest string `json:"manifest"`
 }
 
-// FindVersion returns the version of the model, or of the named adapter where
+// FindVersion returns the named version of the model, or of the named adapter if
 // adapter is not empty.
 func (m *ModelSpec) FindVersion(adapter, version string) (Version, bool) {
 	versions := m.Versions
@@ -116,62 +117,63 @@
 	return Version{}, false
 }
 
-// ServiceSpec declares what one service serves and where.
+// ServiceSpec declares which version a service serves and where.
 type ServiceSpec struct {
-	// Plain services are not model engines: they carry no weights, and the
-	// hosts whose settings name the service serve it.
+	// Plain marks a service that is not a model engine. It has no weights and
+	// is served by the hosts whose settings name it.
 	Plain   bool   `json:"plain,omitempty"`
 	Model   string `json:"model,omitempty"`
 	Adapter string `json:"adapter,omitempty"`
 	Version string `json:"version,omitempty"`
-	// Halls lists the data halls that serve; empty means all.
+	// Halls lists the data halls that serve it; empty means all.
 	Halls []string `json:"halls,omitempty"`
 	// Replicas is the number of hosts per data hall.
 	Replicas int     `json:"replicas,omitempty"`
 	Rollout  Rollout `json:"rollout,omitzero"`
 	Limits   Limits  `json:"limits,omitzero"`
-	// NotRepeatable marks every call of the service as one that runs at most
-	// once. A single request says the same with Wheelcleat-Repeatable: no.
+	// NotRepeatable declares that requests to the service must run at most once.
+	// The header Wheelcleat-Repeatable: no does the same for a single request.
 	NotRepeatable bool `json:"notRepeatable,omitempty"`
 }
 
-// Rollout declares how a new version replaces the old one within a hall.
+// Rollout declares how a new version replaces the previous one within a hall.
 type Rollout struct {
-	// WaveSize is the number of hosts that activate together; 0 means all.
+	// WaveSize is the number of hosts that activate concurrently; 0 means all.
 	WaveSize int `json:"waveSize,omitempty"`
-	// Pause is the time between a wave that is ready and the next one.
+	// Pause is the time between the completion of a wave and the next one.
 	Pause Duration `json:"pause,omitempty"`
-	// ContinueOnFailure goes on to the next wave although an activation
-	// failed. The default halts.
+	// ContinueOnFailure starts the next wave even if an activation failed. By
+	// default the rollout halts.
 	ContinueOnFailure bool `json:"continueOnFailure,omitempty"`
 }
 
-// Limits bounds what a service's requests may take.
+// Limits bounds the resources that requests to a service may use.
 type Limits struct {
-	// InFlight bounds the requests running at one host; 0 means 64.
+	// InFlight bounds the requests in flight per host; 0 means 64.
 	InFlight int `json:"inFlight,omitempty"`
-	// RetryShare is the share of recent requests that may be tried at a
-	// second upstream, from 0 to 1; 0 means 0.2.
+	// RetryShare is the retry budget as a fraction of recent requests, from 0
+	// to 1; 0 means 0.2. A retry goes to another upstream.
 	RetryShare float64 `json:"retryShare,omitempty"`
-	// Timeout is the deadline of a request that names none; 0 means 60s.
+	// Timeout applies to requests without a deadline; 0 means 60s.
 	Timeout Duration `json:"timeout,omitempty"`
 }
 
 // AccountSpec declares one client account.
 type AccountSpec struct {
-	// KeyDigests are the hex SHA-256 digests of the account's bearer keys.
+	// KeyDigests are the SHA-256 digests of the account's bearer keys in hex.
 	KeyDigests []string `json:"keyDigests"`
-	// Weight is the account's share under contention; 0 means 1.
+	// Weight is the account's relative share under contention; 0 means 1.
 	Weight float64 `json:"weight,omitempty"`
-	// RatePerSecond bounds accepted requests per second and entry; 0 means no bound.
+	// RatePerSecond bounds the accepted requests per second at each entry; 0 means no
+	// bound.
 	RatePerSecond float64 `json:"ratePerSecond,omitempty"`
-	// Concurrency bounds requests in flight per entry; 0 means no bound.
+	// Concurrency bounds the requests in flight at each entry; 0 means no bound.
 	Concurrency int `json:"concurrency,omitempty"`
-	// PriorityCeiling is the highest priority its requests may ask for.
+	// PriorityCeiling is the highest priority that requests may have.
 	PriorityCeiling int `json:"priorityCeiling,omitempty"`
 }
 
-// resourceJSON is the outer form of a Resource in JSON.
+// resourceJSON is the JSON encoding of a Resource.
 type resourceJSON struct {
 	Kind     Kind            `json:"kind"`
 	Name     string          `json:"name"`
@@ -180,7 +182,7 @@
 	Spec     json.RawMessage `json:"spec"`
 }
 
-// Spec returns the spec that the resource's kind names, or nil.
+// Spec returns the spec for the resource's kind, or nil if it is not set.
 func (r *Resource) Spec() any {
 	switch r.Kind {
 	case KindModel:
@@ -199,15 +201,15 @@
 	return nil
 }
 
-// SameSpec reports whether two resources declare the same thing, whatever
-// their revisions.
+// SameSpec reports whether two resources are equal except for their revisions
+// and write ids.
 func SameSpec(a, b *Resource) bool {
 	left, errLeft := json.Marshal(a.Spec())
 	right, errRight := json.Marshal(b.Spec())
 	return errLeft == nil && errRight == nil && a.Kind == b.Kind && a.Name == b.Name && bytes.Equal(left, right)
 }
 
-// MarshalJSON writes the resource with its spec under "spec".
+// MarshalJSON encodes the resource with its spec under "spec".
 func (r Resource) MarshalJSON() ([]byte, error) {
 	spec, err := json.Marshal(r.Spec())
 	if err != nil {
@@ -216,10 +218,10 @@
 	return json.Marshal(resourceJSON{Kind: r.Kind, Name: r.Name, Revision: r.Revision, WriteID: r.WriteID, Spec: spec})
 }
 
-// UnmarshalJSON reads a resource and refuses fields that its kind lacks.
+// UnmarshalJSON decodes a resource and rejects fields that its kind does not have.
 func (r *Resource) UnmarshalJSON(data []byte) error {
 	var outer resourceJSON
-	if err := strict(data, &outer); err != nil {
+	if err := decodeStrict(data, &outer); err != nil {
 		return err
 	}
 	decoded := Resource{Kind: outer.Kind, Name: outer.Name, Revision: outer.Revision, WriteID: outer.WriteID}
@@ -240,15 +242,15 @@
 	if len(outer.Spec) == 0 || bytes.Equal(outer.Spec, []byte("null")) {
 		return fmt.Errorf("spec: missing; every resource declares a spec")
 	}
-	if err := strict(outer.Spec, target); err != nil {
+	if err := decodeStrict(outer.Spec, target); err != nil {
 		return fmt.Errorf("spec: %w", err)
 	}
 	*r = decoded
 	return nil
 }
 
-// strict decodes one JSON value and refuses unknown fields.
-func strict(data []byte, target any) error {
+// decodeStrict decodes one JSON value and rejects unknown fields.
+func decodeStrict(data []byte, target any) error {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
 	return decoder.Decode(target)
--- a/api/resource_test.go
+++ b/api/resource_test.go
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-var goodDigest = strings.Repeat("ab", 32)
+var validDigest = strings.Repeat("ab", 32)
 
-func TestResourceJSON(t *testing.T) {
+func TestResourceJSONRoundTripAndErrors(t *testing.T) {
 	tests := []struct {
 		name, input, wantErr string
 	}{
@@ -33,16 +33,16 @@
 				return
 			}
 			require.NoError(t, err)
-			again, err := json.Marshal(r)
+			encoded, err := json.Marshal(r)
 			require.NoError(t, err)
-			var back Resource
-			require.NoError(t, json.Unmarshal(again, &back))
-			assert.Equal(t, r, back)
+			var decoded Resource
+			require.NoError(t, json.Unmarshal(encoded, &decoded))
+			assert.Equal(t, r, decoded)
 		})
 	}
 }
 
-func TestValidate(t *testing.T) {
+func TestValidateReportsInvalidFields(t *testing.T) {
 	service := func(change func(*ServiceSpec)) *Resource {
 		spec := &ServiceSpec{Model: "m", Version: "v1", Replicas: 1}
 		change(spec)
@@ -57,10 +57,10 @@
 		paths    []string
 	}{
 		{"good service", service(func(*ServiceSpec) {}), nil},
-		{"good model", model(Version{"v1", goodDigest}), nil},
-		{"bad name", &Resource{Kind: KindAccount, Name: "A b", Account: &AccountSpec{KeyDigests: []string{goodDigest}}}, []string{"name"}},
+		{"good model", model(Version{"v1", validDigest}), nil},
+		{"bad name", &Resource{Kind: KindAccount, Name: "A b", Account: &AccountSpec{KeyDigests: []string{validDigest}}}, []string{"name"}},
 		{"no versions", model(), []string{"spec.versions"}},
-		{"bad digest, name twice", model(Version{"v1", "zz"}, Version{"v1", goodDigest}), []string{"spec.versions[0].manifest", "spec.versions[1].name"}},
+		{"bad digest, name twice", model(Version{"v1", "zz"}, Version{"v1", validDigest}), []string{"spec.versions[0].manifest", "spec.versions[1].name"}},
 		{"no replicas", service(func(s *ServiceSpec) { s.Replicas = 0 }), []string{"spec.replicas"}},
 		{"hall twice", service(func(s *ServiceSpec) { s.Halls = []string{"a", "a"} }), []string{"spec.halls[1]"}},
 		{"bad share", service(func(s *ServiceSpec) { s.Limits.RetryShare = 2 }), []string{"spec.limits.retryShare"}},
@@ -72,9 +72,9 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			var paths []string
-			for _, fault := range Validate(test.resource) {
-				paths = append(paths, fault.Path)
-				assert.NotEmpty(t, fault.Hint, "every fault names a way out")
+			for _, invalid := range Validate(test.resource) {
+				paths = append(paths, invalid.Path)
+				assert.NotEmpty(t, invalid.Hint, "every error has a hint")
 			}
 			assert.Equal(t, test.paths, paths)
 		})
@@ -83,8 +83,8 @@
 
 func TestValidateReferences(t *testing.T) {
 	models := map[string]*ModelSpec{"m": {
-		Versions: []Version{{"v1", goodDigest}},
-		Adapters: []Adapter{{Name: "legal", Versions: []Version{{"v7", goodDigest}}}},
+		Versions: []Version{{"v1", validDigest}},
+		Adapters: []Adapter{{Name: "legal", Versions: []Version{{"v7", validDigest}}}},
 	}}
 	find := func(name string) *ModelSpec { return models[name] }
 	tests := []struct {
@@ -100,17 +100,18 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			faults := ValidateReferences(&Resource{Kind: KindService, Name: "s", Service: &test.spec}, find)
+			errs := ValidateReferences(&Resource{Kind: KindService, Name: "s", Service: &test.spec}, find)
 			if test.path == "" {
-				assert.Empty(t, faults)
+				assert.Empty(t, errs)
 				return
 			}
-			require.Len(t, faults, 1)
-			assert.Equal(t, test.path, faults[0].Path)
+			require.Len(t, errs, 1)
+			assert.Equal(t, test.path, errs[0].Path)
 		})
 	}
 }
 
+// FuzzResource checks that every resource that can be decoded survives a round trip.
 func FuzzResource(f *testing.F) {
 	f.Add([]byte(`{"kind":"Model","name":"m","spec":{"versions":[{"name":"v1","manifest":"x"}]}}`))
 	f.Add([]byte(`{"kind":"Service","name":"s","spec":{"rollout":{"pause":"250ms"}}}`))
@@ -121,10 +122,10 @@
 			return
 		}
 		Validate(&r)
-		again, err := json.Marshal(r)
+		encoded, err := json.Marshal(r)
 		require.NoError(t, err)
-		var back Resource
-		require.NoError(t, json.Unmarshal(again, &back), "what was read can be written and read again")
-		require.True(t, SameSpec(&r, &back))
+		var decoded Resource
+		require.NoError(t, json.Unmarshal(encoded, &decoded), "a decoded resource survives a round trip")
+		require.True(t, SameSpec(&r, &decoded))
 	})
 }
