--- a/cli/internal/soak/deadly.go
+++ b/cli/internal/soak/deadly.go
@@ -56,7 +56,7 @@
 	defer h.release()
 	f.once(EntriesSpoiled, h.address.String(), func() {
 		u := h.current()
-		u.Spoil(standin.SpoiledEntries[which%len(standin.SpoiledEntries)])
+		u.Spoil(standin.InvalidUpstreamRecords[which%len(standin.InvalidUpstreamRecords)])
 		f.oracle.Left(u.Record.ID)
 		f.wait(lasts)
 		f.oracle.Back(u.Record.ID)
--- a/cli/internal/soak/fleet.go
+++ b/cli/internal/soak/fleet.go
@@ -254,7 +254,7 @@
 	id := h.upstream.Record.ID
 	h.mu.Unlock()
 	f.wait(lapse)
-	f.store.Unlist(id)
+	f.store.RemoveUpstream(id)
 }
 
 // claim reports whether the host's upstream may be replaced now, and has no other step
@@ -328,7 +328,7 @@
 	f.declaring.Lock()
 	defer f.declaring.Unlock()
 	f.version++
-	f.store.Name(provider.Target{Model: modelName, Version: f.version})
+	f.store.DeclareTarget(provider.Target{Model: modelName, Version: f.version})
 	f.oracle.Named(f.version)
 }
 
--- a/cli/internal/soak/strike.go
+++ b/cli/internal/soak/strike.go
@@ -141,7 +141,7 @@
 func (f *fleet) strikeStore(step Step, lasts time.Duration) {
 	if step.Kind == StoreForget {
 		f.once(step.Kind, "", func() {
-			f.store.DropHistory()
+			f.store.Compact()
 		})
 		return
 	}
@@ -156,13 +156,13 @@
 	case StoreDown:
 		return standin.StoreFault{Down: true}
 	case StoreSilent:
-		return standin.StoreFault{Silent: true}
+		return standin.StoreFault{Unresponsive: true}
 	case StoreSlow:
 		return standin.StoreFault{Delay: slowStore}
 	case StoreRefuse:
 		return standin.StoreFault{Refuse: turnedAway}
 	default:
-		return standin.StoreFault{LoseAnswers: step.Strength}
+		return standin.StoreFault{DropResponses: step.Strength}
 	}
 }
 
