--- a/cli/internal/soak/deadly.go
+++ b/cli/internal/soak/deadly.go
@@ -22,7 +22,7 @@
 // sendDeadly has one caller come to one router after the other for a while, always with the
 // same request.
 func (f *fleet) sendDeadly(lasts time.Duration) {
-	path := fmt.Sprintf("%s%d", standin.DeadlyPath, f.deadly.Add(1))
+	path := fmt.Sprintf("%s%d", standin.CrashPath, f.deadly.Add(1))
 	ctx, cancel := context.WithTimeout(context.Background(), lasts)
 	defer cancel()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: callTimeout}
@@ -56,11 +56,11 @@
 	defer h.release()
 	f.once(EntriesSpoiled, h.address.String(), func() {
 		u := h.current()
-		u.Spoil(standin.InvalidUpstreamRecords[which%len(standin.InvalidUpstreamRecords)])
+		u.CorruptRecord(standin.InvalidUpstreamRecords[which%len(standin.InvalidUpstreamRecords)])
 		f.oracle.Left(u.Record.ID)
 		f.wait(lasts)
 		f.oracle.Back(u.Record.ID)
-		u.Spoil(nil)
+		u.CorruptRecord(nil)
 	})
 }
 
--- a/cli/internal/soak/fleet.go
+++ b/cli/internal/soak/fleet.go
@@ -227,9 +227,9 @@
 			ID: fmt.Sprintf("u-%d-%d", h.number, h.names), Started: time.Now(), Service: h.service, Hall: h.hall,
 			Address: at(h.address, linkPort), Places: plainPlaces,
 		},
-		Store: f.store, OnRun: f.oracle.Ran, OnReach: f.oracle.Reached,
+		Store: f.store, OnRun: f.oracle.Ran, OnReceive: f.oracle.Reached,
 		OnFault:  func(text string) { f.oracle.Violatef(CheckWeights, "%s", text) },
-		OnDeadly: func() { f.endDeadly(h) },
+		OnCrash: func() { f.endDeadly(h) },
 	}
 	if h.loader != nil {
 		u.Origin, u.Record.Places = f.origin, enginePlaces
--- a/cli/internal/soak/oracle.go
+++ b/cli/internal/soak/oracle.go
@@ -231,7 +231,7 @@
 	defer o.mu.Unlock()
 	count := o.runs[run.ID] + 1
 	set(&o.runs, run.ID, count)
-	if strings.HasPrefix(run.Path, standin.DeadlyPath) {
+	if strings.HasPrefix(run.Path, standin.CrashPath) {
 		o.checkDeadly(run)
 	}
 	if count > 1 && strings.HasPrefix(run.Path, unsafePath) {
@@ -293,7 +293,7 @@
 }
 
 func (o *Oracle) checkWhole(outcome Outcome) {
-	want := standin.Answer(outcome.ID)
+	want := standin.ResponseBody(outcome.ID)
 	if strings.HasPrefix(outcome.Path, standin.StreamPath) {
 		want = ""
 		for number := 1; number <= standin.Events(outcome.Path); number++ {
--- a/cli/internal/soak/oracle_test.go
+++ b/cli/internal/soak/oracle_test.go
@@ -39,7 +39,7 @@
 
 // probe is a request that one configuration serves.
 func probe(configuration, status int) Outcome {
-	outcome := outcomeOf(probePath(configuration)+"x", status, standin.Answer("id"))
+	outcome := outcomeOf(probePath(configuration)+"x", status, standin.ResponseBody("id"))
 	outcome.Probe = configuration
 	return outcome
 }
@@ -64,7 +64,7 @@
 	for range count {
 		id := fmt.Sprint("deadly-", o.sent)
 		o.Sent(id, "router")
-		o.Ran(standin.Run{ID: id, Upstream: "u", Path: standin.DeadlyPath + "1", At: time.Now()})
+		o.Ran(standin.Run{ID: id, Upstream: "u", Path: standin.CrashPath + "1", At: time.Now()})
 	}
 }
 
@@ -82,8 +82,8 @@
 	}{
 		"another answer": {
 			CheckWhole,
-			func(o *Oracle) { o.Ended(outcomeOf(safePath+"x", http.StatusOK, standin.Answer("other"))) },
-			func(o *Oracle) { o.Ended(outcomeOf(safePath+"x", http.StatusOK, standin.Answer("id"))) },
+			func(o *Oracle) { o.Ended(outcomeOf(safePath+"x", http.StatusOK, standin.ResponseBody("other"))) },
+			func(o *Oracle) { o.Ended(outcomeOf(safePath+"x", http.StatusOK, standin.ResponseBody("id"))) },
 		},
 		"an event twice": {
 			CheckWhole,
--- a/cli/internal/soak/report.go
+++ b/cli/internal/soak/report.go
@@ -136,7 +136,7 @@
 	for _, p := range r.fleet.processes() {
 		report.Starts += p.condition().starts
 	}
-	report.Copies = float64(r.fleet.origin.Sent()) / chunks / float64(r.fleet.version)
+	report.Copies = float64(r.fleet.origin.SentChunks()) / chunks / float64(r.fleet.version)
 	r.tally.mu.Lock()
 	defer r.tally.mu.Unlock()
 	report.Seconds, report.Steps = slices.Clone(r.tally.seconds), slices.Clone(r.tally.steps)
--- a/cli/internal/soak/run.go
+++ b/cli/internal/soak/run.go
@@ -168,7 +168,7 @@
 		}
 	}
 	for _, h := range r.fleet.engines() {
-		if held := h.current().Held(); held != r.fleet.version {
+		if held := h.current().LoadedVersion(); held != r.fleet.version {
 			miss(CheckVersion, "the engine on %s holds version %d at the end, %d was named", h.address, held, r.fleet.version)
 		}
 	}
--- a/cli/internal/soak/strike.go
+++ b/cli/internal/soak/strike.go
@@ -57,7 +57,7 @@
 		f.spoil(host, step.Target, lasts)
 	case step.Kind == EngineRot:
 		f.once(step.Kind, engine.address.String(), func() {
-			engine.current().Rot()
+			engine.current().CorruptStagedChunk()
 		})
 	default:
 		f.during(step.Kind, host.address.String(), lasts, func(on bool) { host.current().SetFault(upstreamFault(step, on)) })
@@ -191,7 +191,7 @@
 	case step.Kind == OriginDown:
 		return standin.OriginFault{Down: true}
 	case step.Kind == OriginSpoil:
-		return standin.OriginFault{Spoil: step.Strength}
+		return standin.OriginFault{Corrupt: step.Strength}
 	default:
 		return standin.OriginFault{Delay: slowStore}
 	}
@@ -238,7 +238,7 @@
 	defer h.release()
 	f.once(UpstreamLeave, h.address.String(), func() {
 		u := h.current()
-		u.Leave()
+		u.StartDraining()
 		f.oracle.Left(u.Record.ID)
 		f.wait(drainTime)
 		f.bury(h, 0)
