--- a/api/manifest/manifest.go
+++ b/api/manifest/manifest.go
@@ -64,8 +64,8 @@
 	Size int64
 	// ChunkBytes is the size of all chunks but the last.
 	ChunkBytes int64
-	// Whole is the digest of the complete file.
-	Whole Digest
+	// FileDigest is the digest of the complete file.
+	FileDigest Digest
 	// Chunks holds the digests of the chunks in file order.
 	Chunks []Digest
 }
@@ -105,7 +105,7 @@
 		_, _ = fileHash.Write(chunk)
 		m.Chunks = append(m.Chunks, Sum(chunk))
 	}
-	fileHash.Sum(m.Whole[:0])
+	fileHash.Sum(m.FileDigest[:0])
 	return m, nil
 }
 
@@ -121,7 +121,7 @@
 	for _, chunk := range m.Chunks {
 		chunks = append(chunks, chunk[:]...)
 	}
-	data, err := json.Marshal(encoded{Size: m.Size, ChunkBytes: m.ChunkBytes, Whole: m.Whole.String(), Chunks: hex.EncodeToString(chunks)})
+	data, err := json.Marshal(encoded{Size: m.Size, ChunkBytes: m.ChunkBytes, Whole: m.FileDigest.String(), Chunks: hex.EncodeToString(chunks)})
 	if err != nil {
 		return nil, Digest{}, fmt.Errorf("encode manifest: %w", err)
 	}
@@ -168,7 +168,7 @@
 	if (count == 0) != (e.Size == 0) || count > 0 && (e.Size-1)/e.ChunkBytes != count-1 {
 		return nil, errInconsistent
 	}
-	m := &Manifest{Size: e.Size, ChunkBytes: e.ChunkBytes, Whole: whole, Chunks: make([]Digest, count)}
+	m := &Manifest{Size: e.Size, ChunkBytes: e.ChunkBytes, FileDigest: whole, Chunks: make([]Digest, count)}
 	for i := range m.Chunks {
 		copy(m.Chunks[i][:], raw[i*len(Digest{}):])
 	}
--- a/api/manifest/manifest_test.go
+++ b/api/manifest/manifest_test.go
@@ -19,7 +19,7 @@
 		decoded, err := Decode(encoded, id)
 		require.NoError(t, err, "size %d", size)
 		assert.Equal(t, m.Size, decoded.Size)
-		assert.Equal(t, m.Whole, decoded.Whole)
+		assert.Equal(t, m.FileDigest, decoded.FileDigest)
 		total := int64(0)
 		for i := range decoded.Chunks {
 			offset, length := decoded.ChunkRange(i)
--- a/daemon/internal/version/install/install.go
+++ b/daemon/internal/version/install/install.go
@@ -398,7 +398,7 @@
 		Model: serve.GetModel(), Adapter: serve.GetAdapter(), Version: serve.GetVersion(), Manifest: id.String(),
 		Weights: "http://" + i.Weights.String() + "/versions/" + id.String() + "/weights",
 		Size:    version.Manifest.Size, Token: order.GetToken(),
-	}, version.Manifest.Whole)
+	}, version.Manifest.FileDigest)
 	if err != nil {
 		i.loadFailed(ctx, order, id, before, err)
 		return err
@@ -459,7 +459,7 @@
 	defer cancel()
 	state, holdsErr := i.Fence.Engine.Holds(askCtx)
 	version := i.Stage.Find(before)
-	if holdsErr != nil || before.IsZero() || version == nil || state.Manifest != before.String() || state.Digest != version.Manifest.Whole.String() {
+	if holdsErr != nil || before.IsZero() || version == nil || state.Manifest != before.String() || state.Digest != version.Manifest.FileDigest.String() {
 		i.Gate.Open(gate.Serving{})
 		i.changed()
 		return
--- a/daemon/internal/version/stage/stage.go
+++ b/daemon/internal/version/stage/stage.go
@@ -365,8 +365,8 @@
 	}
 	var whole manifest.Digest
 	hash.Sum(whole[:0])
-	if whole != v.Manifest.Whole {
-		return fmt.Errorf("version %s: the digest over the whole is %s, the manifest says %s", v.ID.Short(), whole.Short(), v.Manifest.Whole.Short())
+	if whole != v.Manifest.FileDigest {
+		return fmt.Errorf("version %s: the digest over the whole is %s, the manifest says %s", v.ID.Short(), whole.Short(), v.Manifest.FileDigest.Short())
 	}
 	v.mu.Lock()
 	v.verified = true
--- a/daemon/internal/version/stage/stage_test.go
+++ b/daemon/internal/version/stage/stage_test.go
@@ -61,7 +61,7 @@
 func TestSelfContradictingManifest(t *testing.T) {
 	s := &Stage{}
 	m, id := build(t, "aaaabbbb")
-	m.Whole = manifest.Digest{1}
+	m.FileDigest = manifest.Digest{1}
 	v, err := s.Open(id, m, nil)
 	require.NoError(t, err)
 	require.NoError(t, put(s, v, 0, []byte("aaaa")))
