--- a/cli/internal/command/daemon_test.go
+++ b/cli/internal/command/daemon_test.go
@@ -36,7 +36,7 @@
 
 func freeAddress(t *testing.T) netip.AddrPort {
 	t.Helper()
-	address, err := serve.Free()
+	address, err := serve.FreeAddress()
 	require.NoError(t, err)
 	return address
 }
--- a/cli/internal/command/standins.go
+++ b/cli/internal/command/standins.go
@@ -56,7 +56,7 @@
 		{"origin", agent.Weights.Origin, origin},
 		{"engine", agent.Upstream.Address, &engine.Server{Prefill: devPrefill, PerToken: devPerToken}},
 	} {
-		server, err := serve.On(standin.address, standin.handler)
+		server, err := serve.Listen(standin.address, standin.handler)
 		if err != nil {
 			return fmt.Errorf("%s: %w", standin.name, err)
 		}
--- a/cli/internal/soak/fleet.go
+++ b/cli/internal/soak/fleet.go
@@ -156,7 +156,7 @@
 }
 
 func (f *fleet) serve(address netip.AddrPort, handler http.Handler) error {
-	server, err := serve.On(address, handler)
+	server, err := serve.Listen(address, handler)
 	if err != nil {
 		return err
 	}
@@ -234,7 +234,7 @@
 	if h.loader != nil {
 		u.Origin, u.Record.Places = f.origin, enginePlaces
 	}
-	server, err := serve.On(at(h.address, upstreamPort), u.Handler())
+	server, err := serve.Listen(at(h.address, upstreamPort), u.Handler())
 	if err != nil {
 		return err
 	}
--- a/cli/internal/soak/proxy_test.go
+++ b/cli/internal/soak/proxy_test.go
@@ -29,7 +29,7 @@
 			}()
 		}
 	}()
-	address, err := serve.Free()
+	address, err := serve.FreeAddress()
 	require.NoError(t, err)
 	p, err := StartProxy(address, target.Addr().(*net.TCPAddr).AddrPort())
 	require.NoError(t, err)
--- a/daemon/router/fixture_test.go
+++ b/daemon/router/fixture_test.go
@@ -336,7 +336,7 @@
 	t.Helper()
 	var ports []netip.AddrPort
 	for range count {
-		port, err := serve.Free()
+		port, err := serve.FreeAddress()
 		require.NoError(t, err)
 		ports = append(ports, port)
 	}
--- a/standin/serve/free.go
+++ b/standin/serve/free.go
@@ -23,10 +23,10 @@
 
 var errNoPort = errors.New("all ports are in use")
 
-// Free returns a loopback address without a listener, a different one at each
+// FreeAddress returns a loopback address without a listener, a different one at each
 // call. It is for processes whose address has to be configured before they start;
 // others should listen on port 0, which can't race with another process.
-func Free() (netip.AddrPort, error) {
+func FreeAddress() (netip.AddrPort, error) {
 	const ports = lastPort - firstPort + 1
 	start := os.Getpid() * portsPerProcess
 	for range ports {
--- a/standin/serve/free_test.go
+++ b/standin/serve/free_test.go
@@ -12,7 +12,7 @@
 // TestFreeReturnsUnusedAddresses checks that addresses don't repeat, have no listener and
 // lie below the ephemeral port range.
 func TestFreeReturnsUnusedAddresses(t *testing.T) {
-	first, err := Free()
+	first, err := FreeAddress()
 	require.NoError(t, err)
 	next := netip.AddrPortFrom(first.Addr(), first.Port()+1)
 	listener, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(next))
@@ -21,7 +21,7 @@
 	}
 	seen := map[netip.AddrPort]bool{first: true, next: true}
 	for range 100 {
-		address, err := Free()
+		address, err := FreeAddress()
 		require.NoError(t, err)
 		assert.False(t, seen[address], "%s is repeated or in use", address)
 		assert.Less(t, address.Port(), uint16(32768), "below the ephemeral port range")
--- a/standin/serve/serve.go
+++ b/standin/serve/serve.go
@@ -23,11 +23,11 @@
 
 // Loopback serves handler on an ephemeral loopback port.
 func Loopback(handler http.Handler) (*Server, error) {
-	return On(netip.MustParseAddrPort("127.0.0.1:0"), handler)
+	return Listen(netip.MustParseAddrPort("127.0.0.1:0"), handler)
 }
 
-// On serves handler on the given address.
-func On(address netip.AddrPort, handler http.Handler) (*Server, error) {
+// Listen serves handler on the given address.
+func Listen(address netip.AddrPort, handler http.Handler) (*Server, error) {
 	listener, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(address))
 	if err != nil {
 		return nil, fmt.Errorf("listen on %s: %w", address, err)
