--- a/cli/internal/bench/control.go
+++ b/cli/internal/bench/control.go
@@ -73,7 +73,7 @@
 	"none":         func(int64) kv.Fault { return kv.Fault{} },
 	"slow":         func(int64) kv.Fault { return kv.Fault{Delay: 200 * time.Millisecond} },
 	"down":         func(n int64) kv.Fault { return kv.Fault{Down: coin(n)} },
-	"lost-answers": func(n int64) kv.Fault { return kv.Fault{LoseAnswer: coin(n)} },
+	"lost-answers": func(n int64) kv.Fault { return kv.Fault{DropResponse: coin(n)} },
 }
 
 // coin falls one way or the other for each call, the same in every run. Taking
--- a/cli/internal/fleet/control_test.go
+++ b/cli/internal/fleet/control_test.go
@@ -101,7 +101,7 @@
 	config.SetUpKV = func(s *kv.Server) {
 		s.Fault = func(op kv.Op, _ string) kv.Fault {
 			// Every second write's answer is lost.
-			return kv.Fault{LoseAnswer: op == kv.OpPut && calls.Add(1)%2 == 1}
+			return kv.Fault{DropResponse: op == kv.OpPut && calls.Add(1)%2 == 1}
 		}
 	}
 	r := startRig(t, config)
@@ -276,7 +276,7 @@
 	r := startRig(t, quick(1, 3, 4))
 	r.serve(nil)
 	for i := range 6 {
-		r.KV.Store.Delete("wheelcleat/lease/placement/hall-1", kv.Any)
+		r.KV.Store.Delete("wheelcleat/lease/placement/hall-1", kv.AnyRevision)
 		r.declare(r.service(fmt.Sprint("v", 1+i%3), nil))
 	}
 	r.declare(r.service("v2", nil))
--- a/cli/internal/fleet/fleet_test.go
+++ b/cli/internal/fleet/fleet_test.go
@@ -303,7 +303,7 @@
 	results := stop()
 	r.checkAllDone(results, r.Hosts())
 	for _, host := range r.EngineHosts() {
-		assert.Zero(t, host.Engine.CutByLoad(), "a request ran while its version was replaced")
+		assert.Zero(t, host.Engine.AbortedByLoad(), "a request ran while its version was replaced")
 		for _, held := range host.Engine.History() {
 			id, err := manifest.ParseDigest(held.Manifest)
 			require.NoError(t, err)
--- a/daemon/internal/process/kvwrite/kvwrite_test.go
+++ b/daemon/internal/process/kvwrite/kvwrite_test.go
@@ -41,7 +41,7 @@
 // unavailable one never did, and only "unknown" may be either.
 func TestFateIsTrue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		script := rapid.SliceOfN(rapid.SampledFrom([]kv.Fault{{}, {}, {Down: true}, {LoseAnswer: true}}), 1, 8).Draw(t, "faults")
+		script := rapid.SliceOfN(rapid.SampledFrom([]kv.Fault{{}, {}, {Down: true}, {DropResponse: true}}), 1, 8).Draw(t, "faults")
 		var call atomic.Int64
 		service := &kv.Server{WritesPerSecond: 1e6, ReadsPerSecond: 1e6}
 		service.Fault = func(kv.Op, string) kv.Fault {
@@ -87,7 +87,7 @@
 
 // effectAt returns the revision at which a write took effect, 0 for never.
 func effectAt(service *kv.Server, id string) uint64 {
-	events, _, _, _ := service.Store.Since("", 0)
+	events, _, _, _ := service.Store.EventsAfter("", 0)
 	for _, event := range events {
 		if stamp, ok := stampOf(event.Value); ok && stamp.WriteID == id {
 			return event.Revision
@@ -131,8 +131,8 @@
 	}{
 		{"plain", nil, false, nil},
 		{"down, then up", []kv.Fault{{Down: true}}, false, nil},
-		{"answer lost", []kv.Fault{{LoseAnswer: true}}, false, nil},
-		{"answer lost and made anew", []kv.Fault{{LoseAnswer: true}}, true, platform.ErrUnknown},
+		{"answer lost", []kv.Fault{{DropResponse: true}}, false, nil},
+		{"answer lost and made anew", []kv.Fault{{DropResponse: true}}, true, platform.ErrUnknown},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/daemon/router/fixture_test.go
+++ b/daemon/router/fixture_test.go
@@ -133,7 +133,7 @@
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
 	for {
-		events, at, changed, kept := s.store.Since(prefix, uint64(after))
+		events, at, changed, kept := s.store.EventsAfter(prefix, uint64(after))
 		if !kept {
 			return provider.Listing{}, provider.ErrCompacted
 		}
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -161,8 +161,8 @@
 	return append([]State(nil), s.history...)
 }
 
-// CutByLoad returns the number of running requests that a load aborted.
-func (s *Server) CutByLoad() int {
+// AbortedByLoad returns the number of running requests that a load aborted.
+func (s *Server) AbortedByLoad() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.aborted
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -141,7 +141,7 @@
 	h.awaitRun()
 	h.load("v2", 2)
 	require.Error(t, <-done)
-	assert.Equal(t, 1, h.engine.CutByLoad(), "the aborted request is counted")
+	assert.Equal(t, 1, h.engine.AbortedByLoad(), "the aborted request is counted")
 }
 
 func TestCancellationIsRecorded(t *testing.T) {
--- a/standin/kv/kv.go
+++ b/standin/kv/kv.go
@@ -107,8 +107,8 @@
 	s.changed = make(chan struct{})
 }
 
-// Any is the condition that accepts every current revision.
-const Any = ^uint64(0)
+// AnyRevision is the condition that accepts every current revision.
+const AnyRevision = ^uint64(0)
 
 // Put writes a key if its current revision equals ifRevision. An ifRevision of 0
 // requires the key to be absent, and Any disables the check. It returns the key's
@@ -119,7 +119,7 @@
 	s.init()
 	s.expire()
 	current := s.items[key].Revision
-	if ifRevision != Any && ifRevision != current {
+	if ifRevision != AnyRevision && ifRevision != current {
 		return current, false
 	}
 	if leaseID != 0 {
@@ -143,7 +143,7 @@
 	s.init()
 	s.expire()
 	current := s.items[key].Revision
-	if current == 0 || (ifRevision != Any && ifRevision != current) {
+	if current == 0 || (ifRevision != AnyRevision && ifRevision != current) {
 		return current, false
 	}
 	s.remove(key)
@@ -183,10 +183,10 @@
 	return items, s.revision
 }
 
-// Since returns the events under a prefix after a revision, the store's revision
+// EventsAfter returns the events under a prefix after a revision, the store's revision
 // and a channel that closes at the next change. It reports false if the revision
 // was compacted or lies in the future.
-func (s *Store) Since(prefix string, after uint64) ([]Event, uint64, <-chan struct{}, bool) {
+func (s *Store) EventsAfter(prefix string, after uint64) ([]Event, uint64, <-chan struct{}, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.init()
--- a/standin/kv/kv_test.go
+++ b/standin/kv/kv_test.go
@@ -75,9 +75,9 @@
 func TestWatchReturnsEventsUnderPrefix(t *testing.T) {
 	s := &Server{Store: Store{History: 4}}
 	url := start(t, s)
-	s.Store.Put("p/a", []byte("1"), Any, 0)
-	s.Store.Put("q/a", []byte("1"), Any, 0)
-	s.Store.Delete("p/a", Any)
+	s.Store.Put("p/a", []byte("1"), AnyRevision, 0)
+	s.Store.Put("q/a", []byte("1"), AnyRevision, 0)
+	s.Store.Delete("p/a", AnyRevision)
 	_, answer, err := do(t, "GET", url+"/watch?prefix=p/&after=0&wait=1m", "")
 	require.NoError(t, err)
 	assert.InDelta(t, 3, answer["revision"], 0)
@@ -91,12 +91,12 @@
 	for s.Counts().Watches < 2 {
 		runtime.Gosched()
 	}
-	s.Store.Put("q/b", []byte("no"), Any, 0)
-	s.Store.Put("p/b", []byte("yes"), Any, 0)
+	s.Store.Put("q/b", []byte("no"), AnyRevision, 0)
+	s.Store.Put("p/b", []byte("yes"), AnyRevision, 0)
 	assert.InDelta(t, 5, (<-woken)["revision"], 0)
 
 	for i := range 10 {
-		s.Store.Put(fmt.Sprint("p/", i), nil, Any, 0)
+		s.Store.Put(fmt.Sprint("p/", i), nil, AnyRevision, 0)
 	}
 	status, _, err := do(t, "GET", url+"/watch?prefix=p/&after=5&wait=1m", "")
 	require.NoError(t, err)
@@ -129,7 +129,7 @@
 
 	other := s.Grant(5 * time.Second)
 	s.Put("k", []byte("other"), 0, other)
-	s.Put("k", []byte("taken over"), Any, 0)
+	s.Put("k", []byte("taken over"), AnyRevision, 0)
 	s.Revoke(other)
 	_, present = s.Get("k")
 	require.True(t, present, "a key overwritten without the lease is kept")
@@ -155,7 +155,7 @@
 	require.Error(t, err)
 	_, present := s.Store.Get("a")
 	assert.False(t, present, "the write took no effect")
-	fault.Store(Fault{LoseAnswer: true})
+	fault.Store(Fault{DropResponse: true})
 	_, _, err = do(t, "PUT", url+"/kv/a", "lost after")
 	require.Error(t, err)
 	item, present := s.Store.Get("a")
--- a/standin/kv/server.go
+++ b/standin/kv/server.go
@@ -40,8 +40,8 @@
 type Fault struct {
 	// Down closes the connection before the request takes effect.
 	Down bool
-	// LoseAnswer closes the connection after the request has taken effect.
-	LoseAnswer bool
+	// DropResponse closes the connection after the request has taken effect.
+	DropResponse bool
 	// Delay is added before the request is processed.
 	Delay time.Duration
 }
@@ -141,7 +141,7 @@
 			panic(http.ErrAbortHandler)
 		}
 		result := operate(r)
-		if fault.LoseAnswer {
+		if fault.DropResponse {
 			panic(http.ErrAbortHandler)
 		}
 		serve.JSON(w, result.status, result.body)
@@ -222,7 +222,7 @@
 }
 
 func (s *Server) put(r *http.Request) response {
-	ifRevision, okRevision := parseNumber(r.URL.Query().Get("ifRevision"), Any)
+	ifRevision, okRevision := parseNumber(r.URL.Query().Get("ifRevision"), AnyRevision)
 	leaseID, okLease := parseNumber(r.URL.Query().Get("lease"), 0)
 	value, err := io.ReadAll(io.LimitReader(r.Body, MaxValueBytes+1))
 	if !okRevision || !okLease || err != nil {
@@ -235,7 +235,7 @@
 }
 
 func (s *Server) delete(r *http.Request) response {
-	ifRevision, ok := parseNumber(r.URL.Query().Get("ifRevision"), Any)
+	ifRevision, ok := parseNumber(r.URL.Query().Get("ifRevision"), AnyRevision)
 	if !ok {
 		return badRequest
 	}
@@ -252,7 +252,7 @@
 	deadline := time.Now().Add(wait)
 	prefix := query.Get("prefix")
 	for {
-		events, revision, changed, ok := s.Store.Since(prefix, after)
+		events, revision, changed, ok := s.Store.EventsAfter(prefix, after)
 		if !ok {
 			return response{http.StatusGone, revisionBody{revision}}
 		}
