--- a/api/resource.go
+++ b/api/resource.go
@@ -35,8 +35,9 @@
 	}
 }
 
-// KindOf returns the kind with the given path segment in the resource API.
-func KindOf(plural string) (Kind, error) {
+// KindFromPlural returns the kind for a path segment of the resource API, the inverse of
+// Kind.Plural.
+func KindFromPlural(plural string) (Kind, error) {
 	for _, kind := range Kinds() {
 		if kind.Plural() == plural {
 			return kind, nil
--- a/cli/internal/command/command.go
+++ b/cli/internal/command/command.go
@@ -132,7 +132,7 @@
 
 // kindArgument reads a kind such as "models".
 func kindArgument(text string) (api.Kind, error) {
-	kind, err := api.KindOf(text)
+	kind, err := api.KindFromPlural(text)
 	if err != nil {
 		return "", fmt.Errorf("%w: %w", errUsage, err)
 	}
--- a/daemon/internal/process/resource/handler.go
+++ b/daemon/internal/process/resource/handler.go
@@ -123,7 +123,7 @@
 }
 
 func kindParam(r bunrouter.Request) (api.Kind, error) {
-	kind, err := api.KindOf(r.Param("kind"))
+	kind, err := api.KindFromPlural(r.Param("kind"))
 	if err != nil {
 		return "", &api.Problem{Code: api.CodeNotFound, Message: err.Error()}
 	}
--- a/daemon/internal/process/tables/keys.go
+++ b/daemon/internal/process/tables/keys.go
@@ -34,6 +34,6 @@
 	if !ok {
 		return "", "", fmt.Errorf("key %s names no resource", key)
 	}
-	kind, err := api.KindOf(plural)
+	kind, err := api.KindFromPlural(plural)
 	return kind, name, err
 }
