--- a/api/client/client.go
+++ b/api/client/client.go
@@ -129,7 +129,7 @@
 		return nil
 	}
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(target); err != nil {
-		return fmt.Errorf("%s %s: read answer: %w", call.method, call.path, err)
+		return fmt.Errorf("%s %s: read response: %w", call.method, call.path, err)
 	}
 	return nil
 }
--- a/api/manifest/manifest.go
+++ b/api/manifest/manifest.go
@@ -74,7 +74,7 @@
 type encoded struct {
 	Size       int64  `json:"size"`
 	ChunkBytes int64  `json:"chunkBytes"`
-	Whole      string `json:"whole"`
+	FileDigest string `json:"whole"`
 	Chunks     string `json:"chunks"` // concatenated chunk digests in hex
 }
 
@@ -121,7 +121,7 @@
 	for _, chunk := range m.Chunks {
 		chunks = append(chunks, chunk[:]...)
 	}
-	data, err := json.Marshal(encoded{Size: m.Size, ChunkBytes: m.ChunkBytes, Whole: m.FileDigest.String(), Chunks: hex.EncodeToString(chunks)})
+	data, err := json.Marshal(encoded{Size: m.Size, ChunkBytes: m.ChunkBytes, FileDigest: m.FileDigest.String(), Chunks: hex.EncodeToString(chunks)})
 	if err != nil {
 		return nil, Digest{}, fmt.Errorf("encode manifest: %w", err)
 	}
@@ -152,7 +152,7 @@
 }
 
 func (e *encoded) manifest() (*Manifest, error) {
-	whole, err := ParseDigest(e.Whole)
+	fileDigest, err := ParseDigest(e.FileDigest)
 	if err != nil {
 		return nil, fmt.Errorf("manifest: whole: %w", err)
 	}
@@ -168,7 +168,7 @@
 	if (count == 0) != (e.Size == 0) || count > 0 && (e.Size-1)/e.ChunkBytes != count-1 {
 		return nil, errInconsistent
 	}
-	m := &Manifest{Size: e.Size, ChunkBytes: e.ChunkBytes, FileDigest: whole, Chunks: make([]Digest, count)}
+	m := &Manifest{Size: e.Size, ChunkBytes: e.ChunkBytes, FileDigest: fileDigest, Chunks: make([]Digest, count)}
 	for i := range m.Chunks {
 		copy(m.Chunks[i][:], raw[i*len(Digest{}):])
 	}
--- a/cli/internal/soak/fleet.go
+++ b/cli/internal/soak/fleet.go
@@ -228,7 +228,7 @@
 			Address: at(h.address, linkPort), Places: plainPlaces,
 		},
 		Store: f.store, OnRun: f.oracle.Ran, OnReceive: f.oracle.Reached,
-		OnFault:  func(text string) { f.oracle.Violatef(CheckWeights, "%s", text) },
+		OnFault: func(text string) { f.oracle.Violatef(CheckWeights, "%s", text) },
 		OnCrash: func() { f.endDeadly(h) },
 	}
 	if h.loader != nil {
--- a/standin/hostlist/hostlist.go
+++ b/standin/hostlist/hostlist.go
@@ -83,7 +83,7 @@
 // Set adds or replaces a host.
 func (s *Server) Set(host Host) { s.enqueue(change{name: host.Name, host: host}) }
 
-// Remove takes a host off the list.
+// Remove deletes a host from the list.
 func (s *Server) Remove(name string) { s.enqueue(change{name: name, removed: true}) }
 
 func (s *Server) enqueue(c change) {
--- a/standin/kv/kv_test.go
+++ b/standin/kv/kv_test.go
@@ -62,10 +62,10 @@
 		{"GET", "/kv/a/c", "", 404, 0},
 	}
 	for i, step := range steps {
-		status, answer, err := do(t, step.method, url+step.path, step.body)
+		status, body, err := do(t, step.method, url+step.path, step.body)
 		require.NoError(t, err)
 		assert.Equal(t, step.status, status, "step %d", i)
-		assert.InDelta(t, step.revision, answer["revision"], 0, "step %d", i)
+		assert.InDelta(t, step.revision, body["revision"], 0, "step %d", i)
 	}
 	status, _, err := do(t, "PUT", url+"/kv/big", string(make([]byte, MaxValueBytes+1)))
 	require.NoError(t, err)
@@ -78,15 +78,15 @@
 	s.Store.Put("p/a", []byte("1"), AnyRevision, 0)
 	s.Store.Put("q/a", []byte("1"), AnyRevision, 0)
 	s.Store.Delete("p/a", AnyRevision)
-	_, answer, err := do(t, "GET", url+"/watch?prefix=p/&after=0&wait=1m", "")
+	_, body, err := do(t, "GET", url+"/watch?prefix=p/&after=0&wait=1m", "")
 	require.NoError(t, err)
-	assert.InDelta(t, 3, answer["revision"], 0)
-	assert.Len(t, answer["events"], 2, "only events under the prefix")
+	assert.InDelta(t, 3, body["revision"], 0)
+	assert.Len(t, body["events"], 2, "only events under the prefix")
 
 	woken := make(chan map[string]any)
 	go func() {
-		_, answer, _ := do(t, "GET", url+"/watch?prefix=p/&after=3&wait=1m", "")
-		woken <- answer
+		_, body, _ := do(t, "GET", url+"/watch?prefix=p/&after=3&wait=1m", "")
+		woken <- body
 	}()
 	for s.Counts().Watches < 2 {
 		runtime.Gosched()
@@ -104,9 +104,9 @@
 	status, _, err = do(t, "GET", url+"/watch?prefix=p/&after=99&wait=1m", "")
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusGone, status, "revision in the future")
-	_, answer, err = do(t, "GET", url+"/watch?prefix=none/&after=15&wait=1ms", "")
+	_, body, err = do(t, "GET", url+"/watch?prefix=none/&after=15&wait=1ms", "")
 	require.NoError(t, err)
-	assert.Nil(t, answer["events"], "the wait elapsed without an event")
+	assert.Nil(t, body["events"], "the wait elapsed without an event")
 }
 
 func TestLeaseKeepsKeysUntilExpiry(t *testing.T) {
@@ -140,9 +140,9 @@
 	url := start(t, s)
 	id := s.Store.Grant(20 * time.Millisecond)
 	s.Store.Put("p/k", nil, 0, id)
-	_, answer, err := do(t, "GET", url+"/watch?prefix=p/&after=1&wait=1m", "")
+	_, body, err := do(t, "GET", url+"/watch?prefix=p/&after=1&wait=1m", "")
 	require.NoError(t, err)
-	assert.Len(t, answer["events"], 1)
+	assert.Len(t, body["events"], 1)
 }
 
 func TestInjectedFaults(t *testing.T) {
