--- a/standin/engine/completion.go
+++ b/standin/engine/completion.go
@@ -25,8 +25,8 @@
 	Stream    bool   `json:"stream"`
 }
 
-// Answer is the response to a request that does not stream.
-type Answer struct {
+// Response is the response to a request that does not stream.
+type Response struct {
 	Request  string   `json:"request"`
 	Manifest string   `json:"manifest"`
 	Tokens   []string `json:"tokens"`
@@ -190,7 +190,7 @@
 		_, _ = io.WriteString(w, "data: [DONE]\n\n")
 		return
 	}
-	serve.JSON(w, http.StatusOK, Answer{Request: g.id, Manifest: g.state.Manifest, Tokens: texts})
+	serve.JSON(w, http.StatusOK, Response{Request: g.id, Manifest: g.state.Manifest, Tokens: texts})
 }
 
 func (g *generation) sendToken(w http.ResponseWriter, token Token) {
