--- a/cli/internal/bench/control.go
+++ b/cli/internal/bench/control.go
@@ -72,7 +72,7 @@
 	"none":         func(int64) kv.Fault { return kv.Fault{} },
 	"slow":         func(int64) kv.Fault { return kv.Fault{Delay: 200 * time.Millisecond} },
 	"down":         func(n int64) kv.Fault { return kv.Fault{Down: randomBool(n)} },
-	"lost-answers": func(n int64) kv.Fault { return kv.Fault{LoseAnswer: randomBool(n)} },
+	"lost-answers": func(n int64) kv.Fault { return kv.Fault{DropResponse: randomBool(n)} },
 }
 
 // randomBool returns a pseudo-random value for the n-th call, the same in every run. Alternating
--- a/cli/internal/soak/fleet.go
+++ b/cli/internal/soak/fleet.go
@@ -156,7 +156,7 @@
 }
 
 func (f *fleet) serve(address netip.AddrPort, handler http.Handler) error {
-	server, err := serve.On(address, handler)
+	server, err := serve.Listen(address, handler)
 	if err != nil {
 		return err
 	}
@@ -227,14 +227,14 @@
 			ID: fmt.Sprintf("u-%d-%d", h.number, h.names), Started: time.Now(), Service: h.service, Hall: h.hall,
 			Address: at(h.address, linkPort), Places: plainPlaces,
 		},
-		Store: f.store, OnRun: f.oracle.Ran, OnReach: f.oracle.Reached,
-		OnFault:  func(text string) { f.oracle.Violatef(CheckWeights, "%s", text) },
-		OnDeadly: func() { f.endDeadly(h) },
+		Store: f.store, OnRun: f.oracle.Ran, OnReceive: f.oracle.Reached,
+		OnFault: func(text string) { f.oracle.Violatef(CheckWeights, "%s", text) },
+		OnCrash: func() { f.endDeadly(h) },
 	}
 	if h.loader != nil {
 		u.Origin, u.Record.Places = f.origin, enginePlaces
 	}
-	server, err := serve.On(at(h.address, upstreamPort), u.Handler())
+	server, err := serve.Listen(at(h.address, upstreamPort), u.Handler())
 	if err != nil {
 		return err
 	}
@@ -254,7 +254,7 @@
 	id := h.upstream.Record.ID
 	h.mu.Unlock()
 	f.wait(lapse)
-	f.store.Unlist(id)
+	f.store.RemoveUpstream(id)
 }
 
 // claim reports whether the host's upstream may be replaced now, and has no other step
@@ -328,7 +328,7 @@
 	f.declaring.Lock()
 	defer f.declaring.Unlock()
 	f.version++
-	f.store.Name(provider.Target{Model: modelName, Version: f.version})
+	f.store.DeclareTarget(provider.Target{Model: modelName, Version: f.version})
 	f.oracle.Named(f.version)
 }
 
--- a/cli/internal/soak/strike.go
+++ b/cli/internal/soak/strike.go
@@ -57,7 +57,7 @@
 		f.spoil(host, step.Target, lasts)
 	case step.Kind == EngineRot:
 		f.once(step.Kind, engine.address.String(), func() {
-			engine.current().Rot()
+			engine.current().CorruptStagedChunk()
 		})
 	default:
 		f.during(step.Kind, host.address.String(), lasts, func(on bool) { host.current().SetFault(upstreamFault(step, on)) })
@@ -141,7 +141,7 @@
 func (f *fleet) strikeStore(step Step, lasts time.Duration) {
 	if step.Kind == StoreForget {
 		f.once(step.Kind, "", func() {
-			f.store.DropHistory()
+			f.store.Compact()
 		})
 		return
 	}
@@ -156,13 +156,13 @@
 	case StoreDown:
 		return standin.StoreFault{Down: true}
 	case StoreSilent:
-		return standin.StoreFault{Silent: true}
+		return standin.StoreFault{Unresponsive: true}
 	case StoreSlow:
 		return standin.StoreFault{Delay: slowStore}
 	case StoreRefuse:
 		return standin.StoreFault{Refuse: turnedAway}
 	default:
-		return standin.StoreFault{LoseAnswers: step.Strength}
+		return standin.StoreFault{DropResponses: step.Strength}
 	}
 }
 
@@ -191,7 +191,7 @@
 	case step.Kind == OriginDown:
 		return standin.OriginFault{Down: true}
 	case step.Kind == OriginSpoil:
-		return standin.OriginFault{Spoil: step.Strength}
+		return standin.OriginFault{Corrupt: step.Strength}
 	default:
 		return standin.OriginFault{Delay: slowStore}
 	}
@@ -238,7 +238,7 @@
 	defer h.release()
 	f.once(UpstreamLeave, h.address.String(), func() {
 		u := h.current()
-		u.Leave()
+		u.StartDraining()
 		f.oracle.Left(u.Record.ID)
 		f.wait(drainTime)
 		f.bury(h, 0)
--- a/daemon/internal/version/install/install.go
+++ b/daemon/internal/version/install/install.go
@@ -405,7 +405,7 @@
 		Model: serve.GetModel(), Adapter: serve.GetAdapter(), Version: serve.GetVersion(), Manifest: id.String(),
 		Weights: "http://" + i.Weights.String() + "/versions/" + id.String() + "/weights",
 		Size:    version.Manifest.Size, Token: order.GetToken(),
-	}, version.Manifest.Whole)
+	}, version.Manifest.FileDigest)
 	if err != nil {
 		i.handleLoadFailure(ctx, order, id, previous, err)
 		return err
@@ -466,7 +466,7 @@
 	defer cancel()
 	state, stateErr := i.Fence.Engine.QueryState(stateCtx)
 	version := i.Stage.Find(previous)
-	if stateErr != nil || previous.IsZero() || version == nil || state.Manifest != previous.String() || state.Digest != version.Manifest.Whole.String() {
+	if stateErr != nil || previous.IsZero() || version == nil || state.Manifest != previous.String() || state.Digest != version.Manifest.FileDigest.String() {
 		i.Gate.Open(gate.Serving{})
 		i.notifyChange()
 		return
--- a/daemon/internal/version/stage/stage.go
+++ b/daemon/internal/version/stage/stage.go
@@ -374,8 +374,8 @@
 	}
 	var digest manifest.Digest
 	hash.Sum(digest[:0])
-	if digest != v.Manifest.Whole {
-		return fmt.Errorf("version %s: file digest is %s, but the manifest declares %s", v.ID.Short(), digest.Short(), v.Manifest.Whole.Short())
+	if digest != v.Manifest.FileDigest {
+		return fmt.Errorf("version %s: file digest is %s, but the manifest declares %s", v.ID.Short(), digest.Short(), v.Manifest.FileDigest.Short())
 	}
 	v.mu.Lock()
 	v.verified = true
--- a/daemon/router/fixture_test.go
+++ b/daemon/router/fixture_test.go
@@ -133,7 +133,7 @@
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
 	for {
-		events, at, changed, kept := s.store.Since(prefix, uint64(after))
+		events, at, changed, kept := s.store.EventsAfter(prefix, uint64(after))
 		if !kept {
 			return provider.Listing{}, provider.ErrCompacted
 		}
@@ -336,7 +336,7 @@
 	t.Helper()
 	var ports []netip.AddrPort
 	for range count {
-		port, err := serve.Free()
+		port, err := serve.FreeAddress()
 		require.NoError(t, err)
 		ports = append(ports, port)
 	}
--- a/standin/kv/kv_test.go
+++ b/standin/kv/kv_test.go
@@ -17,8 +17,6 @@
 	"github.com/wheelcleat/wheelcleat/standin/serve"
 )
 
-// Contract of the key-value service, as the brief states it.
-
 func start(t *testing.T, s *Server) string {
 	t.Helper()
 	server, err := serve.Loopback(s)
@@ -29,18 +27,18 @@
 
 func do(t *testing.T, method, url, body string) (int, map[string]any, error) {
 	t.Helper()
-	request, err := http.NewRequest(method, url, bytes.NewBufferString(body))
+	req, err := http.NewRequest(method, url, bytes.NewBufferString(body))
 	require.NoError(t, err)
-	response, err := http.DefaultClient.Do(request)
+	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return 0, nil, err
 	}
-	defer func() { _ = response.Body.Close() }()
-	data, err := io.ReadAll(response.Body)
+	defer func() { _ = resp.Body.Close() }()
+	data, err := io.ReadAll(resp.Body)
 	require.NoError(t, err)
-	answer := map[string]any{}
-	require.NoError(t, json.Unmarshal(data, &answer), "%s", data)
-	return response.StatusCode, answer, nil
+	decoded := map[string]any{}
+	require.NoError(t, json.Unmarshal(data, &decoded), "%s", data)
+	return resp.StatusCode, decoded, nil
 }
 
 func TestCompareAndSwap(t *testing.T) {
@@ -64,54 +62,54 @@
 		{"GET", "/kv/a/c", "", 404, 0},
 	}
 	for i, step := range steps {
-		status, answer, err := do(t, step.method, url+step.path, step.body)
+		status, body, err := do(t, step.method, url+step.path, step.body)
 		require.NoError(t, err)
 		assert.Equal(t, step.status, status, "step %d", i)
-		assert.InDelta(t, step.revision, answer["revision"], 0, "step %d", i)
+		assert.InDelta(t, step.revision, body["revision"], 0, "step %d", i)
 	}
 	status, _, err := do(t, "PUT", url+"/kv/big", string(make([]byte, MaxValueBytes+1)))
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusRequestEntityTooLarge, status)
 }
 
-func TestWatch(t *testing.T) {
+func TestWatchReturnsEventsUnderPrefix(t *testing.T) {
 	s := &Server{Store: Store{History: 4}}
 	url := start(t, s)
-	s.Store.Put("p/a", []byte("1"), Any, 0)
-	s.Store.Put("q/a", []byte("1"), Any, 0)
-	s.Store.Delete("p/a", Any)
-	_, answer, err := do(t, "GET", url+"/watch?prefix=p/&after=0&wait=1m", "")
+	s.Store.Put("p/a", []byte("1"), AnyRevision, 0)
+	s.Store.Put("q/a", []byte("1"), AnyRevision, 0)
+	s.Store.Delete("p/a", AnyRevision)
+	_, body, err := do(t, "GET", url+"/watch?prefix=p/&after=0&wait=1m", "")
 	require.NoError(t, err)
-	assert.InDelta(t, 3, answer["revision"], 0)
-	assert.Len(t, answer["events"], 2, "only the prefix")
+	assert.InDelta(t, 3, body["revision"], 0)
+	assert.Len(t, body["events"], 2, "only events under the prefix")
 
 	woken := make(chan map[string]any)
 	go func() {
-		_, answer, _ := do(t, "GET", url+"/watch?prefix=p/&after=3&wait=1m", "")
-		woken <- answer
+		_, body, _ := do(t, "GET", url+"/watch?prefix=p/&after=3&wait=1m", "")
+		woken <- body
 	}()
 	for s.Counts().Watches < 2 {
 		runtime.Gosched()
 	}
-	s.Store.Put("q/b", []byte("no"), Any, 0)
-	s.Store.Put("p/b", []byte("yes"), Any, 0)
+	s.Store.Put("q/b", []byte("no"), AnyRevision, 0)
+	s.Store.Put("p/b", []byte("yes"), AnyRevision, 0)
 	assert.InDelta(t, 5, (<-woken)["revision"], 0)
 
 	for i := range 10 {
-		s.Store.Put(fmt.Sprint("p/", i), nil, Any, 0)
+		s.Store.Put(fmt.Sprint("p/", i), nil, AnyRevision, 0)
 	}
 	status, _, err := do(t, "GET", url+"/watch?prefix=p/&after=5&wait=1m", "")
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusGone, status, "compacted")
 	status, _, err = do(t, "GET", url+"/watch?prefix=p/&after=99&wait=1m", "")
 	require.NoError(t, err)
-	assert.Equal(t, http.StatusGone, status, "from the future")
-	_, answer, err = do(t, "GET", url+"/watch?prefix=none/&after=15&wait=1ms", "")
+	assert.Equal(t, http.StatusGone, status, "revision in the future")
+	_, body, err = do(t, "GET", url+"/watch?prefix=none/&after=15&wait=1ms", "")
 	require.NoError(t, err)
-	assert.Nil(t, answer["events"], "the wait passes")
+	assert.Nil(t, body["events"], "the wait elapsed without an event")
 }
 
-func TestLease(t *testing.T) {
+func TestLeaseKeepsKeysUntilExpiry(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := &Store{Now: func() time.Time { return now }}
 	id := s.Grant(5 * time.Second)
@@ -124,30 +122,30 @@
 	require.True(t, present, "kept alive")
 	now = now.Add(2 * time.Second)
 	_, present = s.Get("k")
-	require.False(t, present, "lapsed")
+	require.False(t, present, "expired")
 	require.False(t, s.KeepAlive(id))
 	_, ok = s.Put("k", []byte("late"), 0, id)
-	require.False(t, ok, "a lapsed lease holds no keys")
+	require.False(t, ok, "an expired lease accepts no keys")
 
 	other := s.Grant(5 * time.Second)
 	s.Put("k", []byte("other"), 0, other)
-	s.Put("k", []byte("taken over"), Any, 0)
+	s.Put("k", []byte("taken over"), AnyRevision, 0)
 	s.Revoke(other)
 	_, present = s.Get("k")
-	require.True(t, present, "a key written again without the lease stays")
+	require.True(t, present, "a key overwritten without the lease is kept")
 }
 
-func TestLapseWakesWatch(t *testing.T) {
+func TestLeaseExpiryWakesWatch(t *testing.T) {
 	s := &Server{}
 	url := start(t, s)
 	id := s.Store.Grant(20 * time.Millisecond)
 	s.Store.Put("p/k", nil, 0, id)
-	_, answer, err := do(t, "GET", url+"/watch?prefix=p/&after=1&wait=1m", "")
+	_, body, err := do(t, "GET", url+"/watch?prefix=p/&after=1&wait=1m", "")
 	require.NoError(t, err)
-	assert.Len(t, answer["events"], 1)
+	assert.Len(t, body["events"], 1)
 }
 
-func TestFaults(t *testing.T) {
+func TestInjectedFaults(t *testing.T) {
 	var fault atomic.Value
 	fault.Store(Fault{})
 	s := &Server{Fault: func(Op, string) Fault { return fault.Load().(Fault) }}
@@ -156,16 +154,16 @@
 	_, _, err := do(t, "PUT", url+"/kv/a", "lost before")
 	require.Error(t, err)
 	_, present := s.Store.Get("a")
-	assert.False(t, present, "down: no effect")
-	fault.Store(Fault{LoseAnswer: true})
+	assert.False(t, present, "the write took no effect")
+	fault.Store(Fault{DropResponse: true})
 	_, _, err = do(t, "PUT", url+"/kv/a", "lost after")
 	require.Error(t, err)
 	item, present := s.Store.Get("a")
-	assert.True(t, present, "the answer was lost, the write was not")
+	assert.True(t, present, "the write took effect although its response was lost")
 	assert.Equal(t, "lost after", string(item.Value))
 }
 
-func TestRates(t *testing.T) {
+func TestRateLimits(t *testing.T) {
 	s := &Server{WritesPerSecond: 0.001, ReadsPerSecond: 0.001}
 	url := start(t, s)
 	for _, method := range []string{"PUT", "GET"} {
