--- a/cli/internal/soak/caller.go
+++ b/cli/internal/soak/caller.go
@@ -16,7 +16,8 @@
 	"github.com/wheelcleat/wheelcleat/platform/standin"
 )
 
-// Paths of the requests, by what may become of them; see the routes in fleet.go.
+// Path prefixes of requests that may run at most once and of those that may be retried. See
+// the routes in fleet.go.
 const (
 	unsafePath = "/unsafe/"
 	safePath   = "/safe/"
@@ -28,23 +29,23 @@
 	// constantKey is valid in every configuration.
 	constantKey = "key-of-all"
 	// routeTimeout is how long routers may hold a request, and callTimeout how long a caller
-	// waits for the whole answer: long enough that a request that is held to the end is
-	// answered. A caller that gave up first would look like one that was cut.
+	// waits for the complete answer. callTimeout is longer: a caller that timed out first
+	// could not be told from one whose connection the router cut.
 	routeTimeout = 10 * time.Second
 	callTimeout  = routeTimeout + boundSlack
-	// leastPause and mostPause lie between a caller's requests, downPause after a
-	// connection could not be made.
-	leastPause, mostPause = 10 * time.Millisecond, 60 * time.Millisecond
-	downPause             = 100 * time.Millisecond
+	// minPause and maxPause bound the pause between a caller's requests. dialRetryPause
+	// follows a failed dial.
+	minPause, maxPause = 10 * time.Millisecond, 60 * time.Millisecond
+	dialRetryPause     = 100 * time.Millisecond
 )
 
-// probePath is the path that one configuration serves, and probeKey its key.
+// probePath returns the path that only the given configuration serves.
 func probePath(configuration int) string { return fmt.Sprintf("/probe-%d/", configuration) }
 
+// probeKey returns the key that is valid only in the given configuration.
 func probeKey(configuration int) string { return fmt.Sprintf("key-%d", configuration) }
 
-// caller sends requests to one router, one after the other, over connections that it
-// keeps open until the router's process is gone.
+// caller sends requests to one router, one after the other, over keep-alive connections.
 type caller struct {
 	router  *process
 	address netip.AddrPort
@@ -52,11 +53,12 @@
 	tally   *Tally
 	// newest is the configuration that was acknowledged last.
 	newest *atomic.Int64
-	number *atomic.Int64
-	client *http.Client
+	// requestCount numbers the requests of all callers.
+	requestCount *atomic.Int64
+	client       *http.Client
 }
 
-// request is what a caller sends.
+// request is one request of a caller. probe is the configuration that serves its path, or 0.
 type request struct {
 	path, key string
 	probe     int
@@ -66,15 +68,15 @@
 	c.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}, Timeout: callTimeout}
 	defer c.client.CloseIdleConnections()
 	for ctx.Err() == nil {
-		outcome := c.send(ctx, c.draw())
+		outcome := c.send(ctx, c.nextRequest())
 		if ctx.Err() != nil {
-			return // the end of the run ended it
+			return // the end of the run cancelled the request
 		}
-		c.oracle.Ended(outcome)
-		c.tally.note(outcome)
-		pause := leastPause + rand.N(mostPause-leastPause)
+		c.oracle.RecordOutcome(outcome)
+		c.tally.recordOutcome(outcome)
+		pause := minPause + rand.N(maxPause-minPause)
 		if outcome.Unsent {
-			pause = downPause
+			pause = dialRetryPause
 		}
 		select {
 		case <-time.After(pause):
@@ -83,8 +85,8 @@
 	}
 }
 
-// draw chooses the next request: half of them streams, some of these long, a tenth probes.
-func (c *caller) draw() request {
+// nextRequest draws the next request: half are streams, some of these long, a tenth probes.
+func (c *caller) nextRequest() request {
 	switch drawn := rand.IntN(20); {
 	case drawn < 2:
 		return request{path: standin.LongPath + "x", key: constantKey}
@@ -100,49 +102,49 @@
 	}
 }
 
-// send sends a request and reads the answer to its end.
+// send sends a request, reads the complete answer and returns what the caller observed.
 func (c *caller) send(ctx context.Context, sent request) Outcome {
 	outcome := Outcome{
-		ID: fmt.Sprintf("soak-%d", c.number.Add(1)), Router: c.router.name, Path: sent.path, Probe: sent.probe,
-		Started: time.Now(), Before: c.router.condition(),
+		ID: fmt.Sprintf("soak-%d", c.requestCount.Add(1)), Router: c.router.name, Path: sent.path, Probe: sent.probe,
+		Started: time.Now(), ConditionBefore: c.router.condition(),
 	}
-	c.oracle.Sent(outcome.ID, outcome.Router)
-	c.exchange(ctx, sent, &outcome)
-	outcome.Ended, outcome.After = time.Now(), c.router.condition()
-	var dialling *net.OpError
-	outcome.Unsent = errors.As(outcome.Err, &dialling) && dialling.Op == "dial"
+	c.oracle.RecordSent(outcome.ID, outcome.Router)
+	c.roundTrip(ctx, sent, &outcome)
+	outcome.Ended, outcome.ConditionAfter = time.Now(), c.router.condition()
+	var dialErr *net.OpError
+	outcome.Unsent = errors.As(outcome.Err, &dialErr) && dialErr.Op == "dial"
 	return outcome
 }
 
-func (c *caller) exchange(ctx context.Context, sent request, outcome *Outcome) {
-	call, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.address.String()+sent.path, strings.NewReader("a body"))
+func (c *caller) roundTrip(ctx context.Context, sent request, outcome *Outcome) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.address.String()+sent.path, strings.NewReader("a body"))
 	if err != nil {
 		outcome.Err = err
 		return
 	}
-	call.Host = callersHost
-	call.Header.Set("Authorization", "Bearer "+sent.key)
-	call.Header.Set(standin.HeaderRequestID, outcome.ID)
-	answer, err := c.client.Do(call)
+	req.Host = callersHost
+	req.Header.Set("Authorization", "Bearer "+sent.key)
+	req.Header.Set(standin.HeaderRequestID, outcome.ID)
+	resp, err := c.client.Do(req)
 	if err != nil {
 		outcome.Err = err
 		return
 	}
-	defer func() { _ = answer.Body.Close() }()
-	outcome.Status = answer.StatusCode
-	outcome.Signed = answer.Header.Get(standin.HeaderSignature) != ""
-	body, err := io.ReadAll(answer.Body)
+	defer func() { _ = resp.Body.Close() }()
+	outcome.Status = resp.StatusCode
+	outcome.Signed = resp.Header.Get(standin.HeaderSignature) != ""
+	body, err := io.ReadAll(resp.Body)
 	outcome.Body, outcome.Err = string(body), err
 }
 
-// servesAll reports whether a stream and a plain request are served.
+// servesAll reports whether the router serves a stream and a plain request.
 func (c *caller) servesAll(ctx context.Context) bool {
 	if c.client == nil {
 		c.client = &http.Client{Transport: &http.Transport{}, Timeout: callTimeout}
 	}
 	for _, path := range []string{"/stream/x", safePath + "x"} {
 		if outcome := c.send(ctx, request{path: path, key: constantKey}); !outcome.served() {
-			pause(ctx, downPause)
+			pause(ctx, dialRetryPause)
 			return false
 		}
 	}
--- /dev/null
+++ b/cli/internal/soak/crashing.go
@@ -0,0 +1,71 @@
+package soak
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"time"
+
+	"github.com/wheelcleat/wheelcleat/platform/standin"
+)
+
+const (
+	// crashingRetryInterval is the pause between two sends of a crashing request.
+	// crashRestartDelay is the time until an upstream that such a request crashed restarts.
+	crashingRetryInterval = 250 * time.Millisecond
+	crashRestartDelay     = 1500 * time.Millisecond
+)
+
+// sendCrashing sends one crashing request again and again, to each router in turn, until
+// the duration has passed.
+func (f *fleet) sendCrashing(duration time.Duration) {
+	path := fmt.Sprintf("%s%d", standin.DeadlyPath, f.crashingRequests.Add(1))
+	ctx, cancel := context.WithTimeout(context.Background(), duration)
+	defer cancel()
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: callTimeout}
+	f.once(RequestsCrash, path, func() {
+		for i := 0; ctx.Err() == nil && !f.stopped(); i++ {
+			router := f.routers[i%len(f.routers)]
+			c := &caller{router: router.process, address: router.callers, oracle: f.oracle, requestCount: &f.crashingSent, client: client}
+			c.send(ctx, request{path: path, key: constantKey})
+			wait(crashingRetryInterval, ctx.Done())
+		}
+	})
+}
+
+func (f *fleet) stopped() bool {
+	select {
+	case <-f.stop:
+		return true
+	default:
+		return false
+	}
+}
+
+// crashUnderRequest crashes the upstream of a host that began a crashing request, and
+// restarts it after crashRestartDelay.
+func (f *fleet) crashUnderRequest(h *host) { go f.crash(h, crashRestartDelay) }
+
+// corruptEntry replaces the store entry of a host's upstream by a value that cannot be
+// decoded, for the given duration.
+func (f *fleet) corruptEntry(h *host, index int, duration time.Duration) {
+	if !h.claim() {
+		return
+	}
+	defer h.release()
+	f.once(EntriesCorrupt, h.address.String(), func() {
+		u := h.current()
+		u.Spoil(standin.SpoiledEntries[index%len(standin.SpoiledEntries)])
+		f.oracle.RecordLeaving(u.Record.ID)
+		f.wait(duration)
+		f.oracle.RecordRestored(u.Record.ID)
+		u.Spoil(nil)
+	})
+}
+
+// nextID gives the host's next upstream a new id.
+func (h *host) nextID() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.generation++
+}
--- a/cli/internal/soak/fleet.go
+++ b/cli/internal/soak/fleet.go
@@ -18,18 +18,18 @@
 	"github.com/wheelcleat/wheelcleat/standin/serve"
 )
 
-// Ports; every host has a loopback address of its own.
+// Ports. Each host has its own loopback address.
 const (
 	callersPort, readyPort, peersPort, metricsPort = 7000, 7001, 7002, 7003
 	loaderPort, loaderMetricsPort                  = 7010, 7011
-	// upstreamPort is the upstream's own, linkPort the one that the store lists: a proxy.
+	// upstreamPort is the upstream's own port. linkPort is its proxy's, which the store lists.
 	upstreamPort, linkPort = 7020, 7021
-	// storePort is the store's own, storeLinkPort a daemon's proxy to it.
+	// storePort is the store's own port, storeLinkPort that of a daemon's proxy to it.
 	storePort, storeLinkPort = 7030, 7031
 	originPort               = 7040
 )
 
-// The declared fleet.
+// The resources that the configuration declares.
 const (
 	modelName, engineService, plainService, originService = "model", "assistant", "ledger", "weights"
 	chunks, chunkBytes                                    = 48, 4 << 10
@@ -37,7 +37,7 @@
 	linkMbps                                              = 20
 )
 
-// Size is how many processes there are in each data hall.
+// Size is the number of data halls, and of processes in each.
 type Size struct {
 	Halls   int `json:"halls"`
 	Routers int `json:"routers"`
@@ -46,7 +46,7 @@
 	Plain int `json:"plain"`
 }
 
-// fleet is all that a run starts.
+// fleet holds the processes, stand-ins and proxies of a run.
 type fleet struct {
 	folder, daemon string
 	size           Size
@@ -56,20 +56,20 @@
 	routers        []*router
 	hosts          []*host
 	newest         atomic.Int64
-	// deadly counts the deadly requests, and deadlySent how often they were sent.
-	deadly, deadlySent atomic.Int64
-	version            int
-	// stop ends all waits, done the stand-ins.
+	// crashingRequests counts the distinct crashing requests, crashingSent their sends.
+	crashingRequests, crashingSent atomic.Int64
+	version                        int
+	// stop ends all waits, done ends the stand-ins.
 	stop    <-chan struct{}
 	done    chan struct{}
 	servers []*serve.Server
 	proxies []*Proxy
 
-	// declaring orders the changes of operators.
-	declaring sync.Mutex
+	// declareMu serializes the changes of operators.
+	declareMu sync.Mutex
 }
 
-// router is one router process with its link to the store.
+// router is a router process with its link to the store.
 type router struct {
 	*process
 	hall    string
@@ -77,7 +77,7 @@
 	link    *Proxy
 }
 
-// host is an upstream with its link to routers, and for engines the loader beside it.
+// host is an upstream with the link that routers use, and for engines its loader.
 type host struct {
 	number  int
 	hall    string
@@ -89,37 +89,39 @@
 	mu       sync.Mutex
 	upstream *standin.Upstream
 	server   *serve.Server
-	// names counts the ids that this host's upstreams had before: one that crashes starts
-	// again under its id, one that leaves does not. busy says that one is coming or going.
-	names int
-	busy  bool
+	// generation is part of the upstream's id. An upstream restarts under the same id after
+	// a crash, and under a new one after it left. busy is set while a step replaces it.
+	generation int
+	busy       bool
 }
 
-// base is the first part of all addresses of this process, so that runs beside each
-// other do not meet.
-func base() (byte, byte) {
+// addressPrefix returns the second and third byte of all addresses of this process.
+// Concurrent runs differ in them, so that their ports don't collide.
+func addressPrefix() (byte, byte) {
 	const first, ranges = 64, 64
 	pid := os.Getpid()
 	return byte(first + pid%ranges), byte(pid / ranges & math.MaxUint8)
 }
 
-// addressOf gives the host with a number its own address.
+// addressOf returns the loopback address of the host with a number.
 func addressOf(number int) netip.Addr {
-	second, third := base()
+	second, third := addressPrefix()
 	return netip.AddrFrom4([4]byte{127, second, third, byte(number & math.MaxUint8)})
 }
 
-func at(address netip.Addr, port uint16) netip.AddrPort { return netip.AddrPortFrom(address, port) }
+func addrPort(address netip.Addr, port uint16) netip.AddrPort {
+	return netip.AddrPortFrom(address, port)
+}
 
-// errSize says that a fleet of some size cannot be set out.
-var errSize = errors.New("the size must name at least one of each, and 250 hosts at most")
+// errSize reports that a fleet of the given size cannot be built.
+var errSize = errors.New("the size must be at least one of each and at most 250 hosts in all")
 
-// newFleet sets out a fleet and starts all but the processes.
+// newFleet builds a fleet and starts its stand-ins and proxies, but not the daemons.
 func newFleet(options *Options, oracle *Oracle, stop <-chan struct{}) (*fleet, error) {
 	size := options.Size
-	const mostHosts = 250
+	const maxHosts = 250
 	hosts := size.Halls * (size.Routers + size.Loaders + size.Plain)
-	if min(size.Halls, size.Routers, size.Loaders, size.Plain) < 1 || hosts > mostHosts {
+	if min(size.Halls, size.Routers, size.Loaders, size.Plain) < 1 || hosts > maxHosts {
 		return nil, fmt.Errorf("%d halls of %d routers, %d loaders and %d plain upstreams: %w", size.Halls, size.Routers, size.Loaders, size.Plain, errSize)
 	}
 	f := &fleet{
@@ -128,10 +130,10 @@
 	}
 	const platformHost = 1
 	platform := addressOf(platformHost)
-	if err := f.serve(at(platform, storePort), f.store.Handler(f.done)); err != nil {
+	if err := f.serve(addrPort(platform, storePort), f.store.Handler(f.done)); err != nil {
 		return nil, err
 	}
-	if err := f.serve(at(platform, originPort), f.origin.Handler()); err != nil {
+	if err := f.serve(addrPort(platform, originPort), f.origin.Handler()); err != nil {
 		return nil, err
 	}
 	number := platformHost
@@ -151,7 +153,7 @@
 		}
 	}
 	f.configure()
-	f.nameVersion()
+	f.publishVersion()
 	return f, nil
 }
 
@@ -174,19 +176,19 @@
 
 func (f *fleet) addRouter(number int, hall string) error {
 	address := addressOf(number)
-	link, err := f.proxy(at(address, storeLinkPort), at(addressOf(1), storePort))
+	link, err := f.proxy(addrPort(address, storeLinkPort), addrPort(addressOf(1), storePort))
 	if err != nil {
 		return err
 	}
 	name := fmt.Sprintf("router-%d", number)
 	set := settings.Router{
-		Role: settings.RoleRouter, Name: name, Hall: hall, Store: at(address, storeLinkPort), LoaderPort: loaderPort,
+		Role: settings.RoleRouter, Name: name, Hall: hall, Store: addrPort(address, storeLinkPort), LoaderPort: loaderPort,
 		Listen: settings.RouterListen{
-			Callers: at(address, callersPort), Ready: at(address, readyPort), Peers: at(address, peersPort), Metrics: at(address, metricsPort),
+			Callers: addrPort(address, callersPort), Ready: addrPort(address, readyPort), Peers: addrPort(address, peersPort), Metrics: addrPort(address, metricsPort),
 		},
 	}
 	for _, other := range f.routers {
-		set.Seeds = append(set.Seeds, at(other.callers.Addr(), peersPort))
+		set.Seeds = append(set.Seeds, addrPort(other.callers.Addr(), peersPort))
 	}
 	f.routers = append(f.routers, &router{
 		process: &process{name: name, binary: f.daemon, folder: f.folder, settings: &set},
@@ -197,7 +199,7 @@
 
 func (f *fleet) addHost(number int, hall string, engine bool) error {
 	address := addressOf(number)
-	link, err := f.proxy(at(address, linkPort), at(address, upstreamPort))
+	link, err := f.proxy(addrPort(address, linkPort), addrPort(address, upstreamPort))
 	if err != nil {
 		return err
 	}
@@ -205,36 +207,36 @@
 	f.hosts = append(f.hosts, h)
 	if engine {
 		h.service = engineService
-		if _, err := f.proxy(at(address, storeLinkPort), at(addressOf(1), storePort)); err != nil {
+		if _, err := f.proxy(addrPort(address, storeLinkPort), addrPort(addressOf(1), storePort)); err != nil {
 			return err
 		}
 		name := fmt.Sprintf("loader-%d", number)
 		h.loader = &process{name: name, binary: f.daemon, folder: f.folder, settings: &settings.Loader{
-			Role: settings.RoleLoader, Name: name, Hall: hall, Store: at(address, storeLinkPort),
-			Listen: settings.LoaderListen{Peers: at(address, loaderPort), Metrics: at(address, loaderMetricsPort)},
-			Engine: at(address, upstreamPort), Service: engineService, Bounds: settings.LoaderBounds{LinkMbps: linkMbps},
+			Role: settings.RoleLoader, Name: name, Hall: hall, Store: addrPort(address, storeLinkPort),
+			Listen: settings.LoaderListen{Peers: addrPort(address, loaderPort), Metrics: addrPort(address, loaderMetricsPort)},
+			Engine: addrPort(address, upstreamPort), Service: engineService, Bounds: settings.LoaderBounds{LinkMbps: linkMbps},
 		}}
 	}
-	return f.bear(h)
+	return f.startUpstream(h)
 }
 
-// bear starts a new upstream on a host and lists it.
-func (f *fleet) bear(h *host) error {
+// startUpstream starts a new upstream on a host and lists it in the store.
+func (f *fleet) startUpstream(h *host) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	u := &standin.Upstream{
 		Record: provider.Upstream{
-			ID: fmt.Sprintf("u-%d-%d", h.number, h.names), Started: time.Now(), Service: h.service, Hall: h.hall,
-			Address: at(h.address, linkPort), Places: plainPlaces,
+			ID: fmt.Sprintf("u-%d-%d", h.number, h.generation), Started: time.Now(), Service: h.service, Hall: h.hall,
+			Address: addrPort(h.address, linkPort), Places: plainPlaces,
 		},
-		Store: f.store, OnRun: f.oracle.Ran, OnReach: f.oracle.Reached,
+		Store: f.store, OnRun: f.oracle.RecordRun, OnReach: f.oracle.RecordArrival,
 		OnFault:  func(text string) { f.oracle.Violatef(CheckWeights, "%s", text) },
-		OnDeadly: func() { f.endDeadly(h) },
+		OnDeadly: func() { f.crashUnderRequest(h) },
 	}
 	if h.loader != nil {
 		u.Origin, u.Record.Places = f.origin, enginePlaces
 	}
-	server, err := serve.On(at(h.address, upstreamPort), u.Handler())
+	server, err := serve.On(addrPort(h.address, upstreamPort), u.Handler())
 	if err != nil {
 		return err
 	}
@@ -246,19 +248,20 @@
 	return nil
 }
 
-// bury ends the upstream of a host, as a crash does; its entry goes a while later.
-func (f *fleet) bury(h *host, lapse time.Duration) {
+// stopUpstream closes the upstream of a host without notice, as a crash does, and removes
+// its entry from the store after the expiry.
+func (f *fleet) stopUpstream(h *host, expiry time.Duration) {
 	h.mu.Lock()
 	h.link.Refuse()
 	h.server.Close()
 	id := h.upstream.Record.ID
 	h.mu.Unlock()
-	f.wait(lapse)
+	f.wait(expiry)
 	f.store.Unlist(id)
 }
 
-// claim reports whether the host's upstream may be replaced now, and has no other step
-// do so until it is released.
+// claim reserves the host's upstream for replacement until release. It reports false if
+// another step holds the reservation.
 func (h *host) claim() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -281,7 +284,7 @@
 	return h.upstream
 }
 
-// wait waits for a time, or until the run is given up.
+// wait waits for a duration, or until the run is cancelled.
 func (f *fleet) wait(d time.Duration) { wait(d, f.stop) }
 
 func wait(d time.Duration, stop <-chan struct{}) {
@@ -291,10 +294,11 @@
 	}
 }
 
-// configure declares the next configuration. Each has a route and a key of its own.
+// configure declares the next configuration. Each has its own probe route and key, so that
+// an answer shows which configuration the router has in force.
 func (f *fleet) configure() {
-	f.declaring.Lock()
-	defer f.declaring.Unlock()
+	f.declareMu.Lock()
+	defer f.declareMu.Unlock()
 	next := int(f.newest.Load()) + 1
 	route := func(name, prefix, service string, mode provider.Mode) provider.Route {
 		const attempts, objective = 2, 300 * time.Millisecond
@@ -313,26 +317,26 @@
 		},
 		Services: []provider.Service{
 			{Name: plainService},
-			{Name: originService, Origin: at(addressOf(1), originPort)},
+			{Name: originService, Origin: addrPort(addressOf(1), originPort)},
 			{Name: engineService, Engine: &provider.EngineSpec{Model: modelName, Places: enginePlaces, Chunks: chunks, ChunkBytes: chunkBytes}},
 		},
 		Accounts: []provider.Account{{Name: "constant", Keys: []string{constantKey}}, {Name: "changing", Keys: []string{probeKey(next)}}},
 		Limits:   provider.Limits{MaxBodyBytes: 1 << 20},
 	})
-	f.oracle.Configured(next)
+	f.oracle.RecordConfiguration(next)
 	f.newest.Store(int64(next))
 }
 
-// nameVersion names the next version of the model.
-func (f *fleet) nameVersion() {
-	f.declaring.Lock()
-	defer f.declaring.Unlock()
+// publishVersion sets the next version of the model as the target.
+func (f *fleet) publishVersion() {
+	f.declareMu.Lock()
+	defer f.declareMu.Unlock()
 	f.version++
 	f.store.Name(provider.Target{Model: modelName, Version: f.version})
-	f.oracle.Named(f.version)
+	f.oracle.RecordVersion(f.version)
 }
 
-// processes are all daemons, routers first.
+// processes returns all daemons, routers first.
 func (f *fleet) processes() []*process {
 	var all []*process
 	for _, r := range f.routers {
@@ -344,7 +348,7 @@
 	return all
 }
 
-// engines are the hosts that have a loader.
+// engines returns the hosts that have a loader.
 func (f *fleet) engines() []*host {
 	var engines []*host
 	for _, h := range f.hosts {
@@ -355,7 +359,6 @@
 	return engines
 }
 
-// startProcesses starts all daemons.
 func (f *fleet) startProcesses() error {
 	for _, p := range f.processes() {
 		if err := p.start(); err != nil {
@@ -365,7 +368,7 @@
 	return nil
 }
 
-// close ends everything.
+// close kills all daemons and closes the proxies, upstreams and stand-ins.
 func (f *fleet) close() {
 	for _, p := range f.processes() {
 		p.kill()
@@ -382,11 +385,11 @@
 	close(f.done)
 }
 
-// drainLimit is how long a process may take to stop: its own bound and some slack.
+// drainLimit bounds the time that a process takes to stop: its own drain timeout and slack.
 const drainLimit = settings.DefaultDirectDrain + 5*time.Second
 
-// changeSettings makes the file differ by a millisecond of the retry window, so that
-// every promise stays as it is. It must be called with mu held.
+// changeSettings changes the retry window by a millisecond, so that a reload finds other
+// settings while every checked bound stays valid. It must be called with mu held.
 func (r *router) changeSettings(reload int) {
 	set := r.settings.(*settings.Router)
 	set.Bounds.RetryWindow = api.Duration(retryWindow + time.Duration(reload%2)*time.Millisecond)
--- /dev/null
+++ b/cli/internal/soak/inject.go
@@ -0,0 +1,255 @@
+package soak
+
+import (
+	"sync"
+	"time"
+
+	"github.com/wheelcleat/wheelcleat/platform/standin"
+)
+
+const (
+	// entryExpiry is how long the entry of a crashed upstream stays in the store.
+	entryExpiry = 1200 * time.Millisecond
+	// drainTime is how long a leaving upstream keeps serving: longer than routers may send
+	// to it.
+	drainTime = leaveBound + 2*time.Second
+	// slowStore delays each answer of the store or the origin, slowLink each chunk that a
+	// proxy forwards.
+	slowStore, slowLink = 400 * time.Millisecond, 40 * time.Millisecond
+	narrowLink          = 20 << 10 // bytes per second
+	// storeRefuseShare is the share of calls that a refusing store refuses.
+	storeRefuseShare = 0.7
+)
+
+// inject executes a step and reverts it after the step's duration.
+func (f *fleet) inject(step Step) {
+	if step.Kind.isChange() {
+		f.change(step.Kind)
+		return
+	}
+	duration := time.Duration(step.For)
+	router := f.routers[step.Target%len(f.routers)]
+	host := f.hosts[step.Target%len(f.hosts)]
+	engine := f.engines()[step.Target%len(f.engines())]
+	switch {
+	case step.Kind == AllKill:
+		f.killAll(duration)
+	case step.Kind == StoreBlockRouter:
+		f.during(step.Kind, router.name, duration, func(on bool) { router.link.SetFault(LinkFault{BlockFromTarget: on}) })
+	case step.Kind.affects("router"):
+		f.injectProcess(step, router.process, func() { router.changeSettings(step.Target) })
+	case step.Kind.affects("loader"):
+		f.injectProcess(step, engine.loader, nil)
+	case step.Kind.affects("store"):
+		f.injectStore(step, duration)
+	case step.Kind.affects("link"):
+		f.during(step.Kind, host.address.String(), duration, func(on bool) { host.link.SetFault(linkFault(step.Kind, on)) })
+	case step.Kind.affects("origin"):
+		f.during(step.Kind, "", duration, func(on bool) { f.origin.SetFault(originFault(step, on)) })
+	case step.Kind == UpstreamCrash:
+		f.crash(host, duration)
+	case step.Kind == UpstreamLeave:
+		f.leave(host)
+	case step.Kind == RequestsCrash:
+		f.sendCrashing(duration)
+	case step.Kind == UpstreamLimited:
+		f.limit(host, step)
+	case step.Kind == EntriesCorrupt:
+		f.corruptEntry(host, step.Target, duration)
+	case step.Kind == EngineCorrupt:
+		f.once(step.Kind, engine.address.String(), func() {
+			engine.current().Rot()
+		})
+	default:
+		f.during(step.Kind, host.address.String(), duration, func(on bool) { host.current().SetFault(upstreamFault(step, on)) })
+	}
+}
+
+// during activates a fault for a duration and records it with the oracle.
+func (f *fleet) during(kind Kind, target string, duration time.Duration, set func(on bool)) {
+	end := f.oracle.BeginFault(kind, target)
+	set(true)
+	f.wait(duration)
+	set(false)
+	end()
+}
+
+// once records a fault with the oracle for as long as the injection runs.
+func (f *fleet) once(kind Kind, target string, injection func()) {
+	end := f.oracle.BeginFault(kind, target)
+	injection()
+	end()
+}
+
+func (f *fleet) change(kind Kind) {
+	if kind == Configure {
+		f.configure()
+		return
+	}
+	f.publishVersion()
+}
+
+// injectProcess sends a process the signal of a step.
+func (f *fleet) injectProcess(step Step, p *process, changeSettings func()) {
+	switch step.Kind {
+	case RouterReload:
+		if err := p.reload(changeSettings); err != nil {
+			f.oracle.Violatef(CheckProcess, "reload in the soak harness: %v", err)
+		}
+	case RouterStop, LoaderStop:
+		f.once(step.Kind, p.name, func() {
+			p.stop(drainLimit)
+			f.restart(p)
+		})
+	case RouterKill, LoaderKill:
+		f.once(step.Kind, p.name, func() {
+			p.kill()
+			f.restart(p)
+		})
+	default:
+		f.during(step.Kind, p.name, time.Duration(step.For), func(on bool) {
+			if on {
+				p.freeze()
+				return
+			}
+			p.resume()
+		})
+	}
+}
+
+// restart starts a process that is down, unless a concurrent step has done so.
+func (f *fleet) restart(p *process) {
+	f.wait(restartDelay)
+	if err := p.start(); err != nil {
+		f.oracle.Violatef(CheckProcess, "%v", err)
+	}
+}
+
+func (f *fleet) killAll(downtime time.Duration) {
+	f.once(AllKill, "", func() {
+		for _, p := range f.processes() {
+			p.kill()
+		}
+		f.wait(downtime)
+		var starting sync.WaitGroup
+		for _, p := range f.processes() {
+			starting.Go(func() { f.restart(p) })
+		}
+		starting.Wait()
+	})
+}
+
+func (f *fleet) injectStore(step Step, duration time.Duration) {
+	if step.Kind == StoreDropHistory {
+		f.once(step.Kind, "", func() {
+			f.store.DropHistory()
+		})
+		return
+	}
+	f.during(step.Kind, "", duration, func(on bool) { f.store.SetFault(storeFault(step, on)) })
+}
+
+func storeFault(step Step, on bool) standin.StoreFault {
+	if !on {
+		return standin.StoreFault{}
+	}
+	switch step.Kind {
+	case StoreDown:
+		return standin.StoreFault{Down: true}
+	case StoreUnresponsive:
+		return standin.StoreFault{Silent: true}
+	case StoreSlow:
+		return standin.StoreFault{Delay: slowStore}
+	case StoreRefuse:
+		return standin.StoreFault{Refuse: storeRefuseShare}
+	default:
+		return standin.StoreFault{LoseAnswers: step.Strength}
+	}
+}
+
+func linkFault(kind Kind, on bool) LinkFault {
+	if !on {
+		return LinkFault{}
+	}
+	switch kind {
+	case LinkDelay:
+		return LinkFault{Delay: slowLink}
+	case LinkReset:
+		return LinkFault{Reset: true}
+	case LinkOneWay:
+		return LinkFault{BlockFromTarget: true}
+	case LinkNarrow:
+		return LinkFault{BytesPerSecond: narrowLink}
+	default:
+		return LinkFault{BlockToTarget: true, BlockFromTarget: true}
+	}
+}
+
+func originFault(step Step, on bool) standin.OriginFault {
+	switch {
+	case !on:
+		return standin.OriginFault{}
+	case step.Kind == OriginDown:
+		return standin.OriginFault{Down: true}
+	case step.Kind == OriginCorrupt:
+		return standin.OriginFault{Spoil: step.Strength}
+	default:
+		return standin.OriginFault{Delay: slowStore}
+	}
+}
+
+func upstreamFault(step Step, on bool) standin.UpstreamFault {
+	if !on {
+		return standin.UpstreamFault{}
+	}
+	switch step.Kind {
+	case UpstreamShed:
+		return standin.UpstreamFault{Shed: step.Strength}
+	case UpstreamFail:
+		return standin.UpstreamFault{Fail: step.Strength}
+	case UpstreamHang:
+		return standin.UpstreamFault{Hang: step.Strength}
+	case UpstreamReset:
+		return standin.UpstreamFault{Reset: step.Strength}
+	case UpstreamCut:
+		return standin.UpstreamFault{Cut: step.Strength}
+	default:
+		return standin.UpstreamFault{Surplus: step.Strength}
+	}
+}
+
+// crash kills an upstream without notice and starts a new one on its host after the delay.
+func (f *fleet) crash(h *host, delay time.Duration) {
+	if !h.claim() {
+		return
+	}
+	defer h.release()
+	f.once(UpstreamCrash, h.address.String(), func() {
+		f.stopUpstream(h, entryExpiry)
+		f.wait(delay)
+		f.restartUpstream(h)
+	})
+}
+
+// leave makes an upstream announce that it leaves, serve for drainTime, and exit.
+func (f *fleet) leave(h *host) {
+	if !h.claim() {
+		return
+	}
+	defer h.release()
+	f.once(UpstreamLeave, h.address.String(), func() {
+		u := h.current()
+		u.Leave()
+		f.oracle.RecordLeaving(u.Record.ID)
+		f.wait(drainTime)
+		f.stopUpstream(h, 0)
+		h.nextID()
+		f.restartUpstream(h)
+	})
+}
+
+func (f *fleet) restartUpstream(h *host) {
+	if err := f.startUpstream(h); err != nil {
+		f.oracle.Violatef(CheckProcess, "start of an upstream in the soak harness: %v", err)
+	}
+}
--- a/cli/internal/soak/limit.go
+++ b/cli/internal/soak/limit.go
@@ -5,68 +5,67 @@
 	"time"
 )
 
-// This file has upstreams name the requests a second that they take from all routers, and
-// counts what comes to them.
-
 const (
-	// An upstream that named a limit may get, in any limitWindow that begins limitBound later,
-	// limitSlack times what that allows and limitExtra requests more. No patience is added: a
-	// slow machine sends less.
-	limitBound            = 3*time.Second + boundSlack
-	limitWindow           = 4 * time.Second
-	limitSlack, limitMore = 1.5, 5.0
-	// mostNamed is the limit that an upstream names at a strength of 1, in requests a second.
-	mostNamed = 10.0
+	// In any limitWindow that begins limitGrace after an upstream announced its limit, the
+	// upstream may receive limitSlack times the limit plus limitExtra requests. Oracle.Slack
+	// is not added: a slow machine sends fewer requests, not more.
+	limitGrace             = 3*time.Second + boundSlack
+	limitWindow            = 4 * time.Second
+	limitSlack, limitExtra = 1.5, 5.0
+	// maxUpstreamLimit is the limit that a step of strength 1 announces, in requests per second.
+	maxUpstreamLimit = 10.0
 )
 
-// namedLimit is an upstream's limit while it names one.
-type namedLimit struct {
+// upstreamLimit is the rate limit that an upstream currently announces, with the requests
+// that arrived in the last limitWindow.
+type upstreamLimit struct {
 	perSecond float64
 	since     time.Time
 	arrivals  []time.Time
 }
 
-// limit has an upstream name a limit for a while.
+// limit makes an upstream announce a rate limit for the duration of the step.
 func (f *fleet) limit(h *host, step Step) {
-	perSecond := mostNamed * step.Strength
+	perSecond := maxUpstreamLimit * step.Strength
 	f.during(step.Kind, h.address.String(), time.Duration(step.For), func(on bool) {
 		u := h.current()
 		if !on {
 			u.SetLimit("")
-			f.oracle.Unlimited(u.Record.ID)
+			f.oracle.RecordLimitCleared(u.Record.ID)
 			return
 		}
 		u.SetLimit(strconv.FormatFloat(perSecond, 'g', -1, 64))
-		f.oracle.Limited(u.Record.ID, perSecond)
+		f.oracle.RecordLimit(u.Record.ID, perSecond)
 	})
 }
 
-// Limited notes that an upstream names a limit, and Unlimited that it names none any more.
-func (o *Oracle) Limited(upstream string, perSecond float64) {
+// RecordLimit records that an upstream announces a limit of perSecond requests over all routers.
+func (o *Oracle) RecordLimit(upstream string, perSecond float64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	set(&o.limits, upstream, &namedLimit{perSecond: perSecond, since: time.Now()})
+	set(&o.limits, upstream, &upstreamLimit{perSecond: perSecond, since: time.Now()})
 }
 
-// Unlimited ends what Limited began.
-func (o *Oracle) Unlimited(upstream string) {
+// RecordLimitCleared records that an upstream no longer announces a limit.
+func (o *Oracle) RecordLimitCleared(upstream string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.limits, upstream)
 }
 
-// checkLimit counts a request that came to an upstream. Routers that were stopped, killed or
-// frozen of late are excused; mu must be held.
+// checkLimit counts a request that arrived at an upstream and reports a limit that is
+// exceeded. Requests of routers that were recently stopped, killed or frozen don't count.
+// It must be called with mu held.
 func (o *Oracle) checkLimit(id, upstream string, now time.Time) {
 	l := o.limits[upstream]
-	if l == nil || now.Sub(l.since) < limitBound || o.disturbed(l.since, now, o.router[id], "router", "all") {
+	if l == nil || now.Sub(l.since) < limitGrace || o.disturbed(l.since, now, o.router[id], "router", "all") {
 		return
 	}
 	l.arrivals = append(l.arrivals, now)
 	for now.Sub(l.arrivals[0]) >= limitWindow {
 		l.arrivals = l.arrivals[1:]
 	}
-	if most := limitSlack*l.perSecond*limitWindow.Seconds() + limitMore; float64(len(l.arrivals)) > most {
-		o.violatef(CheckLimit, id, "%s, which names a limit of %g a second, got %d requests in %s, %.0f allowed", upstream, l.perSecond, len(l.arrivals), limitWindow, most)
+	if allowed := limitSlack*l.perSecond*limitWindow.Seconds() + limitExtra; float64(len(l.arrivals)) > allowed {
+		o.violatef(CheckLimit, id, "%s announces a limit of %g requests per second and received %d requests in %s, %.0f allowed", upstream, l.perSecond, len(l.arrivals), limitWindow, allowed)
 	}
 }
--- a/cli/internal/soak/oracle.go
+++ b/cli/internal/soak/oracle.go
@@ -11,150 +11,155 @@
 	"github.com/wheelcleat/wheelcleat/platform/standin"
 )
 
-// Bounds of the promises, from docs/PLATFORM.md, each with slack for a machine that does
-// other work as well.
+// Bounds of the checks, from docs/PLATFORM.md, each with slack for a loaded machine.
 const (
-	// configurationBound is how long a change may take to be in force, leaveBound how
-	// long an upstream that leaves may be sent to.
+	// configurationBound is how long a change may take to be in force, leaveBound how long
+	// routers may still send to an upstream that announced that it leaves.
 	configurationBound = 3*time.Second + boundSlack
 	leaveBound         = 3*time.Second + boundSlack
-	// versionBound is how long requests may begin on an older version.
+	// versionBound is how long requests may start on an older version.
 	versionBound = 8*time.Second + boundSlack
 	boundSlack   = 2 * time.Second
-	// settleTime is how long after a fault the promises on time still rest: what it held
-	// up has to be caught up with.
+	// settleTime is how long after a fault the checks of time bounds stay suspended, while
+	// the daemons work off what the fault delayed.
 	settleTime = 6 * time.Second
-	// Second sends stay within retryRatio of the requests plus retrySlack in each
-	// retryWindow: the settings' defaults.
+	// The retry budget: retries stay within retryRatio of the requests plus retrySlack in
+	// each retryWindow. These are the defaults of the settings.
 	retryRatio  = 0.2
 	retrySlack  = 100
 	retryWindow = 10 * time.Second
-	// A request under which heldAfter upstreams ended may begin mostLate times more later
-	// than heldBound after that, and mostDeadly times in all.
-	heldAfter, mostLate, mostDeadly = 3, 3, 8
-	heldBound                       = 3*time.Second + boundSlack
+	// A request that crashed quarantineAfter upstreams may start at most maxLateRuns times
+	// later than quarantineBound after the last of these, and maxCrashingRuns times in all.
+	quarantineAfter, maxLateRuns, maxCrashingRuns = 3, 3, 8
+	quarantineBound                               = 3*time.Second + boundSlack
 )
 
-// Check names one promise.
+// Check names a guarantee of the daemons that the oracle checks.
 type Check string
 
 // The checks.
 const (
-	CheckWhole         Check = "whole answers"
-	CheckOnce          Check = "at most once"
-	CheckNotRun        Check = "not run is true"
-	CheckLeaving       Check = "nothing to the leaving"
-	CheckStop          Check = "stops cut nothing"
-	CheckCut           Check = "changes cut nothing"
-	CheckConfiguration Check = "configuration in time"
-	CheckBack          Check = "configuration never back"
-	CheckWeights       Check = "weights whole"
-	CheckVersion       Check = "version in time"
-	CheckBudget        Check = "retry budget"
-	CheckRecovery      Check = "service back"
-	CheckProcess       Check = "processes live and end well"
-	CheckUsage         Check = "memory and files"
-	CheckHeld          Check = "what ends upstreams is held back"
-	CheckLimit         Check = "limits are kept"
+	CheckComplete           Check = "whole answers"
+	CheckAtMostOnce         Check = "at most once"
+	CheckNotRun             Check = "not run is true"
+	CheckLeaving            Check = "nothing to the leaving"
+	CheckStop               Check = "stops cut nothing"
+	CheckCut                Check = "changes cut nothing"
+	CheckConfiguration      Check = "configuration in time"
+	CheckConfigurationOrder Check = "configuration never back"
+	CheckWeights            Check = "weights whole"
+	CheckVersion            Check = "version in time"
+	CheckBudget             Check = "retry budget"
+	CheckRecovery           Check = "service back"
+	CheckProcess            Check = "processes live and end well"
+	CheckUsage              Check = "memory and files"
+	CheckQuarantine         Check = "what ends upstreams is held back"
+	CheckLimit              Check = "limits are kept"
 )
 
-// Violation is one promise that was not kept.
+// Violation is one case in which a check failed.
 type Violation struct {
 	Check   Check   `json:"check"`
 	Seconds float64 `json:"seconds"`
 	Text    string  `json:"text"`
-	// Request is the id to explain, where there is one.
+	// Request is the id of the request concerned, for wheelcleat explain, or empty.
 	Request string `json:"request,omitempty"`
 }
 
-// Outcome is one request as its caller saw it.
+// Outcome is what a caller observed of one request.
 type Outcome struct {
 	ID, Router, Path string
-	// Probe is the configuration that serves the path, 0 for all others.
+	// Probe is the only configuration that serves the path, or 0 for other paths.
 	Probe          int
 	Started, Ended time.Time
-	// Status is 0 where no head came; Signed says that an upstream answered.
+	// Status is 0 if no response header was received. Signed reports whether an upstream
+	// answered.
 	Status int
 	Signed bool
 	Body   string
-	// Err is what went wrong on the connection, Unsent that the request never left.
+	// Err is the error of the connection. Unsent reports that the dial failed, so that the
+	// request was never sent.
 	Err    error
 	Unsent bool
-	// Before and After are the router's conditions.
-	Before, After condition
+	// ConditionBefore and ConditionAfter are the router's conditions around the request.
+	ConditionBefore, ConditionAfter condition
 }
 
-// span is a time in which a fault was active; to is zero while it still is.
-type span struct {
+// faultSpan is the time in which a fault was active. to is zero while the fault is active.
+type faultSpan struct {
 	kind     Kind
 	target   string
 	from, to time.Time
 }
 
-// Oracle checks the promises. It knows what callers sent and got, what upstreams began,
-// and which faults were active; it does not look into the daemons. The zero value works.
+// Oracle checks the guarantees of the daemons. It records what callers sent and received,
+// which requests upstreams started and which faults were active, and never inspects the
+// daemons. The zero value is ready to use.
 //
 // Lock order: mu is the only lock.
 type Oracle struct {
-	Began time.Time
-	// Patience is added to each bound of time: on a machine whose speed is not known
-	// what is checked is order and counts.
-	Patience time.Duration
+	Start time.Time
+	// Slack is added to each time bound. With a large value, for machines of unknown speed,
+	// only order and counts are checked.
+	Slack time.Duration
 
 	mu         sync.Mutex
 	violations []Violation
-	spans      []*span
-	// router is where each request went, by its id; runs counts its beginnings.
+	spans      []*faultSpan
+	// router is the router that each request was sent to, by request id. runs counts how
+	// often upstreams started it.
 	router map[string]string
 	runs   map[string]int
 	sent   int
-	// reached counts requests that came to upstreams.
-	reached int
-	// leaving is when each upstream was acknowledged to leave.
+	// arrivals counts the requests that arrived at upstreams.
+	arrivals int
+	// leaving is when the store acknowledged that each upstream leaves.
 	leaving map[string]time.Time
-	// declared is when each configuration was acknowledged, named the same of versions.
-	declared map[int]time.Time
-	named    map[int]time.Time
-	newest   int
-	version  int
-	// deadly holds when each deadly request began at an upstream, by its path.
-	deadly map[string][]time.Time
-	// limits are those that upstreams name, by id.
-	limits map[string]*namedLimit
-	// inForce is the newest configuration that each start of a router has shown.
-	inForce map[string]shown
+	// declared is when each configuration was acknowledged, published when each version was.
+	declared  map[int]time.Time
+	published map[int]time.Time
+	newest    int
+	version   int
+	// crashingRuns holds the times at which each crashing request started at an upstream, by
+	// path.
+	crashingRuns map[string][]time.Time
+	// limits are the limits that upstreams announce, by upstream id.
+	limits map[string]*upstreamLimit
+	// inForce is the newest configuration that each run of a router process has answered by.
+	inForce map[string]observedConfiguration
 }
 
-type shown struct {
+// observedConfiguration is a configuration that a router answered by, and when.
+type observedConfiguration struct {
 	configuration int
 	at            time.Time
 }
 
 func (o *Oracle) violatef(check Check, request, format string, args ...any) {
 	o.violations = append(o.violations, Violation{
-		Check: check, Seconds: time.Since(o.Began).Seconds(), Request: request, Text: fmt.Sprintf(format, args...),
+		Check: check, Seconds: time.Since(o.Start).Seconds(), Request: request, Text: fmt.Sprintf(format, args...),
 	})
 }
 
-// Violatef notes a promise that was not kept.
+// Violatef records a failed check that concerns no single request.
 func (o *Oracle) Violatef(check Check, format string, args ...any) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.violatef(check, "", format, args...)
 }
 
-// Violations returns what was found so far.
+// Violations returns the violations recorded so far.
 func (o *Oracle) Violations() []Violation {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return slices.Clone(o.violations)
 }
 
-// Strike notes that a fault begins; what it returns ends it.
-func (o *Oracle) Strike(kind Kind, target string) func() {
+// BeginFault records that a fault begins. The returned function records its end.
+func (o *Oracle) BeginFault(kind Kind, target string) func() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	s := &span{kind: kind, target: target, from: time.Now()}
+	s := &faultSpan{kind: kind, target: target, from: time.Now()}
 	o.spans = append(o.spans, s)
 	return func() {
 		o.mu.Lock()
@@ -163,117 +168,118 @@
 	}
 }
 
-// disturbed reports whether a fault of some parts was active in a time or shortly
-// before. Of the faults of routers only those of the named one count: the others have
-// to do without it. It must be called with mu held.
-func (o *Oracle) disturbed(from, to time.Time, router string, parts ...string) bool {
-	return slices.ContainsFunc(o.spans, func(s *span) bool {
+// disturbed reports whether a fault of the given components was active between from and to,
+// or within settleTime before. Faults of routers count only for the named router: the others
+// must keep their guarantees without it. It must be called with mu held.
+func (o *Oracle) disturbed(from, to time.Time, router string, components ...string) bool {
+	return slices.ContainsFunc(o.spans, func(s *faultSpan) bool {
 		active := !s.from.After(to) && (s.to.IsZero() || s.to.After(from.Add(-settleTime)))
-		concerns := !s.kind.on("router") || s.target == router
-		return active && concerns && slices.ContainsFunc(parts, func(part string) bool { return s.kind.on(part) })
+		applies := !s.kind.affects("router") || s.target == router
+		return active && applies && slices.ContainsFunc(components, func(component string) bool { return s.kind.affects(component) })
 	})
 }
 
-// Configured and Named note acknowledged changes, Left an upstream that leaves.
-func (o *Oracle) Configured(version int) {
+// RecordConfiguration records that a configuration was acknowledged.
+func (o *Oracle) RecordConfiguration(version int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	set(&o.declared, version, time.Now())
 	o.newest = version
 }
 
-// Named notes that a version was named.
-func (o *Oracle) Named(version int) {
+// RecordVersion records that a version was published as the target.
+func (o *Oracle) RecordVersion(version int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	set(&o.named, version, time.Now())
+	set(&o.published, version, time.Now())
 	o.version = version
 }
 
-// Left notes that an upstream has said that it leaves.
-func (o *Oracle) Left(upstream string) {
+// RecordLeaving records that an upstream announced that it leaves.
+func (o *Oracle) RecordLeaving(upstream string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	set(&o.leaving, upstream, time.Now())
 }
 
-// Back notes that an upstream is to be used again.
-func (o *Oracle) Back(upstream string) {
+// RecordRestored records that an upstream is in use again after RecordLeaving.
+func (o *Oracle) RecordRestored(upstream string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.leaving, upstream)
 }
 
-// Sent notes that a caller is about to send a request.
-func (o *Oracle) Sent(id, router string) {
+// RecordSent records that a caller is about to send a request.
+func (o *Oracle) RecordSent(id, router string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	set(&o.router, id, router)
 	o.sent++
 }
 
-// Reached notes that a request came to an upstream.
-func (o *Oracle) Reached(id, upstream string) {
+// RecordArrival records that a request arrived at an upstream.
+func (o *Oracle) RecordArrival(id, upstream string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.reached++
+	o.arrivals++
 	now := time.Now()
 	o.checkLimit(id, upstream, now)
 	left, leaves := o.leaving[upstream]
-	if leaves && now.Sub(left) > leaveBound+o.Patience && !o.disturbed(left, now, o.router[id], "store", "router", "all") {
-		o.violatef(CheckLeaving, id, "%s got a request from %s %s after it had said that it leaves", upstream, o.router[id], now.Sub(left).Round(time.Millisecond))
+	if leaves && now.Sub(left) > leaveBound+o.Slack && !o.disturbed(left, now, o.router[id], "store", "router", "all") {
+		o.violatef(CheckLeaving, id, "%s received a request from %s %s after it announced that it leaves", upstream, o.router[id], now.Sub(left).Round(time.Millisecond))
 	}
 }
 
-// Ran notes that an upstream began a request.
-func (o *Oracle) Ran(run standin.Run) {
+// RecordRun records that an upstream started a request.
+func (o *Oracle) RecordRun(run standin.Run) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	count := o.runs[run.ID] + 1
 	set(&o.runs, run.ID, count)
 	if strings.HasPrefix(run.Path, standin.DeadlyPath) {
-		o.checkDeadly(run)
+		o.checkQuarantine(run)
 	}
 	if count > 1 && strings.HasPrefix(run.Path, unsafePath) {
-		o.violatef(CheckOnce, run.ID, "%s began a request that may run once for the %d. time", run.Upstream, count)
+		o.violatef(CheckAtMostOnce, run.ID, "%s started a request that may run at most once; start number %d", run.Upstream, count)
 	}
-	named := o.named[o.version]
-	if run.Version > 0 && run.Version < o.version && run.At.Sub(named) > versionBound+o.Patience &&
-		!o.disturbed(named, run.At, o.router[run.ID], "store", "router", "loader", "all", "link", "upstream", "engine", "origin") {
-		o.violatef(CheckVersion, run.ID, "%s began a request on version %d, %s after version %d was named",
-			run.Upstream, run.Version, run.At.Sub(named).Round(time.Millisecond), o.version)
+	published := o.published[o.version]
+	if run.Version > 0 && run.Version < o.version && run.At.Sub(published) > versionBound+o.Slack &&
+		!o.disturbed(published, run.At, o.router[run.ID], "store", "router", "loader", "all", "link", "upstream", "engine", "origin") {
+		o.violatef(CheckVersion, run.ID, "%s started a request on version %d, %s after version %d was published",
+			run.Upstream, run.Version, run.At.Sub(published).Round(time.Millisecond), o.version)
 	}
 }
 
-// checkDeadly counts the upstreams that began a request under which they end.
-func (o *Oracle) checkDeadly(run standin.Run) {
-	began := o.deadly[run.Path]
-	began = append(began, run.At)
-	set(&o.deadly, run.Path, began)
-	if o.disturbed(began[0], run.At, o.router[run.ID], "store", "router", "all", "link") {
+// checkQuarantine counts the upstreams that started a crashing request. It must be called
+// with mu held.
+func (o *Oracle) checkQuarantine(run standin.Run) {
+	starts := o.crashingRuns[run.Path]
+	starts = append(starts, run.At)
+	set(&o.crashingRuns, run.Path, starts)
+	if o.disturbed(starts[0], run.At, o.router[run.ID], "store", "router", "all", "link") {
 		return
 	}
-	if len(began) > mostDeadly {
-		o.violatef(CheckHeld, run.ID, "%s began a request under which %d upstreams ended", run.Upstream, len(began)-1)
+	if len(starts) > maxCrashingRuns {
+		o.violatef(CheckQuarantine, run.ID, "%s started a request that had crashed %d upstreams", run.Upstream, len(starts)-1)
 		return
 	}
-	if len(began) <= heldAfter {
+	if len(starts) <= quarantineAfter {
 		return
 	}
 	late := 0
-	for _, at := range began[heldAfter:] {
-		if at.Sub(began[heldAfter-1]) > heldBound+o.Patience {
+	for _, at := range starts[quarantineAfter:] {
+		if at.Sub(starts[quarantineAfter-1]) > quarantineBound+o.Slack {
 			late++
 		}
 	}
-	if late > mostLate {
-		o.violatef(CheckHeld, run.ID, "%s began a request %s after three upstreams had ended under it, the %d. so late",
-			run.Upstream, run.At.Sub(began[heldAfter-1]).Round(time.Millisecond), late)
+	if late > maxLateRuns {
+		o.violatef(CheckQuarantine, run.ID, "%s started a request %s after it had crashed three upstreams; late start number %d",
+			run.Upstream, run.At.Sub(starts[quarantineAfter-1]).Round(time.Millisecond), late)
 	}
 }
 
-// Ended notes what a caller got.
-func (o *Oracle) Ended(outcome Outcome) {
+// RecordOutcome records and checks what a caller observed of a request.
+func (o *Oracle) RecordOutcome(outcome Outcome) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	switch {
@@ -281,10 +287,10 @@
 		o.checkStop(outcome)
 		o.checkCut(outcome)
 	case outcome.Status == http.StatusOK:
-		o.checkWhole(outcome)
+		o.checkComplete(outcome)
 	case outcome.Status == http.StatusServiceUnavailable && !outcome.Signed:
 		if o.runs[outcome.ID] > 0 && strings.HasPrefix(outcome.Path, unsafePath) {
-			o.violatef(CheckNotRun, outcome.ID, "%s says that a request has not run, but an upstream began it", outcome.Router)
+			o.violatef(CheckNotRun, outcome.ID, "%s reports that a request has not run, but an upstream started it", outcome.Router)
 		}
 	}
 	if outcome.Probe > 0 && outcome.Err == nil {
@@ -292,7 +298,7 @@
 	}
 }
 
-func (o *Oracle) checkWhole(outcome Outcome) {
+func (o *Oracle) checkComplete(outcome Outcome) {
 	want := standin.Answer(outcome.ID)
 	if strings.HasPrefix(outcome.Path, standin.StreamPath) {
 		want = ""
@@ -301,30 +307,30 @@
 		}
 	}
 	if outcome.Body != want || !outcome.Signed {
-		o.violatef(CheckWhole, outcome.ID, "%s answered 200 (signed: %t) with %q where %q is right", outcome.Router, outcome.Signed, outcome.Body, want)
+		o.violatef(CheckComplete, outcome.ID, "%s answered 200 (signed: %t) with %q, want %q", outcome.Router, outcome.Signed, outcome.Body, want)
 	}
 }
 
-// checkStop has a look at connections that broke. A process that was told to stop, and
-// met nothing else, must not break one that carries a request.
+// checkStop checks a connection that broke while its router was stopping. A router that got
+// SIGTERM, and no other fault, must not break a connection that carries a request.
 func (o *Oracle) checkStop(outcome Outcome) {
-	stopped := outcome.After.state == Stopping || outcome.After.state == Down && outcome.Before.state == Stopping
-	same := outcome.Before.starts == outcome.After.starts
-	if outcome.Unsent || !stopped || !same || outcome.After.disturbed.After(outcome.After.started) {
+	stopped := outcome.ConditionAfter.state == Stopping || outcome.ConditionAfter.state == Down && outcome.ConditionBefore.state == Stopping
+	same := outcome.ConditionBefore.starts == outcome.ConditionAfter.starts
+	if outcome.Unsent || !stopped || !same || outcome.ConditionAfter.disturbed.After(outcome.ConditionAfter.started) {
 		return
 	}
 	if outcome.Status != 0 && o.disturbed(outcome.Started, outcome.Ended, outcome.Router, "upstream", "link", "loader", "all", "engine") {
-		return // the upstream broke it off, or its weights changed
+		return // the upstream or its link may have broken the response
 	}
-	o.violatef(CheckStop, outcome.ID, "%s broke a connection while it was to stop, %s after the request was sent, status %d: %v",
+	o.violatef(CheckStop, outcome.ID, "%s broke a connection while it was stopping, %s after the request was sent, status %d: %v",
 		outcome.Router, outcome.Ended.Sub(outcome.Started).Round(time.Millisecond), outcome.Status, outcome.Err)
 }
 
-// checkCut has a look at connections that broke while their router ran. Configurations and
-// versions, and faults of the store, of loaders and of the origin, give no reason to break
-// one that carries a request.
+// checkCut checks a connection that broke while its router ran. New configurations and
+// versions, and faults of the store, of loaders and of the origin, must not break a
+// connection that carries a request.
 func (o *Oracle) checkCut(outcome Outcome) {
-	ran := outcome.Before.state == Running && outcome.After.state == Running && outcome.Before.starts == outcome.After.starts
+	ran := outcome.ConditionBefore.state == Running && outcome.ConditionAfter.state == Running && outcome.ConditionBefore.starts == outcome.ConditionAfter.starts
 	if outcome.Unsent || !ran || o.disturbed(outcome.Started, outcome.Ended, outcome.Router, "router", "upstream", "link", "all") {
 		return
 	}
@@ -332,53 +338,53 @@
 		outcome.Router, outcome.Ended.Sub(outcome.Started).Round(time.Millisecond), outcome.Status, outcome.Err)
 }
 
-// checkProbe judges by which configuration a router answered. The path of a probe is
-// served, and its key valid, by one configuration only.
+// checkProbe checks which configuration a router answered by. Only one configuration serves
+// the path of a probe and accepts its key.
 func (o *Oracle) checkProbe(outcome Outcome) {
 	served := outcome.Status == http.StatusOK
 	unknown := outcome.Status == http.StatusNotFound || outcome.Status == http.StatusUnauthorized
-	start := fmt.Sprintf("%s/%d", outcome.Router, outcome.Before.starts)
+	start := fmt.Sprintf("%s/%d", outcome.Router, outcome.ConditionBefore.starts)
 	before := o.inForce[start]
 	if before.configuration > outcome.Probe && before.at.Before(outcome.Started) && served {
-		o.violatef(CheckBack, outcome.ID, "%s answers by configuration %d, it had %d before", outcome.Router, outcome.Probe, before.configuration)
+		o.violatef(CheckConfigurationOrder, outcome.ID, "%s answers by configuration %d after it answered by %d", outcome.Router, outcome.Probe, before.configuration)
 	}
 	if served && outcome.Probe > before.configuration {
-		set(&o.inForce, start, shown{configuration: outcome.Probe, at: outcome.Ended})
+		set(&o.inForce, start, observedConfiguration{configuration: outcome.Probe, at: outcome.Ended})
 	}
-	replaced, isReplaced := o.declared[outcome.Probe+1]
+	successor, hasSuccessor := o.declared[outcome.Probe+1]
 	declared := o.declared[outcome.Probe]
-	if unknown && !isReplaced {
+	if unknown && !hasSuccessor {
 		if before.configuration == outcome.Probe && before.at.Before(outcome.Started) {
-			o.violatef(CheckBack, outcome.ID, "%s does not know configuration %d any more", outcome.Router, outcome.Probe)
+			o.violatef(CheckConfigurationOrder, outcome.ID, "%s no longer serves configuration %d, which is the newest", outcome.Router, outcome.Probe)
 		}
 		o.checkLatef(outcome, declared, "answers %d by a configuration older than %d", outcome.Status, outcome.Probe)
 	}
-	if served && isReplaced {
-		o.checkLatef(outcome, replaced, "still answers %d by configuration %d", outcome.Status, outcome.Probe)
+	if served && hasSuccessor {
+		o.checkLatef(outcome, successor, "still answers %d by configuration %d", outcome.Status, outcome.Probe)
 	}
 }
 
 func (o *Oracle) checkLatef(outcome Outcome, declared time.Time, format string, args ...any) {
 	late := outcome.Started.Sub(declared)
-	fresh := outcome.Started.Sub(outcome.Before.started) < settleTime
-	if late <= configurationBound+o.Patience || fresh || o.disturbed(declared, outcome.Ended, outcome.Router, "store", "router", "all") {
+	fresh := outcome.Started.Sub(outcome.ConditionBefore.started) < settleTime
+	if late <= configurationBound+o.Slack || fresh || o.disturbed(declared, outcome.Ended, outcome.Router, "store", "router", "all") {
 		return
 	}
 	o.violatef(CheckConfiguration, outcome.ID, "%s %s, %s after the change was acknowledged", outcome.Router,
 		fmt.Sprintf(format, args...), late.Round(time.Millisecond))
 }
 
-// Finish checks what holds for the run as a whole.
+// Finish checks the bounds that apply to the complete run.
 func (o *Oracle) Finish() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	windows := time.Since(o.Began).Seconds()/retryWindow.Seconds() + 1
-	if most := float64(o.sent)*(1+retryRatio) + retrySlack*windows; float64(o.reached) > most {
-		o.violatef(CheckBudget, "", "upstreams got %d requests for the %d that callers sent, %.0f allowed", o.reached, o.sent, most)
+	windows := time.Since(o.Start).Seconds()/retryWindow.Seconds() + 1
+	if allowed := float64(o.sent)*(1+retryRatio) + retrySlack*windows; float64(o.arrivals) > allowed {
+		o.violatef(CheckBudget, "", "upstreams received %d requests for %d that callers sent, %.0f allowed", o.arrivals, o.sent, allowed)
 	}
 }
 
-// set puts a value into a map that may not be there yet.
+// set stores a value in a map and allocates the map if it is nil.
 func set[K comparable, V any](m *map[K]V, key K, value V) {
 	if *m == nil {
 		*m = map[K]V{}
--- a/cli/internal/soak/oracle_test.go
+++ b/cli/internal/soak/oracle_test.go
@@ -14,14 +14,15 @@
 	"github.com/wheelcleat/wheelcleat/platform/standin"
 )
 
-var errBroken = errors.New("connection reset by peer")
+var errReset = errors.New("connection reset by peer")
 
-// running is the condition of a router that has run for long.
-func running() condition {
+// longRunning returns the condition of a router that started an hour ago.
+func longRunning() condition {
 	return condition{state: Running, starts: 1, started: time.Now().Add(-time.Hour)}
 }
 
-func streamed() string {
+// streamBody returns the complete body of a stream.
+func streamBody() string {
 	text := ""
 	for number := 1; number <= standin.StreamEvents; number++ {
 		text += standin.Event("id", number)
@@ -29,286 +30,304 @@
 	return text
 }
 
-// outcomeOf is a request that began and ended just now.
+// outcomeOf returns the outcome of a request that started and ended now.
 func outcomeOf(path string, status int, body string) Outcome {
 	return Outcome{
 		ID: "id", Router: "router", Path: path, Started: time.Now(), Ended: time.Now(),
-		Status: status, Signed: status == http.StatusOK, Body: body, Before: running(), After: running(),
+		Status: status, Signed: status == http.StatusOK, Body: body, ConditionBefore: longRunning(), ConditionAfter: longRunning(),
 	}
 }
 
-// probe is a request that one configuration serves.
-func probe(configuration, status int) Outcome {
+// probeOutcome returns the outcome of a request that only one configuration serves.
+func probeOutcome(configuration, status int) Outcome {
 	outcome := outcomeOf(probePath(configuration)+"x", status, standin.Answer("id"))
 	outcome.Probe = configuration
 	return outcome
 }
 
-// stopping is a request whose connection broke while its router was to stop.
-func stopping() Outcome {
+// brokenWhileStopping returns the outcome of a request whose connection broke while its
+// router was stopping.
+func brokenWhileStopping() Outcome {
 	outcome := outcomeOf(safePath+"x", 0, "")
-	outcome.Err, outcome.After.state = errBroken, Stopping
+	outcome.Err, outcome.ConditionAfter.state = errReset, Stopping
 	return outcome
 }
 
-// broken is a stream whose connection broke in its middle.
-func broken(after condition) Outcome {
-	outcome := outcomeOf(standin.LongPath+"x", http.StatusOK, streamed()[:40])
-	outcome.Err, outcome.After = errBroken, after
+// brokenStream returns the outcome of a stream whose connection broke midway.
+func brokenStream(after condition) Outcome {
+	outcome := outcomeOf(standin.LongPath+"x", http.StatusOK, streamBody()[:40])
+	outcome.Err, outcome.ConditionAfter = errReset, after
 	return outcome
 }
 
-// deadlyRuns has upstreams begin a deadly request some times, after a while.
-func deadlyRuns(o *Oracle, count int, after time.Duration) {
-	later(after)
+// recordCrashingRuns records that upstreams started a crashing request count times, after a
+// delay.
+func recordCrashingRuns(o *Oracle, count int, after time.Duration) {
+	sleep(after)
 	for range count {
 		id := fmt.Sprint("deadly-", o.sent)
-		o.Sent(id, "router")
-		o.Ran(standin.Run{ID: id, Upstream: "u", Path: standin.DeadlyPath + "1", At: time.Now()})
+		o.RecordSent(id, "router")
+		o.RecordRun(standin.Run{ID: id, Upstream: "u", Path: standin.DeadlyPath + "1", At: time.Now()})
 	}
 }
 
-func later(d time.Duration) { <-time.After(d) } // by the clock of the test's bubble
+// sleep waits on the fake clock of synctest.
+func sleep(d time.Duration) { <-time.After(d) }
 
-// TestEachCheckFindsItsFault feeds the oracle with what a daemon that breaks one promise
-// would show, and with the like that is no fault.
-func TestEachCheckFindsItsFault(t *testing.T) {
+// Each case feeds the oracle with the events of a daemon that violates one check, and with
+// similar events that violate none. It guards against checks that never fail.
+func TestEachCheckReportsItsViolation(t *testing.T) {
 	unsafeRun := standin.Run{ID: "id", Upstream: "u", Path: unsafePath + "x"}
 	cases := map[string]struct {
-		check  Check
-		mutant func(*Oracle)
-		// keep is the same but for what makes it a fault.
-		keep func(*Oracle)
+		check   Check
+		violate func(*Oracle)
+		// sound records similar events without a violation.
+		sound func(*Oracle)
 	}{
-		"another answer": {
-			CheckWhole,
-			func(o *Oracle) { o.Ended(outcomeOf(safePath+"x", http.StatusOK, standin.Answer("other"))) },
-			func(o *Oracle) { o.Ended(outcomeOf(safePath+"x", http.StatusOK, standin.Answer("id"))) },
+		"an answer to another request": {
+			CheckComplete,
+			func(o *Oracle) { o.RecordOutcome(outcomeOf(safePath+"x", http.StatusOK, standin.Answer("other"))) },
+			func(o *Oracle) { o.RecordOutcome(outcomeOf(safePath+"x", http.StatusOK, standin.Answer("id"))) },
 		},
 		"an event twice": {
-			CheckWhole,
+			CheckComplete,
 			func(o *Oracle) {
-				o.Ended(outcomeOf(standin.StreamPath+"x", http.StatusOK, streamed()+standin.Event("id", standin.StreamEvents)))
+				o.RecordOutcome(outcomeOf(standin.StreamPath+"x", http.StatusOK, streamBody()+standin.Event("id", standin.StreamEvents)))
 			},
-			func(o *Oracle) { o.Ended(outcomeOf(standin.StreamPath+"x", http.StatusOK, streamed())) },
+			func(o *Oracle) { o.RecordOutcome(outcomeOf(standin.StreamPath+"x", http.StatusOK, streamBody())) },
 		},
-		"a cut answer that looks whole": {
-			CheckWhole,
-			func(o *Oracle) { o.Ended(outcomeOf(standin.StreamPath+"x", http.StatusOK, streamed()[:40])) },
+		"a truncated answer that looks complete": {
+			CheckComplete,
+			func(o *Oracle) { o.RecordOutcome(outcomeOf(standin.StreamPath+"x", http.StatusOK, streamBody()[:40])) },
 			func(o *Oracle) {
-				o.Strike(UpstreamCut, "u")
-				outcome := outcomeOf(standin.StreamPath+"x", http.StatusOK, streamed()[:40])
-				outcome.Err = errBroken
-				o.Ended(outcome)
+				o.BeginFault(UpstreamCut, "u")
+				outcome := outcomeOf(standin.StreamPath+"x", http.StatusOK, streamBody()[:40])
+				outcome.Err = errReset
+				o.RecordOutcome(outcome)
 			},
 		},
-		"run twice": {
-			CheckOnce,
-			func(o *Oracle) { o.Ran(unsafeRun); o.Ran(unsafeRun) },
-			func(o *Oracle) { o.Ran(unsafeRun) },
+		"a request that runs twice": {
+			CheckAtMostOnce,
+			func(o *Oracle) { o.RecordRun(unsafeRun); o.RecordRun(unsafeRun) },
+			func(o *Oracle) { o.RecordRun(unsafeRun) },
 		},
-		"not run, though it has": {
+		"a request reported as not run that has run": {
 			CheckNotRun,
 			func(o *Oracle) {
-				o.Ran(unsafeRun)
-				o.Ended(outcomeOf(unsafePath+"x", http.StatusServiceUnavailable, ""))
+				o.RecordRun(unsafeRun)
+				o.RecordOutcome(outcomeOf(unsafePath+"x", http.StatusServiceUnavailable, ""))
 			},
-			func(o *Oracle) { o.Ended(outcomeOf(unsafePath+"x", http.StatusServiceUnavailable, "")) },
+			func(o *Oracle) { o.RecordOutcome(outcomeOf(unsafePath+"x", http.StatusServiceUnavailable, "")) },
 		},
-		"sent to one that leaves": {
+		"a request to a leaving upstream": {
 			CheckLeaving,
-			func(o *Oracle) { o.Left("u"); later(leaveBound + 1); o.Reached("id", "u") },
-			func(o *Oracle) { o.Left("u"); later(leaveBound); o.Reached("id", "u") },
+			func(o *Oracle) { o.RecordLeaving("u"); sleep(leaveBound + 1); o.RecordArrival("id", "u") },
+			func(o *Oracle) { o.RecordLeaving("u"); sleep(leaveBound); o.RecordArrival("id", "u") },
 		},
-		"sent to one that leaves, long after a fault of the store": {
+		"a request to a leaving upstream, long after a fault of the store": {
 			CheckLeaving,
 			func(o *Oracle) {
-				o.Strike(StoreDown, "")()
-				later(settleTime + 1)
-				o.Left("u")
-				later(leaveBound + 1)
-				o.Reached("id", "u")
+				o.BeginFault(StoreDown, "")()
+				sleep(settleTime + 1)
+				o.RecordLeaving("u")
+				sleep(leaveBound + 1)
+				o.RecordArrival("id", "u")
 			},
 			func(o *Oracle) {
-				o.Left("u")
-				o.Strike(StoreDown, "")()
-				later(leaveBound + 1)
-				o.Reached("id", "u")
+				o.RecordLeaving("u")
+				o.BeginFault(StoreDown, "")()
+				sleep(leaveBound + 1)
+				o.RecordArrival("id", "u")
 			},
 		},
-		"sent to one that leaves, while another router is frozen": {
+		"a request to a leaving upstream while another router is frozen": {
 			CheckLeaving,
 			func(o *Oracle) {
-				o.Sent("id", "router")
-				o.Left("u")
-				o.Strike(RouterFreeze, "other")
-				later(leaveBound + 1)
-				o.Reached("id", "u")
+				o.RecordSent("id", "router")
+				o.RecordLeaving("u")
+				o.BeginFault(RouterFreeze, "other")
+				sleep(leaveBound + 1)
+				o.RecordArrival("id", "u")
 			},
 			func(o *Oracle) {
-				o.Sent("id", "router")
-				o.Left("u")
-				o.Strike(RouterFreeze, "router")
-				later(leaveBound + 1)
-				o.Reached("id", "u")
+				o.RecordSent("id", "router")
+				o.RecordLeaving("u")
+				o.BeginFault(RouterFreeze, "router")
+				sleep(leaveBound + 1)
+				o.RecordArrival("id", "u")
 			},
 		},
-		"an entry that cannot be read": {
+		"a request to an upstream whose entry cannot be decoded": {
 			CheckLeaving,
-			func(o *Oracle) { o.Left("u"); later(leaveBound + 1); o.Reached("id", "u") },
-			func(o *Oracle) { o.Left("u"); o.Back("u"); later(leaveBound + 1); o.Reached("id", "u") },
+			func(o *Oracle) { o.RecordLeaving("u"); sleep(leaveBound + 1); o.RecordArrival("id", "u") },
+			func(o *Oracle) {
+				o.RecordLeaving("u")
+				o.RecordRestored("u")
+				sleep(leaveBound + 1)
+				o.RecordArrival("id", "u")
+			},
 		},
-		"a request that ends upstream after upstream": {
-			CheckHeld,
-			func(o *Oracle) { deadlyRuns(o, mostDeadly+1, 0) },
-			func(o *Oracle) { deadlyRuns(o, mostDeadly, 0) },
+		"a request that crashes too many upstreams": {
+			CheckQuarantine,
+			func(o *Oracle) { recordCrashingRuns(o, maxCrashingRuns+1, 0) },
+			func(o *Oracle) { recordCrashingRuns(o, maxCrashingRuns, 0) },
 		},
-		"a request that ends upstreams long after it is known": {
-			CheckHeld,
-			func(o *Oracle) { deadlyRuns(o, heldAfter, 0); deadlyRuns(o, mostLate+1, heldBound+1) },
-			func(o *Oracle) { deadlyRuns(o, heldAfter, 0); deadlyRuns(o, mostLate, heldBound+1) },
+		"a request that crashes upstreams after it should be quarantined": {
+			CheckQuarantine,
+			func(o *Oracle) {
+				recordCrashingRuns(o, quarantineAfter, 0)
+				recordCrashingRuns(o, maxLateRuns+1, quarantineBound+1)
+			},
+			func(o *Oracle) {
+				recordCrashingRuns(o, quarantineAfter, 0)
+				recordCrashingRuns(o, maxLateRuns, quarantineBound+1)
+			},
 		},
-		"a request that ends upstreams while its router is frozen": {
-			CheckHeld,
+		"a request that crashes upstreams while another router is frozen": {
+			CheckQuarantine,
 			func(o *Oracle) {
-				o.Strike(RouterFreeze, "other")
-				deadlyRuns(o, mostDeadly+1, 0)
+				o.BeginFault(RouterFreeze, "other")
+				recordCrashingRuns(o, maxCrashingRuns+1, 0)
 			},
 			func(o *Oracle) {
-				o.Strike(RouterFreeze, "router")
-				deadlyRuns(o, mostDeadly+1, 0)
+				o.BeginFault(RouterFreeze, "router")
+				recordCrashingRuns(o, maxCrashingRuns+1, 0)
 			},
 		},
-		"a version that cuts": {
+		"a new version that breaks a connection": {
 			CheckCut,
 			func(o *Oracle) {
-				o.Strike(LoaderKill, "loader")
-				o.Named(2)
-				o.Ended(broken(running()))
+				o.BeginFault(LoaderKill, "loader")
+				o.RecordVersion(2)
+				o.RecordOutcome(brokenStream(longRunning()))
 			},
 			func(o *Oracle) {
-				o.Strike(UpstreamCut, "u")
-				o.Ended(broken(running()))
+				o.BeginFault(UpstreamCut, "u")
+				o.RecordOutcome(brokenStream(longRunning()))
 			},
 		},
-		"a stop that cuts": {
+		"a stop that breaks a connection": {
 			CheckStop,
-			func(o *Oracle) { o.Ended(stopping()) },
+			func(o *Oracle) { o.RecordOutcome(brokenWhileStopping()) },
 			func(o *Oracle) {
-				killed := stopping()
-				killed.After.disturbed = time.Now()
-				o.Ended(killed)
+				killed := brokenWhileStopping()
+				killed.ConditionAfter.disturbed = time.Now()
+				o.RecordOutcome(killed)
 			},
 		},
-		"a stop that cuts a stream": {
+		"a stop that breaks a stream": {
 			CheckStop,
 			func(o *Oracle) {
-				cut := stopping()
+				cut := brokenWhileStopping()
 				cut.Status = http.StatusOK
-				o.Ended(cut)
+				o.RecordOutcome(cut)
 			},
 			func(o *Oracle) {
-				o.Strike(UpstreamCut, "u")
-				cut := stopping()
+				o.BeginFault(UpstreamCut, "u")
+				cut := brokenWhileStopping()
 				cut.Status = http.StatusOK
-				o.Ended(cut)
+				o.RecordOutcome(cut)
 			},
 		},
-		"a change that comes late": {
+		"a configuration that takes effect late": {
 			CheckConfiguration,
 			func(o *Oracle) {
-				o.Configured(1)
-				later(configurationBound + 1)
-				o.Ended(probe(1, http.StatusNotFound))
+				o.RecordConfiguration(1)
+				sleep(configurationBound + 1)
+				o.RecordOutcome(probeOutcome(1, http.StatusNotFound))
+			},
+			func(o *Oracle) {
+				o.RecordConfiguration(1)
+				sleep(configurationBound)
+				o.RecordOutcome(probeOutcome(1, http.StatusNotFound))
 			},
-			func(o *Oracle) { o.Configured(1); later(configurationBound); o.Ended(probe(1, http.StatusNotFound)) },
 		},
-		"a removed key that is taken": {
+		"a removed key that is accepted": {
 			CheckConfiguration,
 			func(o *Oracle) {
-				o.Configured(1)
-				o.Configured(2)
-				later(configurationBound + 1)
-				o.Ended(probe(1, http.StatusOK))
+				o.RecordConfiguration(1)
+				o.RecordConfiguration(2)
+				sleep(configurationBound + 1)
+				o.RecordOutcome(probeOutcome(1, http.StatusOK))
 			},
 			func(o *Oracle) {
-				o.Configured(1)
-				o.Configured(2)
-				later(configurationBound + 1)
-				o.Ended(probe(1, http.StatusUnauthorized))
+				o.RecordConfiguration(1)
+				o.RecordConfiguration(2)
+				sleep(configurationBound + 1)
+				o.RecordOutcome(probeOutcome(1, http.StatusUnauthorized))
 			},
 		},
-		"an older configuration again": {
-			CheckBack,
+		"a return to an older configuration": {
+			CheckConfigurationOrder,
 			func(o *Oracle) {
-				o.Configured(1)
-				o.Configured(2)
-				o.Ended(probe(2, http.StatusOK))
-				later(time.Millisecond)
-				o.Ended(probe(1, http.StatusOK))
+				o.RecordConfiguration(1)
+				o.RecordConfiguration(2)
+				o.RecordOutcome(probeOutcome(2, http.StatusOK))
+				sleep(time.Millisecond)
+				o.RecordOutcome(probeOutcome(1, http.StatusOK))
 			},
 			func(o *Oracle) {
-				o.Configured(1)
-				o.Configured(2)
-				o.Ended(probe(1, http.StatusOK))
-				later(time.Millisecond)
-				o.Ended(probe(2, http.StatusOK))
+				o.RecordConfiguration(1)
+				o.RecordConfiguration(2)
+				o.RecordOutcome(probeOutcome(1, http.StatusOK))
+				sleep(time.Millisecond)
+				o.RecordOutcome(probeOutcome(2, http.StatusOK))
 			},
 		},
-		"a configuration that is forgotten": {
-			CheckBack,
+		"a configuration that is no longer in force": {
+			CheckConfigurationOrder,
 			func(o *Oracle) {
-				o.Configured(1)
-				o.Ended(probe(1, http.StatusOK))
-				later(time.Millisecond)
-				o.Ended(probe(1, http.StatusUnauthorized))
+				o.RecordConfiguration(1)
+				o.RecordOutcome(probeOutcome(1, http.StatusOK))
+				sleep(time.Millisecond)
+				o.RecordOutcome(probeOutcome(1, http.StatusUnauthorized))
 			},
 			func(o *Oracle) {
-				o.Configured(1)
-				o.Ended(probe(1, http.StatusOK))
-				o.Configured(2)
-				later(time.Millisecond)
-				o.Ended(probe(1, http.StatusUnauthorized))
+				o.RecordConfiguration(1)
+				o.RecordOutcome(probeOutcome(1, http.StatusOK))
+				o.RecordConfiguration(2)
+				sleep(time.Millisecond)
+				o.RecordOutcome(probeOutcome(1, http.StatusUnauthorized))
 			},
 		},
-		"an old version": {
+		"a request on an old version": {
 			CheckVersion,
 			func(o *Oracle) {
-				o.Named(2)
-				later(versionBound + 1)
-				o.Ran(standin.Run{ID: "id", Path: standin.StreamPath, Version: 1, At: time.Now()})
+				o.RecordVersion(2)
+				sleep(versionBound + 1)
+				o.RecordRun(standin.Run{ID: "id", Path: standin.StreamPath, Version: 1, At: time.Now()})
 			},
 			func(o *Oracle) {
-				o.Named(2)
-				later(versionBound)
-				o.Ran(standin.Run{ID: "id", Path: standin.StreamPath, Version: 1, At: time.Now()})
+				o.RecordVersion(2)
+				sleep(versionBound)
+				o.RecordRun(standin.Run{ID: "id", Path: standin.StreamPath, Version: 1, At: time.Now()})
 			},
 		},
-		"too many second sends": {
+		"too many retries": {
 			CheckBudget,
-			func(o *Oracle) { reach(o, retrySlack+2); o.Finish() },
-			func(o *Oracle) { reach(o, retrySlack); o.Finish() },
+			func(o *Oracle) { recordArrivals(o, retrySlack+2); o.Finish() },
+			func(o *Oracle) { recordArrivals(o, retrySlack); o.Finish() },
 		},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				broken, sound := &Oracle{Began: time.Now()}, &Oracle{Began: time.Now()}
-				c.mutant(broken)
-				found := broken.Violations()
+				violating, sound := &Oracle{Start: time.Now()}, &Oracle{Start: time.Now()}
+				c.violate(violating)
+				found := violating.Violations()
 				require.Len(t, found, 1)
 				assert.Equal(t, c.check, found[0].Check)
-				c.keep(sound)
+				c.sound(sound)
 				assert.Empty(t, sound.Violations())
 			})
 		})
 	}
 }
 
-// reach has one request come to upstreams a number of times.
-func reach(o *Oracle, times int) {
-	o.Sent("id", "router")
+// recordArrivals records that one request arrived at upstreams a number of times.
+func recordArrivals(o *Oracle, times int) {
+	o.RecordSent("id", "router")
 	for range times {
-		o.Reached("id", "u")
+		o.RecordArrival("id", "u")
 	}
 }
--- a/cli/internal/soak/process.go
+++ b/cli/internal/soak/process.go
@@ -14,41 +14,41 @@
 	"time"
 )
 
-// restartPause lies between the end of a process and its next start.
-const restartPause = 200 * time.Millisecond
+// restartDelay is the time between the exit of a process and its next start.
+const restartDelay = 200 * time.Millisecond
 
-// State is what a process does.
+// State is the state of a daemon process.
 type State int
 
-// The states. The zero value is that of a process that was not started.
+// The states. The zero value is that of a process that has not been started.
 const (
 	Down State = iota
 	Running
 	Frozen
-	// Stopping processes got SIGTERM.
+	// Stopping is the state between SIGTERM and the exit.
 	Stopping
 )
 
-// process is a daemon that runs as a process of its own, over several starts.
+// process runs a daemon as an operating system process, over several starts.
 type process struct {
 	name   string
 	binary string
 	folder string
-	// settings is written to a file at each start and reload.
+	// settings are written to a file at each start and reload.
 	settings any
 
 	mu      sync.Mutex
 	state   State
 	command *exec.Cmd
-	ended   chan struct{}
-	// written is the size of the log at the last start.
-	written int64
-	// starts counts the starts; started is when the last one was.
+	exited  chan struct{}
+	// logSize is the size of the log file at the last start.
+	logSize int64
+	// starts counts the starts. started is the time of the last one.
 	starts  int
 	started time.Time
-	// disturbed is when the last fault on it ended.
+	// disturbed is when a signal other than SIGTERM or SIGHUP was last sent.
 	disturbed time.Time
-	// failure is how the process ended where it should not have.
+	// failure is the error of an unexpected or unclean exit.
 	failure error
 }
 
@@ -65,12 +65,12 @@
 	return os.WriteFile(p.settingsPath(), text, 0o600)
 }
 
-// start runs the daemon unless it runs; its output goes on in the same file.
+// start runs the daemon unless it is running. Its output is appended to the log file.
 func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.state != Down {
-		return nil // another step has started it
+		return nil // a concurrent step has started it
 	}
 	if err := p.writeSettings(); err != nil {
 		return err
@@ -82,43 +82,43 @@
 	defer func() { _ = output.Close() }()
 	info, err := output.Stat()
 	if err != nil {
-		return fmt.Errorf("look at the log of %s: %w", p.name, err)
+		return fmt.Errorf("stat the log of %s: %w", p.name, err)
 	}
-	command := exec.Command(p.binary, p.settingsPath()) //nolint:gosec,noctx // the caller named it, and signals end it
+	command := exec.Command(p.binary, p.settingsPath()) //nolint:gosec,noctx // the path comes from the caller, and signals end the process
 	command.Stdout, command.Stderr = output, output
 	if err := command.Start(); err != nil {
 		return fmt.Errorf("start %s: %w", p.name, err)
 	}
-	ended := make(chan struct{})
-	p.written = info.Size()
-	p.command, p.ended, p.state = command, ended, Running
+	exited := make(chan struct{})
+	p.logSize = info.Size()
+	p.command, p.exited, p.state = command, exited, Running
 	p.starts++
 	p.started = time.Now()
-	go p.await(command, ended)
+	go p.awaitExit(command, exited)
 	return nil
 }
 
-// await notes the end of a process.
-func (p *process) await(command *exec.Cmd, ended chan<- struct{}) {
+// awaitExit waits for a process to exit and records an unexpected or unclean exit.
+func (p *process) awaitExit(command *exec.Cmd, exited chan<- struct{}) {
 	err := command.Wait()
 	p.mu.Lock()
 	if p.state == Running {
-		p.failure = fmt.Errorf("%s ended by itself: %w", p.name, errors.Join(errEnded, err))
+		p.failure = fmt.Errorf("%s exited unexpectedly: %w", p.name, errors.Join(errUnexpectedExit, err))
 	}
-	if p.state == Stopping && err != nil && !p.endedBeforeItBegan(err) {
-		p.failure = fmt.Errorf("%s did not stop well: %w", p.name, err)
+	if p.state == Stopping && err != nil && !p.stoppedBeforeStartup(err) {
+		p.failure = fmt.Errorf("%s did not stop cleanly: %w", p.name, err)
 	}
 	p.state = Down
 	p.mu.Unlock()
-	close(ended)
+	close(exited)
 }
 
-var errEnded = errors.New("no signal was sent")
+var errUnexpectedExit = errors.New("no signal was sent")
 
-// endedBeforeItBegan reports whether a process was told to stop before it took signals: the
-// signal ended it, as it ends any process in its first milliseconds. It has opened no port
-// then, and written nothing. It must be called with mu held.
-func (p *process) endedBeforeItBegan(err error) bool {
+// stoppedBeforeStartup reports whether SIGTERM terminated the process before it installed
+// its signal handler, which is no failure: it had opened no port by then. Such a process has
+// written nothing to its log since the start. It must be called with mu held.
+func (p *process) stoppedBeforeStartup(err error) bool {
 	var exit *exec.ExitError
 	if !errors.As(err, &exit) {
 		return false
@@ -128,15 +128,16 @@
 		return false
 	}
 	info, err := os.Stat(p.logPath())
-	return err == nil && info.Size() == p.written
+	return err == nil && info.Size() == p.logSize
 }
 
-// freeze stops a running process in its tracks, and thaw lets it go on.
+// freeze suspends a running process by SIGSTOP.
 func (p *process) freeze() { p.signal(syscall.SIGSTOP, Running, Frozen) }
 
-func (p *process) thaw() { p.signal(syscall.SIGCONT, Frozen, Running) }
+// resume continues a frozen process.
+func (p *process) resume() { p.signal(syscall.SIGCONT, Frozen, Running) }
 
-// signal sends a signal to a process that is in one state, and notes the other.
+// signal sends a signal to a process in the state from, and sets its state to the state to.
 func (p *process) signal(signal syscall.Signal, from, to State) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -148,44 +149,45 @@
 	_ = p.command.Process.Signal(signal)
 }
 
-// kill ends the process at once and waits for its end.
+// kill sends SIGKILL and waits for the exit.
 func (p *process) kill() {
 	p.mu.Lock()
 	if p.state == Down {
 		p.mu.Unlock()
 		return
 	}
-	p.state, p.disturbed = Frozen, time.Now() // an end in this state is no failure
-	ended := p.ended
+	p.state, p.disturbed = Frozen, time.Now() // an exit in this state is no failure
+	exited := p.exited
 	_ = p.command.Process.Kill()
 	p.mu.Unlock()
-	<-ended
+	<-exited
 }
 
-// stop ends the process by SIGTERM, or by SIGKILL after most.
-func (p *process) stop(most time.Duration) {
+// stop sends SIGTERM and waits for the exit. After the timeout it records a failure and sends
+// SIGKILL.
+func (p *process) stop(timeout time.Duration) {
 	p.mu.Lock()
 	if p.state != Running {
 		p.mu.Unlock()
 		return
 	}
 	p.state = Stopping
-	ended := p.ended
+	exited := p.exited
 	_ = p.command.Process.Signal(syscall.SIGTERM)
 	p.mu.Unlock()
 	select {
-	case <-ended:
-	case <-time.After(most):
+	case <-exited:
+	case <-time.After(timeout):
 		p.mu.Lock()
-		p.failure = fmt.Errorf("%s still ran %s after SIGTERM: %w", p.name, most, errStopLate)
+		p.failure = fmt.Errorf("%s was still running %s after SIGTERM: %w", p.name, timeout, errStopTimeout)
 		p.mu.Unlock()
 		p.kill()
 	}
 }
 
-var errStopLate = errors.New("a stop takes too long")
+var errStopTimeout = errors.New("stop timed out")
 
-// condition is what the oracle has to know of a process.
+// condition is a snapshot of a process for the oracle.
 type condition struct {
 	state     State
 	starts    int
@@ -199,19 +201,19 @@
 	return condition{state: p.state, starts: p.starts, started: p.started, disturbed: p.disturbed}
 }
 
-func (p *process) failed() error {
+func (p *process) failureErr() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.failure
 }
 
-// usage is what a process holds.
+// usage is the resource usage of a process.
 type usage struct {
-	memory int64 // bytes
+	memory int64 // resident, in bytes
 	files  int
 }
 
-// usage reads what the process holds from the system; ok is false where it is down.
+// usage reads the usage of the process from /proc. ok is false unless the process runs.
 func (p *process) usage() (held usage, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -220,7 +222,7 @@
 	}
 	folder := "/proc/" + strconv.Itoa(p.command.Process.Pid)
 	files, err := os.ReadDir(folder + "/fd")
-	text, readErr := os.ReadFile(folder + "/statm") //nolint:gosec // of a process that this one started
+	text, readErr := os.ReadFile(folder + "/statm") //nolint:gosec // the path of a child process
 	if err != nil || readErr != nil {
 		return usage{}, false
 	}
@@ -230,7 +232,7 @@
 	return usage{memory: pages * int64(os.Getpagesize()), files: len(files)}, err == nil
 }
 
-// reload changes the settings and has the process read them again.
+// reload changes the settings and sends SIGHUP, so that the process reads them again.
 func (p *process) reload(change func()) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/cli/internal/soak/process_test.go
+++ b/cli/internal/soak/process_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// script makes a process of a shell script in place of a daemon.
+// script returns a process that runs a shell script in place of the daemon.
 func script(t *testing.T, text string) *process {
 	t.Helper()
 	folder := t.TempDir()
@@ -19,10 +19,10 @@
 	return &process{name: "p", binary: path, folder: folder, settings: struct{}{}}
 }
 
-// TestWhatEndsByASignalHasFailed, unless it was told to stop before it took signals: it then has
-// written nothing since its start.
-func TestWhatEndsByASignalHasFailed(t *testing.T) {
-	const patience, loop = time.Minute, "; echo begun; while :; do sleep 0.01; done"
+// A process that SIGTERM terminates before it has written anything was stopped during its
+// startup and has not failed.
+func TestSignalBeforeStartupIsNoFailure(t *testing.T) {
+	const timeout, loop = time.Minute, "; echo begun; while :; do sleep 0.01; done"
 	for _, c := range []struct {
 		text          string
 		writes, fails bool
@@ -33,21 +33,21 @@
 		{"trap 'exit 0' TERM" + loop, true, false},
 	} {
 		p := script(t, c.text)
-		for range 2 { // what an earlier start wrote does not count
+		for range 2 { // output of an earlier start does not count
 			require.NoError(t, p.start())
 			if c.writes {
 				require.Eventually(t, func() bool { return p.wrote() }, time.Minute, time.Millisecond)
 			}
-			p.stop(patience)
-			assert.Equal(t, c.fails, p.failed() != nil, "%s: %v", c.text, p.failed())
+			p.stop(timeout)
+			assert.Equal(t, c.fails, p.failureErr() != nil, "%s: %v", c.text, p.failureErr())
 		}
 	}
 }
 
-// wrote reports whether the process has written something since its start.
+// wrote reports whether the process has written to its log since its last start.
 func (p *process) wrote() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	info, err := os.Stat(p.logPath())
-	return err == nil && info.Size() > p.written
+	return err == nil && info.Size() > p.logSize
 }
--- a/cli/internal/soak/proxy.go
+++ b/cli/internal/soak/proxy.go
@@ -11,45 +11,45 @@
 	"time"
 )
 
-// LinkFault is what is wrong with a link. The zero value is a sound one.
+// LinkFault is the fault of a link. The zero value is a link without a fault.
 type LinkFault struct {
-	// Reset cuts open connections and all new ones.
+	// Reset resets open and new connections.
 	Reset bool
-	// StopThere and StopBack hold back what goes to the target and what comes back.
-	StopThere, StopBack bool
-	// Delay comes before each piece.
+	// BlockToTarget and BlockFromTarget delay all bytes of a direction until the fault ends.
+	BlockToTarget, BlockFromTarget bool
+	// Delay is the mean delay of each chunk.
 	Delay time.Duration
-	// BytesPerSecond bounds each direction of a connection; 0 means not at all.
+	// BytesPerSecond limits each direction of a connection; 0 means no limit.
 	BytesPerSecond int
 }
 
-// Proxy passes TCP connections on to a target, and lets its link suffer.
+// Proxy forwards TCP connections to a target and injects faults of the link.
 //
-// Lock order: mu is the only lock, and it is not held during reads and writes.
+// Lock order: mu is the only lock. It is not held during reads and writes.
 type Proxy struct {
 	address, target netip.AddrPort
 
 	mu sync.Mutex
 	// listener is nil while new connections are refused.
-	listener    *net.TCPListener
-	fault       LinkFault
-	changed     chan struct{}
-	connections map[net.Conn]struct{}
-	closed      bool
-	done        sync.WaitGroup
+	listener *net.TCPListener
+	fault    LinkFault
+	changed  chan struct{}
+	conns    map[net.Conn]struct{}
+	closed   bool
+	handlers sync.WaitGroup
 }
 
-// StartProxy listens on an address.
+// StartProxy starts a proxy that listens on an address.
 func StartProxy(address, target netip.AddrPort) (*Proxy, error) {
-	p := &Proxy{address: address, target: target, changed: make(chan struct{}), connections: map[net.Conn]struct{}{}}
+	p := &Proxy{address: address, target: target, changed: make(chan struct{}), conns: map[net.Conn]struct{}{}}
 	if err := p.Listen(); err != nil {
 		return nil, err
 	}
 	return p, nil
 }
 
-// Refuse refuses new connections and cuts those that are open, as the port of a process
-// that has ended does; Listen takes them again.
+// Refuse closes the listener and resets open connections, so that the port behaves like that
+// of a process that has exited. Listen reopens it.
 func (p *Proxy) Refuse() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -57,10 +57,11 @@
 		_ = p.listener.Close()
 		p.listener = nil
 	}
-	p.cut()
+	p.resetAll()
 }
 
-// Listen takes connections, at first and again after Refuse.
+// Listen opens the listener, at first and again after Refuse. It does nothing while the
+// listener is open or after Close.
 func (p *Proxy) Listen() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -72,131 +73,136 @@
 		return fmt.Errorf("proxy to %s: %w", p.target, err)
 	}
 	p.listener = listener
-	p.done.Go(func() { p.accept(listener) })
+	p.handlers.Go(func() { p.accept(listener) })
 	return nil
 }
 
-// Set changes what is wrong with the link.
-func (p *Proxy) Set(fault LinkFault) {
+// SetFault replaces the fault of the link.
+func (p *Proxy) SetFault(fault LinkFault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.fault = fault
 	close(p.changed)
 	p.changed = make(chan struct{})
 	if fault.Reset {
-		p.cut()
+		p.resetAll()
 	}
 }
 
-// Close cuts all connections and waits for them to end.
+// Close resets all connections and waits until their goroutines have returned.
 func (p *Proxy) Close() {
 	p.Refuse()
 	p.mu.Lock()
 	p.closed = true
-	p.cut()
+	p.resetAll()
 	close(p.changed)
 	p.changed = make(chan struct{})
 	p.mu.Unlock()
-	p.done.Wait()
+	p.handlers.Wait()
 }
 
-// cut must be called with mu held. Connections end with a reset.
-func (p *Proxy) cut() {
-	for connection := range p.connections {
-		reset(connection)
+// resetAll resets all open connections. It must be called with mu held.
+func (p *Proxy) resetAll() {
+	for conn := range p.conns {
+		reset(conn)
 	}
 }
 
-func reset(connection net.Conn) {
-	if tcp, ok := connection.(*net.TCPConn); ok {
+// reset closes a connection with a TCP reset.
+func reset(conn net.Conn) {
+	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
-	_ = connection.Close()
+	_ = conn.Close()
 }
 
 func (p *Proxy) accept(listener *net.TCPListener) {
 	for {
-		connection, err := listener.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		p.done.Go(func() { p.pass(connection) })
+		p.handlers.Go(func() { p.forward(conn) })
 	}
 }
 
-// pass joins one connection to the target until either side ends it.
-func (p *Proxy) pass(here net.Conn) {
-	if !p.admit(here) {
-		reset(here)
+// forward copies a connection to the target and back until both directions have ended.
+func (p *Proxy) forward(client net.Conn) {
+	if !p.register(client) {
+		reset(client)
 		return
 	}
-	defer p.forget(here)
-	there, err := (&net.Dialer{Timeout: time.Second}).DialContext(context.Background(), "tcp", p.target.String())
-	if err != nil || !p.admit(there) {
-		reset(here)
+	defer p.unregister(client)
+	target, err := (&net.Dialer{Timeout: time.Second}).DialContext(context.Background(), "tcp", p.target.String())
+	if err != nil || !p.register(target) {
+		reset(client)
 		return
 	}
-	defer p.forget(there)
-	var both sync.WaitGroup
-	both.Go(func() { p.carry(there, here, func(f LinkFault) bool { return f.StopThere }) })
-	both.Go(func() { p.carry(here, there, func(f LinkFault) bool { return f.StopBack }) })
-	both.Wait()
+	defer p.unregister(target)
+	var wg sync.WaitGroup
+	wg.Go(func() { p.copyDirection(target, client, func(f LinkFault) bool { return f.BlockToTarget }) })
+	wg.Go(func() { p.copyDirection(client, target, func(f LinkFault) bool { return f.BlockFromTarget }) })
+	wg.Wait()
 }
 
-func (p *Proxy) admit(connection net.Conn) bool {
+// register adds a connection, unless the fault of the link or Close forbids it.
+func (p *Proxy) register(conn net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.fault.Reset || p.closed {
 		return false
 	}
-	p.connections[connection] = struct{}{}
+	p.conns[conn] = struct{}{}
 	return true
 }
 
-func (p *Proxy) forget(connection net.Conn) {
-	_ = connection.Close()
+// unregister closes a connection and removes it.
+func (p *Proxy) unregister(conn net.Conn) {
+	_ = conn.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.connections, connection)
+	delete(p.conns, conn)
 }
 
-// carry copies one direction. An end on one side is passed on as such.
-func (p *Proxy) carry(to, from net.Conn, stopped func(LinkFault) bool) {
-	const pieceBytes = 16 << 10
-	buffer := make([]byte, pieceBytes)
+// copyDirection copies one direction. It forwards a half-close as a half-close and an error
+// as a reset.
+func (p *Proxy) copyDirection(to, from net.Conn, blocked func(LinkFault) bool) {
+	const chunkLen = 16 << 10
+	buf := make([]byte, chunkLen)
 	for {
-		n, err := from.Read(buffer)
+		n, err := from.Read(buf)
 		if n > 0 {
-			p.suffer(n, stopped)
-			if _, writeErr := to.Write(buffer[:n]); writeErr != nil {
+			p.applyFault(n, blocked)
+			if _, writeErr := to.Write(buf[:n]); writeErr != nil {
 				reset(from)
 				return
 			}
 		}
 		if err != nil {
-			p.end(to, err)
+			p.closeWrite(to, err)
 			return
 		}
 	}
 }
 
-func (p *Proxy) end(to net.Conn, err error) {
-	if tcp, ok := to.(*net.TCPConn); ok && err == io.EOF { //nolint:errorlint // Read returns it as it is
+// closeWrite half-closes a connection after io.EOF and resets it after other errors.
+func (p *Proxy) closeWrite(to net.Conn, err error) {
+	if tcp, ok := to.(*net.TCPConn); ok && err == io.EOF { //nolint:errorlint // Read returns it unwrapped
 		_ = tcp.CloseWrite()
 		return
 	}
 	reset(to)
 }
 
-// suffer waits as long as the link holds a piece back.
-func (p *Proxy) suffer(bytes int, stopped func(LinkFault) bool) {
+// applyFault waits for as long as the fault of the link delays a chunk of n bytes.
+func (p *Proxy) applyFault(n int, blocked func(LinkFault) bool) {
 	for {
 		p.mu.Lock()
 		fault, changed, closed := p.fault, p.changed, p.closed
 		p.mu.Unlock()
-		if !stopped(fault) || closed {
+		if !blocked(fault) || closed {
 			if fault.BytesPerSecond > 0 {
-				wait(time.Duration(bytes)*time.Second/time.Duration(fault.BytesPerSecond), changed)
+				wait(time.Duration(n)*time.Second/time.Duration(fault.BytesPerSecond), changed)
 			}
 			if fault.Delay > 0 {
 				wait(fault.Delay/2+rand.N(fault.Delay), changed)
--- a/cli/internal/soak/proxy_test.go
+++ b/cli/internal/soak/proxy_test.go
@@ -11,7 +11,7 @@
 	"github.com/wheelcleat/wheelcleat/standin/serve"
 )
 
-// startEcho listens for connections and sends back what comes.
+// startEcho starts a proxy to a server that echoes what it receives.
 func startEcho(t *testing.T) *Proxy {
 	t.Helper()
 	target, err := net.Listen("tcp", "127.0.0.1:0")
@@ -19,13 +19,13 @@
 	t.Cleanup(func() { _ = target.Close() })
 	go func() {
 		for {
-			connection, err := target.Accept()
+			conn, err := target.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
-				_, _ = io.Copy(connection, connection)
-				_ = connection.Close()
+				_, _ = io.Copy(conn, conn)
+				_ = conn.Close()
 			}()
 		}
 	}()
@@ -39,68 +39,67 @@
 
 func dial(t *testing.T, p *Proxy) net.Conn {
 	t.Helper()
-	connection, err := net.Dial("tcp", p.address.String())
+	conn, err := net.Dial("tcp", p.address.String())
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = connection.Close() })
-	return connection
+	t.Cleanup(func() { _ = conn.Close() })
+	return conn
 }
 
-// exchange sends a word and returns what comes back.
-func exchange(connection net.Conn) (string, error) {
+// exchange sends a word and returns what it receives.
+func exchange(conn net.Conn) (string, error) {
 	const word = "word"
-	if _, err := io.WriteString(connection, word); err != nil {
+	if _, err := io.WriteString(conn, word); err != nil {
 		return "", err
 	}
 	back := make([]byte, len(word))
-	n, err := io.ReadFull(connection, back)
+	n, err := io.ReadFull(conn, back)
 	return string(back[:n]), err
 }
 
-func TestProxyPassesOn(t *testing.T) {
+func TestProxyForwardsDataAndHalfClose(t *testing.T) {
 	p := startEcho(t)
-	connection := dial(t, p)
-	back, err := exchange(connection)
+	conn := dial(t, p)
+	back, err := exchange(conn)
 	require.NoError(t, err)
 	assert.Equal(t, "word", back)
-	require.NoError(t, connection.(*net.TCPConn).CloseWrite())
-	rest, err := io.ReadAll(connection)
-	require.NoError(t, err, "an end on one side is an end on the other, no reset")
+	require.NoError(t, conn.(*net.TCPConn).CloseWrite())
+	rest, err := io.ReadAll(conn)
+	require.NoError(t, err, "a half-close is forwarded as a half-close, not as a reset")
 	assert.Empty(t, rest)
 }
 
-func TestProxyResets(t *testing.T) {
+func TestProxyResetsConnections(t *testing.T) {
 	p := startEcho(t)
-	connection := dial(t, p)
-	_, err := exchange(connection)
+	conn := dial(t, p)
+	_, err := exchange(conn)
 	require.NoError(t, err)
-	p.Set(LinkFault{Reset: true})
-	_, err = exchange(connection)
+	p.SetFault(LinkFault{Reset: true})
+	_, err = exchange(conn)
 	require.Error(t, err)
-	p.Set(LinkFault{})
+	p.SetFault(LinkFault{})
 	back, err := exchange(dial(t, p))
 	require.NoError(t, err)
 	assert.Equal(t, "word", back)
 }
 
-func TestProxyHoldsBackAndLetsGo(t *testing.T) {
+func TestProxyBlocksUntilFaultEnds(t *testing.T) {
 	p := startEcho(t)
-	connection := dial(t, p)
-	_, err := exchange(connection)
+	conn := dial(t, p)
+	_, err := exchange(conn)
 	require.NoError(t, err)
-	p.Set(LinkFault{StopBack: true})
-	came := make(chan string, 1)
+	p.SetFault(LinkFault{BlockFromTarget: true})
+	received := make(chan string, 1)
 	go func() {
-		back, _ := exchange(connection)
-		came <- back
+		back, _ := exchange(conn)
+		received <- back
 	}()
-	// Another connection shows that nothing of the first is under way any more: what
-	// goes there is not held back.
-	p.Set(LinkFault{StopBack: true, StopThere: true})
+	// Nothing may arrive while both directions are blocked.
+	p.SetFault(LinkFault{BlockFromTarget: true, BlockToTarget: true})
 	select {
-	case back := <-came:
-		t.Fatalf("%q came back over a link that holds all back", back)
+	case back := <-received:
+		t.Fatalf("received %q over a blocked link", back)
 	default:
 	}
-	p.Set(LinkFault{})
-	assert.Equal(t, "word", <-came, "what was held back comes in the end")
+	p.SetFault(LinkFault{})
+	assert.Equal(t, "word", <-received, "blocked bytes arrive after the fault ends")
 }
--- a/cli/internal/soak/report.go
+++ b/cli/internal/soak/report.go
@@ -18,7 +18,7 @@
 	"github.com/wheelcleat/wheelcleat/api"
 )
 
-// Second counts the requests that ended in one second.
+// Second counts the requests that ended within one second of the run, by result.
 type Second struct {
 	Asked   int `json:"asked"`
 	Served  int `json:"served"`
@@ -26,7 +26,7 @@
 	Failed  int `json:"failed"`
 }
 
-// Report is what a run came to.
+// Report is the result of a run.
 type Report struct {
 	Seed       uint64       `json:"seed"`
 	Length     api.Duration `json:"length"`
@@ -43,46 +43,46 @@
 	Folder     string       `json:"-"`
 }
 
-// Tally counts what callers got. The zero value works once begin was called.
+// Tally counts the outcomes of requests per second. start must be called before use.
 type Tally struct {
-	mu      sync.Mutex
-	began   time.Time
-	seconds []Second
-	ended   []ended
-	steps   []Step
+	mu        sync.Mutex
+	startTime time.Time
+	seconds   []Second
+	results   []result
+	steps     []Step
 }
 
-// ended is one request for the checks at the end.
-type ended struct {
+// result is the outcome of one request, kept for the recovery check.
+type result struct {
 	router string
 	at     time.Time
 	served bool
 }
 
-func (t *Tally) begin(at time.Time) {
+func (t *Tally) start(at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.began = at
+	t.startTime = at
 }
 
-// mark notes a step that has begun.
-func (t *Tally) mark(step Step) {
+// recordStep records that a step has begun.
+func (t *Tally) recordStep(step Step) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.steps = append(t.steps, step)
 }
 
-// served reports whether an outcome is what a caller hopes for. A probe that is unknown
-// by now is answered well.
+// served reports whether the request succeeded. A probe also succeeds if its configuration
+// is no longer in force and the router answers 404 or 401.
 func (o *Outcome) served() bool {
 	unknown := o.Probe > 0 && (o.Status == http.StatusNotFound || o.Status == http.StatusUnauthorized)
 	return o.Err == nil && (o.Status == http.StatusOK || unknown)
 }
 
-func (t *Tally) note(outcome Outcome) {
+func (t *Tally) recordOutcome(outcome Outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	second := max(int(outcome.Ended.Sub(t.began).Seconds()), 0)
+	second := max(int(outcome.Ended.Sub(t.startTime).Seconds()), 0)
 	for len(t.seconds) <= second {
 		t.seconds = append(t.seconds, Second{})
 	}
@@ -96,27 +96,27 @@
 	default:
 		s.Failed++
 	}
-	t.ended = append(t.ended, ended{router: outcome.Router, at: outcome.Ended, served: outcome.served()})
+	t.results = append(t.results, result{router: outcome.Router, at: outcome.Ended, served: outcome.served()})
 }
 
-// since counts what one router served, of what was asked of it, since a moment.
-func (t *Tally) since(router string, from time.Time) (served, asked int) {
+// servedSince counts the requests to a router that ended since from, and those served.
+func (t *Tally) servedSince(router string, from time.Time) (served, requested int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, e := range t.ended {
-		if e.router != router || e.at.Before(from) {
+	for _, r := range t.results {
+		if r.router != router || r.at.Before(from) {
 			continue
 		}
-		asked++
-		if e.served {
+		requested++
+		if r.served {
 			served++
 		}
 	}
-	return served, asked
+	return served, requested
 }
 
-// lastSecond counts the last whole second.
-func (t *Tally) lastSecond() (served, asked int) {
+// lastSecond returns the counts of the last complete second.
+func (t *Tally) lastSecond() (served, requested int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if len(t.seconds) < 2 {
@@ -126,7 +126,7 @@
 	return last.Served, last.Asked
 }
 
-// report writes the results into the run's folder.
+// report collects the results of the run.
 func (r *run) report() *Report {
 	report := &Report{
 		Seed: r.Plan.Seed, Length: r.Plan.Length, Size: r.Size, Folder: r.Folder,
@@ -149,7 +149,7 @@
 	return report
 }
 
-// Save writes the report and the plot of service over time into the run's folder.
+// Save writes the report and the plot into the run's folder.
 func (r *Report) Save() error {
 	if err := writeJSON(filepath.Join(r.Folder, "report.json"), r); err != nil {
 		return err
@@ -165,13 +165,13 @@
 	return os.WriteFile(path, append(text, '\n'), 0o600)
 }
 
-// Size of the plot.
+// Dimensions of the plot.
 const (
 	plotWidth  = 20 * vg.Centimeter
 	plotHeight = 9 * vg.Centimeter
 )
 
-// plot draws the share of requests that were served each second, and where steps began.
+// plot draws the share of requests served in each second, and marks the start of each step.
 func (r *Report) plot(path string) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("seed %d, %d processes, %d violations", r.Seed, r.Processes, len(r.Violations))
--- a/cli/internal/soak/run.go
+++ b/cli/internal/soak/run.go
@@ -11,50 +11,51 @@
 )
 
 const (
-	// startTime bounds the time in which all routers must serve after the start.
-	startTime = 30 * time.Second
-	// recoveryTime is the time after the last step in which service has to come back. It
-	// is back once leastServed of what was asked of each router in proofTime was served.
-	recoveryTime = 15 * time.Second
-	proofTime    = 4 * time.Second
-	leastServed  = 0.98
-	// settleEvery is the interval in which that is looked at.
-	settleEvery = 500 * time.Millisecond
-	// mostMemoryGrowth and mostFileGrowth are what a process may hold beyond twice what
-	// it held at the start of the traffic.
-	mostMemoryGrowth = 64 << 20
-	mostFileGrowth   = 128
+	// startTimeout is how long routers may take to serve after their start.
+	startTimeout = 30 * time.Second
+	// recoveryTimeout is the time after the last step within which service must recover. It
+	// has recovered once each router served minServedShare of its requests of the last
+	// recoveryWindow.
+	recoveryTimeout = 15 * time.Second
+	recoveryWindow  = 4 * time.Second
+	minServedShare  = 0.98
+	// recoveryPollInterval is the interval between two checks for recovery.
+	recoveryPollInterval = 500 * time.Millisecond
+	// A process may use twice the memory and open files that it used at the start of the
+	// traffic, plus maxMemoryGrowth bytes and maxFileGrowth files.
+	maxMemoryGrowth = 64 << 20
+	maxFileGrowth   = 128
 )
 
 // Options of a run.
 type Options struct {
 	// Daemon is the path of wheelcleatd.
 	Daemon string
-	// Folder takes settings, logs, the plan and the report.
+	// Folder receives settings, logs, the plan and the report.
 	Folder string
 	Plan   Plan
 	Size   Size
-	// Patience is added to each bound of time.
-	Patience time.Duration
-	// Callers is how many send to each router.
+	// Slack is added to each time bound of the checks.
+	Slack time.Duration
+	// Callers is the number of concurrent callers per router.
 	Callers int
-	// Progress is called once a second with a line; nil drops it.
+	// Progress is called once per second with a line of text, unless it is nil.
 	Progress func(line string)
 }
 
-// Run plays a plan. The error is that of the soak itself; what the daemons did wrong
-// stands in the report.
+// Run executes a plan. It returns an error if the harness fails; violations by the daemons
+// are in the report.
 func Run(ctx context.Context, options Options) (*Report, error) {
 	if err := os.MkdirAll(options.Folder, 0o750); err != nil {
-		return nil, fmt.Errorf("make the folder: %w", err)
+		return nil, fmt.Errorf("create the folder: %w", err)
 	}
 	if err := writeJSON(filepath.Join(options.Folder, "plan.json"), options.Plan); err != nil {
 		return nil, err
 	}
-	oracle := &Oracle{Began: time.Now(), Patience: options.Patience}
+	oracle := &Oracle{Start: time.Now(), Slack: options.Slack}
 	f, err := newFleet(&options, oracle, ctx.Done())
 	if err != nil {
-		return nil, fmt.Errorf("set out the fleet: %w", err)
+		return nil, fmt.Errorf("set up the fleet: %w", err)
 	}
 	defer f.close()
 	if err := f.startProcesses(); err != nil {
@@ -68,28 +69,28 @@
 	return r.report(), ctx.Err()
 }
 
-// run is one run under way.
+// run is the state of a run.
 type run struct {
 	Options
 	fleet  *fleet
 	oracle *Oracle
 	tally  *Tally
-	// number counts the requests of all callers.
-	number atomic.Int64
-	// first is what each process held at the start of the traffic.
-	first map[string]usage
-	began time.Time
+	// requestCount numbers the requests of all callers.
+	requestCount atomic.Int64
+	// initialUsage is the usage of each process at the start of the traffic, by name.
+	initialUsage map[string]usage
+	startTime    time.Time
 }
 
-// awaitReady waits until each router has served a request.
+// awaitReady waits until each router serves a stream and a plain request.
 func (r *run) awaitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, startTime)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for _, router := range r.fleet.routers {
 		c := r.caller(router, &Tally{}, &Oracle{})
 		for !c.servesAll(ctx) {
 			if ctx.Err() != nil {
-				return fmt.Errorf("%s did not serve %s after its start: %w", router.name, startTime, ctx.Err())
+				return fmt.Errorf("%s did not serve within %s of its start: %w", router.name, startTimeout, ctx.Err())
 			}
 		}
 	}
@@ -99,52 +100,53 @@
 func (r *run) caller(router *router, tally *Tally, oracle *Oracle) *caller {
 	return &caller{
 		router: router.process, address: router.callers, oracle: oracle, tally: tally,
-		newest: &r.fleet.newest, number: &r.number,
+		newest: &r.fleet.newest, requestCount: &r.requestCount,
 	}
 }
 
-// play has callers send while the plan's steps happen, and for a calm time after.
+// play runs the callers and injects the steps of the plan, then waits for recovery with the
+// callers still sending.
 func (r *run) play(ctx context.Context) {
-	r.began = time.Now()
-	r.tally.begin(r.began)
-	r.oracle.Began = r.began
-	r.first = r.usages()
-	calling, stop := context.WithCancel(ctx)
+	r.startTime = time.Now()
+	r.tally.start(r.startTime)
+	r.oracle.Start = r.startTime
+	r.initialUsage = r.usages()
+	callersCtx, stop := context.WithCancel(ctx)
 	var callers, steps sync.WaitGroup
 	for _, router := range r.fleet.routers {
 		for range r.Callers {
-			callers.Go(func() { r.caller(router, r.tally, r.oracle).run(calling) })
+			callers.Go(func() { r.caller(router, r.tally, r.oracle).run(callersCtx) })
 		}
 	}
-	callers.Go(func() { r.tell(calling) })
+	callers.Go(func() { r.reportProgress(callersCtx) })
 	for _, step := range r.Plan.Steps {
-		if !pause(ctx, time.Until(r.began.Add(time.Duration(step.At)))) {
+		if !pause(ctx, time.Until(r.startTime.Add(time.Duration(step.At)))) {
 			break
 		}
-		r.tally.mark(step)
-		steps.Go(func() { r.fleet.strike(step) })
+		r.tally.recordStep(step)
+		steps.Go(func() { r.fleet.inject(step) })
 	}
-	pause(ctx, time.Until(r.began.Add(time.Duration(r.Plan.Length))))
+	pause(ctx, time.Until(r.startTime.Add(time.Duration(r.Plan.Length))))
 	steps.Wait()
 	r.settle(ctx)
 	stop()
 	callers.Wait()
 }
 
-// settle waits for service to come back, and checks what holds at the end.
+// settle waits for service to recover and runs the checks of the end of a run.
 func (r *run) settle(ctx context.Context) {
-	last := time.Now().Add(recoveryTime + proofTime + r.Patience)
-	if !pause(ctx, proofTime) {
+	deadline := time.Now().Add(recoveryTimeout + recoveryWindow + r.Slack)
+	if !pause(ctx, recoveryWindow) {
 		return
 	}
-	for r.missing(nil) && time.Now().Before(last) {
-		if !pause(ctx, settleEvery) {
+	for r.unrecovered(nil) && time.Now().Before(deadline) {
+		if !pause(ctx, recoveryPollInterval) {
 			return
 		}
 	}
-	r.missing(r.oracle.Violatef)
+	r.unrecovered(r.oracle.Violatef)
 	for _, p := range r.fleet.processes() {
-		if err := p.failed(); err != nil {
+		if err := p.failureErr(); err != nil {
 			r.oracle.Violatef(CheckProcess, "%v", err)
 		}
 	}
@@ -152,57 +154,58 @@
 	r.oracle.Finish()
 }
 
-// missing reports whether anything is not back, and tells what unless tell is nil.
-func (r *run) missing(tell func(check Check, format string, args ...any)) bool {
-	missing := false
-	miss := func(check Check, format string, args ...any) {
-		missing = true
-		if tell != nil {
-			tell(check, format, args...)
+// unrecovered reports whether a router or an engine has not recovered, and passes each case
+// to violatef unless it is nil.
+func (r *run) unrecovered(violatef func(check Check, format string, args ...any)) bool {
+	found := false
+	add := func(check Check, format string, args ...any) {
+		found = true
+		if violatef != nil {
+			violatef(check, format, args...)
 		}
 	}
 	for _, router := range r.fleet.routers {
-		served, asked := r.tally.since(router.name, time.Now().Add(-proofTime))
-		if asked == 0 || float64(served) < leastServed*float64(asked) {
-			miss(CheckRecovery, "%s served %d of %d requests in the last %s", router.name, served, asked, proofTime)
+		served, requested := r.tally.servedSince(router.name, time.Now().Add(-recoveryWindow))
+		if requested == 0 || float64(served) < minServedShare*float64(requested) {
+			add(CheckRecovery, "%s served %d of %d requests in the last %s", router.name, served, requested, recoveryWindow)
 		}
 	}
 	for _, h := range r.fleet.engines() {
 		if held := h.current().Held(); held != r.fleet.version {
-			miss(CheckVersion, "the engine on %s holds version %d at the end, %d was named", h.address, held, r.fleet.version)
+			add(CheckVersion, "the engine on %s holds version %d at the end of the run, version %d was published", h.address, held, r.fleet.version)
 		}
 	}
-	return missing
+	return found
 }
 
 func (r *run) usages() map[string]usage {
-	held := map[string]usage{}
+	byName := map[string]usage{}
 	for _, p := range r.fleet.processes() {
 		if now, ok := p.usage(); ok {
-			held[p.name] = now
+			byName[p.name] = now
 		}
 	}
-	return held
+	return byName
 }
 
 func (r *run) checkUsage() {
 	for name, last := range r.usages() {
-		first := r.first[name]
-		if last.memory > 2*first.memory+mostMemoryGrowth || last.files > 2*first.files+mostFileGrowth {
-			r.oracle.Violatef(CheckUsage, "%s holds %d MB and %d files, at the start %d MB and %d", name, last.memory>>20, last.files, first.memory>>20, first.files)
+		first := r.initialUsage[name]
+		if last.memory > 2*first.memory+maxMemoryGrowth || last.files > 2*first.files+maxFileGrowth {
+			r.oracle.Violatef(CheckUsage, "%s uses %d MB and %d open files, %d MB and %d at the start of the traffic", name, last.memory>>20, last.files, first.memory>>20, first.files)
 		}
 	}
 }
 
-// tell says once a second how it goes.
-func (r *run) tell(ctx context.Context) {
+// reportProgress passes a line to Progress once per second.
+func (r *run) reportProgress(ctx context.Context) {
 	for r.Progress != nil && pause(ctx, time.Second) {
-		served, asked := r.tally.lastSecond()
-		r.Progress(fmt.Sprintf("%3.0f s  served %d of %d, %d violations", time.Since(r.began).Seconds(), served, asked, len(r.oracle.Violations())))
+		served, requested := r.tally.lastSecond()
+		r.Progress(fmt.Sprintf("%3.0f s  served %d of %d, %d violations", time.Since(r.startTime).Seconds(), served, requested, len(r.oracle.Violations())))
 	}
 }
 
-// pause waits, and reports whether the context goes on.
+// pause waits for a duration and reports whether the context is still active.
 func pause(ctx context.Context, d time.Duration) bool {
 	wait(d, ctx.Done())
 	return ctx.Err() == nil
--- a/cli/internal/soak/run_test.go
+++ b/cli/internal/soak/run_test.go
@@ -10,22 +10,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestServiceThatIsNotBackIsTold: what a router does not serve at the end is told once.
-func TestServiceThatIsNotBackIsTold(t *testing.T) {
-	oracle := &Oracle{Began: time.Now()}
+func TestUnrecoveredServiceIsReported(t *testing.T) {
+	oracle := &Oracle{Start: time.Now()}
 	r := &run{tally: &Tally{}, oracle: oracle, fleet: &fleet{routers: []*router{{process: &process{name: "router"}}}}}
-	r.tally.begin(time.Now())
-	r.tally.note(outcomeOf(safePath+"x", http.StatusOK, ""))
-	assert.False(t, r.missing(oracle.Violatef))
-	r.tally.note(outcomeOf(safePath+"x", http.StatusBadGateway, ""))
-	assert.True(t, r.missing(nil), "to look is not to tell")
+	r.tally.start(time.Now())
+	r.tally.recordOutcome(outcomeOf(safePath+"x", http.StatusOK, ""))
+	assert.False(t, r.unrecovered(oracle.Violatef))
+	r.tally.recordOutcome(outcomeOf(safePath+"x", http.StatusBadGateway, ""))
+	assert.True(t, r.unrecovered(nil), "a check without violatef records no violation")
 	assert.Empty(t, oracle.Violations())
-	assert.True(t, r.missing(oracle.Violatef))
+	assert.True(t, r.unrecovered(oracle.Violatef))
 	require.Len(t, oracle.Violations(), 1)
 	assert.Equal(t, CheckRecovery, oracle.Violations()[0].Check)
 }
 
-// startBriefly starts a process that does not know its only argument and ends.
+// startBriefly starts a process that rejects its argument and exits.
 func startBriefly(t *testing.T) *process {
 	t.Helper()
 	tool, err := exec.LookPath("go")
@@ -35,16 +34,16 @@
 	return p
 }
 
-func TestAProcessThatEndsByItselfIsTold(t *testing.T) {
+func TestUnexpectedExitIsReported(t *testing.T) {
 	p := startBriefly(t)
-	<-p.ended
-	require.ErrorIs(t, p.failed(), errEnded)
-	require.NoError(t, p.start(), "it can be started again")
-	<-p.ended
+	<-p.exited
+	require.ErrorIs(t, p.failureErr(), errUnexpectedExit)
+	require.NoError(t, p.start(), "the process can be restarted")
+	<-p.exited
 	assert.Equal(t, 2, p.condition().starts)
 }
 
-func TestSizesAreChecked(t *testing.T) {
+func TestRunRejectsInvalidSizes(t *testing.T) {
 	for _, size := range []Size{{}, {Halls: 1, Routers: 1, Loaders: 1}, {Halls: 7, Routers: 30, Loaders: 5, Plain: 1}} {
 		_, err := Run(t.Context(), Options{Folder: t.TempDir(), Size: size})
 		require.ErrorIs(t, err, errSize)
--- a/cli/internal/soak/soak_test.go
+++ b/cli/internal/soak/soak_test.go
@@ -11,10 +11,9 @@
 	"github.com/wheelcleat/wheelcleat/api"
 )
 
-// seeds holds the plans of runs that once failed, or that are played each time.
+// seeds matches the plans that TestPlans runs: regression plans and one of all components.
 const seeds = "seeds/*.json"
 
-// TestPlans plays each plan of seeds against real processes.
 func TestPlans(t *testing.T) {
 	daemon := filepath.Join(t.TempDir(), "wheelcleatd")
 	require.NoError(t, Build(t.Context(), daemon))
@@ -26,7 +25,7 @@
 			plan, err := Load(path)
 			require.NoError(t, err)
 			report, err := Run(t.Context(), Options{
-				Daemon: daemon, Folder: t.TempDir(), Plan: plan, Callers: 2, Patience: time.Minute,
+				Daemon: daemon, Folder: t.TempDir(), Plan: plan, Callers: 2, Slack: time.Minute,
 				Size: Size{Halls: 2, Routers: 3, Loaders: 2, Plain: 2},
 			})
 			require.NoError(t, err)
@@ -37,7 +36,7 @@
 	}
 }
 
-func TestPlansAreDrawnAlike(t *testing.T) {
+func TestGeneratePlanIsDeterministic(t *testing.T) {
 	const length = 30 * time.Second
 	plan := Draw(7, length)
 	assert.Equal(t, plan, Draw(7, length))
@@ -48,8 +47,7 @@
 	}
 }
 
-// TestStepsAreInTheOrderOfTheirTimes, however a plan lists them.
-func TestStepsAreInTheOrderOfTheirTimes(t *testing.T) {
+func TestLoadPlanSortsStepsByTime(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "plan.json")
 	second := api.Duration(time.Second)
 	require.NoError(t, writeJSON(path, Plan{Steps: []Step{{At: 2 * second, Kind: StoreDown}, {At: second, Kind: StoreSlow}}}))
@@ -58,7 +56,7 @@
 	assert.Equal(t, []Step{{At: second, Kind: StoreSlow}, {At: 2 * second, Kind: StoreDown}}, plan.Steps)
 }
 
-func TestLoadNamesTheFault(t *testing.T) {
+func TestLoadPlanNamesUnknownKind(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "plan.json")
 	require.NoError(t, writeJSON(path, Plan{Steps: []Step{{Kind: StoreDown}, {Kind: "flood"}}}))
 	_, err := Load(path)
