--- a/cli/internal/command/soak.go
+++ b/cli/internal/command/soak.go
@@ -74,13 +74,13 @@
 // planOf draws the plan of the i-th seed, or reads the one that the command names.
 func planOf(command *cli.Command, i int) (soak.Plan, error) {
 	if path := command.String("plan"); path != "" {
-		return soak.Load(path)
+		return soak.LoadPlan(path)
 	}
 	seed := command.Uint64("seed")
 	if seed == 0 {
 		seed = uint64(time.Now().UnixNano())
 	}
-	return soak.Draw(seed+uint64(i), command.Duration("length")), nil //nolint:gosec // counts up
+	return soak.GeneratePlan(seed+uint64(i), command.Duration("length")), nil //nolint:gosec // counts up
 }
 
 func soakOnce(ctx context.Context, command *cli.Command, daemon string, plan soak.Plan) (*soak.Report, error) {
--- a/cli/internal/soak/caller.go
+++ b/cli/internal/soak/caller.go
@@ -30,7 +30,7 @@
 	constantKey = "key-of-all"
 	// routeTimeout is how long routers may hold a request, and callTimeout how long a caller
 	// waits for the complete answer. callTimeout is longer: a caller that timed out first
-	// could not be told from one whose connection the router cut.
+	// could not be distinguished from one whose connection the router cut.
 	routeTimeout = 10 * time.Second
 	callTimeout  = routeTimeout + boundSlack
 	// minPause and maxPause bound the pause between a caller's requests. dialRetryPause
--- a/cli/internal/soak/plan.go
+++ b/cli/internal/soak/plan.go
@@ -123,8 +123,8 @@
 	maxSeries = 3
 )
 
-// Draw generates the plan of a seed. The same seed and length give the same plan.
-func Draw(seed uint64, length time.Duration) Plan {
+// GeneratePlan generates the plan of a seed. The same seed and length give the same plan.
+func GeneratePlan(seed uint64, length time.Duration) Plan {
 	random := rand.New(rand.NewPCG(seed, seed))
 	plan := Plan{Seed: seed, Length: api.Duration(length)}
 	for at := minStepGap; at < length; at += between(random, minStepGap, maxStepGap) {
@@ -147,8 +147,8 @@
 
 func rounded(d time.Duration) api.Duration { return api.Duration(d.Round(10 * time.Millisecond)) }
 
-// Load reads a plan from a file and sorts its steps by time.
-func Load(path string) (Plan, error) {
+// LoadPlan reads a plan from a file and sorts its steps by time.
+func LoadPlan(path string) (Plan, error) {
 	var plan Plan
 	text, err := os.ReadFile(path) //nolint:gosec // the path comes from the caller
 	if err != nil {
--- a/cli/internal/soak/soak_test.go
+++ b/cli/internal/soak/soak_test.go
@@ -22,7 +22,7 @@
 	require.NotEmpty(t, paths)
 	for _, path := range paths {
 		t.Run(filepath.Base(path), func(t *testing.T) {
-			plan, err := Load(path)
+			plan, err := LoadPlan(path)
 			require.NoError(t, err)
 			report, err := Run(t.Context(), Options{
 				Daemon: daemon, Folder: t.TempDir(), Plan: plan, Callers: 2, Slack: time.Minute,
@@ -38,9 +38,9 @@
 
 func TestGeneratePlanIsDeterministic(t *testing.T) {
 	const length = 30 * time.Second
-	plan := Draw(7, length)
-	assert.Equal(t, plan, Draw(7, length))
-	assert.NotEqual(t, plan.Steps, Draw(8, length).Steps)
+	plan := GeneratePlan(7, length)
+	assert.Equal(t, plan, GeneratePlan(7, length))
+	assert.NotEqual(t, plan.Steps, GeneratePlan(8, length).Steps)
 	assert.Equal(t, api.Duration(length), plan.Length)
 	for _, step := range plan.Steps {
 		assert.Less(t, time.Duration(step.At), length)
@@ -51,7 +51,7 @@
 	path := filepath.Join(t.TempDir(), "plan.json")
 	second := api.Duration(time.Second)
 	require.NoError(t, writeJSON(path, Plan{Steps: []Step{{At: 2 * second, Kind: StoreDown}, {At: second, Kind: StoreSlow}}}))
-	plan, err := Load(path)
+	plan, err := LoadPlan(path)
 	require.NoError(t, err)
 	assert.Equal(t, []Step{{At: second, Kind: StoreSlow}, {At: 2 * second, Kind: StoreDown}}, plan.Steps)
 }
@@ -59,6 +59,6 @@
 func TestLoadPlanNamesUnknownKind(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "plan.json")
 	require.NoError(t, writeJSON(path, Plan{Steps: []Step{{Kind: StoreDown}, {Kind: "flood"}}}))
-	_, err := Load(path)
+	_, err := LoadPlan(path)
 	require.ErrorContains(t, err, `steps[1].kind: unknown "flood"`)
 }
