--- a/cli/internal/command/soak.go
+++ b/cli/internal/command/soak.go
@@ -124,7 +124,7 @@
 		_, _ = fmt.Fprintln(t, "SEED\tSTEPS\tSTARTS\tASKED\tSERVED\tREFUSED\tFAILED\tCONFIGURATIONS\tVERSIONS\tORIGIN COPIES\tVIOLATIONS")
 		for _, r := range reports {
 			_, _ = fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.2f\t%d\n", r.Seed, len(r.Steps), r.Starts,
-				r.Total.Asked, r.Total.Served, r.Total.Refused, r.Total.Failed, r.Changes, r.Versions, r.Copies, len(r.Violations))
+				r.Total.Requested, r.Total.Served, r.Total.Refused, r.Total.Failed, r.Configurations, r.Versions, r.OriginCopiesPerVersion, len(r.Violations))
 		}
 	})
 	const shown = 10
--- a/cli/internal/soak/report.go
+++ b/cli/internal/soak/report.go
@@ -20,27 +20,27 @@
 
 // Second counts the requests that ended within one second of the run, by result.
 type Second struct {
-	Asked   int `json:"asked"`
-	Served  int `json:"served"`
-	Refused int `json:"refused"`
-	Failed  int `json:"failed"`
+	Requested int `json:"asked"`
+	Served    int `json:"served"`
+	Refused   int `json:"refused"`
+	Failed    int `json:"failed"`
 }
 
 // Report is the result of a run.
 type Report struct {
-	Seed       uint64       `json:"seed"`
-	Length     api.Duration `json:"length"`
-	Size       Size         `json:"size"`
-	Processes  int          `json:"processes"`
-	Total      Second       `json:"total"`
-	Starts     int          `json:"starts"`
-	Versions   int          `json:"versions"`
-	Changes    int          `json:"configurations"`
-	Copies     float64      `json:"originCopiesAVersion"`
-	Violations []Violation  `json:"violations"`
-	Seconds    []Second     `json:"seconds"`
-	Steps      []Step       `json:"steps"`
-	Folder     string       `json:"-"`
+	Seed                   uint64       `json:"seed"`
+	Length                 api.Duration `json:"length"`
+	Size                   Size         `json:"size"`
+	Processes              int          `json:"processes"`
+	Total                  Second       `json:"total"`
+	Starts                 int          `json:"starts"`
+	Versions               int          `json:"versions"`
+	Configurations         int          `json:"configurations"`
+	OriginCopiesPerVersion float64      `json:"originCopiesAVersion"`
+	Violations             []Violation  `json:"violations"`
+	Seconds                []Second     `json:"seconds"`
+	Steps                  []Step       `json:"steps"`
+	Folder                 string       `json:"-"`
 }
 
 // Tally counts the outcomes of requests per second. start must be called before use.
@@ -87,7 +87,7 @@
 		t.seconds = append(t.seconds, Second{})
 	}
 	s := &t.seconds[second]
-	s.Asked++
+	s.Requested++
 	switch {
 	case outcome.served():
 		s.Served++
@@ -123,25 +123,25 @@
 		return 0, 0
 	}
 	last := t.seconds[len(t.seconds)-2]
-	return last.Served, last.Asked
+	return last.Served, last.Requested
 }
 
 // report collects the results of the run.
 func (r *run) report() *Report {
 	report := &Report{
 		Seed: r.Plan.Seed, Length: r.Plan.Length, Size: r.Size, Folder: r.Folder,
-		Processes: len(r.fleet.processes()), Versions: r.fleet.version, Changes: int(r.fleet.newest.Load()),
+		Processes: len(r.fleet.processes()), Versions: r.fleet.version, Configurations: int(r.fleet.newest.Load()),
 		Violations: r.oracle.Violations(),
 	}
 	for _, p := range r.fleet.processes() {
 		report.Starts += p.condition().starts
 	}
-	report.Copies = float64(r.fleet.origin.Sent()) / chunks / float64(r.fleet.version)
+	report.OriginCopiesPerVersion = float64(r.fleet.origin.Sent()) / chunks / float64(r.fleet.version)
 	r.tally.mu.Lock()
 	defer r.tally.mu.Unlock()
 	report.Seconds, report.Steps = slices.Clone(r.tally.seconds), slices.Clone(r.tally.steps)
 	for _, s := range report.Seconds {
-		report.Total.Asked += s.Asked
+		report.Total.Requested += s.Requested
 		report.Total.Served += s.Served
 		report.Total.Refused += s.Refused
 		report.Total.Failed += s.Failed
@@ -180,8 +180,8 @@
 	p.Y.Min, p.Y.Max = 0, 1
 	var served, steps plotter.XYs
 	for second, s := range r.Seconds {
-		if s.Asked > 0 {
-			served = append(served, plotter.XY{X: float64(second), Y: float64(s.Served) / float64(s.Asked)})
+		if s.Requested > 0 {
+			served = append(served, plotter.XY{X: float64(second), Y: float64(s.Served) / float64(s.Requested)})
 		}
 	}
 	for _, step := range r.Steps {
