--- a/cli/internal/bench/distribute.go
+++ b/cli/internal/bench/distribute.go
@@ -179,7 +179,7 @@
 	}
 	for version := range uint64(2) {
 		data := weights.Generate(r.Seed+version, r.ModelBytes)
-		id, err := r.fleet.AddModel(data, r.ChunkBytes)
+		id, err := r.fleet.AddVersion(data, r.ChunkBytes)
 		if err != nil {
 			return err
 		}
--- a/cli/internal/bench/route.go
+++ b/cli/internal/bench/route.go
@@ -126,7 +126,7 @@
 	}
 	r.hosts = r.fleet.Hosts()
 	for version := range uint64(2) {
-		id, err := r.fleet.AddModel(weights.Generate(r.Seed+version, 1<<20), 0)
+		id, err := r.fleet.AddVersion(weights.Generate(r.Seed+version, 1<<20), 0)
 		if err != nil {
 			return err
 		}
--- a/cli/internal/command/command_test.go
+++ b/cli/internal/command/command_test.go
@@ -121,7 +121,7 @@
 
 func TestDeclarationsFromFiles(t *testing.T) {
 	f, at := small(t)
-	id, err := f.AddModel(weights.Generate(1, 1<<20), 0)
+	id, err := f.AddVersion(weights.Generate(1, 1<<20), 0)
 	require.NoError(t, err)
 	dir := t.TempDir()
 	put := func(name, text string) {
--- a/cli/internal/command/dev.go
+++ b/cli/internal/command/dev.go
@@ -152,7 +152,7 @@
 // rollOut declares the samples and waits until every host serves.
 func (d *devRun) rollOut(ctx context.Context) error {
 	var err error
-	d.model, err = d.fleet.AddModel(weights.Generate(devSeed, d.modelBytes), 0)
+	d.model, err = d.fleet.AddVersion(weights.Generate(devSeed, d.modelBytes), 0)
 	if err != nil {
 		return err
 	}
--- a/cli/internal/fleet/fleet.go
+++ b/cli/internal/fleet/fleet.go
@@ -332,9 +332,9 @@
 	return operator
 }
 
-// AddModel adds a version with the given bytes to the origin and returns its
+// AddVersion adds a version with the given bytes to the origin and returns its
 // manifest digest.
-func (f *Fleet) AddModel(data []byte, chunkBytes int64) (manifest.Digest, error) {
+func (f *Fleet) AddVersion(data []byte, chunkBytes int64) (manifest.Digest, error) {
 	return f.Origin.Add(data, chunkBytes)
 }
 
--- a/cli/internal/fleet/fleet_test.go
+++ b/cli/internal/fleet/fleet_test.go
@@ -61,7 +61,7 @@
 	r := &testFleet{T: t, Fleet: f, ctx: ctx}
 	require.NoError(t, f.AwaitReady(ctx))
 	for seed := range uint64(3) {
-		id, err := f.AddModel(weights.Generate(seed, testBytes), 32<<10)
+		id, err := f.AddVersion(weights.Generate(seed, testBytes), 32<<10)
 		require.NoError(t, err)
 		r.versions = append(r.versions, id)
 	}
