--- a/cli/internal/bench/distribute.go
+++ b/cli/internal/bench/distribute.go
@@ -247,7 +247,7 @@
 	last := -1
 	for {
 		r.faults.act(ctx)
-		ready := r.fleet.Ready(r.target)
+		ready := r.fleet.ReadyEngines(r.target)
 		if ready != last {
 			series = append(series, Point{time.Since(started).Seconds(), ready})
 			last = ready
@@ -273,7 +273,7 @@
 		DuplicateCopies: float64(r.transfers.wasted) / size,
 		TimeTo50:        timeTo(series, expected, 50), TimeTo90: timeTo(series, expected, 90), TimeTo100: timeTo(series, expected, 100),
 		Bound: r.bound().Seconds(), FaultsInjected: r.faults.injected, HostsExpected: expected,
-		HostsCompleted: r.fleet.Ready(r.target), Series: series,
+		HostsCompleted: r.fleet.ReadyEngines(r.target), Series: series,
 	}
 	if result.Policy == "" {
 		result.Policy = "swarm"
--- a/cli/internal/bench/route.go
+++ b/cli/internal/bench/route.go
@@ -138,7 +138,7 @@
 	if err := r.fleet.Declare(ctx, r.resources("v1")...); err != nil {
 		return err
 	}
-	if err := fleet.Await(ctx, "the version on all hosts", func() bool { return r.fleet.Ready(r.versions[0]) == r.Hosts }); err != nil {
+	if err := fleet.Await(ctx, "the version on all hosts", func() bool { return r.fleet.ReadyEngines(r.versions[0]) == r.Hosts }); err != nil {
 		return err
 	}
 	return fleet.Await(ctx, "every entry to know all hosts", func() bool { return r.allKnow(ctx) })
--- a/cli/internal/fleet/control_test.go
+++ b/cli/internal/fleet/control_test.go
@@ -267,7 +267,7 @@
 	require.Len(t, r.Entries(), 2)
 	r.declare(r.service("v2", nil))
 	r.awaitDone()
-	assert.Equal(t, 2, r.Ready(r.versions[1]))
+	assert.Equal(t, 2, r.ReadyEngines(r.versions[1]))
 }
 
 // Deleting the lease's key lets a second entry acquire the lease while the first
@@ -294,7 +294,7 @@
 		}
 	}
 	r.KillHost(serving)
-	require.NoError(t, Await(r.ctx, "the spare host to serve", func() bool { return r.Ready(r.versions[0]) == 2 }))
+	require.NoError(t, Await(r.ctx, "the spare host to serve", func() bool { return r.ReadyEngines(r.versions[0]) == 2 }))
 	r.awaitDone()
 }
 
@@ -322,7 +322,7 @@
 		return err == nil && status.Halls[0].Halted != ""
 	}))
 	assert.Contains(t, status.Halls[0].Halted, "out of accelerator memory")
-	assert.Equal(t, 3, r.Ready(r.versions[0]), "all hosts still serve the previous version")
+	assert.Equal(t, 3, r.ReadyEngines(r.versions[0]), "all hosts still serve the previous version")
 	r.declare(r.service("v1", func(s *api.ServiceSpec) { s.Replicas = 3 }))
 	r.awaitDone()
 	r.checkAllDone(stop(), r.Hosts())
--- a/cli/internal/fleet/fleet.go
+++ b/cli/internal/fleet/fleet.go
@@ -476,9 +476,9 @@
 	return nil
 }
 
-// Ready returns the number of engines that serve the version with the given
+// ReadyEngines returns the number of engines that serve the version with the given
 // manifest digest.
-func (f *Fleet) Ready(id manifest.Digest) int {
+func (f *Fleet) ReadyEngines(id manifest.Digest) int {
 	ready := 0
 	for _, host := range f.EngineHosts() {
 		if host.Engine.State().Manifest == id.String() {
--- a/cli/internal/fleet/fleet_test.go
+++ b/cli/internal/fleet/fleet_test.go
@@ -238,7 +238,7 @@
 func TestDeclaredServiceAnswersRequests(t *testing.T) {
 	r := startTestFleet(t, quick(2, 2, 4))
 	r.serve(nil)
-	assert.Equal(t, 4, r.Ready(r.versions[0]))
+	assert.Equal(t, 4, r.ReadyEngines(r.versions[0]))
 	for _, host := range r.EngineHosts() {
 		assert.Equal(t, manifest.Sum(weights.Generate(0, testBytes)).String(), host.Engine.State().Digest)
 	}
--- a/cli/internal/fleet/partition_test.go
+++ b/cli/internal/fleet/partition_test.go
@@ -52,7 +52,7 @@
 
 			_, err := r.operatorAt(r.entriesOf("hall-1")[0]).Put(r.ctx, r.service("v2", nil), client.PutOptions{})
 			require.NoError(t, err, "the other hall accepts writes")
-			require.NoError(t, Await(r.ctx, "the new version in the other hall", func() bool { return r.Ready(r.versions[1]) >= 2 }))
+			require.NoError(t, Await(r.ctx, "the new version in the other hall", func() bool { return r.ReadyEngines(r.versions[1]) >= 2 }))
 			if test.platform {
 				_, err = r.operatorAt(inside[0]).Put(r.ctx, r.account(), client.PutOptions{IfRevision: 1})
 				assert.Equal(t, api.CodeUnavailable, problemCode(err), "a hall without the platform accepts no writes: %v", err)
@@ -69,7 +69,7 @@
 
 			r.HealHall("hall-2")
 			r.awaitDone()
-			assert.Equal(t, 4, r.Ready(r.versions[1]), "the hall applies the new version after the partition heals")
+			assert.Equal(t, 4, r.ReadyEngines(r.versions[1]), "the hall applies the new version after the partition heals")
 			r.checkTokens()
 		})
 	}
