--- a/cli/internal/soak/crashing.go
+++ b/cli/internal/soak/crashing.go
@@ -23,7 +23,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), duration)
 	defer cancel()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: callTimeout}
-	f.once(RequestsCrash, path, func() {
+	f.injectOnce(RequestsCrash, path, func() {
 		for i := 0; ctx.Err() == nil && !f.stopped(); i++ {
 			router := f.routers[i%len(f.routers)]
 			c := &caller{router: router.process, address: router.callers, oracle: f.oracle, requestCount: &f.crashingSent, client: client}
@@ -53,7 +53,7 @@
 		return
 	}
 	defer h.release()
-	f.once(EntriesCorrupt, h.address.String(), func() {
+	f.injectOnce(EntriesCorrupt, h.address.String(), func() {
 		u := h.current()
 		u.Spoil(standin.SpoiledEntries[index%len(standin.SpoiledEntries)])
 		f.oracle.RecordLeaving(u.Record.ID)
--- a/cli/internal/soak/fleet.go
+++ b/cli/internal/soak/fleet.go
@@ -55,10 +55,12 @@
 	origin         *standin.Origin
 	routers        []*router
 	hosts          []*host
-	newest         atomic.Int64
+	// newest is the newest declared configuration.
+	newest atomic.Int64
 	// crashingRequests counts the distinct crashing requests, crashingSent their sends.
 	crashingRequests, crashingSent atomic.Int64
-	version                        int
+	// version is the newest published version of the model.
+	version int
 	// stop ends all waits, done ends the stand-ins.
 	stop    <-chan struct{}
 	done    chan struct{}
@@ -252,7 +254,7 @@
 // its entry from the store after the expiry.
 func (f *fleet) stopUpstream(h *host, expiry time.Duration) {
 	h.mu.Lock()
-	h.link.Refuse()
+	h.link.StopListening()
 	h.server.Close()
 	id := h.upstream.Record.ID
 	h.mu.Unlock()
--- a/cli/internal/soak/inject.go
+++ b/cli/internal/soak/inject.go
@@ -35,7 +35,7 @@
 	case step.Kind == AllKill:
 		f.killAll(duration)
 	case step.Kind == StoreBlockRouter:
-		f.during(step.Kind, router.name, duration, func(on bool) { router.link.SetFault(LinkFault{BlockFromTarget: on}) })
+		f.injectFor(step.Kind, router.name, duration, func(on bool) { router.link.SetFault(LinkFault{BlockFromTarget: on}) })
 	case step.Kind.affects("router"):
 		f.injectProcess(step, router.process, func() { router.changeSettings(step.Target) })
 	case step.Kind.affects("loader"):
@@ -43,9 +43,9 @@
 	case step.Kind.affects("store"):
 		f.injectStore(step, duration)
 	case step.Kind.affects("link"):
-		f.during(step.Kind, host.address.String(), duration, func(on bool) { host.link.SetFault(linkFault(step.Kind, on)) })
+		f.injectFor(step.Kind, host.address.String(), duration, func(on bool) { host.link.SetFault(linkFault(step.Kind, on)) })
 	case step.Kind.affects("origin"):
-		f.during(step.Kind, "", duration, func(on bool) { f.origin.SetFault(originFault(step, on)) })
+		f.injectFor(step.Kind, "", duration, func(on bool) { f.origin.SetFault(originFault(step, on)) })
 	case step.Kind == UpstreamCrash:
 		f.crash(host, duration)
 	case step.Kind == UpstreamLeave:
@@ -57,16 +57,16 @@
 	case step.Kind == EntriesCorrupt:
 		f.corruptEntry(host, step.Target, duration)
 	case step.Kind == EngineCorrupt:
-		f.once(step.Kind, engine.address.String(), func() {
+		f.injectOnce(step.Kind, engine.address.String(), func() {
 			engine.current().Rot()
 		})
 	default:
-		f.during(step.Kind, host.address.String(), duration, func(on bool) { host.current().SetFault(upstreamFault(step, on)) })
+		f.injectFor(step.Kind, host.address.String(), duration, func(on bool) { host.current().SetFault(upstreamFault(step, on)) })
 	}
 }
 
-// during activates a fault for a duration and records it with the oracle.
-func (f *fleet) during(kind Kind, target string, duration time.Duration, set func(on bool)) {
+// injectFor activates a fault for a duration and records it with the oracle.
+func (f *fleet) injectFor(kind Kind, target string, duration time.Duration, set func(on bool)) {
 	end := f.oracle.BeginFault(kind, target)
 	set(true)
 	f.wait(duration)
@@ -74,8 +74,8 @@
 	end()
 }
 
-// once records a fault with the oracle for as long as the injection runs.
-func (f *fleet) once(kind Kind, target string, injection func()) {
+// injectOnce records a fault with the oracle for as long as the injection runs.
+func (f *fleet) injectOnce(kind Kind, target string, injection func()) {
 	end := f.oracle.BeginFault(kind, target)
 	injection()
 	end()
@@ -97,17 +97,17 @@
 			f.oracle.Violatef(CheckProcess, "reload in the soak harness: %v", err)
 		}
 	case RouterStop, LoaderStop:
-		f.once(step.Kind, p.name, func() {
+		f.injectOnce(step.Kind, p.name, func() {
 			p.stop(drainLimit)
 			f.restart(p)
 		})
 	case RouterKill, LoaderKill:
-		f.once(step.Kind, p.name, func() {
+		f.injectOnce(step.Kind, p.name, func() {
 			p.kill()
 			f.restart(p)
 		})
 	default:
-		f.during(step.Kind, p.name, time.Duration(step.For), func(on bool) {
+		f.injectFor(step.Kind, p.name, time.Duration(step.For), func(on bool) {
 			if on {
 				p.freeze()
 				return
@@ -126,7 +126,7 @@
 }
 
 func (f *fleet) killAll(downtime time.Duration) {
-	f.once(AllKill, "", func() {
+	f.injectOnce(AllKill, "", func() {
 		for _, p := range f.processes() {
 			p.kill()
 		}
@@ -141,12 +141,12 @@
 
 func (f *fleet) injectStore(step Step, duration time.Duration) {
 	if step.Kind == StoreDropHistory {
-		f.once(step.Kind, "", func() {
+		f.injectOnce(step.Kind, "", func() {
 			f.store.DropHistory()
 		})
 		return
 	}
-	f.during(step.Kind, "", duration, func(on bool) { f.store.SetFault(storeFault(step, on)) })
+	f.injectFor(step.Kind, "", duration, func(on bool) { f.store.SetFault(storeFault(step, on)) })
 }
 
 func storeFault(step Step, on bool) standin.StoreFault {
@@ -224,7 +224,7 @@
 		return
 	}
 	defer h.release()
-	f.once(UpstreamCrash, h.address.String(), func() {
+	f.injectOnce(UpstreamCrash, h.address.String(), func() {
 		f.stopUpstream(h, entryExpiry)
 		f.wait(delay)
 		f.restartUpstream(h)
@@ -237,7 +237,7 @@
 		return
 	}
 	defer h.release()
-	f.once(UpstreamLeave, h.address.String(), func() {
+	f.injectOnce(UpstreamLeave, h.address.String(), func() {
 		u := h.current()
 		u.Leave()
 		f.oracle.RecordLeaving(u.Record.ID)
--- a/cli/internal/soak/limit.go
+++ b/cli/internal/soak/limit.go
@@ -27,7 +27,7 @@
 // limit makes an upstream announce a rate limit for the duration of the step.
 func (f *fleet) limit(h *host, step Step) {
 	perSecond := maxUpstreamLimit * step.Strength
-	f.during(step.Kind, h.address.String(), time.Duration(step.For), func(on bool) {
+	f.injectFor(step.Kind, h.address.String(), time.Duration(step.For), func(on bool) {
 		u := h.current()
 		if !on {
 			u.SetLimit("")
--- a/cli/internal/soak/proxy.go
+++ b/cli/internal/soak/proxy.go
@@ -48,9 +48,9 @@
 	return p, nil
 }
 
-// Refuse closes the listener and resets open connections, so that the port behaves like that
-// of a process that has exited. Listen reopens it.
-func (p *Proxy) Refuse() {
+// StopListening closes the listener and resets open connections, so that the port behaves
+// like that of a process that has exited. Listen reopens it.
+func (p *Proxy) StopListening() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.listener != nil {
@@ -60,8 +60,8 @@
 	p.resetAll()
 }
 
-// Listen opens the listener, at first and again after Refuse. It does nothing while the
-// listener is open or after Close.
+// Listen opens the listener, at first and again after StopListening. It does nothing while
+// the listener is open or after Close.
 func (p *Proxy) Listen() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -91,7 +91,7 @@
 
 // Close resets all connections and waits until their goroutines have returned.
 func (p *Proxy) Close() {
-	p.Refuse()
+	p.StopListening()
 	p.mu.Lock()
 	p.closed = true
 	p.resetAll()
--- a/cli/internal/soak/run_test.go
+++ b/cli/internal/soak/run_test.go
@@ -24,8 +24,8 @@
 	assert.Equal(t, CheckRecovery, oracle.Violations()[0].Check)
 }
 
-// startBriefly starts a process that rejects its argument and exits.
-func startBriefly(t *testing.T) *process {
+// startRejected starts a process that rejects its argument and exits.
+func startRejected(t *testing.T) *process {
 	t.Helper()
 	tool, err := exec.LookPath("go")
 	require.NoError(t, err)
@@ -35,7 +35,7 @@
 }
 
 func TestUnexpectedExitIsReported(t *testing.T) {
-	p := startBriefly(t)
+	p := startRejected(t)
 	<-p.exited
 	require.ErrorIs(t, p.failureErr(), errUnexpectedExit)
 	require.NoError(t, p.start(), "the process can be restarted")
