--- a/cli/internal/bench/distribute.go
+++ b/cli/internal/bench/distribute.go
@@ -182,7 +182,7 @@
 	}
 	for version := range uint64(2) {
 		data := weights.Generate(r.Seed+version, r.ModelBytes)
-		id, err := r.fleet.AddModel(data, r.ChunkBytes)
+		id, err := r.fleet.AddVersion(data, r.ChunkBytes)
 		if err != nil {
 			return err
 		}
@@ -250,7 +250,7 @@
 	last := -1
 	for {
 		r.faults.injectWhenDue(ctx)
-		ready := r.fleet.Ready(r.target)
+		ready := r.fleet.ReadyEngines(r.target)
 		if ready != last {
 			series = append(series, Point{time.Since(started).Seconds(), ready})
 			last = ready
@@ -276,7 +276,7 @@
 		DuplicateCopies: float64(r.transfers.duplicates) / size,
 		TimeTo50:        timeTo(series, expected, 50), TimeTo90: timeTo(series, expected, 90), TimeTo100: timeTo(series, expected, 100),
 		Bound: r.bound().Seconds(), FaultsInjected: r.faults.injected, HostsExpected: expected,
-		HostsCompleted: r.fleet.Ready(r.target), Series: series,
+		HostsCompleted: r.fleet.ReadyEngines(r.target), Series: series,
 	}
 	if result.Policy == "" {
 		result.Policy = "swarm"
--- a/cli/internal/bench/route.go
+++ b/cli/internal/bench/route.go
@@ -125,7 +125,7 @@
 	}
 	r.hosts = r.fleet.Hosts()
 	for version := range uint64(2) {
-		id, err := r.fleet.AddModel(weights.Generate(r.Seed+version, 1<<20), 0)
+		id, err := r.fleet.AddVersion(weights.Generate(r.Seed+version, 1<<20), 0)
 		if err != nil {
 			return err
 		}
@@ -137,7 +137,7 @@
 	if err := r.fleet.Declare(ctx, r.resources("v1")...); err != nil {
 		return err
 	}
-	if err := fleet.Await(ctx, "the version on all hosts", func() bool { return r.fleet.Ready(r.versions[0]) == r.Hosts }); err != nil {
+	if err := fleet.Await(ctx, "the version on all hosts", func() bool { return r.fleet.ReadyEngines(r.versions[0]) == r.Hosts }); err != nil {
 		return err
 	}
 	return fleet.Await(ctx, "all hosts known to every entry", func() bool { return r.allSynced(ctx) })
--- a/cli/internal/command/command_test.go
+++ b/cli/internal/command/command_test.go
@@ -122,7 +122,7 @@
 
 func TestApplyDiffAndPruneDeclarations(t *testing.T) {
 	f, entryFlag := startFleet(t)
-	id, err := f.AddModel(weights.Generate(1, 1<<20), 0)
+	id, err := f.AddVersion(weights.Generate(1, 1<<20), 0)
 	require.NoError(t, err)
 	dir := t.TempDir()
 	put := func(name, text string) {
--- a/cli/internal/command/soak.go
+++ b/cli/internal/command/soak.go
@@ -74,13 +74,13 @@
 // soakPlan returns the plan given on the command line, or else generates the plan of the i-th seed.
 func soakPlan(command *cli.Command, i int) (soak.Plan, error) {
 	if path := command.String("plan"); path != "" {
-		return soak.Load(path)
+		return soak.LoadPlan(path)
 	}
 	seed := command.Uint64("seed")
 	if seed == 0 {
 		seed = uint64(time.Now().UnixNano())
 	}
-	return soak.Draw(seed+uint64(i), command.Duration("length")), nil //nolint:gosec // i is not negative
+	return soak.GeneratePlan(seed+uint64(i), command.Duration("length")), nil //nolint:gosec // i is not negative
 }
 
 func soakOnce(ctx context.Context, command *cli.Command, daemon string, plan soak.Plan) (*soak.Report, error) {
@@ -125,7 +125,7 @@
 		_, _ = fmt.Fprintln(t, "SEED\tSTEPS\tSTARTS\tREQUESTS\tSERVED\tREFUSED\tFAILED\tCONFIGURATIONS\tVERSIONS\tORIGIN COPIES\tVIOLATIONS")
 		for _, r := range reports {
 			_, _ = fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.2f\t%d\n", r.Seed, len(r.Steps), r.Starts,
-				r.Total.Asked, r.Total.Served, r.Total.Refused, r.Total.Failed, r.Changes, r.Versions, r.Copies, len(r.Violations))
+				r.Total.Requested, r.Total.Served, r.Total.Refused, r.Total.Failed, r.Configurations, r.Versions, r.OriginCopiesPerVersion, len(r.Violations))
 		}
 	})
 	const maxShown = 10
--- a/cli/internal/soak/report.go
+++ b/cli/internal/soak/report.go
@@ -18,76 +18,76 @@
 	"github.com/wheelcleat/wheelcleat/api"
 )
 
-// Second counts the requests that ended in one second.
+// Second counts the requests that ended within one second of the run, by result.
 type Second struct {
-	Asked   int `json:"asked"`
-	Served  int `json:"served"`
-	Refused int `json:"refused"`
-	Failed  int `json:"failed"`
+	Requested int `json:"asked"`
+	Served    int `json:"served"`
+	Refused   int `json:"refused"`
+	Failed    int `json:"failed"`
 }
 
-// Report is what a run came to.
+// Report is the result of a run.
 type Report struct {
-	Seed       uint64       `json:"seed"`
-	Length     api.Duration `json:"length"`
-	Size       Size         `json:"size"`
-	Processes  int          `json:"processes"`
-	Total      Second       `json:"total"`
-	Starts     int          `json:"starts"`
-	Versions   int          `json:"versions"`
-	Changes    int          `json:"configurations"`
-	Copies     float64      `json:"originCopiesAVersion"`
-	Violations []Violation  `json:"violations"`
-	Seconds    []Second     `json:"seconds"`
-	Steps      []Step       `json:"steps"`
-	Folder     string       `json:"-"`
+	Seed                   uint64       `json:"seed"`
+	Length                 api.Duration `json:"length"`
+	Size                   Size         `json:"size"`
+	Processes              int          `json:"processes"`
+	Total                  Second       `json:"total"`
+	Starts                 int          `json:"starts"`
+	Versions               int          `json:"versions"`
+	Configurations         int          `json:"configurations"`
+	OriginCopiesPerVersion float64      `json:"originCopiesAVersion"`
+	Violations             []Violation  `json:"violations"`
+	Seconds                []Second     `json:"seconds"`
+	Steps                  []Step       `json:"steps"`
+	Folder                 string       `json:"-"`
 }
 
-// Tally counts what callers got. The zero value works once begin was called.
+// Tally counts the outcomes of requests per second. start must be called before use.
 type Tally struct {
-	mu      sync.Mutex
-	began   time.Time
-	seconds []Second
-	ended   []ended
-	steps   []Step
+	mu        sync.Mutex
+	startTime time.Time
+	seconds   []Second
+	results   []result
+	steps     []Step
 }
 
-// ended is one request for the checks at the end.
-type ended struct {
+// result is the outcome of one request, kept for the recovery check.
+type result struct {
 	router string
 	at     time.Time
 	served bool
 }
 
-func (t *Tally) begin(at time.Time) {
+func (t *Tally) start(at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.began = at
+	t.startTime = at
 }
 
-// mark notes a step that has begun.
-func (t *Tally) mark(step Step) {
+// recordStep records that a step has begun.
+func (t *Tally) recordStep(step Step) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.steps = append(t.steps, step)
 }
 
-// served reports whether an outcome is what a caller hopes for. A probe that is unknown
-// by now is answered well.
+// served reports whether the request succeeded. A probe also succeeds if its configuration
+// is no longer in force and the router answers 404 or 401.
 func (o *Outcome) served() bool {
 	unknown := o.Probe > 0 && (o.Status == http.StatusNotFound || o.Status == http.StatusUnauthorized)
 	return o.Err == nil && (o.Status == http.StatusOK || unknown)
 }
 
-func (t *Tally) note(outcome Outcome) {
+func (t *Tally) recordOutcome(outcome Outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	second := max(int(outcome.Ended.Sub(t.began).Seconds()), 0)
+	second := max(int(outcome.Ended.Sub(t.startTime).Seconds()), 0)
 	for len(t.seconds) <= second {
 		t.seconds = append(t.seconds, Second{})
 	}
 	s := &t.seconds[second]
-	s.Asked++
+	s.Requested++
 	switch {
 	case outcome.served():
 		s.Served++
@@ -96,52 +96,52 @@
 	default:
 		s.Failed++
 	}
-	t.ended = append(t.ended, ended{router: outcome.Router, at: outcome.Ended, served: outcome.served()})
+	t.results = append(t.results, result{router: outcome.Router, at: outcome.Ended, served: outcome.served()})
 }
 
-// since counts what one router served, of what was asked of it, since a moment.
-func (t *Tally) since(router string, from time.Time) (served, asked int) {
+// servedSince counts the requests to a router that ended since from, and those served.
+func (t *Tally) servedSince(router string, from time.Time) (served, requested int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, e := range t.ended {
-		if e.router != router || e.at.Before(from) {
+	for _, r := range t.results {
+		if r.router != router || r.at.Before(from) {
 			continue
 		}
-		asked++
-		if e.served {
+		requested++
+		if r.served {
 			served++
 		}
 	}
-	return served, asked
+	return served, requested
 }
 
-// lastSecond counts the last whole second.
-func (t *Tally) lastSecond() (served, asked int) {
+// lastSecond returns the counts of the last complete second.
+func (t *Tally) lastSecond() (served, requested int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if len(t.seconds) < 2 {
 		return 0, 0
 	}
 	last := t.seconds[len(t.seconds)-2]
-	return last.Served, last.Asked
+	return last.Served, last.Requested
 }
 
-// report writes the results into the run's folder.
+// report collects the results of the run.
 func (r *run) report() *Report {
 	report := &Report{
 		Seed: r.Plan.Seed, Length: r.Plan.Length, Size: r.Size, Folder: r.Folder,
-		Processes: len(r.fleet.processes()), Versions: r.fleet.version, Changes: int(r.fleet.newest.Load()),
+		Processes: len(r.fleet.processes()), Versions: r.fleet.version, Configurations: int(r.fleet.newest.Load()),
 		Violations: r.oracle.Violations(),
 	}
 	for _, p := range r.fleet.processes() {
 		report.Starts += p.condition().starts
 	}
-	report.Copies = float64(r.fleet.origin.SentChunks()) / chunks / float64(r.fleet.version)
+	report.OriginCopiesPerVersion = float64(r.fleet.origin.SentChunks()) / chunks / float64(r.fleet.version)
 	r.tally.mu.Lock()
 	defer r.tally.mu.Unlock()
 	report.Seconds, report.Steps = slices.Clone(r.tally.seconds), slices.Clone(r.tally.steps)
 	for _, s := range report.Seconds {
-		report.Total.Asked += s.Asked
+		report.Total.Requested += s.Requested
 		report.Total.Served += s.Served
 		report.Total.Refused += s.Refused
 		report.Total.Failed += s.Failed
@@ -149,7 +149,7 @@
 	return report
 }
 
-// Save writes the report and the plot of service over time into the run's folder.
+// Save writes the report and the plot into the run's folder.
 func (r *Report) Save() error {
 	if err := writeJSON(filepath.Join(r.Folder, "report.json"), r); err != nil {
 		return err
@@ -165,13 +165,13 @@
 	return os.WriteFile(path, append(text, '\n'), 0o600)
 }
 
-// Size of the plot.
+// Dimensions of the plot.
 const (
 	plotWidth  = 20 * vg.Centimeter
 	plotHeight = 9 * vg.Centimeter
 )
 
-// plot draws the share of requests that were served each second, and where steps began.
+// plot draws the share of requests served in each second, and marks the start of each step.
 func (r *Report) plot(path string) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("seed %d, %d processes, %d violations", r.Seed, r.Processes, len(r.Violations))
@@ -180,8 +180,8 @@
 	p.Y.Min, p.Y.Max = 0, 1
 	var served, steps plotter.XYs
 	for second, s := range r.Seconds {
-		if s.Asked > 0 {
-			served = append(served, plotter.XY{X: float64(second), Y: float64(s.Served) / float64(s.Asked)})
+		if s.Requested > 0 {
+			served = append(served, plotter.XY{X: float64(second), Y: float64(s.Served) / float64(s.Requested)})
 		}
 	}
 	for _, step := range r.Steps {
--- a/cli/internal/soak/soak_test.go
+++ b/cli/internal/soak/soak_test.go
@@ -11,10 +11,9 @@
 	"github.com/wheelcleat/wheelcleat/api"
 )
 
-// seeds holds the plans of runs that once failed, or that are played each time.
+// seeds matches the plans that TestPlans runs: regression plans and one of all components.
 const seeds = "seeds/*.json"
 
-// TestPlans plays each plan of seeds against real processes.
 func TestPlans(t *testing.T) {
 	daemon := filepath.Join(t.TempDir(), "wheelcleatd")
 	require.NoError(t, Build(t.Context(), daemon))
@@ -23,10 +22,10 @@
 	require.NotEmpty(t, paths)
 	for _, path := range paths {
 		t.Run(filepath.Base(path), func(t *testing.T) {
-			plan, err := Load(path)
+			plan, err := LoadPlan(path)
 			require.NoError(t, err)
 			report, err := Run(t.Context(), Options{
-				Daemon: daemon, Folder: t.TempDir(), Plan: plan, Callers: 2, Patience: time.Minute,
+				Daemon: daemon, Folder: t.TempDir(), Plan: plan, Callers: 2, Slack: time.Minute,
 				Size: Size{Halls: 2, Routers: 3, Loaders: 2, Plain: 2},
 			})
 			require.NoError(t, err)
@@ -37,30 +36,29 @@
 	}
 }
 
-func TestPlansAreDrawnAlike(t *testing.T) {
+func TestGeneratePlanIsDeterministic(t *testing.T) {
 	const length = 30 * time.Second
-	plan := Draw(7, length)
-	assert.Equal(t, plan, Draw(7, length))
-	assert.NotEqual(t, plan.Steps, Draw(8, length).Steps)
+	plan := GeneratePlan(7, length)
+	assert.Equal(t, plan, GeneratePlan(7, length))
+	assert.NotEqual(t, plan.Steps, GeneratePlan(8, length).Steps)
 	assert.Equal(t, api.Duration(length), plan.Length)
 	for _, step := range plan.Steps {
 		assert.Less(t, time.Duration(step.At), length)
 	}
 }
 
-// TestStepsAreInTheOrderOfTheirTimes, however a plan lists them.
-func TestStepsAreInTheOrderOfTheirTimes(t *testing.T) {
+func TestLoadPlanSortsStepsByTime(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "plan.json")
 	second := api.Duration(time.Second)
 	require.NoError(t, writeJSON(path, Plan{Steps: []Step{{At: 2 * second, Kind: StoreDown}, {At: second, Kind: StoreSlow}}}))
-	plan, err := Load(path)
+	plan, err := LoadPlan(path)
 	require.NoError(t, err)
 	assert.Equal(t, []Step{{At: second, Kind: StoreSlow}, {At: 2 * second, Kind: StoreDown}}, plan.Steps)
 }
 
-func TestLoadNamesTheFault(t *testing.T) {
+func TestLoadPlanNamesUnknownKind(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "plan.json")
 	require.NoError(t, writeJSON(path, Plan{Steps: []Step{{Kind: StoreDown}, {Kind: "flood"}}}))
-	_, err := Load(path)
+	_, err := LoadPlan(path)
 	require.ErrorContains(t, err, `steps[1].kind: unknown "flood"`)
 }
