--- a/daemon/internal/request/account/account.go
+++ b/daemon/internal/request/account/account.go
@@ -35,7 +35,7 @@
 	}
 	account := view.AccountByKey[tables.KeyDigest(sha256.Sum256([]byte(key)))]
 	if account == nil {
-		return nil, outcome.NotRun(http.StatusForbidden, outcome.ReasonForbidden, "the key matches no client account")
+		return nil, outcome.NotRun(http.StatusForbidden, outcome.ReasonForbidden, "the key belongs to no client account")
 	}
 	return account, nil
 }
@@ -66,14 +66,14 @@
 	spec := account.Account
 	if spec.Concurrency > 0 && s.inFlight >= spec.Concurrency {
 		return nil, outcome.NotRun(http.StatusTooManyRequests, outcome.ReasonAccountLimit,
-			fmt.Sprintf("account %q has reached its concurrency limit: %d requests in flight at this entry", account.Name, s.inFlight)).WithRetryAfter(concurrencyRetryAfter)
+			fmt.Sprintf("account %q runs %d requests here, as many as it may", account.Name, s.inFlight)).WithRetryAfter(concurrencyRetryAfter)
 	}
 	if s.rate != nil {
 		reservation := s.rate.ReserveN(now, 1)
 		if wait := reservation.DelayFrom(now); wait > 0 {
 			reservation.CancelAt(now)
 			return nil, outcome.NotRun(http.StatusTooManyRequests, outcome.ReasonAccountLimit,
-				fmt.Sprintf("account %q exceeds its rate limit of %v requests per second", account.Name, spec.RatePerSecond)).WithRetryAfter(wait)
+				fmt.Sprintf("account %q is over its rate of %v a second", account.Name, spec.RatePerSecond)).WithRetryAfter(wait)
 		}
 	}
 	s.inFlight++
--- a/daemon/internal/request/admission/admission.go
+++ b/daemon/internal/request/admission/admission.go
@@ -45,6 +45,7 @@
 	RetryReserve float64
 }
 
+// DefaultPolicy returns the policy used in production.
 func DefaultPolicy() Policy {
 	return Policy{MaxQueries: 8, QueriesPerStep: 2, MaxOvercommit: 1, RetryReserve: 0.25}
 }
--- a/daemon/internal/request/content/content.go
+++ b/daemon/internal/request/content/content.go
@@ -54,10 +54,10 @@
 // UnmarshalText decodes the output of MarshalText.
 func (d *Digest) UnmarshalText(text []byte) error {
 	if len(text) != hex.EncodedLen(size) {
-		return fmt.Errorf("decode content digest: got %d characters, want %d hex digits", len(text), hex.EncodedLen(size))
+		return fmt.Errorf("name of a content: %d characters, give %d in hex", len(text), hex.EncodedLen(size))
 	}
 	if _, err := hex.Decode(d[:], text); err != nil {
-		return fmt.Errorf("decode content digest: %w", err)
+		return fmt.Errorf("name of a content: %w", err)
 	}
 	return nil
 }
--- a/daemon/internal/request/exchange/events.go
+++ b/daemon/internal/request/exchange/events.go
@@ -12,7 +12,7 @@
 const maxEventBytes = 1 << 20
 
 // ErrPartialEvent means that a stream ended within an event.
-var ErrPartialEvent = errors.New("event stream truncated within an event")
+var ErrPartialEvent = errors.New("the stream ended within an event")
 
 // Event is one complete server-sent event, including the blank line that ends it.
 type Event struct {
@@ -83,7 +83,7 @@
 		e.start = 0
 	}
 	if len(e.buffer) > maxEventBytes {
-		e.err = fmt.Errorf("event exceeds %d bytes", maxEventBytes)
+		e.err = fmt.Errorf("an event of over %d bytes", maxEventBytes)
 		return
 	}
 	if cap(e.buffer)-len(e.buffer) < chunk {
--- a/daemon/internal/request/exchange/exchange.go
+++ b/daemon/internal/request/exchange/exchange.go
@@ -63,10 +63,10 @@
 
 // Errors for responses that cannot be attributed to the request and the upstream.
 var (
-	errRequestIDMismatch = errors.New("request id of the response does not match")
-	errUnsigned          = errors.New("successful response lacks the upstream's signature")
-	errEncoded           = errors.New("response has an unrequested Content-Encoding")
-	errUndeclaredRefusal = errors.New("upstream refused the request without declaring it not run")
+	errRequestIDMismatch = errors.New("the answer belongs to another request")
+	errUnsigned          = errors.New("the answer is a success without a signature")
+	errEncoded           = errors.New("the answer is encoded, which was not asked for")
+	errUndeclaredRefusal = errors.New("the upstream refused without the promise that the request has not run")
 )
 
 // Attempt describes one attempt to send a request.
@@ -119,7 +119,7 @@
 	result.Limit = c.advertisedLimit(result, response.Header)
 	if result.Kind != Answered {
 		_ = response.Body.Close()
-		result.Err = fmt.Errorf("response from %s at %s: %w", attempt.Upstream.ID, attempt.Upstream.Address, result.Err)
+		result.Err = fmt.Errorf("answer of %s at %s: %w", attempt.Upstream.ID, attempt.Upstream.Address, result.Err)
 	}
 	return result
 }
--- a/daemon/internal/request/gate/gate.go
+++ b/daemon/internal/request/gate/gate.go
@@ -78,10 +78,10 @@
 	case g.leaving:
 		return outcome.NotRun(http.StatusServiceUnavailable, outcome.ReasonStopping, "the host is leaving")
 	case g.closed || !slices.Contains(g.serving.Services, target.Service) || g.serving.Manifest != target.Manifest:
-		return outcome.NotRun(http.StatusServiceUnavailable, outcome.ReasonWrongVersion, "the host does not serve the service and version that the request was routed for")
+		return outcome.NotRun(http.StatusServiceUnavailable, outcome.ReasonWrongVersion, "the host does not serve the version that the request was routed for")
 	case g.limit > 0 && g.inFlight >= g.limit:
 		return outcome.NotRun(http.StatusServiceUnavailable, outcome.ReasonBusy,
-			fmt.Sprintf("the host has reached its limit: %d requests in flight", g.inFlight)).WithRetryAfter(busyRetryAfter)
+			fmt.Sprintf("the host runs %d requests, as many as it may", g.inFlight)).WithRetryAfter(busyRetryAfter)
 	default:
 		return nil
 	}
@@ -137,7 +137,7 @@
 		g.mu.Lock()
 		g.closed = false
 		g.mu.Unlock()
-		return fmt.Errorf("drain requests of the previous version: %w", err)
+		return fmt.Errorf("wait for the requests of the old version: %w", err)
 	}
 	return nil
 }
--- a/daemon/internal/request/gate/handler.go
+++ b/daemon/internal/request/gate/handler.go
@@ -132,9 +132,9 @@
 	expired := contextErr != nil
 	switch {
 	case expired && forwarded:
-		return outcome.Unknown(http.StatusGatewayTimeout, outcome.ReasonDeadline, fmt.Sprintf("deadline exceeded after the request was forwarded: %s", err))
+		return outcome.Unknown(http.StatusGatewayTimeout, outcome.ReasonDeadline, fmt.Sprintf("the time ran out after the request was handed over: %s", err))
 	case expired:
-		return outcome.NotRun(http.StatusServiceUnavailable, outcome.ReasonDeadline, "deadline exceeded before the request was forwarded").WithRetryAfter(unreachableRetryAfter)
+		return outcome.NotRun(http.StatusServiceUnavailable, outcome.ReasonDeadline, "the time ran out before the request was handed over").WithRetryAfter(unreachableRetryAfter)
 	case forwarded:
 		return outcome.Unknown(http.StatusBadGateway, outcome.ReasonAnswerLost, err.Error())
 	default:
--- a/daemon/internal/request/holding/holding.go
+++ b/daemon/internal/request/holding/holding.go
@@ -19,7 +19,7 @@
 )
 
 // ErrFull means that the budget is spent.
-var ErrFull = errors.New("buffer budget for request and response bodies exhausted")
+var ErrFull = errors.New("too many bytes are held for slow callers")
 
 // Budget limits the number of buffered bytes. The zero value is unlimited.
 type Budget struct {
