--- a/daemon/internal/request/gate/gate.go
+++ b/daemon/internal/request/gate/gate.go
@@ -137,7 +137,7 @@
 		g.mu.Lock()
 		g.closed = false
 		g.mu.Unlock()
-		return fmt.Errorf("drain requests of the previous version: %w", err)
+		return fmt.Errorf("wait for the requests of the old version: %w", err)
 	}
 	return nil
 }
