--- a/daemon/internal/request/admission/admission.go
+++ b/daemon/internal/request/admission/admission.go
@@ -75,7 +75,7 @@
 )
 
 // Unlimited admits a request to any engine.
-var Unlimited = places.Limit{Waiting: math.MaxInt32, Taken: math.MaxInt32}
+var Unlimited = places.Limit{Waiting: math.MaxInt32, InUse: math.MaxInt32}
 
 // Service describes the engines of a service.
 type Service struct {
@@ -130,12 +130,12 @@
 	case last && (r.Sent || s.Objective <= 0):
 		return Unlimited
 	case r.Retry && !r.Sent:
-		return places.Limit{Taken: max(0, free-p.retryReserve(s))}
+		return places.Limit{InUse: max(0, free-p.retryReserve(s))}
 	case last:
-		return places.Limit{Waiting: s.maxWaiting(), Taken: free + p.overcommit(s)}
+		return places.Limit{Waiting: s.maxWaiting(), InUse: free + p.overcommit(s)}
 	default:
 		step := queried / max(p.QueriesPerStep, 1)
-		return places.Limit{Waiting: min(step, s.maxWaiting()), Taken: free + min(step, p.overcommit(s))}
+		return places.Limit{Waiting: min(step, s.maxWaiting()), InUse: free + min(step, p.overcommit(s))}
 	}
 }
 
--- a/daemon/internal/request/admission/admission_test.go
+++ b/daemon/internal/request/admission/admission_test.go
@@ -18,11 +18,11 @@
 	baseline = policy{queries: 3, limit: func(s admission.Service, _ admission.Request, queried int, last bool) places.Limit {
 		free := s.Places - 1
 		if !last {
-			return places.Limit{Waiting: queried, Taken: free}
+			return places.Limit{Waiting: queried, InUse: free}
 		}
 		part := min(max((s.Saturation-0.2)/0.4, 0), 1)
 		wait := (1 - 0.7*part) * float64(s.Objective)
-		return places.Limit{Waiting: max(queried, int(wait/float64(s.ReadTime))), Taken: free + int(wait/float64(s.PlaceInterval))}
+		return places.Limit{Waiting: max(queried, int(wait/float64(s.ReadTime))), InUse: free + int(wait/float64(s.PlaceInterval))}
 	}}
 )
 
@@ -71,12 +71,12 @@
 		policy := admission.DefaultPolicy()
 		for queried := range policy.MaxQueries {
 			limit := policy.Limit(s, r, queried, queried == policy.MaxQueries-1)
-			assert.GreaterOrEqual(t, limit.Taken, inUse)
-			assert.Less(t, limit.Taken, s.Places+policy.MaxOvercommit)
-			inUse = limit.Taken
+			assert.GreaterOrEqual(t, limit.InUse, inUse)
+			assert.Less(t, limit.InUse, s.Places+policy.MaxOvercommit)
+			inUse = limit.InUse
 			retry := policy.Limit(s, admission.Request{Rank: r.Rank, Retry: true}, queried, false)
 			assert.LessOrEqual(t, retry.Waiting, limit.Waiting)
-			assert.Less(t, retry.Taken, inUse+1)
+			assert.Less(t, retry.InUse, inUse+1)
 		}
 		r.Sent, r.Retry = true, true
 		assert.Equal(t, admission.Unlimited, policy.Limit(s, r, 0, true), "a request sent before is admitted by any engine")
--- a/daemon/internal/request/admission/simulation_test.go
+++ b/daemon/internal/request/admission/simulation_test.go
@@ -206,7 +206,7 @@
 		if fleet[i].unavailable(now) || p.rollout.closed(fleet[i], req, now) {
 			continue
 		}
-		if load.Waiting <= limit.Waiting && load.Running+load.Waiting <= limit.Taken {
+		if load.Waiting <= limit.Waiting && load.Running+load.Waiting <= limit.InUse {
 			fleet[i].waiting = append(fleet[i].waiting, req)
 			return full + weight*(allFull-full)
 		}
--- a/daemon/internal/request/dispatch/place.go
+++ b/daemon/internal/request/dispatch/place.go
@@ -83,7 +83,7 @@
 	search.Service = q.serviceState(choice, q.view.Objective(q.service.Name))
 	limit := search.Limit(choice.Candidates == 1)
 	if limit != admission.Unlimited {
-		limit.Lasts = hold
+		limit.Duration = hold
 	}
 	load, given, err := q.queryLoader(ctx, choice, limit)
 	switch {
@@ -95,9 +95,9 @@
 		return q.admitUnqueried(choice, PathLoadReport)
 	case err != nil:
 		search.AddUnresponsive()
-	case load.Wait > 0:
+	case load.RetryAfter > 0:
 		search.AddLimited()
-		q.Pool.Throttle(choice.Upstream.ID, load.Wait)
+		q.Pool.Throttle(choice.Upstream.ID, load.RetryAfter)
 	default:
 		search.AddDenied(load)
 	}
@@ -184,7 +184,7 @@
 	load, given, err := q.RequestPlace(ctx, choice.Upstream, limit)
 	result := PlaceRequest{
 		Upstream: choice.Upstream.ID, Granted: given, Running: load.Running, Waiting: load.Waiting,
-		MaxWaiting: limit.Waiting, MaxInUse: limit.Taken, Duration: clock.Since(started), RetryAfter: load.Wait,
+		MaxWaiting: limit.Waiting, MaxInUse: limit.InUse, Duration: clock.Since(started), RetryAfter: load.RetryAfter,
 	}
 	if err != nil {
 		result.Cause = err.Error()
--- a/daemon/internal/request/dispatch/place_test.go
+++ b/daemon/internal/request/dispatch/place_test.go
@@ -103,7 +103,7 @@
 	assert.Equal(t, q.trace.PlaceRequests[1].Upstream, choice.Upstream.ID)
 	assert.Equal(t, 10, choice.Running)
 	assert.Zero(t, f.queries[0].Waiting, "the first query is for an engine where nothing waits")
-	assert.Equal(t, 16-1, f.queries[1].Taken, "no query exceeds the engine's places")
+	assert.Equal(t, 16-1, f.queries[1].InUse, "no query exceeds the engine's places")
 	assert.Equal(t, 1, f.inFlight(t))
 	choice.Done(balance.Served)
 	assert.Zero(t, f.inFlight(t))
@@ -169,7 +169,7 @@
 func TestRetriedSendTakesAnyPlace(t *testing.T) {
 	f := newFleet(t, 9, func(int) (bool, error) { return false, nil })
 	_, _ = f.request("hasty", 1).choosePlace(context.Background())
-	assert.Equal(t, places.Limit{Waiting: math.MaxInt32, Taken: math.MaxInt32}, f.queries[len(f.queries)-1])
+	assert.Equal(t, places.Limit{Waiting: math.MaxInt32, InUse: math.MaxInt32}, f.queries[len(f.queries)-1])
 }
 
 // TestRoutesOfServiceShareLimits: routes with a long objective must not take every place
--- a/daemon/internal/request/exchange/exchange.go
+++ b/daemon/internal/request/exchange/exchange.go
@@ -176,13 +176,13 @@
 	RemoveHopByHopHeaders(out.Header)
 	c.setHeaders(out.Header, attempt)
 	if len(attempt.Body) == 0 {
-		upstream.OneShot(out, nil)
+		upstream.DisableRetry(out, nil)
 		if in.Method == http.MethodGet || in.Method == http.MethodHead {
 			out.Body = nil
 		}
 		return out
 	}
-	upstream.OneShot(out, strings.NewReader(string(attempt.Body)))
+	upstream.DisableRetry(out, strings.NewReader(string(attempt.Body)))
 	return out
 }
 
--- a/daemon/internal/request/quarantine/quarantine.go
+++ b/daemon/internal/request/quarantine/quarantine.go
@@ -1,5 +1,5 @@
 // Package quarantine withholds requests that crash the upstreams that run them. Routers send each
-// other every crash and merge the reports into their tables (package evidence); quarantines are
+// other every crash and merge the reports into their tables (package broadcast); quarantines are
 // kept in the store as well. The dispatcher asks for a verdict before each attempt.
 //
 // A crash is evidence against every request that ran on the upstream, bystanders included. A
@@ -16,7 +16,7 @@
 // router sends the request once, as a trial. A further crash renews the quarantine for longer, and
 // a complete response clears the content. A content that recently had a complete response is not
 // blamed for a crash, since a popular request may run on each of several upstreams that crashing
-// requests crash in turn.
+// requests bring down in turn.
 //
 // Invariant: a cleared content stays cleared. Crashes known at the clearing, and those deeper than
 // any that can have occurred since, are ignored for longer than a message takes to arrive.
--- /dev/null
+++ b/daemon/internal/version/reconcile/manifest.go
@@ -0,0 +1,182 @@
+package reconcile
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"net/netip"
+	"slices"
+	"time"
+
+	"github.com/wheelcleat/wheelcleat/daemon/internal/version/swarm"
+	"github.com/wheelcleat/wheelcleat/daemon/provider"
+)
+
+const (
+	// manifestTimeout bounds a call for a manifest.
+	manifestTimeout = 700 * time.Millisecond
+	// peerRetryDelay is the delay before the next query after a peer failed or did not have
+	// the manifest, and peerHedgeDelay the time after which a second peer is queried beside
+	// one that has not answered.
+	peerRetryDelay = 60 * time.Millisecond
+	peerHedgeDelay = 100 * time.Millisecond
+	// leadStagger is the delay between the origin queries of consecutive hosts among the
+	// first leadHosts of the ranking, and backupStagger the delay among all others. Without
+	// a stagger well above the origin's response time all hosts would query the origin at
+	// once, which resets most of the connections.
+	leadStagger   = 250 * time.Millisecond
+	backupStagger = 25 * time.Millisecond
+	leadHosts     = 4
+)
+
+// ManifestLookup looks up the manifest of a version. All hosts compute the same ranking for a
+// version. The first host queries the origin at once and each following one a while later,
+// so that the origin is queried about once and never by all hosts together. Until its delay
+// has passed a host queries its peers: the first hosts of the ranking, and between them
+// random hosts, through which the manifest spreads. The exported fields must be set.
+type ManifestLookup struct {
+	// Self is this host, and Ranking all hosts that should have the version, best first. It
+	// need not include Self.
+	Self    netip.AddrPort
+	Ranking []netip.AddrPort
+	// QueryPeer and QueryOrigin make one call each and return the manifest unverified.
+	QueryPeer   func(ctx context.Context, peer netip.AddrPort) (provider.Manifest, error)
+	QueryOrigin func(ctx context.Context) (provider.Manifest, error)
+	// Check validates a manifest against the declared version.
+	Check func(provider.Manifest) error
+
+	// queries counts the queries to peers, and pending holds the peers that have not
+	// answered.
+	queries int
+	pending map[netip.AddrPort]bool
+}
+
+// LookupResult is a manifest and how it was found.
+type LookupResult struct {
+	Manifest provider.Manifest
+	// From is the address of the host that sent it, or swarm.FromOrigin.
+	From string
+	// PeerQueries is the number of queries to peers.
+	PeerQueries int
+}
+
+// reply is the result of one query. Its peer is invalid where the origin was queried.
+type reply struct {
+	peer     netip.AddrPort
+	manifest provider.Manifest
+	err      error
+}
+
+func (r reply) source() string {
+	if r.peer.IsValid() {
+		return r.peer.String()
+	}
+	return swarm.FromOrigin
+}
+
+// Find returns the first valid manifest. It fails where the origin fails or the context
+// ends.
+func (l *ManifestLookup) Find(ctx context.Context) (LookupResult, error) {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	l.pending = map[netip.AddrPort]bool{}
+	replies := make(chan reply)
+	originTimer := time.NewTimer(l.originDelay())
+	defer originTimer.Stop()
+	peerTimer := time.NewTimer(0)
+	defer peerTimer.Stop()
+	for {
+		select {
+		case <-originTimer.C:
+			go l.query(ctx, replies, netip.AddrPort{})
+		case <-peerTimer.C:
+			if peer, ok := l.nextPeer(); ok {
+				l.pending[peer] = true
+				go l.query(ctx, replies, peer)
+			}
+			peerTimer.Reset(peerHedgeDelay)
+		case r := <-replies:
+			if r.err == nil {
+				return LookupResult{Manifest: r.manifest, From: r.source(), PeerQueries: l.queries}, nil
+			}
+			if !r.peer.IsValid() {
+				return LookupResult{}, r.err
+			}
+			delete(l.pending, r.peer)
+			peerTimer.Reset(peerRetryDelay)
+		case <-ctx.Done():
+			return LookupResult{}, fmt.Errorf("look up manifest: %w", ctx.Err())
+		}
+	}
+}
+
+// query makes one call, to the origin where the peer is invalid, and sends the reply unless
+// the lookup has ended.
+func (l *ManifestLookup) query(ctx context.Context, replies chan<- reply, peer netip.AddrPort) {
+	callCtx, cancel := context.WithTimeout(ctx, manifestTimeout)
+	defer cancel()
+	r := reply{peer: peer}
+	if peer.IsValid() {
+		r.manifest, r.err = l.QueryPeer(callCtx, peer)
+	} else {
+		r.manifest, r.err = l.QueryOrigin(callCtx)
+	}
+	if r.err == nil {
+		r.err = l.Check(r.manifest)
+	}
+	select {
+	case replies <- r:
+	case <-ctx.Done():
+	}
+}
+
+// originDelay returns how long this host waits before it queries the origin.
+func (l *ManifestLookup) originDelay() time.Duration {
+	rank := slices.Index(l.Ranking, l.Self)
+	if rank < 0 {
+		rank = len(l.Ranking)
+	}
+	leads := min(rank, leadHosts)
+	return time.Duration(leads)*leadStagger + time.Duration(rank-leads)*backupStagger
+}
+
+// nextPeer returns the next peer to query, or false where every candidate is still pending.
+// A lead host cycles through the other lead hosts, so that it learns of the manifest before
+// it queries the origin itself. Other hosts alternate between a lead host and a random one.
+func (l *ManifestLookup) nextPeer() (netip.AddrPort, bool) {
+	leads := l.Ranking[:min(leadHosts, len(l.Ranking))]
+	round, anyHost := l.queries, false
+	if !slices.Contains(leads, l.Self) {
+		round, anyHost = l.queries/2, l.queries%2 == 1
+	}
+	l.queries++
+	if anyHost {
+		return l.pick(l.Ranking, rand.Int())
+	}
+	return l.pick(leads, round)
+}
+
+// pick returns the host at an index, modulo their number, among the hosts without a pending
+// query.
+func (l *ManifestLookup) pick(hosts []netip.AddrPort, index int) (netip.AddrPort, bool) {
+	idle := slices.DeleteFunc(slices.Clone(hosts), func(host netip.AddrPort) bool {
+		return host == l.Self || l.pending[host]
+	})
+	if len(idle) == 0 {
+		return netip.AddrPort{}, false
+	}
+	return idle[index%len(idle)], true
+}
+
+// checkManifest validates a manifest against the plan.
+func checkManifest(manifest provider.Manifest, plan Plan) error {
+	switch {
+	case manifest.Version != plan.Goal.Version:
+		return fmt.Errorf("manifest: version: got %d, requested %d", manifest.Version, plan.Goal.Version)
+	case len(manifest.Digests) != plan.Chunks:
+		return fmt.Errorf("manifest: digests: got %d, the configuration declares %d chunks", len(manifest.Digests), plan.Chunks)
+	case manifest.ChunkBytes != plan.ChunkBytes:
+		return fmt.Errorf("manifest: chunk bytes: got %d, the configuration declares %d", manifest.ChunkBytes, plan.ChunkBytes)
+	}
+	return nil
+}
--- /dev/null
+++ b/daemon/internal/version/reconcile/manifest_test.go
@@ -0,0 +1,111 @@
+package reconcile_test
+
+import (
+	"context"
+	"errors"
+	"net/netip"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+
+	"github.com/wheelcleat/wheelcleat/daemon/internal/helpers"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/version/reconcile"
+	"github.com/wheelcleat/wheelcleat/daemon/provider"
+)
+
+// errUnresponsive is the result of a query to an unresponsive host.
+var errUnresponsive = errors.New("unresponsive host")
+
+// manifestFleet is a fleet of loops that query each other and one origin for a manifest.
+type manifestFleet struct {
+	// frozen is the number of unresponsive hosts, from the top of the ranking.
+	frozen      int
+	ranked      []netip.AddrPort
+	reconcilers map[netip.AddrPort]*reconcile.Reconciler
+	// calls counts the origin's calls for the manifest and open those under way. The origin
+	// resets connections beyond maxOpen.
+	calls, open atomic.Int64
+	maxOpen     int64
+}
+
+// start runs a loop on each host that is not frozen.
+func (f *manifestFleet) start(t *testing.T, hosts int) {
+	t.Helper()
+	f.reconcilers = map[netip.AddrPort]*reconcile.Reconciler{}
+	for index := range hosts {
+		f.ranked = append(f.ranked, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(index)}), 80))
+	}
+	for _, address := range f.ranked[f.frozen:] {
+		e := &engine{t: t, staged: map[int][]byte{}, loaded: 1}
+		r := newReconciler(e, func() reconcile.Plan { return planOf(goal(2, time.Now().Add(time.Hour))) })
+		r.Self = address
+		r.RankLoaders = func(reconcile.Goal) []netip.AddrPort { return f.ranked }
+		r.PeerManifest = f.queryPeer
+		r.Origin.Manifest = f.queryOrigin
+		f.reconcilers[address] = r
+	}
+	for _, r := range f.reconcilers {
+		r.Start()
+		t.Cleanup(r.Stop)
+	}
+}
+
+func (f *manifestFleet) queryOrigin(ctx context.Context, _ netip.AddrPort, _ string, version int) (provider.Manifest, error) {
+	const responseTime = 30 * time.Millisecond
+	f.calls.Add(1)
+	defer f.open.Add(-1)
+	if f.open.Add(1) > f.maxOpen {
+		return provider.Manifest{}, errReplyLost
+	}
+	if !helpers.Pause(responseTime, ctx.Done()) {
+		return provider.Manifest{}, ctx.Err()
+	}
+	return manifestOf(version), nil
+}
+
+func (f *manifestFleet) queryPeer(ctx context.Context, peer netip.AddrPort, version int) (provider.Manifest, error) {
+	const responseTime = 2 * time.Millisecond
+	r := f.reconcilers[peer]
+	if r == nil {
+		<-ctx.Done()
+		return provider.Manifest{}, errUnresponsive
+	}
+	if !helpers.Pause(responseTime, ctx.Done()) {
+		return provider.Manifest{}, ctx.Err()
+	}
+	if c := r.Copies.Get(version); c != nil {
+		return c.Manifest, nil
+	}
+	return provider.Manifest{}, provider.ErrNotFound
+}
+
+// informed returns the number of hosts that have the manifest.
+func (f *manifestFleet) informed() int {
+	count := 0
+	for _, r := range f.reconcilers {
+		if r.Copies.Get(2) != nil {
+			count++
+		}
+	}
+	return count
+}
+
+// TestHostsQueryOriginForManifestInRankOrder guards against all hosts querying the origin at
+// once, which resets their connections, when the first host of the ranking is unresponsive.
+func TestHostsQueryOriginForManifestInRankOrder(t *testing.T) {
+	const hosts = 40
+	for name, frozen := range map[string]int{"all responsive": 0, "first unresponsive": 1, "first two unresponsive": 2} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				f := &manifestFleet{frozen: frozen, maxOpen: 8}
+				f.start(t, hosts)
+				helpers.Pause(1300*time.Millisecond, nil)
+				assert.Equal(t, hosts-frozen, f.informed(), "hosts that have the manifest")
+				assert.LessOrEqual(t, f.calls.Load(), int64(2), "calls to the origin")
+			})
+		})
+	}
+}
--- a/daemon/router/crash_test.go
+++ b/daemon/router/crash_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/evidence"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/broadcast"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/quarantine"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
@@ -250,7 +250,7 @@
 	}
 	resp, err := http.Get("http://" + f.routers[0].Listen.Peers.String() + "/suspects")
 	require.NoError(t, err)
-	var known evidence.Message[quarantine.Report]
+	var known broadcast.Message[quarantine.Report]
 	require.NoError(t, json.NewDecoder(resp.Body).Decode(&known))
 	require.NoError(t, resp.Body.Close())
 	require.Len(t, known.Notes, 1)
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -18,8 +18,8 @@
 	"sync/atomic"
 	"time"
 
+	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/broadcast"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/dial"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/evidence"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/livenessprobe"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/loadfeed"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/peering"
@@ -102,11 +102,11 @@
 	// crashNotifier sends them to the other routers.
 	probe         *livenessprobe.Probe
 	suspects      *suspects
-	crashNotifier *evidence.Teller[quarantine.Report]
+	crashNotifier *broadcast.Sender[quarantine.Report]
 	// limits holds the rate limits that upstreams announce, and limitNotifier sends them to the
 	// other routers.
 	limits        *limits
-	limitNotifier *evidence.Teller[ratelimit.UpstreamReport]
+	limitNotifier *broadcast.Sender[ratelimit.UpstreamReport]
 	// engineIDsByHost maps the address of a host to the IDs of its engines. It is replaced when
 	// the list of upstreams changes, and read for each load report.
 	engineIDsByHost atomic.Pointer[map[netip.Addr][]string]
@@ -136,12 +136,12 @@
 		return nil, fmt.Errorf("router %s: %w", s.Name, err)
 	}
 	if options.Dial == nil {
-		options.Dial = dial.Watchful
+		options.Dial = dial.Host
 	}
 	p := &Process{
 		options: options, telemetry: t, output: output, recorder: newRecorder(t),
 		table: &replica.Table{}, pool: &balance.Pool{Hall: s.Hall}, done: make(chan struct{}),
-		probe: &livenessprobe.Probe{Dial: dial.Within(probeConnectTimeout, options.Dial)}, suspects: &suspects{}, limits: &limits{},
+		probe: &livenessprobe.Probe{Dial: dial.WithTimeout(probeConnectTimeout, options.Dial)}, suspects: &suspects{}, limits: &limits{},
 		drainExpired: make(chan struct{}),
 	}
 	p.current.Store(&s)
@@ -159,16 +159,16 @@
 // initReplication prepares the store follower, the fallback to peers and the announcement of this
 // router.
 func (p *Process) initReplication(client *http.Client) {
-	p.neighbours = &peering.Neighbours{Client: client, Choose: p.neighbourToFollow, Hold: p.defersStoreRead, OnMute: p.telemetry.NeighbourMuted}
+	p.neighbours = &peering.Neighbours{Client: client, Choose: p.neighbourToFollow, Hold: p.defersStoreRead, OnBackoff: p.telemetry.NeighbourMuted}
 	own := p.ownMember()
 	shardPrefix, hallPrefix := p.provider.Prefixes.MembersOfHall(own.Hall, own.Shard), p.provider.Prefixes.MembersOfHall(own.Hall, "")
 	p.follower = &replica.Follower{
 		Store: p.provider.Store, Prefix: p.provider.Prefixes.Root, Table: p.table, OnConnectionChange: p.recorder.storeConnectionChanged,
 		OnBytes: p.recorder.storeBytes, Debounce: p.debounce, ProbeInterval: storeProbeInterval, ProbePrefix: p.provider.Prefixes.Versions,
-		QueryPeer: p.neighbours.News, BootstrapPrefixes: []string{shardPrefix, hallPrefix}, BootstrapRecent: p.hallDiscovered, BootstrapDone: p.followsPeer,
+		QueryPeer: p.neighbours.FetchUpdate, BootstrapPrefixes: []string{shardPrefix, hallPrefix}, BootstrapRecent: p.hallDiscovered, BootstrapDone: p.followsPeer,
 	}
 	p.puller = &peering.Puller{
-		Client: client, Follower: p.follower, Peer: p.choosePeer, Needed: p.needsPeerPull, OnPull: p.recorder.peerPulled, First: hallPrefix,
+		Client: client, Follower: p.follower, Peer: p.choosePeer, Needed: p.needsPeerPull, OnPull: p.recorder.peerPulled, FirstPrefix: hallPrefix,
 	}
 	p.announcer = &announcer{store: p.provider.Store, onConnectionChange: p.recorder.storeConnectionChanged, put: p.provider.EncodeMember(own)}
 }
--- a/daemon/router/suspects.go
+++ b/daemon/router/suspects.go
@@ -11,7 +11,7 @@
 	"github.com/uptrace/bunrouter"
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/clock"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/evidence"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/broadcast"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/helpers"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/rendezvous"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/content"
@@ -136,7 +136,7 @@
 // connectionBroke probes whether the upstream crashed under a send whose connection broke, and
 // publishes the crash. The request waits for the probe, one round trip, before it is retried.
 func (p *Process) connectionBroke(b dispatch.Disconnect) {
-	crashed := p.probe.Ended(context.Background(), b.Upstream.Address)
+	crashed := p.probe.Crashed(context.Background(), b.Upstream.Address)
 	p.recorder.connectionBroke(b, crashed)
 	if !crashed {
 		return
@@ -176,7 +176,7 @@
 // publish applies a note of this router's own and notifies the other routers.
 func (p *Process) publish(note quarantine.Report, from source) {
 	p.applyNote(note, from, netip.AddrPort{})
-	if !p.crashNotifier.Tell(note) {
+	if !p.crashNotifier.Send(note) {
 		p.recorder.notificationDropped()
 	}
 }
@@ -242,10 +242,10 @@
 }
 
 // newCrashNotifier prepares the notification of other routers about crashes.
-func (p *Process) newCrashNotifier(client *http.Client) *evidence.Teller[quarantine.Report] {
-	return &evidence.Teller[quarantine.Report]{
-		Client: client, Path: evidence.SuspectsPath, Peers: p.otherRouters, Peer: p.choosePeer, OnFailed: p.recorder.notificationFailed,
-		Take: func(notes []quarantine.Report, peer netip.AddrPort) {
+func (p *Process) newCrashNotifier(client *http.Client) *broadcast.Sender[quarantine.Report] {
+	return &broadcast.Sender[quarantine.Report]{
+		Client: client, Path: broadcast.SuspectsPath, Peers: p.otherRouters, CatchUpPeer: p.choosePeer, OnFailed: p.recorder.notificationFailed,
+		OnNotes: func(notes []quarantine.Report, peer netip.AddrPort) {
 			for _, note := range notes {
 				p.applyNote(note, sourceAnswer, peer)
 			}
@@ -268,17 +268,17 @@
 // addSuspectRoutes adds the routes on which this router serves its notes, receives those of other
 // routers, and lets operators lift a quarantine.
 func (p *Process) addSuspectRoutes(routes *bunrouter.Router) {
-	known := &evidence.Known[quarantine.Report]{
-		All: p.suspects.all, Of: p.suspects.knownFor,
-		Take: func(notes []quarantine.Report) {
+	known := &broadcast.Receiver[quarantine.Report]{
+		All: p.suspects.all, Related: p.suspects.knownFor,
+		Merge: func(notes []quarantine.Report) {
 			for _, note := range notes {
 				p.applyNote(note, sourceRouter, netip.AddrPort{})
 			}
 		},
 	}
-	routes.Compat().GET(evidence.SuspectsPath, known.ServeAll)
-	routes.Compat().POST(evidence.SuspectsPath, known.ServeTold)
-	routes.DELETE(evidence.SuspectsPath+"/:content", bunrouter.HandlerFunc(p.lift))
+	routes.Compat().GET(broadcast.SuspectsPath, known.ServeAll)
+	routes.Compat().POST(broadcast.SuspectsPath, known.ServeNotes)
+	routes.DELETE(broadcast.SuspectsPath+"/:content", bunrouter.HandlerFunc(p.lift))
 }
 
 // lift clears a content on an operator's request, on all routers.
