--- a/daemon/internal/request/admission/admission.go
+++ b/daemon/internal/request/admission/admission.go
@@ -35,8 +35,8 @@
 type Policy struct {
 	// MaxQueries is the maximum number of engines queried before a request is refused.
 	MaxQueries int
-	// QueriesPerStep is the number of queries per step. The first step accepts only an engine with an
-	// empty queue; each further step accepts one more waiting request.
+	// QueriesPerStep is the number of queries per step. The first step accepts only an engine
+	// with an empty queue; each further step accepts one more waiting request.
 	QueriesPerStep int
 	// MaxOvercommit is the maximum number of requests that the later queries may admit beyond the
 	// places of an engine.
--- a/daemon/internal/request/admission/retryafter.go
+++ b/daemon/internal/request/admission/retryafter.go
@@ -32,7 +32,7 @@
 	maxWaitDivisor = 3
 )
 
-// RetryAfter returns the Retry-After of a refused request, which a random number in [0, 1) spreads so
+// RetryAfter returns the Retry-After of a refused request. A random number in [0, 1) spreads it, so
 // that refused clients do not retry at the same time.
 func RetryAfter(cause Cause, drawn float64) time.Duration {
 	lower, upper := MinRetryAfter, MaxRetryAfter
--- a/daemon/internal/request/quarantine/quarantine.go
+++ b/daemon/internal/request/quarantine/quarantine.go
@@ -69,7 +69,7 @@
 	maxCrashes = 16
 )
 
-// Verdict states whether and how a request may be attempt.
+// Verdict states whether and how a request may be sent.
 type Verdict int
 
 // Values of Verdict.
@@ -78,7 +78,7 @@
 	Unrestricted Verdict = iota
 	// SingleAttempt means a single attempt, without retry or hedge.
 	SingleAttempt
-	// Quarantined means quarantined: the request is not attempt.
+	// Quarantined means that the request is not sent.
 	Quarantined
 )
 
@@ -270,8 +270,8 @@
 }
 
 // Attribute returns the crash of an upstream during an attempt, as observed now, and reports
-// whether it counts against the content. A crash with the same id and start time that was received before
-// the attempt is a different one.
+// whether it counts against the content. A crash with the same id and start time that was received
+// before the attempt is a different one.
 func (t *Table) Attribute(attempt Attempt, now time.Time) (Crash, bool) {
 	crash := Crash{Upstream: attempt.Upstream, Started: attempt.Started, Depth: 1}
 	if t.succeededRecently(attempt.Content, now) {
