--- a/daemon/internal/request/admission/retrydetector.go
+++ b/daemon/internal/request/admission/retrydetector.go
@@ -41,8 +41,8 @@
 }
 
 // RetryDetector recognizes retries of refused requests by the time until the client's deadline. The
-// timeout of a client includes its retries, and no refused client retries before ShortestReturn. A
-// request is therefore a first attempt if its remaining time is within ShortestReturn of the
+// timeout of a client includes its retries, and no refused client retries before MinRetryAfter. A
+// request is therefore a first attempt if its remaining time is within MinRetryAfter of the
 // longest timeout on its route, and a likely retry otherwise.
 //
 // The longest timeout is taken from sampled requests. Until some were sampled while no request was
