--- a/daemon/internal/request/quarantine/quarantine.go
+++ b/daemon/internal/request/quarantine/quarantine.go
@@ -1,5 +1,5 @@
 // Package quarantine withholds requests that crash the upstreams that run them. Routers send each
-// other every crash and merge the reports into their tables (package evidence); quarantines are
+// other every crash and merge the reports into their tables (package broadcast); quarantines are
 // kept in the store as well. The dispatcher asks for a verdict before each attempt.
 //
 // A crash is evidence against every request that ran on the upstream, bystanders included. A
@@ -16,7 +16,7 @@
 // router sends the request once, as a trial. A further crash renews the quarantine for longer, and
 // a complete response clears the content. A content that recently had a complete response is not
 // blamed for a crash, since a popular request may run on each of several upstreams that crashing
-// requests crash in turn.
+// requests bring down in turn.
 //
 // Invariant: a cleared content stays cleared. Crashes known at the clearing, and those deeper than
 // any that can have occurred since, are ignored for longer than a message takes to arrive.
@@ -69,7 +69,7 @@
 	maxCrashes = 16
 )
 
-// Verdict states whether and how a request may be attempt.
+// Verdict states whether and how a request may be sent.
 type Verdict int
 
 // Values of Verdict.
@@ -78,7 +78,7 @@
 	Unrestricted Verdict = iota
 	// SingleAttempt means a single attempt, without retry or hedge.
 	SingleAttempt
-	// Quarantined means quarantined: the request is not attempt.
+	// Quarantined means that the request is not sent.
 	Quarantined
 )
 
@@ -270,8 +270,8 @@
 }
 
 // Attribute returns the crash of an upstream during an attempt, as observed now, and reports
-// whether it counts against the content. A crash with the same id and start time that was received before
-// the attempt is a different one.
+// whether it counts against the content. A crash with the same id and start time that was received
+// before the attempt is a different one.
 func (t *Table) Attribute(attempt Attempt, now time.Time) (Crash, bool) {
 	crash := Crash{Upstream: attempt.Upstream, Started: attempt.Started, Depth: 1}
 	if t.succeededRecently(attempt.Content, now) {
