--- a/daemon/internal/connection/broadcast/broadcast.go
+++ b/daemon/internal/connection/broadcast/broadcast.go
@@ -3,7 +3,7 @@
 // define these observations; this package calls both of them notes.
 //
 // Each router sends a note to all other routers at once, on the port that also serves replicas
-// of the store. Notes matter most within the second in which a caller retries, and must arrive
+// of the store. Notes are needed within the second in which a caller retries, and must arrive
 // while the store is down. A router that misses a note receives it in the response to its own
 // next note about the same content or upstream. A router that starts fetches all notes from two
 // others.
--- a/daemon/internal/connection/call/call.go
+++ b/daemon/internal/connection/call/call.go
@@ -63,7 +63,7 @@
 	return data, nil
 }
 
-// GetJSON gets a GetJSON response of at most maxBytes and decodes it into target.
+// GetJSON gets a JSON response of at most maxBytes and decodes it into target.
 func GetJSON(ctx context.Context, client *http.Client, url string, maxBytes int64, target any) error {
 	data, err := Get(ctx, client, url, maxBytes)
 	if err != nil {
--- a/daemon/internal/connection/gossip/gossip.go
+++ b/daemon/internal/connection/gossip/gossip.go
@@ -1,7 +1,7 @@
 // Package gossip pulls changed member records from other entries, and a
 // snapshot of the configuration while this entry holds none.
 //
-// Each round pulls from a few entries of the own hall and one of another hall,
+// Each round pulls from a few entries of its own hall and one of another hall,
 // so that a change reaches all n entries of a hall in about log(n) rounds. A
 // round without changes costs one small call for each peer.
 package gossip
@@ -24,7 +24,7 @@
 // Defaults of a Puller.
 const (
 	DefaultInterval = 500 * time.Millisecond
-	// PeersPerRound is the number of entries of the own hall pulled from in a round.
+	// PeersPerRound is the number of entries of its own hall pulled from in a round.
 	PeersPerRound = 2
 )
 
--- a/daemon/internal/connection/livenessprobe/livenessprobe.go
+++ b/daemon/internal/connection/livenessprobe/livenessprobe.go
@@ -4,7 +4,7 @@
 // connection, and when a healthy upstream aborted one response. The probe dials the
 // upstream's address: a refused connection means that no process listens, until the upstream
 // restarts some seconds later. A timeout is inconclusive, because a host that was cut off
-// cannot be told from a host without power.
+// cannot be distinguished from a host without power.
 //
 // The upstream's record in the store was rejected as the signal. It expires some heartbeats
 // later, and stays if the upstream restarts under the same id.
@@ -49,8 +49,8 @@
 // Crashed reports whether no process listens at the address of an upstream whose connection
 // broke just now. Concurrent calls for an address share one check.
 func (p *Probe) Crashed(ctx context.Context, upstream netip.AddrPort) bool {
-	c, own := p.join(upstream)
-	if own {
+	c, created := p.join(upstream)
+	if created {
 		c.crashed = p.refused(ctx, upstream)
 		c.until = helpers.Now(p.Now).Add(crashTTL)
 		close(c.done)
@@ -70,9 +70,9 @@
 	if p.checks == nil {
 		p.checks = map[netip.AddrPort]*check{}
 	}
-	own := &check{done: make(chan struct{})}
-	p.checks[upstream] = own
-	return own, true
+	created := &check{done: make(chan struct{})}
+	p.checks[upstream] = created
+	return created, true
 }
 
 // prune drops expired results. A result that the upstream listens is dropped at once, since
--- a/daemon/internal/connection/peering/neighbours.go
+++ b/daemon/internal/connection/peering/neighbours.go
@@ -36,7 +36,7 @@
 // errStarting reports that the replica of a neighbour is still empty.
 var errStarting = fmt.Errorf("replica still empty: %w", replica.ErrStale)
 
-// Neighbours fetches updates from daemons of the own hall in place of the store, for one
+// Neighbours fetches updates from daemons of the same hall in place of the store, for one
 // follower. Client and Choose must be set.
 type Neighbours struct {
 	Client *http.Client
--- a/daemon/internal/connection/peering/peering.go
+++ b/daemon/internal/connection/peering/peering.go
@@ -13,7 +13,7 @@
 //
 // Each state of the table is listed, encoded and packed once for all followers.
 //
-// Pushing changes to subscribers was rejected, since it needs backpressure that tells a
+// Pushing changes to subscribers was rejected, since it needs backpressure that distinguishes a
 // frozen subscriber from a slow one.
 package peering
 
--- a/daemon/internal/connection/peering/puller.go
+++ b/daemon/internal/connection/peering/puller.go
@@ -30,7 +30,7 @@
 	// Peer returns the peer to call, or false if there is none.
 	Peer func() (netip.AddrPort, bool)
 	// FirstPrefix is a prefix that is fetched first while the replica is empty: that of the
-	// routers of the own hall, from which the complete replica is then fetched. It may be
+	// routers of the same hall, from which the complete replica is then fetched. It may be
 	// empty.
 	FirstPrefix string
 	// Needed reports whether the store has been unreachable for too long.
@@ -112,15 +112,15 @@
 	}
 }
 
-// ChoosePeer returns a random peer, or false if there is none. It is a far one in one of
-// farOneOf cases on average, and otherwise a near one, which has a wide link.
-func ChoosePeer(near, far []netip.AddrPort, farOneOf int) (netip.AddrPort, bool) {
-	from := far
-	if len(near) > 0 && (len(far) == 0 || rand.IntN(farOneOf) > 0) {
-		from = near
+// ChoosePeer returns a random peer, or false if there is none. It is a remote one in one of
+// remoteOneIn cases on average, and otherwise a local one, which has a wide link.
+func ChoosePeer(local, remote []netip.AddrPort, remoteOneIn int) (netip.AddrPort, bool) {
+	peers := remote
+	if len(local) > 0 && (len(remote) == 0 || rand.IntN(remoteOneIn) > 0) {
+		peers = local
 	}
-	if len(from) == 0 {
+	if len(peers) == 0 {
 		return netip.AddrPort{}, false
 	}
-	return from[rand.IntN(len(from))], true
+	return peers[rand.IntN(len(peers))], true
 }
--- a/daemon/internal/connection/places/ledger.go
+++ b/daemon/internal/connection/places/ledger.go
@@ -4,10 +4,10 @@
 // Many routers send to an engine, and each receives its load with a delay. By load reports
 // alone they would all choose the same free place, and their requests would queue there while
 // other engines are idle. So a router requests a place before it sends, and the loader on the
-// engine's host decides by the engine's own load and the reservations made since.
+// engine's host decides by the engine's own load and the reservations granted since.
 //
 // A reservation needs no release: it counts only until the load report reflects it, whether the
-// request came or not. A queue in the loader was rejected, because the engine's queue orders by
+// request arrives or not. A queue in the loader was rejected, because the engine's queue orders by
 // priority and includes requests that were sent without a reservation.
 package places
 
--- a/daemon/internal/connection/report/report.go
+++ b/daemon/internal/connection/report/report.go
@@ -173,7 +173,7 @@
 
 // same reports whether two records are equal but for incarnation and sequence.
 func same(a, b *wire.Member) bool {
-	left := proto.CloneOf(a)
-	left.Incarnation, left.Sequence = b.GetIncarnation(), b.GetSequence()
-	return proto.Equal(left, b)
+	restamped := proto.CloneOf(a)
+	restamped.Incarnation, restamped.Sequence = b.GetIncarnation(), b.GetSequence()
+	return proto.Equal(restamped, b)
 }
