--- a/daemon/internal/process/replica/engineconfig.go
+++ b/daemon/internal/process/replica/engineconfig.go
@@ -7,7 +7,7 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// EngineConfig is the part of the configuration that the loader of an engine config.
+// EngineConfig is the part of the configuration that the loader of an engine needs.
 type EngineConfig struct {
 	Engine provider.EngineSpec `json:"engine"`
 	// Origin is the address of the origin of weights.
@@ -16,10 +16,10 @@
 	OriginRate float64 `json:"originRate,omitempty"`
 }
 
-// Complete reports whether a loader can work with it.
+// Complete reports whether it has the model and the origin that a loader needs.
 func (c *EngineConfig) Complete() bool { return c.Engine.Model != "" && c.Origin.IsValid() }
 
-// ErrNoEngine is returned when a configuration lacks what a loader config.
+// ErrNoEngine is returned when a configuration lacks the service or the origin that a loader needs.
 var ErrNoEngine = errors.New("configuration has no engine service of this name or no origin")
 
 // EngineConfigFor returns the part of a configuration that the loaders of a service need.
--- a/daemon/internal/process/replica/expiry_test.go
+++ b/daemon/internal/process/replica/expiry_test.go
@@ -28,9 +28,9 @@
 	}
 	table.OnChange = compiler.Apply
 	revision := provider.Revision(0)
-	apply := func(key string, gone bool) {
+	apply := func(key string, deleted bool) {
 		revision++
-		table.Apply([]provider.Entry{{Key: key, Revision: revision, Deleted: gone}})
+		table.Apply([]provider.Entry{{Key: key, Revision: revision, Deleted: deleted}})
 	}
 	inUse := func() int { return len(compiler.View().Upstreams["s"]) }
 
--- a/daemon/internal/process/replica/follower.go
+++ b/daemon/internal/process/replica/follower.go
@@ -24,12 +24,12 @@
 	firstByteTimeout = 700 * time.Millisecond
 	// initialFirstByteTimeout replaces firstByteTimeout for the first lists. All
 	// processes of a region may start together after a power failure, and repeating a
-	// list that was given up doubles its load on the shared link.
+	// list that timed out doubles its load on the shared link.
 	initialFirstByteTimeout = 1500 * time.Millisecond
 	// stallTimeout bounds a gap within an answer. It exceeds the time to retransmit a
 	// lost packet.
 	stallTimeout = time.Second
-	// readTimeout bounds a call as a whole.
+	// readTimeout bounds a complete call.
 	readTimeout = 30 * time.Second
 	// minBackoff and maxBackoff bound the backoff after a failed call. The pause is
 	// drawn at random below it, so that daemons that fail together do not retry together.
@@ -66,7 +66,7 @@
 	// supplies what the answer lacks.
 	StaleFirstList bool
 	// QueryPeer queries a peer for the entries of its replica under a prefix above a
-	// revision; revision 0 asks for the complete replica. On ErrNoPeer the store is
+	// revision; revision 0 requests the complete replica. On ErrNoPeer the store is
 	// read instead; after any other error QueryPeer is called again. It may be nil.
 	QueryPeer func(ctx context.Context, prefix string, after provider.Revision) (Update, error)
 	// PeerAttempts is the number of consecutive failed calls of QueryPeer after which the
@@ -89,7 +89,7 @@
 	Breaker *CircuitBreaker
 	// OnConnectionChange is called with the error when calls to the store begin to fail, and
 	// with nil when the store answers again. It may be nil.
-	OnConnectionChange func(prefix string, lost error)
+	OnConnectionChange func(prefix string, err error)
 	// OnBytes is called with the number of bytes of each part of an answer. It may be nil.
 	OnBytes func(bytes int)
 	// Now is the clock; nil means clock.Now.
@@ -98,7 +98,7 @@
 	// revision is the revision up to which the replica is complete, or 0. It never
 	// decreases.
 	revision atomic.Uint64
-	// relist says that changes may have been missed, so that the prefix must be listed.
+	// relist is set if changes may have been missed, so that the prefix must be listed.
 	relist bool
 	// generation changes when the replica is rebuilt. It starts at a random value, so
 	// that peers detect a restart of the process at the same address.
@@ -109,7 +109,7 @@
 	hops atomic.Int64
 	// listBytes is the size of the last list.
 	listBytes int
-	// preferList says that a list is cheaper than a watch: more than half of a list's
+	// preferList is set if a list is cheaper than a watch: more than half of a list's
 	// size were superseded states in the last watch, or new entries in the last list.
 	preferList bool
 	// lastAnswer is when the store last answered completely, lastData when a part of
@@ -271,14 +271,14 @@
 // which bounds lists to half of the time. Watches resume once few entries are new.
 func (f *Follower) catchUp(ctx context.Context) error {
 	started := clock.Now()
-	known := f.Revision()
+	revision := f.Revision()
 	listing, err := f.list(ctx)
 	if err != nil {
 		return err
 	}
 	newBytes := 0
 	for _, entry := range listing.Entries {
-		if entry.Revision > known {
+		if entry.Revision > revision {
 			newBytes += len(entry.Value)
 		}
 	}
--- a/daemon/internal/process/replica/peer.go
+++ b/daemon/internal/process/replica/peer.go
@@ -47,7 +47,7 @@
 	// time since a part of an answer last arrived, which is less while a long answer is in
 	// progress.
 	SinceAnswer, SinceData time.Duration
-	// Disconnected says that calls to the store fail repeatedly.
+	// Disconnected is set while calls to the store fail repeatedly.
 	Disconnected bool
 	// Hops is the number of daemons that the updates passed, 0 for a daemon that reads
 	// the store.
@@ -81,7 +81,7 @@
 // replica.
 type Update struct {
 	Entries []provider.Entry
-	// After is the revision; 0 says that Entries is the complete replica.
+	// After is the revision; 0 means that Entries is the complete replica.
 	After provider.Revision
 	Status
 }
@@ -143,8 +143,8 @@
 // advance raises the revision up to which the replica is complete.
 func (f *Follower) advance(to provider.Revision) {
 	for {
-		known := f.revision.Load()
-		if uint64(to) <= known || f.revision.CompareAndSwap(known, uint64(to)) {
+		current := f.revision.Load()
+		if uint64(to) <= current || f.revision.CompareAndSwap(current, uint64(to)) {
 			return
 		}
 	}
--- a/daemon/internal/process/replica/peer_test.go
+++ b/daemon/internal/process/replica/peer_test.go
@@ -162,11 +162,11 @@
 		p.set(shorter, nil)
 		helpers.Pause(2*time.Second, nil)
 		assert.Contains(t, p.revisions()[2:], provider.Revision(0))
-		gone := map[string]bool{}
+		deleted := map[string]bool{}
 		for _, entry := range table.EntriesAfter(0).Entries {
-			gone[entry.Key] = entry.Deleted
+			deleted[entry.Key] = entry.Deleted
 		}
-		assert.Equal(t, map[string]bool{"a": false, "b": true}, gone)
+		assert.Equal(t, map[string]bool{"a": false, "b": true}, deleted)
 	})
 }
 
--- a/daemon/internal/process/replica/priority.go
+++ b/daemon/internal/process/replica/priority.go
@@ -37,8 +37,8 @@
 	found := map[string]time.Duration{}
 	for _, route := range configuration.Routes {
 		for _, share := range route.Shares {
-			known, ok := found[share.Service]
-			if route.Objective > 0 && (!ok || route.Objective < known) {
+			shortest, ok := found[share.Service]
+			if route.Objective > 0 && (!ok || route.Objective < shortest) {
 				found[share.Service] = route.Objective
 			}
 		}
--- a/daemon/internal/process/replica/probe.go
+++ b/daemon/internal/process/replica/probe.go
@@ -105,12 +105,12 @@
 // intact.
 func (f *Follower) recheck(ctx context.Context) error {
 	for helpers.Pause(f.RecheckInterval, ctx.Done()) {
-		known := f.Revision()
+		revision := f.Revision()
 		listing, err := f.recheckOnce(ctx)
 		if err != nil || ctx.Err() != nil || f.currentData.Load() != 0 {
 			continue
 		}
-		listing.Entries = slices.DeleteFunc(listing.Entries, func(entry provider.Entry) bool { return entry.Revision <= known })
+		listing.Entries = slices.DeleteFunc(listing.Entries, func(entry provider.Entry) bool { return entry.Revision <= revision })
 		if len(listing.Entries) > 0 && f.Table.Apply(listing.Entries) > 0 {
 			return errMissedChange
 		}
--- a/daemon/internal/process/replica/probe_test.go
+++ b/daemon/internal/process/replica/probe_test.go
@@ -23,8 +23,8 @@
 	at provider.Revision
 	// cost is the cost of all calls, and watches the number of watches.
 	cost, watches int
-	// deaf makes watches deliver nothing, and down makes new calls fail.
-	deaf, down bool
+	// stalled makes watches deliver no changes, and down makes new calls fail.
+	stalled, down bool
 	// withheld is a revision that watches do not deliver; the next watch from before it
 	// fails with ErrCompacted. stale is the revision of stale lists, 0 for the newest.
 	withheld, stale provider.Revision
@@ -57,10 +57,10 @@
 }
 
 // changes returns what a watch delivers now, and whether it delivers anything.
-func (s *quietStore) changes(after provider.Revision, deaf bool) (provider.Listing, bool) {
+func (s *quietStore) changes(after provider.Revision, stalled bool) (provider.Listing, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if deaf || s.at <= after || s.at == s.withheld {
+	if stalled || s.at <= after || s.at == s.withheld {
 		return provider.Listing{}, false
 	}
 	return provider.Listing{Revision: s.at, Entries: []provider.Entry{{Key: "c", Revision: s.at}}}, true
@@ -73,15 +73,15 @@
 	}
 	s.mu.Lock()
 	s.watches++
-	deaf, transfer := s.deaf, s.transfer
+	stalled, transfer := s.stalled, s.transfer
 	compacted := after < s.withheld
 	s.mu.Unlock()
 	if compacted {
 		return provider.Listing{}, provider.ErrCompacted
 	}
 	const step = 10 * time.Millisecond
-	for waited := time.Duration(0); deaf || waited < wait; waited += step {
-		if listing, ok := s.changes(after, deaf); ok {
+	for waited := time.Duration(0); stalled || waited < wait; waited += step {
+		if listing, ok := s.changes(after, stalled); ok {
 			return listing, s.send(ctx, transfer)
 		}
 		if !helpers.Pause(step, ctx.Done()) {
@@ -148,10 +148,10 @@
 // answers other calls, ends in time.
 func TestDeafWatchIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &quietStore{at: 1, deaf: true}
+		s := &quietStore{at: 1, stalled: true}
 		follower := s.follow(t)
 		helpers.Pause(10*time.Second, nil)
-		s.set(func() { s.at, s.deaf = 2, false })
+		s.set(func() { s.at, s.stalled = 2, false })
 		helpers.Pause(2800*time.Millisecond, nil)
 		assert.Equal(t, provider.Revision(2), follower.Revision())
 	})
@@ -183,12 +183,12 @@
 		s := &quietStore{at: 1}
 		follower := s.follow(t)
 		helpers.Pause(10*time.Second, nil)
-		s.set(func() { s.down, s.deaf = true, true })
+		s.set(func() { s.down, s.stalled = true, true })
 		helpers.Pause(2100*time.Millisecond, nil)
 		assert.True(t, follower.Status().Stale())
 
 		helpers.Pause(5*time.Second, nil)
-		s.set(func() { s.down, s.deaf, s.at = false, false, 2 })
+		s.set(func() { s.down, s.stalled, s.at = false, false, 2 })
 		helpers.Pause(1300*time.Millisecond, nil)
 		assert.False(t, follower.Status().Stale())
 		assert.Equal(t, provider.Revision(2), follower.Revision())
@@ -212,7 +212,7 @@
 
 // TestRecheckReplacesAnUnansweredWatch guards against a watch that the store never
 // answers, because it was opened during an interruption, and that hides changes for its
-// whole wait.
+// complete wait.
 func TestRecheckReplacesAnUnansweredWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var at atomic.Uint64
--- a/daemon/internal/process/replica/replica_test.go
+++ b/daemon/internal/process/replica/replica_test.go
@@ -38,7 +38,7 @@
 			history = append(history, entry)
 		}
 		receive := func(entry provider.Entry) {
-			if known, ok := want[entry.Key]; !ok || entry.Revision > known.Revision {
+			if current, ok := want[entry.Key]; !ok || entry.Revision > current.Revision {
 				want[entry.Key] = entry
 			}
 		}
@@ -72,8 +72,8 @@
 				for _, entry := range listing.Entries {
 					receive(entry)
 				}
-				for key, known := range want {
-					if entry, ok := newest[key]; (!ok || entry.Deleted) && !known.Deleted && known.Revision <= at {
+				for key, current := range want {
+					if entry, ok := newest[key]; (!ok || entry.Deleted) && !current.Deleted && current.Revision <= at {
 						want[key] = provider.Entry{Key: key, Revision: at, Deleted: true}
 					}
 				}
@@ -129,11 +129,11 @@
 	s.watches <- func() (provider.Listing, error) { return provider.Listing{}, provider.ErrCompacted }
 	s.watches <- func() (provider.Listing, error) { return provider.Listing{Revision: 9}, nil }
 	assert.Equal(t, int64(2), s.lists.Load())
-	gone := map[string]bool{}
+	deleted := map[string]bool{}
 	for _, entry := range table.EntriesAfter(0).Entries {
-		gone[entry.Key] = entry.Deleted
+		deleted[entry.Key] = entry.Deleted
 	}
-	assert.Equal(t, map[string]bool{"a": true, "b": false}, gone, "the key removed meanwhile has a tombstone")
+	assert.Equal(t, map[string]bool{"a": true, "b": false}, deleted, "the key removed meanwhile has a tombstone")
 	assert.True(t, follower.Synced())
 }
 
@@ -142,7 +142,7 @@
 	contacts := make(chan error, 8)
 	follower := &replica.Follower{
 		Table: &replica.Table{}, Store: s.store(func() provider.Listing { return provider.Listing{Revision: 1} }),
-		OnConnectionChange: func(_ string, lost error) { contacts <- lost },
+		OnConnectionChange: func(_ string, err error) { contacts <- err },
 	}
 	follower.Start()
 	defer follower.Stop()
@@ -162,7 +162,7 @@
 	table := &replica.Table{}
 	follower := &replica.Follower{
 		Table: table, WatchWait: func() time.Duration { return time.Millisecond }, Store: s.store(func() provider.Listing { return provider.Listing{Revision: 1} }),
-		OnConnectionChange: func(_ string, lost error) { contacts <- lost },
+		OnConnectionChange: func(_ string, err error) { contacts <- err },
 	}
 	follower.Start()
 	defer follower.Stop()
--- a/daemon/internal/process/replica/table.go
+++ b/daemon/internal/process/replica/table.go
@@ -4,7 +4,7 @@
 //
 // The store's revision is the only order: for each key the highest revision wins, whether
 // a watch, a list or a peer delivers it. So updates may arrive late, repeatedly and out of
-// order, and no superseded state returns.
+// order, and no superseded state is restored.
 //
 // Removals are kept as tombstones for tombstoneRetention, because a peer's older replica
 // must not restore a removed entry.
@@ -99,8 +99,8 @@
 	now := clock.Now()
 	var applied []provider.Entry
 	for _, entry := range entries {
-		known, ok := t.entries[entry.Key]
-		if ok && entry.Revision <= known.Revision {
+		current, ok := t.entries[entry.Key]
+		if ok && entry.Revision <= current.Revision {
 			continue
 		}
 		t.entries[entry.Key] = stored{entry, now}
--- a/daemon/internal/process/replica/versionpolicy.go
+++ b/daemon/internal/process/replica/versionpolicy.go
@@ -3,28 +3,28 @@
 import "time"
 
 const (
-	// penaltyStart and penaltyFull are the times left before a version's deadline at
+	// penaltyStart and penaltyFull are the times remaining before a version's deadline at
 	// which upstreams that lack it begin to be avoided, and are avoided fully. The
 	// gradual shift drains hosts whose link or loader has failed before the deadline.
 	penaltyStart = 2240 * time.Millisecond
 	penaltyFull  = 1200 * time.Millisecond
-	// cutoff is the time left before the deadline from which such upstreams get no
+	// cutoff is the time remaining before the deadline from which such upstreams get no
 	// requests: those queued or in flight there need it to finish.
 	cutoff = 960 * time.Millisecond
 	// referenceTimeout is the apply timeout below which these times shrink in proportion.
 	referenceTimeout = 8 * time.Second
 )
 
-// elapsedAt returns the time since a declaration at which left remains of its apply
-// timeout.
-func elapsedAt(left, applyTimeout time.Duration) time.Duration {
+// elapsedAt returns the time since a declaration at which the given part of its apply
+// timeout remains.
+func elapsedAt(remaining, applyTimeout time.Duration) time.Duration {
 	if applyTimeout < referenceTimeout {
-		left = time.Duration(float64(left) * float64(applyTimeout) / float64(referenceTimeout))
+		remaining = time.Duration(float64(remaining) * float64(applyTimeout) / float64(referenceTimeout))
 	}
-	return applyTimeout - left
+	return applyTimeout - remaining
 }
 
-// VersionPolicy says on which versions of a model requests may run.
+// VersionPolicy specifies on which versions of a model requests may run.
 type VersionPolicy struct {
 	// MinVersion is the lowest version that may serve, 0 for any.
 	MinVersion int
--- a/daemon/internal/process/replica/view.go
+++ b/daemon/internal/process/replica/view.go
@@ -42,7 +42,7 @@
 	Revision provider.Revision
 	// ReceivedAt is when this daemon received the declaration.
 	ReceivedAt time.Time
-	// Initial says that the declaration was part of the first state this daemon received,
+	// Initial is set if the declaration was part of the first state this daemon received,
 	// so it may be much older than ReceivedAt.
 	Initial bool
 	// Previous is the declaration that this one replaced, if it was received. At most
@@ -53,7 +53,7 @@
 // maxDeclarations is the number of declarations that are kept of a model.
 const maxDeclarations = 4
 
-// DeclaredAt returns when the version was declared, as far as this daemon can tell. A
+// DeclaredAt returns when the version was declared, by the view of this daemon. A
 // declaration that preceded this daemon counts as being partway through its apply timeout.
 func (d *Declaration) DeclaredAt(applyTimeout time.Duration) time.Time {
 	const elapsedPart = 0.6
@@ -108,7 +108,7 @@
 	Decode func(provider.Entry) (provider.Record, error)
 	// OnEntryChange is called for each changed entry. It may be nil.
 	OnEntryChange func(EntryChange)
-	// OnSuspect takes the routers' notes on quarantined contents. It may be nil.
+	// OnSuspect receives the routers' notes on quarantined contents. It may be nil.
 	OnSuspect func(note []byte) error
 	// MayHaveExpired reports whether an entry that is removed now may have expired only
 	// because its upstream could not reach the store. Nil means never. Such an upstream stays
@@ -126,7 +126,7 @@
 	evacuated map[string]string
 	// expired holds upstreams whose entry expired recently, by key.
 	expired map[string]expired
-	// synced is set once any entry other than a router's was taken. Routers' records are
+	// synced is set once any entry other than a router's was applied. Routers' records are
 	// read first and do not mark the start of the replica.
 	synced bool
 }
@@ -153,7 +153,7 @@
 	Entry  provider.Entry
 	Record provider.Record
 	Err    error
-	// Dropped says that what the entry named before is no longer in use.
+	// Dropped is set if the upstream or router that the entry named is no longer in use.
 	Dropped bool
 }
 
@@ -221,8 +221,8 @@
 func (c *Compiler) upstreamsByAddress() map[netip.AddrPort]listed {
 	byAddress := make(map[netip.AddrPort]listed, len(c.upstreams))
 	add := func(upstream listed) {
-		known, ok := byAddress[upstream.Address]
-		if !ok || upstream.created > known.created {
+		current, ok := byAddress[upstream.Address]
+		if !ok || upstream.created > current.created {
 			byAddress[upstream.Address] = upstream
 		}
 	}
@@ -235,7 +235,7 @@
 	return byAddress
 }
 
-// applyEntry takes one changed entry.
+// applyEntry applies one changed entry.
 func (c *Compiler) applyEntry(next *View, entry provider.Entry) {
 	if entry.Deleted {
 		c.keepExpired(entry.Key)
