--- a/daemon/internal/process/balance/balance.go
+++ b/daemon/internal/process/balance/balance.go
@@ -5,7 +5,7 @@
 // may succeed while requests fail. Failures decay with time, so an upstream recovers by
 // itself: its penalty sinks until it gets occasional requests and then its share. Ejection
 // was rejected: a healthy upstream of some services fails one request in seven, which
-// cannot be told from a bad upstream without a long history.
+// cannot be distinguished from a bad upstream without a long history.
 //
 // Load reports are tens of milliseconds old and the same for all routers. With a load
 // measure finer than the number of waiting requests, all routers would send to the
@@ -60,7 +60,7 @@
 	// Moved means that the address has another upstream by now, or the upstream another
 	// version.
 	Moved
-	// Canceled requests say nothing about the upstream.
+	// Canceled requests do not count for or against the upstream.
 	Canceled
 )
 
@@ -109,7 +109,7 @@
 type LoadReport struct {
 	// Running and Waiting count the requests of all routers.
 	Running, Waiting int
-	// Loading says that the upstream is loading a version and serves nothing meanwhile.
+	// Loading is set while the upstream is loading a version and serves nothing meanwhile.
 	Loading bool
 	// ClosesIn is the time until it closes to load a version, 0 if none is scheduled.
 	ClosesIn time.Duration
@@ -153,7 +153,7 @@
 	// is the age of the last report, 0 if there was none.
 	Running   int
 	ReportAge time.Duration
-	// HasReport says that there is a recent load report.
+	// HasReport is set if there is a recent load report.
 	HasReport bool
 
 	pool *Pool
--- a/daemon/internal/process/balance/balance_test.go
+++ b/daemon/internal/process/balance/balance_test.go
@@ -137,9 +137,9 @@
 	assert.True(t, pool.Loading("u0"))
 }
 
-// TestOwnHallIsPreferred checks that upstreams of the own hall are chosen unless they are
+// TestLocalHallIsPreferred checks that upstreams of the router's hall are chosen unless they are
 // busier.
-func TestOwnHallIsPreferred(t *testing.T) {
+func TestLocalHallIsPreferred(t *testing.T) {
 	candidates := upstreams(4)
 	candidates[0].Hall, candidates[1].Hall = "own", "own"
 	candidates[2].Hall, candidates[3].Hall = "other", "other"
--- a/daemon/internal/process/members/members.go
+++ b/daemon/internal/process/members/members.go
@@ -125,7 +125,7 @@
 	// SuspectSequence is the sequence at which the agent is marked suspect, or 0. The agent
 	// refutes the mark with a higher sequence.
 	SuspectSequence uint64
-	// WantMember asks the agent for its complete record.
+	// WantMember requests the agent's complete record.
 	WantMember bool
 }
 
--- a/daemon/internal/process/members/members_test.go
+++ b/daemon/internal/process/members/members_test.go
@@ -68,7 +68,7 @@
 	assert.Len(t, changed, 1)
 }
 
-func TestReportWithoutRecordAsksForNewerRecord(t *testing.T) {
+func TestReportWithoutRecordRequestsNewerRecord(t *testing.T) {
 	var table Table
 	assert.True(t, table.Report("a", 5, 1, nil).WantMember, "unknown agent")
 	table.Report("a", 5, 1, member("a", 5, 1))
--- a/daemon/internal/process/placement/plan.go
+++ b/daemon/internal/process/placement/plan.go
@@ -24,7 +24,7 @@
 	// KeepAssignment is false for a host that has left, is leaving, or has been suspect for
 	// too long. Its assignment moves to another host.
 	KeepAssignment bool
-	// Assignable says that the host may get a new assignment.
+	// Assignable is set if the host may get a new assignment.
 	Assignable bool
 	// ReadyManifest is the manifest that the host serves for ReadyService.
 	ReadyManifest string
--- a/daemon/internal/process/placer/placer.go
+++ b/daemon/internal/process/placer/placer.go
@@ -272,7 +272,7 @@
 	view := p.Table.View()
 	listed, ok := p.HostList()
 	if !ok {
-		return // without a host list no host can be considered gone
+		return // without a host list no host can be considered removed
 	}
 	previous := p.previous()
 	inventory := Inventory{
@@ -288,7 +288,7 @@
 	p.write(ctx, next, previous.Revision, steps)
 }
 
-// pauseElapsed records since when the open waves are ready, and returns the function for
+// pauseElapsed records when the open waves became ready, and returns the function for
 // placement.Input.PauseElapsed.
 func (p *Placer) pauseElapsed(view *tables.View, previous tables.Placement, hosts []placement.Candidate) func(string) bool {
 	now := p.now()
@@ -301,12 +301,12 @@
 			continue
 		}
 		key := waveKey{service.Name, service.Manifest(service.Target), service.OpenWave}
-		since, ok := p.readySince[key]
+		readyAt, ok := p.readySince[key]
 		if !ok {
-			since = now
+			readyAt = now
 		}
-		ready[key] = since
-		elapsed[service.Name] = now.Sub(since) >= declared.Service.Rollout.Pause.Std()
+		ready[key] = readyAt
+		elapsed[service.Name] = now.Sub(readyAt) >= declared.Service.Rollout.Pause.Std()
 	}
 	p.readySince = ready
 	return func(service string) bool { return elapsed[service] }
--- a/daemon/internal/process/readers/readers_test.go
+++ b/daemon/internal/process/readers/readers_test.go
@@ -139,7 +139,7 @@
 	assert.LessOrEqual(t, failed, halls*3/100)
 }
 
-// TestUnregisteredRouterFollows checks that a router decides before its own record is
+// TestUnregisteredRouterFollows checks that a router decides before its record is
 // listed.
 func TestUnregisteredRouterFollows(t *testing.T) {
 	routers := hall(6)
--- a/daemon/internal/process/tables/tables_test.go
+++ b/daemon/internal/process/tables/tables_test.go
@@ -86,8 +86,8 @@
 			},
 			"listing or snapshot, maybe old": func(t *rapid.T) {
 				revision := rapid.Uint64Range(0, now()).Draw(t, "revision")
-				took := table.Replace(truth.items(revision), revision)
-				_ = took
+				replaced := table.Replace(truth.items(revision), revision)
+				_ = replaced
 			},
 			"": func(t *rapid.T) {
 				view := table.View()
