--- a/daemon/internal/clock/clock.go
+++ b/daemon/internal/clock/clock.go
@@ -21,9 +21,9 @@
 const (
 	// checkInterval is the shortest time between two readings of the boot clock.
 	checkInterval = 20 * time.Millisecond
-	// noise is the largest difference of the two clocks that is not taken for a suspension,
+	// maxReadSkew is the largest difference of the two clocks that does not count as a suspension,
 	// since they are not read at the same instant.
-	noise = 10 * time.Millisecond
+	maxReadSkew = 10 * time.Millisecond
 )
 
 // Clock is a monotonic clock that includes suspensions. The zero value reads the clocks of
@@ -100,7 +100,7 @@
 func (c *Clock) readOffset() (time.Duration, bool) {
 	before := c.monotonic()
 	boot, ok := c.boot()
-	return boot - before, ok && c.monotonic()-before <= noise/2
+	return boot - before, ok && c.monotonic()-before <= maxReadSkew/2
 }
 
 func (c *Clock) boot() (time.Duration, bool) {
@@ -118,7 +118,7 @@
 func (c *Clock) raise(suspended int64) {
 	for {
 		current := c.suspended.Load()
-		if suspended < current+int64(noise) || c.suspended.CompareAndSwap(current, suspended) {
+		if suspended < current+int64(maxReadSkew) || c.suspended.CompareAndSwap(current, suspended) {
 			return
 		}
 	}
--- a/daemon/internal/clock/clock_test.go
+++ b/daemon/internal/clock/clock_test.go
@@ -39,8 +39,8 @@
 	assert.Equal(t, 8*time.Second, c.Now().Sub(start))
 }
 
-// TestClockNeverGoesBack checks random sequences of suspensions.
-func TestClockNeverGoesBack(t *testing.T) {
+// TestClockIsMonotonic checks random sequences of suspensions.
+func TestClockIsMonotonic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := &host{monotonic: time.Second, boot: time.Duration(rapid.Int64Range(0, 1e12).Draw(t, "boot"))}
 		c := h.clock()
@@ -61,7 +61,7 @@
 			previous = now
 		}
 		h.run(time.Second)
-		assert.InDelta(t, float64(ran+suspended+time.Second), float64(c.Now().Sub(first)), float64(10*time.Millisecond), "the clock includes all suspensions but for noise")
+		assert.InDelta(t, float64(ran+suspended+time.Second), float64(c.Now().Sub(first)), float64(10*time.Millisecond), "the clock includes all suspensions but for the read skew")
 	})
 }
 
