--- a/daemon/agent/agent.go
+++ b/daemon/agent/agent.go
@@ -279,7 +279,7 @@
 
 // Stop shuts the agent down gracefully. It refuses new requests, reports to its
 // entries that it is leaving, and waits for requests in flight. If the context
-// ends first it aborts those, and the error says so.
+// ends first it aborts those and returns an error.
 func (p *Process) Stop(ctx context.Context) error {
 	var err error
 	p.stopOnce.Do(func() {
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -283,7 +283,7 @@
 
 // Stop shuts the entry down gracefully. It becomes not ready, refuses new
 // connections, and waits for requests in flight. If the context ends first it
-// aborts those, and the error says so.
+// aborts those and returns an error.
 func (p *Process) Stop(ctx context.Context) error {
 	var err error
 	p.stopOnce.Do(func() {
--- a/daemon/internal/timeout/timeout.go
+++ b/daemon/internal/timeout/timeout.go
@@ -45,7 +45,7 @@
 	Total time.Duration
 }
 
-// Context returns the context of a call. Its cause tells which timeout passed. The
+// Context returns the context of a call. Its cause is the timeout that expired. The
 // call reports received bytes through provider.Progress.
 func (l Limit) Context(ctx context.Context) (context.Context, context.CancelFunc) {
 	report := provider.Progress(ctx)
