--- a/daemon/internal/connection/broadcast/broadcast.go
+++ b/daemon/internal/connection/broadcast/broadcast.go
@@ -106,7 +106,7 @@
 
 // catchUp fetches all notes from other routers after the start.
 func (s *Sender[N]) catchUp() {
-	ctx := s.tomb.Context(nil) //nolint:staticcheck // nil asks the tomb for its own context
+	ctx := s.tomb.Context(nil) //nolint:staticcheck // tomb takes nil for "no parent"
 	for succeeded, attempts := 0, 0; succeeded < catchUpPeers && attempts < maxCatchUpAttempts; attempts++ {
 		if !helpers.Pause(catchUpDelay, s.tomb.Dying()) {
 			return
@@ -203,7 +203,7 @@
 	case <-s.tomb.Dying():
 		return Message[N]{}, s.tomb.Err()
 	}
-	ctx, cancel := context.WithTimeout(s.tomb.Context(nil), sendTimeout) //nolint:staticcheck // nil asks the tomb for its own context
+	ctx, cancel := context.WithTimeout(s.tomb.Context(nil), sendTimeout) //nolint:staticcheck // tomb takes nil for "no parent"
 	defer cancel()
 	var resp Message[N]
 	if err := call.PostJSON(ctx, s.Client, "http://"+peer.String()+s.Path, body, maxMessage, &resp); err != nil {
--- a/daemon/internal/connection/gossip/gossip.go
+++ b/daemon/internal/connection/gossip/gossip.go
@@ -89,25 +89,25 @@
 
 // round pulls from a few random entries.
 func (p *Puller) round(ctx context.Context) {
-	var own, others []platform.Host
+	var local, others []platform.Host
 	for _, host := range p.Entries() {
 		switch {
 		case host.Name == p.Name:
 		case host.Hall == p.Hall:
-			own = append(own, host)
+			local = append(local, host)
 		default:
 			others = append(others, host)
 		}
 	}
-	for _, host := range append(pick(own, PeersPerRound), pick(others, 1)...) {
+	for _, host := range append(randomHosts(local, PeersPerRound), randomHosts(others, 1)...) {
 		if p.tomb.Alive() {
 			p.pull(ctx, host)
 		}
 	}
 }
 
-// pick returns up to count random hosts.
-func pick(hosts []platform.Host, count int) []platform.Host {
+// randomHosts returns up to count random hosts.
+func randomHosts(hosts []platform.Host, count int) []platform.Host {
 	rand.Shuffle(len(hosts), func(i, j int) { hosts[i], hosts[j] = hosts[j], hosts[i] })
 	return hosts[:min(count, len(hosts))]
 }
--- a/daemon/internal/connection/peering/peering_test.go
+++ b/daemon/internal/connection/peering/peering_test.go
@@ -233,7 +233,7 @@
 	d.table.Apply(entries(3, 4))
 	update, err := (&Neighbours{Client: d.client, Choose: d.only}).FetchUpdate(t.Context(), "", 3)
 	require.NoError(t, err)
-	assert.Equal(t, 5*time.Second, update.SinceAnswer, "the update says how old it may be")
+	assert.Equal(t, 5*time.Second, update.SinceAnswer, "the update includes the age of its data")
 }
 
 func TestCanceledCallCausesNoBackoff(t *testing.T) {
--- a/daemon/internal/connection/peering/puller.go
+++ b/daemon/internal/connection/peering/puller.go
@@ -53,7 +53,7 @@
 }
 
 func (p *Puller) run() error {
-	ctx := p.tomb.Context(nil) //nolint:staticcheck // nil asks the tomb for its own context
+	ctx := p.tomb.Context(nil) //nolint:staticcheck // tomb takes nil for "no parent"
 	pause := pullInterval
 	for helpers.Pause(pause, p.tomb.Dying()) {
 		pause = pullInterval
--- a/daemon/internal/connection/places/ledger.go
+++ b/daemon/internal/connection/places/ledger.go
@@ -66,8 +66,8 @@
 	mu       sync.Mutex
 	load     Load
 	observed bool
-	// closes is the scheduled load time of the engine, zero if no load is scheduled soon.
-	closes time.Time
+	// closesAt is the scheduled load time of the engine, zero if no load is scheduled soon.
+	closesAt time.Time
 	// pending holds the times of the reservations that the load does not reflect yet, oldest
 	// first.
 	pending []time.Time
@@ -90,13 +90,13 @@
 func (l *Ledger) CloseAt(at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.closes = at
+	l.closesAt = at
 }
 
-// tooLong reports whether a request is expected to run when the engine closes. The caller
+// runsWhenClosed reports whether a request is expected to run when the engine closes. The caller
 // holds mu.
-func (l *Ledger) tooLong(limit Limit) bool {
-	return !l.closes.IsZero() && limit.Duration > 0 && helpers.Now(l.Now).Add(limit.Duration).After(l.closes)
+func (l *Ledger) runsWhenClosed(limit Limit) bool {
+	return !l.closesAt.IsZero() && limit.Duration > 0 && helpers.Now(l.Now).Add(limit.Duration).After(l.closesAt)
 }
 
 // prune drops the reservations that the load reflects. The caller holds mu.
@@ -162,6 +162,6 @@
 func (l *Ledger) fits(limit Limit) (Load, bool) {
 	load := l.load
 	load.Waiting += len(l.pending)
-	closed := !l.observed || load.Loading || l.tooLong(limit)
+	closed := !l.observed || load.Loading || l.runsWhenClosed(limit)
 	return load, !closed && load.Waiting <= limit.Waiting && load.Running+load.Waiting <= limit.InUse
 }
--- a/daemon/internal/connection/places/places_test.go
+++ b/daemon/internal/connection/places/places_test.go
@@ -46,7 +46,7 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
-				if _, given := ledger.Reserve(request(places.Limit{Waiting: count, InUse: count - 1})); given {
+				if _, granted := ledger.Reserve(request(places.Limit{Waiting: count, InUse: count - 1})); granted {
 					reserved++
 				}
 			case 2: // the requests of the reservations arrive, or their routers crashed
@@ -63,35 +63,35 @@
 		running, reserved = 0, 0
 		c.now = c.now.Add(settled)
 		observe()
-		load, given := ledger.Reserve(request(places.Limit{InUse: count - 1}))
-		assert.True(t, given, "unused reservations are free again: %+v", load)
+		load, granted := ledger.Reserve(request(places.Limit{InUse: count - 1}))
+		assert.True(t, granted, "unused reservations are free again: %+v", load)
 	})
 }
 
 // TestLimitsBoundWaitingAndRunning covers each bound of a limit, and engines without a load.
 func TestLimitsBoundWaitingAndRunning(t *testing.T) {
 	ledger := &places.Ledger{}
-	_, given := ledger.Reserve(request(places.Limit{Waiting: 9, InUse: 99}))
-	assert.False(t, given, "no load was observed yet")
+	_, granted := ledger.Reserve(request(places.Limit{Waiting: 9, InUse: 99}))
+	assert.False(t, granted, "no load was observed yet")
 
 	ledger.Observe(places.Load{Running: 3, Waiting: 1}, true)
-	_, given = ledger.Reserve(request(places.Limit{Waiting: 0, InUse: 99}))
-	assert.False(t, given, "one request waits")
-	_, given = ledger.Reserve(request(places.Limit{Waiting: 1, InUse: 3}))
-	assert.False(t, given, "four places are in use")
-	load, given := ledger.Reserve(request(places.Limit{Waiting: 1, InUse: 4}))
-	assert.True(t, given)
+	_, granted = ledger.Reserve(request(places.Limit{Waiting: 0, InUse: 99}))
+	assert.False(t, granted, "one request waits")
+	_, granted = ledger.Reserve(request(places.Limit{Waiting: 1, InUse: 3}))
+	assert.False(t, granted, "four places are in use")
+	load, granted := ledger.Reserve(request(places.Limit{Waiting: 1, InUse: 4}))
+	assert.True(t, granted)
 	assert.Equal(t, places.Load{Running: 3, Waiting: 1}, load)
-	load, given = ledger.Reserve(request(places.Limit{Waiting: 1, InUse: 99}))
-	assert.False(t, given, "the previous reservation counts as waiting")
+	load, granted = ledger.Reserve(request(places.Limit{Waiting: 1, InUse: 99}))
+	assert.False(t, granted, "the previous reservation counts as waiting")
 	assert.Equal(t, 2, load.Waiting)
 
 	ledger.Observe(places.Load{Loading: true}, true)
-	_, given = ledger.Reserve(request(places.Limit{Waiting: 99, InUse: 99}))
-	assert.False(t, given, "the engine loads a version")
+	_, granted = ledger.Reserve(request(places.Limit{Waiting: 99, InUse: 99}))
+	assert.False(t, granted, "the engine loads a version")
 	ledger.Observe(places.Load{}, false)
-	_, given = ledger.Reserve(request(places.Limit{Waiting: 99, InUse: 99}))
-	assert.False(t, given, "the engine does not respond")
+	_, granted = ledger.Reserve(request(places.Limit{Waiting: 99, InUse: 99}))
+	assert.False(t, granted, "the engine does not respond")
 }
 
 func serve(t *testing.T, handler http.Handler) netip.AddrPort {
@@ -153,24 +153,24 @@
 }
 
 // TestClosingEngineAdmitsRequestsThatEndBefore checks that a request which is expected to run
-// at the scheduled load time gets no place, unless its duration is given as 0.
+// at the scheduled load time gets no place, unless its duration is 0.
 func TestClosingEngineAdmitsRequestsThatEndBefore(t *testing.T) {
 	now := time.Unix(1000, 0)
 	ledger := &places.Ledger{Now: func() time.Time { return now }}
 	ledger.Observe(places.Load{}, true)
-	take := func(duration time.Duration) bool {
-		_, given := ledger.Reserve(request(places.Limit{Waiting: 99, InUse: 99, Duration: duration}))
-		return given
+	reserve := func(duration time.Duration) bool {
+		_, granted := ledger.Reserve(request(places.Limit{Waiting: 99, InUse: 99, Duration: duration}))
+		return granted
 	}
-	assert.True(t, take(time.Hour), "no load is scheduled")
+	assert.True(t, reserve(time.Hour), "no load is scheduled")
 	ledger.CloseAt(now.Add(time.Second))
-	assert.True(t, take(time.Second))
-	assert.False(t, take(1001*time.Millisecond))
-	assert.True(t, take(0))
+	assert.True(t, reserve(time.Second))
+	assert.False(t, reserve(1001*time.Millisecond))
+	assert.True(t, reserve(0))
 	now = now.Add(600 * time.Millisecond)
-	assert.False(t, take(500*time.Millisecond))
+	assert.False(t, reserve(500*time.Millisecond))
 	ledger.CloseAt(time.Time{})
-	assert.True(t, take(time.Hour))
+	assert.True(t, reserve(time.Hour))
 }
 
 // TestRateLimitAppliesToAllRouters checks that a limit which one router reports bounds the
@@ -218,7 +218,7 @@
 func TestWarmupRateAppliesToAllRouters(t *testing.T) {
 	c := &clock{now: time.Unix(1000, 0)}
 	ledger := &places.Ledger{Now: c.read}
-	given := 0
+	granted := 0
 	for step := range 100 {
 		ledger.Observe(places.Load{}, true)
 		q := request(places.Limit{Waiting: 100, InUse: 100})
@@ -227,11 +227,11 @@
 			q.Cold = &ratelimit.Warmup{PerSecond: 10, Remaining: time.Second - time.Duration(step)*10*time.Millisecond}
 		}
 		if _, ok := ledger.Reserve(q); ok {
-			given++
+			granted++
 		}
 		c.now = c.now.Add(10 * time.Millisecond)
 	}
-	assert.InDelta(t, 10, given, 2)
+	assert.InDelta(t, 10, granted, 2)
 	c.now = c.now.Add(settled)
 	ledger.Observe(places.Load{}, true)
 	for range 20 {
--- a/daemon/internal/connection/report/report.go
+++ b/daemon/internal/connection/report/report.go
@@ -130,7 +130,7 @@
 	defer r.mu.Unlock()
 	member.Incarnation = r.Incarnation
 	member.Sequence = r.sequence
-	if r.last == nil || !same(member, r.last) {
+	if r.last == nil || !equalRecords(member, r.last) {
 		r.sequence++
 		member.Sequence = r.sequence
 	}
@@ -171,8 +171,8 @@
 	}
 }
 
-// same reports whether two records are equal but for incarnation and sequence.
-func same(a, b *wire.Member) bool {
+// equalRecords reports whether two records are equal but for incarnation and sequence.
+func equalRecords(a, b *wire.Member) bool {
 	restamped := proto.CloneOf(a)
 	restamped.Incarnation, restamped.Sequence = b.GetIncarnation(), b.GetSequence()
 	return proto.Equal(restamped, b)
