--- a/daemon/internal/process/replica/follower.go
+++ b/daemon/internal/process/replica/follower.go
@@ -172,7 +172,7 @@
 func (f *Follower) Synced() bool { return f.lastAnswer.Load() != 0 }
 
 func (f *Follower) run() error {
-	ctx := f.tomb.Context(nil) //nolint:staticcheck // nil asks the tomb for its own context
+	ctx := f.tomb.Context(nil) //nolint:staticcheck // tomb takes nil for "no parent"
 	calls := provider.WithProgress(ctx, f.recordProgress)
 	for _, prefix := range f.BootstrapPrefixes {
 		if f.bootstrap(calls, prefix); f.BootstrapDone != nil && f.BootstrapDone() {
--- a/daemon/internal/process/replica/peer_test.go
+++ b/daemon/internal/process/replica/peer_test.go
@@ -113,7 +113,7 @@
 		helpers.Pause(10*time.Second, nil)
 		watches, _, queriesAfter := p.counts()
 		assert.Greater(t, watches, watchesAfter+2)
-		assert.Greater(t, queriesAfter, queries+2, "a peer is looked for before each watch")
+		assert.Greater(t, queriesAfter, queries+2, "a peer is queried before each watch")
 	})
 }
 
--- a/daemon/internal/process/replica/probe.go
+++ b/daemon/internal/process/replica/probe.go
@@ -56,12 +56,12 @@
 	if f.ProbeInterval <= 0 || f.failing {
 		return ctx, func() {}
 	}
-	return beside(ctx, f.probe)
+	return runBeside(ctx, f.probe)
 }
 
-// beside runs a function and returns a context that is canceled when it fails. End stops
+// runBeside runs a function and returns a context that is canceled when it fails. End stops
 // the function and waits for it.
-func beside(ctx context.Context, run func(context.Context) error) (_ context.Context, end func()) {
+func runBeside(ctx context.Context, run func(context.Context) error) (_ context.Context, end func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	ended := make(chan struct{})
 	go func() {
@@ -87,7 +87,7 @@
 	if f.RecheckInterval <= 0 || f.QueryPeer != nil {
 		return ctx, func() {}
 	}
-	return beside(ctx, f.recheck)
+	return runBeside(ctx, f.recheck)
 }
 
 // recheckBesidePeers lists the prefix periodically until the follower ends, because the
--- a/daemon/internal/process/replica/view.go
+++ b/daemon/internal/process/replica/view.go
@@ -119,13 +119,13 @@
 
 	view atomic.Pointer[View]
 	// upstreams, targets and members are decoded entries by key. Only Apply accesses them.
-	upstreams map[string]listed
+	upstreams map[string]registeredUpstream
 	targets   map[string]Declaration
 	members   map[string]*provider.Member
 	// evacuated holds the evacuated halls, which get no requests, by key.
 	evacuated map[string]string
 	// expired holds upstreams whose entry expired recently, by key.
-	expired map[string]expired
+	expired map[string]expiredUpstream
 	// synced is set once any entry other than a router's was applied. Routers' records are
 	// read first and do not mark the start of the replica.
 	synced bool
@@ -136,15 +136,15 @@
 // leaves keeps serving for as long after its entry is removed.
 const expiryGrace = 1500 * time.Millisecond
 
-// listed is an upstream and the revision that created its entry.
-type listed struct {
+// registeredUpstream is an upstream and the revision that created its entry.
+type registeredUpstream struct {
 	*provider.Upstream
 	created provider.Revision
 }
 
-// expired is an upstream whose entry expired, and until when it stays in use.
-type expired struct {
-	listed
+// expiredUpstream is an upstream whose entry expired, and until when it stays in use.
+type expiredUpstream struct {
+	registeredUpstream
 	until time.Time
 }
 
@@ -170,10 +170,10 @@
 // then, while an upstream is dropped.
 func (c *Compiler) Apply(changed []provider.Entry) {
 	if c.upstreams == nil {
-		c.upstreams = map[string]listed{}
+		c.upstreams = map[string]registeredUpstream{}
 		c.targets = map[string]Declaration{}
 		c.members = map[string]*provider.Member{}
-		c.expired = map[string]expired{}
+		c.expired = map[string]expiredUpstream{}
 		c.evacuated = map[string]string{}
 	}
 	next := *c.View()
@@ -218,9 +218,9 @@
 // upstreamsByAddress returns the upstream at each address. Of several entries for one
 // address the one created last wins: after a power failure the entry of the previous
 // upstream stays for some heartbeats while its successor is already running.
-func (c *Compiler) upstreamsByAddress() map[netip.AddrPort]listed {
-	byAddress := make(map[netip.AddrPort]listed, len(c.upstreams))
-	add := func(upstream listed) {
+func (c *Compiler) upstreamsByAddress() map[netip.AddrPort]registeredUpstream {
+	byAddress := make(map[netip.AddrPort]registeredUpstream, len(c.upstreams))
+	add := func(upstream registeredUpstream) {
 		current, ok := byAddress[upstream.Address]
 		if !ok || upstream.created > current.created {
 			byAddress[upstream.Address] = upstream
@@ -230,7 +230,7 @@
 		add(upstream)
 	}
 	for _, upstream := range c.expired {
-		add(upstream.listed)
+		add(upstream.registeredUpstream)
 	}
 	return byAddress
 }
@@ -261,7 +261,7 @@
 		if record.Upstream.ColdFor > 0 {
 			record.Upstream.ColdUntil = c.now().Add(record.Upstream.ColdFor)
 		}
-		c.upstreams[entry.Key] = listed{record.Upstream, helpers.OrDefault(entry.CreateRevision, entry.Revision)}
+		c.upstreams[entry.Key] = registeredUpstream{record.Upstream, helpers.OrDefault(entry.CreateRevision, entry.Revision)}
 	case record.Target != nil:
 		c.targets[entry.Key] = c.declare(entry, *record.Target)
 	case record.Member != nil:
@@ -290,7 +290,7 @@
 func (c *Compiler) keepExpired(key string) {
 	upstream, ok := c.upstreams[key]
 	if ok && !upstream.Leaving && c.MayHaveExpired != nil && c.MayHaveExpired() {
-		c.expired[key] = expired{listed: upstream, until: c.now().Add(expiryGrace)}
+		c.expired[key] = expiredUpstream{registeredUpstream: upstream, until: c.now().Add(expiryGrace)}
 	}
 }
 
