--- a/daemon/internal/process/placement/plan.go
+++ b/daemon/internal/process/placement/plan.go
@@ -123,7 +123,7 @@
 	for len(service.Hosts) > target.Replicas {
 		p.dropOne(service)
 	}
-	for _, name := range p.free(target, target.Replicas-len(service.Hosts)) {
+	for _, name := range p.freeHosts(target, target.Replicas-len(service.Hosts)) {
 		p.assigned[name] = true
 		host := Host{Name: name, Token: p.generation, VersionIndex: service.Target}
 		// A host that is added during a rollout serves the previous version until the last
@@ -151,8 +151,8 @@
 	return "first free host by rendezvous rank"
 }
 
-// free returns up to count unassigned hosts, those that hold the version first.
-func (p *planner) free(target Target, count int) []string {
+// freeHosts returns up to count unassigned hosts, those that hold the version first.
+func (p *planner) freeHosts(target Target, count int) []string {
 	if count <= 0 {
 		return nil
 	}
--- a/daemon/internal/process/readers/readers.go
+++ b/daemon/internal/process/readers/readers.go
@@ -114,11 +114,11 @@
 // Decide returns the action of a router, and the name of the router that it follows. Hall
 // holds the other routers, and sinceData is the time since this one last received data of
 // the store, directly or through another.
-func Decide(own Router, hall []Router, sinceData time.Duration) (Action, string) {
-	own.State = Usable
-	ranked := Rank(append([]Router{own}, withoutName(hall, own.Name)...))
-	rank := slices.IndexFunc(ranked, func(router Router) bool { return router.Name == own.Name })
-	if relay, ok := relayFor(own, ranked, rank); ok {
+func Decide(self Router, hall []Router, sinceData time.Duration) (Action, string) {
+	self.State = Usable
+	ranked := Rank(append([]Router{self}, withoutName(hall, self.Name)...))
+	rank := slices.IndexFunc(ranked, func(router Router) bool { return router.Name == self.Name })
+	if relay, ok := relayFor(self, ranked, rank); ok {
 		return Follow, relay
 	}
 	stale := 0
@@ -139,7 +139,7 @@
 
 // relayFor returns the relay that a router follows. It returns false if there is none: in
 // a small hall, for the reader and the relays, and if no relay is usable.
-func relayFor(own Router, ranked []Router, rank int) (string, bool) {
+func relayFor(self Router, ranked []Router, rank int) (string, bool) {
 	relays := relayCount(len(ranked))
 	if rank <= relays {
 		return "", false
@@ -150,7 +150,7 @@
 			usable = append(usable, router.Name)
 		}
 	}
-	relay := rendezvous.First("relay for "+own.Name, usable)
+	relay := rendezvous.First("relay for "+self.Name, usable)
 	return relay, relay != ""
 }
 
--- a/daemon/internal/process/resource/handler.go
+++ b/daemon/internal/process/resource/handler.go
@@ -24,9 +24,9 @@
 // Limits of the resource API.
 const (
 	maxBodyBytes = 1 << 20
-	// bookmarkEvery is the interval of the bookmark events that report the current revision
+	// bookmarkInterval is the interval of the bookmark events that report the current revision
 	// to a watch.
-	bookmarkEvery = 5 * time.Second
+	bookmarkInterval = 5 * time.Second
 )
 
 // Handler serves the resource API.
@@ -271,7 +271,7 @@
 }
 
 func (h *Handler) follow(ctx context.Context, stream *eventStream) error {
-	ticker := time.NewTicker(bookmarkEvery)
+	ticker := time.NewTicker(bookmarkInterval)
 	defer ticker.Stop()
 	for {
 		changed := h.Store.Table.Changed()
--- a/daemon/internal/process/telemetry/telemetry.go
+++ b/daemon/internal/process/telemetry/telemetry.go
@@ -21,8 +21,8 @@
 	promtally "github.com/uber-go/tally/v4/prometheus"
 )
 
-// reportEvery is the interval at which metrics are reported to /metrics.
-const reportEvery = time.Second
+// metricsInterval is the interval at which metrics are reported to /metrics.
+const metricsInterval = time.Second
 
 // Options configures a Telemetry.
 type Options struct {
@@ -62,7 +62,7 @@
 		Tags:           map[string]string{"role": options.Role, "hall": options.Hall},
 		CachedReporter: reporter,
 		Separator:      promtally.DefaultSeparator,
-	}, reportEvery)
+	}, metricsInterval)
 	t := &Telemetry{
 		Log:     logger.WithFields(log.Fields{"role": options.Role, "name": options.Name, "hall": options.Hall}),
 		Scope:   scope,
