--- a/daemon/internal/connection/broadcast/broadcast.go
+++ b/daemon/internal/connection/broadcast/broadcast.go
@@ -3,7 +3,7 @@
 // define these observations; this package calls both of them notes.
 //
 // Each router sends a note to all other routers at once, on the port that also serves replicas
-// of the store. Notes matter most within the second in which a caller retries, and must arrive
+// of the store. Notes are needed within the second in which a caller retries, and must arrive
 // while the store is down. A router that misses a note receives it in the response to its own
 // next note about the same content or upstream. A router that starts fetches all notes from two
 // others.
@@ -106,7 +106,7 @@
 
 // catchUp fetches all notes from other routers after the start.
 func (s *Sender[N]) catchUp() {
-	ctx := s.tomb.Context(nil) //nolint:staticcheck // nil asks the tomb for its own context
+	ctx := s.tomb.Context(nil) //nolint:staticcheck // tomb takes nil for "no parent"
 	for succeeded, attempts := 0, 0; succeeded < catchUpPeers && attempts < maxCatchUpAttempts; attempts++ {
 		if !helpers.Pause(catchUpDelay, s.tomb.Dying()) {
 			return
@@ -203,7 +203,7 @@
 	case <-s.tomb.Dying():
 		return Message[N]{}, s.tomb.Err()
 	}
-	ctx, cancel := context.WithTimeout(s.tomb.Context(nil), sendTimeout) //nolint:staticcheck // nil asks the tomb for its own context
+	ctx, cancel := context.WithTimeout(s.tomb.Context(nil), sendTimeout) //nolint:staticcheck // tomb takes nil for "no parent"
 	defer cancel()
 	var resp Message[N]
 	if err := call.PostJSON(ctx, s.Client, "http://"+peer.String()+s.Path, body, maxMessage, &resp); err != nil {
--- a/daemon/internal/connection/gossip/gossip.go
+++ b/daemon/internal/connection/gossip/gossip.go
@@ -1,7 +1,7 @@
 // Package gossip pulls changed member records from other entries, and a
 // snapshot of the configuration while this entry holds none.
 //
-// Each round pulls from a few entries of the own hall and one of another hall,
+// Each round pulls from a few entries of its own hall and one of another hall,
 // so that a change reaches all n entries of a hall in about log(n) rounds. A
 // round without changes costs one small call for each peer.
 package gossip
@@ -24,7 +24,7 @@
 // Defaults of a Puller.
 const (
 	DefaultInterval = 500 * time.Millisecond
-	// PeersPerRound is the number of entries of the own hall pulled from in a round.
+	// PeersPerRound is the number of entries of its own hall pulled from in a round.
 	PeersPerRound = 2
 )
 
@@ -89,25 +89,25 @@
 
 // round pulls from a few random entries.
 func (p *Puller) round(ctx context.Context) {
-	var own, others []platform.Host
+	var local, others []platform.Host
 	for _, host := range p.Entries() {
 		switch {
 		case host.Name == p.Name:
 		case host.Hall == p.Hall:
-			own = append(own, host)
+			local = append(local, host)
 		default:
 			others = append(others, host)
 		}
 	}
-	for _, host := range append(pick(own, PeersPerRound), pick(others, 1)...) {
+	for _, host := range append(randomHosts(local, PeersPerRound), randomHosts(others, 1)...) {
 		if p.tomb.Alive() {
 			p.pull(ctx, host)
 		}
 	}
 }
 
-// pick returns up to count random hosts.
-func pick(hosts []platform.Host, count int) []platform.Host {
+// randomHosts returns up to count random hosts.
+func randomHosts(hosts []platform.Host, count int) []platform.Host {
 	rand.Shuffle(len(hosts), func(i, j int) { hosts[i], hosts[j] = hosts[j], hosts[i] })
 	return hosts[:min(count, len(hosts))]
 }
--- a/daemon/internal/process/replica/view.go
+++ b/daemon/internal/process/replica/view.go
@@ -42,7 +42,7 @@
 	Revision provider.Revision
 	// ReceivedAt is when this daemon received the declaration.
 	ReceivedAt time.Time
-	// Initial says that the declaration was part of the first state this daemon received,
+	// Initial is set if the declaration was part of the first state this daemon received,
 	// so it may be much older than ReceivedAt.
 	Initial bool
 	// Previous is the declaration that this one replaced, if it was received. At most
@@ -53,7 +53,7 @@
 // maxDeclarations is the number of declarations that are kept of a model.
 const maxDeclarations = 4
 
-// DeclaredAt returns when the version was declared, as far as this daemon can tell. A
+// DeclaredAt returns when the version was declared, by the view of this daemon. A
 // declaration that preceded this daemon counts as being partway through its apply timeout.
 func (d *Declaration) DeclaredAt(applyTimeout time.Duration) time.Time {
 	const elapsedPart = 0.6
@@ -108,7 +108,7 @@
 	Decode func(provider.Entry) (provider.Record, error)
 	// OnEntryChange is called for each changed entry. It may be nil.
 	OnEntryChange func(EntryChange)
-	// OnSuspect takes the routers' notes on quarantined contents. It may be nil.
+	// OnSuspect receives the routers' notes on quarantined contents. It may be nil.
 	OnSuspect func(note []byte) error
 	// MayHaveExpired reports whether an entry that is removed now may have expired only
 	// because its upstream could not reach the store. Nil means never. Such an upstream stays
@@ -119,14 +119,14 @@
 
 	view atomic.Pointer[View]
 	// upstreams, targets and members are decoded entries by key. Only Apply accesses them.
-	upstreams map[string]listed
+	upstreams map[string]registeredUpstream
 	targets   map[string]Declaration
 	members   map[string]*provider.Member
 	// evacuated holds the evacuated halls, which get no requests, by key.
 	evacuated map[string]string
 	// expired holds upstreams whose entry expired recently, by key.
-	expired map[string]expired
-	// synced is set once any entry other than a router's was taken. Routers' records are
+	expired map[string]expiredUpstream
+	// synced is set once any entry other than a router's was applied. Routers' records are
 	// read first and do not mark the start of the replica.
 	synced bool
 }
@@ -136,15 +136,15 @@
 // leaves keeps serving for as long after its entry is removed.
 const expiryGrace = 1500 * time.Millisecond
 
-// listed is an upstream and the revision that created its entry.
-type listed struct {
+// registeredUpstream is an upstream and the revision that created its entry.
+type registeredUpstream struct {
 	*provider.Upstream
 	created provider.Revision
 }
 
-// expired is an upstream whose entry expired, and until when it stays in use.
-type expired struct {
-	listed
+// expiredUpstream is an upstream whose entry expired, and until when it stays in use.
+type expiredUpstream struct {
+	registeredUpstream
 	until time.Time
 }
 
@@ -153,7 +153,7 @@
 	Entry  provider.Entry
 	Record provider.Record
 	Err    error
-	// Dropped says that what the entry named before is no longer in use.
+	// Dropped is set if the upstream or router that the entry named is no longer in use.
 	Dropped bool
 }
 
@@ -170,10 +170,10 @@
 // then, while an upstream is dropped.
 func (c *Compiler) Apply(changed []provider.Entry) {
 	if c.upstreams == nil {
-		c.upstreams = map[string]listed{}
+		c.upstreams = map[string]registeredUpstream{}
 		c.targets = map[string]Declaration{}
 		c.members = map[string]*provider.Member{}
-		c.expired = map[string]expired{}
+		c.expired = map[string]expiredUpstream{}
 		c.evacuated = map[string]string{}
 	}
 	next := *c.View()
@@ -218,11 +218,11 @@
 // upstreamsByAddress returns the upstream at each address. Of several entries for one
 // address the one created last wins: after a power failure the entry of the previous
 // upstream stays for some heartbeats while its successor is already running.
-func (c *Compiler) upstreamsByAddress() map[netip.AddrPort]listed {
-	byAddress := make(map[netip.AddrPort]listed, len(c.upstreams))
-	add := func(upstream listed) {
-		known, ok := byAddress[upstream.Address]
-		if !ok || upstream.created > known.created {
+func (c *Compiler) upstreamsByAddress() map[netip.AddrPort]registeredUpstream {
+	byAddress := make(map[netip.AddrPort]registeredUpstream, len(c.upstreams))
+	add := func(upstream registeredUpstream) {
+		current, ok := byAddress[upstream.Address]
+		if !ok || upstream.created > current.created {
 			byAddress[upstream.Address] = upstream
 		}
 	}
@@ -230,12 +230,12 @@
 		add(upstream)
 	}
 	for _, upstream := range c.expired {
-		add(upstream.listed)
+		add(upstream.registeredUpstream)
 	}
 	return byAddress
 }
 
-// applyEntry takes one changed entry.
+// applyEntry applies one changed entry.
 func (c *Compiler) applyEntry(next *View, entry provider.Entry) {
 	if entry.Deleted {
 		c.keepExpired(entry.Key)
@@ -261,7 +261,7 @@
 		if record.Upstream.ColdFor > 0 {
 			record.Upstream.ColdUntil = c.now().Add(record.Upstream.ColdFor)
 		}
-		c.upstreams[entry.Key] = listed{record.Upstream, helpers.OrDefault(entry.CreateRevision, entry.Revision)}
+		c.upstreams[entry.Key] = registeredUpstream{record.Upstream, helpers.OrDefault(entry.CreateRevision, entry.Revision)}
 	case record.Target != nil:
 		c.targets[entry.Key] = c.declare(entry, *record.Target)
 	case record.Member != nil:
@@ -290,7 +290,7 @@
 func (c *Compiler) keepExpired(key string) {
 	upstream, ok := c.upstreams[key]
 	if ok && !upstream.Leaving && c.MayHaveExpired != nil && c.MayHaveExpired() {
-		c.expired[key] = expired{listed: upstream, until: c.now().Add(expiryGrace)}
+		c.expired[key] = expiredUpstream{registeredUpstream: upstream, until: c.now().Add(expiryGrace)}
 	}
 }
 
