--- a/daemon/provider/engine.go
+++ b/daemon/provider/engine.go
@@ -32,12 +32,12 @@
 	Started  time.Time
 }
 
-// Order tells an engine to load a staged version once its current requests are done.
+// Order directs an engine to load a staged version once its current requests are done.
 type Order struct {
 	Model   string
 	Version int
-	// FencingToken is a fencing token: the engine rejects an order whose token is lower than one it has
-	// that it has already seen.
+	// FencingToken orders the senders: the engine rejects an order whose token is lower than
+	// the highest one that it has seen.
 	FencingToken Revision
 	// Sequence is the sender's view of the engine's order count.
 	Sequence uint64
--- a/daemon/provider/progress.go
+++ b/daemon/provider/progress.go
@@ -9,7 +9,7 @@
 type progressKey struct{}
 
 // WithProgress returns a context whose calls report the bytes of an answer as they arrive, so
-// that a caller can tell a slow answer from an unresponsive server.
+// that a caller can distinguish a slow answer from an unresponsive server.
 func WithProgress(ctx context.Context, report func(bytes int)) context.Context {
 	return context.WithValue(ctx, progressKey{}, report)
 }
