--- a/daemon/loader/engineconfig_test.go
+++ b/daemon/loader/engineconfig_test.go
@@ -62,7 +62,7 @@
 	return p
 }
 
-// TestKnownEngineConfigIsNotReadAgain guards against all loaders of a hall reading the whole
+// TestKnownEngineConfigIsNotReadAgain guards against all loaders of a hall reading the complete
 // configuration from the store, over a link that is full then, whenever their routers are
 // disconnected from the store for a while.
 func TestKnownEngineConfigIsNotReadAgain(t *testing.T) {
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -56,7 +56,7 @@
 	hostsInterval        = 8 * time.Second
 	routersRetryInterval = 400 * time.Millisecond
 	// routersInterval is the interval in which the hall's routers are listed otherwise. Until
-	// then a new router is merely not queried.
+	// the next listing a new router is not queried, which is harmless.
 	routersInterval = 20 * time.Second
 	// maxRouterFailures is the number of consecutive failed queries to routers after which
 	// the list of hosts is read from the store.
@@ -318,8 +318,8 @@
 	return p.current.Load().Bounds.LinkMbps * bytesPerMegabit
 }
 
-// own returns this loader as a host.
-func (p *Process) own() swarm.Host {
+// self returns this loader as its peers address it.
+func (p *Process) self() swarm.Host {
 	return swarm.Host{Address: p.current.Load().Listen.Peers, Hall: p.current.Load().Hall}
 }
 
@@ -342,7 +342,7 @@
 	return &swarm.Fetch{
 		Early: schedule.IsEarly(rank),
 		Copy:  c, Model: plan.Goal.Model, Origin: plan.Origin, Source: p.provider.Origin,
-		Self: p.own(), Hosts: p.loaders, Client: p.client, CopyTime: plan.CopyTime,
+		Self: p.self(), Hosts: p.loaders, Client: p.client, CopyTime: plan.CopyTime,
 		ChunkTime: p.linkTime(plan.ChunkBytes), OnChunk: p.countChunk,
 	}
 }
--- a/daemon/loader/start_test.go
+++ b/daemon/loader/start_test.go
@@ -14,7 +14,7 @@
 	"github.com/wheelcleat/wheelcleat/daemon/settings"
 )
 
-// TestStartingLoaderLeavesStoreToRouters guards against a start of a whole fleet in which every
+// TestStartingLoaderLeavesStoreToRouters guards against a start of all hosts in which every
 // loader lists all upstreams from the store, because no router has registered yet, and overloads
 // the link to the store.
 func TestStartingLoaderLeavesStoreToRouters(t *testing.T) {
