--- a/daemon/router/announcer.go
+++ b/daemon/router/announcer.go
@@ -29,7 +29,7 @@
 type announcer struct {
 	store              provider.Store
 	put                provider.Put
-	onConnectionChange func(prefix string, lost error)
+	onConnectionChange func(prefix string, cause error)
 
 	lease provider.LeaseID
 	tomb  tomb.Tomb
--- a/daemon/router/hedge_test.go
+++ b/daemon/router/hedge_test.go
@@ -15,23 +15,23 @@
 // second one has begun to answer: if the second one refuses, the first must still deliver the
 // answer.
 func TestFirstUpstreamIsKeptUntilSecondAnswers(t *testing.T) {
-	slowHead := func(asked <-chan struct{}) upstreamFunc {
+	slowHead := func(requested <-chan struct{}) upstreamFunc {
 		return func(req *http.Request, conn net.Conn) {
-			<-asked
+			<-requested
 			answerOK(req, conn)
 		}
 	}
-	pausing := func(asked <-chan struct{}) upstreamFunc {
+	pausing := func(requested <-chan struct{}) upstreamFunc {
 		return func(req *http.Request, conn net.Conn) {
 			sendEvents(req, conn, 2)
-			<-asked
+			<-requested
 			writeEvents(conn, 3, 4)
 			_, _ = conn.Write([]byte("0\r\n\r\n"))
 		}
 	}
 	tests := map[string]struct {
 		target, body string
-		first        func(asked <-chan struct{}) upstreamFunc
+		first        func(requested <-chan struct{}) upstreamFunc
 	}{
 		"no head of a safe answer": {"/safe/x", "answer to id-1", slowHead},
 		"no head of a stream":      {"/stream/x", "answer to id-1", slowHead},
@@ -39,13 +39,13 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			asked := make(chan struct{})
+			requested := make(chan struct{})
 			s, first, cfg := startServing(t, "first", answerOK)
 			second := startUpstream(t, "second", func(req *http.Request, conn net.Conn) {
 				answerNotRun(req, conn)
-				close(asked)
+				close(requested)
 			})
-			first.listBeforeAnswering(s, cfg, second, test.first(asked))
+			first.listBeforeAnswering(s, cfg, second, test.first(requested))
 
 			got := call(t, cfg, "id-1", "POST", test.target, "body")
 			require.NoError(t, got.err)
@@ -126,22 +126,22 @@
 	writeEvents(conn, 1, to)
 }
 
-// TestHedgeOutlivesBrokenFirst breaks the first upstream while a second one has been asked but
+// TestHedgeOutlivesBrokenFirst breaks the first upstream while a second one has received the request but
 // has not answered. Canceling the second send would use up the last attempt that the route
 // allows.
 func TestHedgeOutlivesBrokenFirst(t *testing.T) {
 	s, first, cfg := startServing(t, "first", answerOK)
-	asked, broken := make(chan struct{}), make(chan struct{})
+	requested, broken := make(chan struct{}), make(chan struct{})
 	rest := events(6, true, "")
 	second := startUpstream(t, "second", func(req *http.Request, conn net.Conn) {
-		close(asked)
+		close(requested)
 		<-broken
 		awaitClose(conn)
 		rest(req, conn)
 	})
 	first.listBeforeAnswering(s, cfg, second, func(req *http.Request, conn net.Conn) {
 		sendEvents(req, conn, 2)
-		<-asked
+		<-requested
 		_ = conn.Close()
 		close(broken)
 	})
--- a/daemon/router/limit_test.go
+++ b/daemon/router/limit_test.go
@@ -87,15 +87,15 @@
 func (n *limitedUpstream) maxPerWindow() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	most := 0
+	largest := 0
 	for first, from := range n.arrivals {
 		end := first
 		for end < len(n.arrivals) && n.arrivals[end].Sub(from) < limitWindow {
 			end++
 		}
-		most = max(most, end-first)
+		largest = max(largest, end-first)
 	}
-	return most
+	return largest
 }
 
 // limitFleet is three routers and two upstreams, one of which announces a limit.
--- a/daemon/router/limits.go
+++ b/daemon/router/limits.go
@@ -51,7 +51,7 @@
 	p.limits.withTable(func(table *ratelimit.Table, now time.Time) {
 		change = table.Observe(upstream, report.Limit, report.Sent, now)
 	})
-	p.limitChanged(limitUpdate{upstream: upstream, change: change, from: sourceOwn, request: report.Request})
+	p.limitChanged(limitUpdate{upstream: upstream, change: change, from: sourceLocal, request: report.Request})
 	if change.Notify && !p.limitNotifier.Send(ratelimit.UpstreamReport{Upstream: upstream, Report: change.Current}) {
 		p.recorder.notificationDropped()
 	}
--- a/daemon/router/loadfeeds.go
+++ b/daemon/router/loadfeeds.go
@@ -12,7 +12,7 @@
 const (
 	// maxLoadFeeds bounds the loaders that a router follows in its own hall. In other halls it
 	// follows as many as remain within that bound, and at least minRemoteFeeds. Any other loader
-	// is asked for a place when one is needed. A feed holds a connection for each reader and
+	// is queried for a place when one is needed. A feed holds a connection for each reader and
 	// shares its reports among them, and without a bound every router of the hall would read
 	// every feed.
 	maxLoadFeeds   = 32
--- a/daemon/router/recorder.go
+++ b/daemon/router/recorder.go
@@ -204,13 +204,13 @@
 	return strconv.FormatFloat(note.PerSecond, 'g', -1, 64)
 }
 
-// limitDenied counts requests turned away because an upstream's limit was used up.
+// limitDenied counts requests rejected because an upstream's limit was used up.
 func (r *recorder) limitDenied(path dispatch.AdmissionPath) {
 	r.scope.Tagged(map[string]string{"by": string(path)}).Counter("limit_denied").Inc(1)
 }
 
-// logSuppressed logs, at most once a second, how many lines were dropped, so that a missing line
-// is explained.
+// logSuppressed logs, at most once a second, how many lines were dropped, so that readers of the log
+// know that lines are missing.
 func (r *recorder) logSuppressed() {
 	if r.suppressed.Load() == 0 || !r.suppressedNotices.Allow() {
 		return
@@ -274,10 +274,11 @@
 	r.log.WithFields(fields).Info("belief changed")
 }
 
-// storeConnectionChanged logs that the store was lost or is reachable again.
-func (r *recorder) storeConnectionChanged(prefix string, lost error) {
-	r.telemetry.LogStoreConnection(prefix, lost)
-	if lost != nil {
+// storeConnectionChanged logs that the store became unreachable, with the cause, or is reachable
+// again.
+func (r *recorder) storeConnectionChanged(prefix string, cause error) {
+	r.telemetry.LogStoreConnection(prefix, cause)
+	if cause != nil {
 		r.scope.Counter("store_lost").Inc(1)
 	}
 }
--- a/daemon/router/replication.go
+++ b/daemon/router/replication.go
@@ -15,7 +15,7 @@
 	// It is shorter than the time after which its followers take it for stale.
 	storeProbeInterval = time.Second
 	// debouncePerRouter is the pause after a change of the store for each router of the fleet,
-	// within minDebounce and maxDebounce. In a large fleet some upstream changes all the time,
+	// within minDebounce and maxDebounce. In a large fleet some upstream changes at any time,
 	// and without the pause every reader would call the store for each change.
 	debouncePerRouter = 20 * time.Millisecond
 	minDebounce       = 150 * time.Millisecond
@@ -54,7 +54,7 @@
 	for _, member := range p.hallMembers() {
 		hall = append(hall, readers.Router{Name: member.Name, LinkMbps: member.LinkMbps, State: p.neighbours.State(member.Peers)})
 	}
-	own := p.ownMember()
+	own := p.memberRecord()
 	return readers.Decide(readers.Router{Name: own.Name, LinkMbps: own.LinkMbps}, hall, p.follower.Status().SinceData)
 }
 
@@ -71,7 +71,7 @@
 
 // hallDiscovered reports whether this router has a router to follow, or its own record is listed,
 // so that every router that announced itself earlier is listed too. A listing taken before that
-// misses most routers of a hall that is starting, and each of them would read the whole store.
+// misses most routers of a hall that is starting, and each of them would read the complete store.
 func (p *Process) hallDiscovered() bool {
 	_, listed := p.compiler.View().Members[p.current.Load().Name]
 	return listed || p.followsPeer()
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -160,7 +160,7 @@
 // router.
 func (p *Process) initReplication(client *http.Client) {
 	p.neighbours = &peering.Neighbours{Client: client, Choose: p.neighbourToFollow, Hold: p.defersStoreRead, OnBackoff: p.telemetry.LogPeerPaused}
-	own := p.ownMember()
+	own := p.memberRecord()
 	shardPrefix, hallPrefix := p.provider.Prefixes.MembersOfHall(own.Hall, own.Shard), p.provider.Prefixes.MembersOfHall(own.Hall, "")
 	p.follower = &replica.Follower{
 		Store: p.provider.Store, Prefix: p.provider.Prefixes.Root, Table: p.table, OnConnectionChange: p.recorder.storeConnectionChanged,
@@ -173,8 +173,8 @@
 	p.announcer = &announcer{store: p.provider.Store, onConnectionChange: p.recorder.storeConnectionChanged, put: p.provider.EncodeMember(own)}
 }
 
-// ownMember returns the record under which this router announces itself.
-func (p *Process) ownMember() provider.Member {
+// memberRecord returns the record under which this router announces itself.
+func (p *Process) memberRecord() provider.Member {
 	s := p.current.Load()
 	return provider.Member{
 		Name: s.Name, Hall: s.Hall, Shard: readers.Shard(s.Name), Peers: s.Listen.Peers, LinkMbps: s.Bounds.LinkMbps,
--- a/daemon/router/suspects.go
+++ b/daemon/router/suspects.go
@@ -37,7 +37,7 @@
 
 // The sources.
 const (
-	sourceOwn    source = "own"    // a broken connection or an answer of this router's own
+	sourceLocal  source = "own"    // a broken connection or an answer that this router received
 	sourceRouter source = "router" // a notification from another router
 	sourceAnswer source = "answer" // another router's answer to a notification
 	sourceStore  source = "store"
@@ -145,7 +145,7 @@
 	if !counts {
 		return
 	}
-	p.publish(quarantine.Report{Content: b.Content, Crashes: []quarantine.Crash{crash}}, sourceOwn)
+	p.publish(quarantine.Report{Content: b.Content, Crashes: []quarantine.Crash{crash}}, sourceLocal)
 }
 
 // admitContent returns the verdict for a new request.
@@ -169,7 +169,7 @@
 // contentCompleted clears a content after a complete answer.
 func (p *Process) contentCompleted(name content.Digest) {
 	if p.suspects.complete(name) {
-		p.publish(quarantine.Report{Content: name, Cleared: true}, sourceOwn)
+		p.publish(quarantine.Report{Content: name, Cleared: true}, sourceLocal)
 	}
 }
 
