--- a/daemon/internal/version/fetch/fetch.go
+++ b/daemon/internal/version/fetch/fetch.go
@@ -158,7 +158,7 @@
 }
 
 // Fetch downloads every chunk of a staged version and verifies the digest of
-// the whole file. It returns when the version is verified, ctx is done or the
+// the complete file. It returns when the version is verified, ctx is done or the
 // version is dropped from the stage.
 func (f *Fetcher) Fetch(ctx context.Context, version *stage.Version, swarm SwarmSource) error {
 	ctx, cancel := context.WithCancel(ctx)
--- a/daemon/internal/version/fetch/neighbours.go
+++ b/daemon/internal/version/fetch/neighbours.go
@@ -22,9 +22,9 @@
 	rank int
 	// rankedBefore are the gateways that rank before this host.
 	rankedBefore []string
-	// hops are the primaries of other halls to ask before the origin.
+	// hops are the primaries of other halls to query before the origin.
 	hops []Peer
-	// waitsForHall is set while the halls to ask have no gateways yet.
+	// waitsForHall is set while the halls to query have no gateways yet.
 	waitsForHall bool
 }
 
@@ -65,7 +65,7 @@
 }
 
 // neighbours returns the hosts of the hall that this host polls: the hosts at
-// ring distances of powers of two, so that a chunk reaches the whole hall in
+// ring distances of powers of two, so that a chunk reaches the entire hall in
 // log(n) steps, then random hosts. A gateway also polls the other gateways of the
 // hall, to detect when it has to stand in for one.
 func (f *Fetcher) neighbours(swarm Swarm) []Peer {
@@ -140,7 +140,7 @@
 }
 
 // assignmentsOf returns the chunks that this host may have to bring into its
-// hall, with the agents to ask. It returns nil for a host that is no gateway.
+// hall, with the agents to query. It returns nil for a host that is no gateway.
 func (f *Fetcher) assignmentsOf(chunks []digest, swarm Swarm) []assignment {
 	halls := groupByHall(swarm.Gateways)
 	own := slices.IndexFunc(halls, func(h hallGateways) bool { return h.hall == f.Hall })
@@ -170,7 +170,7 @@
 	return assignments
 }
 
-// hopsPerHall is the number of gateways of another hall that are asked for a
+// hopsPerHall is the number of gateways of another hall that are queried for a
 // chunk: its primary and the next rank.
 const hopsPerHall = 2
 
--- a/daemon/internal/version/fetch/run.go
+++ b/daemon/internal/version/fetch/run.go
@@ -42,16 +42,17 @@
 
 // chunkState is the state of one chunk in a run.
 type chunkState struct {
-	held bool
+	// stored is set once the chunk is in the stage of this host.
+	stored bool
 	// transfers is the number of transfers of the chunk in progress.
 	transfers int
 	// transferStart is when the first of these transfers started.
 	transferStart time.Time
-	// seen is set once this host or a neighbour has held the chunk.
+	// seen is set once this host or a neighbour has stored the chunk.
 	seen bool
 	// holders is the number of neighbours that hold the chunk.
 	holders int
-	// backoffUntil is when other halls may be asked for the chunk again.
+	// backoffUntil is when the chunk may be requested from other halls again.
 	backoffUntil time.Time
 }
 
@@ -181,12 +182,12 @@
 	r.setSwarm(ctx, present)
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	var held stage.Gained
+	var gained stage.Gained
 	for {
 		var changed <-chan struct{}
-		held, changed = r.version.GainedSince(held.Instance, held.Cursor)
-		r.markHeld(held)
-		if int(held.Cursor) == len(r.chunks) {
+		gained, changed = r.version.GainedSince(gained.Instance, gained.Cursor)
+		r.markStored(gained)
+		if int(gained.Cursor) == len(r.chunks) {
 			return nil
 		}
 		r.schedule(ctx)
@@ -228,11 +229,11 @@
 	}
 }
 
-// markHeld marks chunks that the stage gained, from this run or another one
+// markStored marks chunks that the stage gained, from this run or another one
 // that shares chunks.
-func (r *run) markHeld(gained stage.Gained) {
+func (r *run) markStored(gained stage.Gained) {
 	for _, index := range gained.Chunks {
-		r.chunks[index].held = true
+		r.chunks[index].stored = true
 		r.markSeen(int(index))
 	}
 }
@@ -328,7 +329,7 @@
 	chunk := &r.chunks[result.chunk]
 	chunk.transfers--
 	if result.err == nil {
-		chunk.held = true
+		chunk.stored = true
 		r.markSeen(result.chunk)
 	}
 	if r.fetcher.OnBytes != nil && result.bytes > 0 {
--- a/daemon/internal/version/fetch/schedule.go
+++ b/daemon/internal/version/fetch/schedule.go
@@ -76,7 +76,7 @@
 	for i := range r.assignments {
 		a := &r.assignments[i]
 		chunk := &r.chunks[a.chunk]
-		if chunk.held || chunk.holders > 0 || chunk.transfers > 0 || now.Before(chunk.backoffUntil) {
+		if chunk.stored || chunk.holders > 0 || chunk.transfers > 0 || now.Before(chunk.backoffUntil) {
 			continue
 		}
 		if r.isDue(a, now, idleTime) {
@@ -128,7 +128,7 @@
 	}
 }
 
-// usableHops returns the agents of other halls to ask, without those that
+// usableHops returns the agents of other halls to query, without those that
 // failed recently: an unresponsive agent would delay every chunk by a timeout.
 func (r *run) usableHops(a *assignment, now time.Time) []Peer {
 	var usable []Peer
@@ -183,7 +183,7 @@
 		}
 		index := (start + i) % len(r.chunks)
 		chunk := &r.chunks[index]
-		if !chunk.held && chunk.transfers == 0 && eligible(chunk) {
+		if !chunk.stored && chunk.transfers == 0 && eligible(chunk) {
 			r.start(ctx, transfer{chunk: index, kind: FromOrigin}, now)
 		}
 	}
@@ -216,7 +216,7 @@
 	for i := range r.chunks {
 		index := (start + i) % len(r.chunks)
 		chunk := &r.chunks[index]
-		if chunk.held || chunk.transfers > 0 || chunk.holders == 0 {
+		if chunk.stored || chunk.transfers > 0 || chunk.holders == 0 {
 			continue
 		}
 		if best >= 0 && chunk.holders >= bestHolders {
@@ -272,7 +272,7 @@
 			return
 		}
 		chunk := &r.chunks[index]
-		if chunk.held || chunk.transfers != 1 || now.Sub(chunk.transferStart) < hedgeDelay || chunk.holders == 0 {
+		if chunk.stored || chunk.transfers != 1 || now.Sub(chunk.transferStart) < hedgeDelay || chunk.holders == 0 {
 			continue
 		}
 		if peer := r.randomHolder(index, now); peer != nil {
--- a/daemon/internal/version/install/install.go
+++ b/daemon/internal/version/install/install.go
@@ -314,7 +314,7 @@
 	i.notifyChange()
 	err = i.Fetcher.Fetch(ctx, version, func() (fetch.Swarm, <-chan struct{}) { return i.swarm(id) })
 	if err != nil && ctx.Err() == nil && !errors.Is(err, stage.ErrDropped) {
-		if held, total := version.Progress(); held == total {
+		if stored, total := version.Progress(); stored == total {
 			// All chunks match the manifest but the file digest does not, so
 			// the manifest is inconsistent and another source cannot help.
 			i.Stage.Drop(id)
--- a/daemon/internal/version/pace/pace_test.go
+++ b/daemon/internal/version/pace/pace_test.go
@@ -73,7 +73,7 @@
 	assert.LessOrEqual(t, timeline.OriginOverdue(0, now.Add(6*time.Second)), time.Duration(0))
 }
 
-// TestLocalStallCountsUntilNextChunk: while other hosts have the chunks, the whole stall of this
+// TestLocalStallCountsUntilNextChunk: while other hosts have the chunks, the entire stall of this
 // host counts as overdue time; once a chunk arrives only the first StallThreshold of it does.
 func TestLocalStallCountsUntilNextChunk(t *testing.T) {
 	start := time.Unix(1000, 0)
--- a/daemon/internal/version/share/share.go
+++ b/daemon/internal/version/share/share.go
@@ -60,7 +60,7 @@
 	OnBytes func(bytes int64)
 
 	// slots limits uploads within the hall, hallSlots uploads to other halls.
-	// They are separate because a whole hall waits for each upload to it.
+	// They are separate because all hosts of a hall wait for each upload to that hall.
 	slots, hallSlots chan struct{}
 }
 
--- a/daemon/internal/version/stage/stage.go
+++ b/daemon/internal/version/stage/stage.go
@@ -3,7 +3,7 @@
 //
 // Chunks are stored by digest, so versions that share chunks share memory and
 // transfers. Every chunk is verified before it is stored, and a version counts
-// as verified only after the digest of the whole file has been checked, so a
+// as verified only after the digest of the complete file has been checked, so a
 // reader gets exactly the bytes of one declared version.
 package stage
 
@@ -71,12 +71,12 @@
 	instance string
 
 	mu sync.Mutex
-	// held marks the stored chunks; heldCount is their number.
-	held      []bool
-	heldCount int
+	// stored marks the stored chunks; storedCount is their number.
+	stored      []bool
+	storedCount int
 	// gained lists the stored chunks in the order of their arrival.
 	gained []uint32
-	// verified is set once the digest of the whole file has been checked.
+	// verified is set once the digest of the complete file has been checked.
 	verified bool
 	dropped  bool
 	// changed is closed and replaced when a chunk is stored or the version is
@@ -99,7 +99,7 @@
 	version := &Version{
 		ID: id, Manifest: m, stage: s, openedAt: time.Now(),
 		instance: fmt.Sprintf("%016x", rand.Uint64()),
-		held:     make([]bool, len(m.Chunks)),
+		stored:   make([]bool, len(m.Chunks)),
 		changed:  make(chan struct{}),
 	}
 	if s.chunks == nil {
@@ -109,7 +109,7 @@
 		if existing := s.chunks[digest]; existing != nil {
 			existing.refs++
 			if existing.data != nil {
-				version.markHeld(index)
+				version.markStored(index)
 			}
 			continue
 		}
@@ -203,10 +203,10 @@
 		}
 	}
 	for _, digest := range version.Manifest.Chunks {
-		held := s.chunks[digest]
-		held.refs--
-		if held.refs == 0 {
-			s.bytes -= int64(len(held.data))
+		entry := s.chunks[digest]
+		entry.refs--
+		if entry.refs == 0 {
+			s.bytes -= int64(len(entry.data))
 			delete(s.chunks, digest)
 		}
 	}
@@ -228,8 +228,8 @@
 func (s *Stage) Chunk(digest manifest.Digest) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if held := s.chunks[digest]; held != nil {
-		return held.data
+	if entry := s.chunks[digest]; entry != nil {
+		return entry.data
 	}
 	return nil
 }
@@ -255,21 +255,21 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held := s.chunks[digest]
-	if held == nil || version.isDropped() {
+	entry := s.chunks[digest]
+	if entry == nil || version.isDropped() {
 		return false, ErrDropped
 	}
-	if held.data != nil {
+	if entry.data != nil {
 		return false, nil
 	}
-	held.data = data
+	entry.data = data
 	s.bytes += length
 	if s.changed != nil {
 		close(s.changed)
 		s.changed = nil
 	}
 	for _, v := range s.versions {
-		v.markHeldEverywhere(digest)
+		v.markStoredEverywhere(digest)
 	}
 	return true, nil
 }
@@ -280,25 +280,25 @@
 	return v.dropped
 }
 
-// markHeldEverywhere marks every index with the chunk's digest as held.
-func (v *Version) markHeldEverywhere(digest manifest.Digest) {
+// markStoredEverywhere marks every index with the chunk's digest as stored.
+func (v *Version) markStoredEverywhere(digest manifest.Digest) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for index, candidate := range v.Manifest.Chunks {
 		if candidate == digest {
-			v.markHeld(index)
+			v.markStored(index)
 		}
 	}
 }
 
-// markHeld marks a chunk as held; the caller holds mu or the version is not yet
+// markStored marks a chunk as stored; the caller holds mu or the version is not yet
 // published.
-func (v *Version) markHeld(index int) {
-	if v.held[index] {
+func (v *Version) markStored(index int) {
+	if v.stored[index] {
 		return
 	}
-	v.held[index] = true
-	v.heldCount++
+	v.stored[index] = true
+	v.storedCount++
 	v.gained = append(v.gained, uint32(index)) //nolint:gosec // an index into a manifest
 	v.notify()
 }
@@ -314,24 +314,24 @@
 func (v *Version) Has(index int) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.held[index]
+	return v.stored[index]
 }
 
 // Progress returns the number of stored chunks and of all chunks.
-func (v *Version) Progress() (held, total int) {
+func (v *Version) Progress() (stored, total int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.heldCount, len(v.held)
+	return v.storedCount, len(v.stored)
 }
 
 // MeanChunkInterval returns the mean time between the arrivals of two chunks.
 func (v *Version) MeanChunkInterval() time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.heldCount == 0 {
+	if v.storedCount == 0 {
 		return 0
 	}
-	return time.Since(v.openedAt) / time.Duration(v.heldCount)
+	return time.Since(v.openedAt) / time.Duration(v.storedCount)
 }
 
 // Gained lists the chunks returned by GainedSince, with the cursor for the next call.
@@ -356,10 +356,10 @@
 	}, v.changed
 }
 
-// Verify checks the digest of the whole file. It fails if chunks are missing.
+// Verify checks the digest of the complete file. It fails if chunks are missing.
 func (v *Version) Verify() error {
 	v.mu.Lock()
-	missing := len(v.held) - v.heldCount
+	missing := len(v.stored) - v.storedCount
 	done := v.verified
 	v.mu.Unlock()
 	switch {
@@ -390,7 +390,7 @@
 	return v.verified && !v.dropped
 }
 
-// WriteAll writes the whole file in order.
+// WriteAll writes the complete file in order.
 func (v *Version) WriteAll(w io.Writer) error {
 	for index, digest := range v.Manifest.Chunks {
 		data := v.stage.Chunk(digest)
--- a/daemon/internal/version/swarm/copy.go
+++ b/daemon/internal/version/swarm/copy.go
@@ -2,7 +2,7 @@
 // peer has. Package loader runs one fetch per version and serves the chunks to other loaders.
 //
 // Which host fetches a chunk from the origin is a pure function of the chunk and the list of
-// hosts, so that the origin sends about one copy for the whole fleet.
+// hosts, so that the origin sends about one copy for all hosts.
 //
 // Package fetch does the same for agents, whose peers are assigned by entries. Here a loader
 // finds its peers in the store's list of upstreams, versions are numbered, and a chunk is
--- a/daemon/internal/version/swarm/fetch_test.go
+++ b/daemon/internal/version/swarm/fetch_test.go
@@ -97,10 +97,10 @@
 	var copies []*swarm.Copy
 	for i := range hosts {
 		c := swarm.NewCopy(manifest)
-		held := &swarm.Copies{}
-		held.Add(c)
+		hostCopies := &swarm.Copies{}
+		hostCopies.Add(c)
 		copies = append(copies, c)
-		listed = append(listed, swarm.Host{Address: net.serve(t, handler(held)), Hall: fmt.Sprintf("hall-%d", i/3)})
+		listed = append(listed, swarm.Host{Address: net.serve(t, handler(hostCopies)), Hall: fmt.Sprintf("hall-%d", i/3)})
 	}
 	for i := range dead {
 		listed = append(listed, swarm.Host{Address: netip.MustParseAddrPort(fmt.Sprintf("127.0.0.1:%d", i+1)), Hall: "hall-0"})
@@ -188,9 +188,9 @@
 // serveChunks serves a host that has a copy and calls before ahead of each chunk.
 func serveChunks(t *testing.T, c *swarm.Copy, before func(r *http.Request)) netip.AddrPort {
 	t.Helper()
-	held := &swarm.Copies{}
-	held.Add(c)
-	complete := handler(held)
+	hostCopies := &swarm.Copies{}
+	hostCopies.Add(c)
+	complete := handler(hostCopies)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Has("index") {
 			before(r)
@@ -215,9 +215,9 @@
 			hosts := []swarm.Host{{Address: serveStuck(t, complete), Hall: "hall"}}
 			if originDown {
 				o.failures = math.MaxInt32
-				held := &swarm.Copies{}
-				held.Add(complete)
-				hosts = append(hosts, swarm.Host{Address: serve(t, held).Address, Hall: "far"})
+				hostCopies := &swarm.Copies{}
+				hostCopies.Add(complete)
+				hosts = append(hosts, swarm.Host{Address: serve(t, hostCopies).Address, Hall: "far"})
 			}
 			fetch := &swarm.Fetch{
 				Copy: swarm.NewCopy(manifest), Model: "m", Source: provider.Origin{Chunk: o.chunk},
--- a/daemon/internal/version/swarm/outage_test.go
+++ b/daemon/internal/version/swarm/outage_test.go
@@ -123,11 +123,11 @@
 	chunkBytes := float64(len(o.data[0]))
 	for i := range halls * perHall {
 		c := swarm.NewCopy(manifest)
-		held := &swarm.Copies{}
-		held.Add(c)
+		hostCopies := &swarm.Copies{}
+		hostCopies.Add(c)
 		copies = append(copies, c)
 		routes := bunrouter.New()
-		(&swarm.Server{Copies: held, Uplink: swarm.Uplink{
+		(&swarm.Server{Copies: hostCopies, Uplink: swarm.Uplink{
 			BytesPerSecond: func() float64 { return chunkBytes / o.linkTime.Seconds() },
 		}}).Register(routes)
 		listed = append(listed, swarm.Host{Address: net.serve(t, routes), Hall: fmt.Sprintf("hall-%d", i%halls)})
--- a/daemon/internal/version/swarm/serve_test.go
+++ b/daemon/internal/version/swarm/serve_test.go
@@ -52,9 +52,9 @@
 	c := swarm.NewCopy(manifest)
 	require.NoError(t, c.Put(1, data[1]))
 	require.NoError(t, c.Put(8, data[8]))
-	held := &swarm.Copies{}
-	held.Add(c)
-	peer := serve(t, held)
+	hostCopies := &swarm.Copies{}
+	hostCopies.Add(c)
+	peer := serve(t, hostCopies)
 
 	got, err := peer.Manifest(context.Background(), 2)
 	require.NoError(t, err)
@@ -99,25 +99,25 @@
 	assert.True(t, c.Complete())
 }
 
-func TestOnlyNewestVersionsAreHeld(t *testing.T) {
-	held := &swarm.Copies{}
+func TestOnlyNewestVersionsAreKept(t *testing.T) {
+	hostCopies := &swarm.Copies{}
 	for version := 1; version <= 5; version++ {
 		_, manifest := sample(version, 1)
-		held.Add(swarm.NewCopy(manifest))
+		hostCopies.Add(swarm.NewCopy(manifest))
 	}
-	assert.Nil(t, held.Get(2))
-	assert.NotNil(t, held.Get(3))
-	assert.NotNil(t, held.Get(5))
+	assert.Nil(t, hostCopies.Get(2))
+	assert.NotNil(t, hostCopies.Get(3))
+	assert.NotNil(t, hostCopies.Get(5))
 }
 
-// TestServerRejectsUploadsBeyondQueue: the requesting host is told at once, so that it can use
+// TestServerRejectsUploadsBeyondQueue: the rejection is sent at once, so that the requesting host can use
 // another peer, and the queue has room again once the active uploads have ended.
 func TestServerRejectsUploadsBeyondQueue(t *testing.T) {
 	data, manifest := sample(2, 9)
 	c := swarm.NewCopy(manifest)
 	require.NoError(t, c.Put(1, data[1]))
-	held := &swarm.Copies{}
-	held.Add(c)
+	hostCopies := &swarm.Copies{}
+	hostCopies.Add(c)
 	routes := bunrouter.New()
 	entered, unblock := make(chan struct{}, 8), make(chan struct{})
 	slow := func() float64 { // called for each slice, before it is written
@@ -125,7 +125,7 @@
 		<-unblock
 		return 0
 	}
-	(&swarm.Server{Copies: held, Uplink: swarm.Uplink{BytesPerSecond: slow}}).Register(routes)
+	(&swarm.Server{Copies: hostCopies, Uplink: swarm.Uplink{BytesPerSecond: slow}}).Register(routes)
 	server := httptest.NewServer(routes)
 	t.Cleanup(server.Close)
 	peer := swarm.Peer{Address: netip.MustParseAddrPort(server.Listener.Addr().String()), Client: server.Client()}
@@ -167,10 +167,10 @@
 	chunk := []byte(strings.Repeat("x", chunkBytes))
 	c := swarm.NewCopy(provider.Manifest{Version: 2, ChunkBytes: chunkBytes, Digests: [][32]byte{sha256.Sum256(chunk)}})
 	require.NoError(t, c.Put(0, chunk))
-	held := &swarm.Copies{}
-	held.Add(c)
+	hostCopies := &swarm.Copies{}
+	hostCopies.Add(c)
 	routes := bunrouter.New()
-	(&swarm.Server{Copies: held, Uplink: swarm.Uplink{BytesPerSecond: func() float64 { return bytesPerSecond }}}).Register(routes)
+	(&swarm.Server{Copies: hostCopies, Uplink: swarm.Uplink{BytesPerSecond: func() float64 { return bytesPerSecond }}}).Register(routes)
 	server := httptest.NewServer(routes)
 	t.Cleanup(server.Close)
 	peer := swarm.Peer{Address: netip.MustParseAddrPort(server.Listener.Addr().String()), Client: server.Client()}
--- a/daemon/internal/version/swarm/uplink.go
+++ b/daemon/internal/version/swarm/uplink.go
@@ -26,7 +26,7 @@
 
 // Uplink sends chunks one after the other, in slices, at a share of the rate of the host's
 // link. Concurrent uploads would fill the link's queue, and the engine's responses would wait
-// behind whole chunks. The zero value does not limit the rate.
+// behind complete chunks. The zero value does not limit the rate.
 //
 // Lock order: mu is the only lock, and it is not held while a chunk is sent.
 type Uplink struct {
