--- a/daemon/provider/configuration.go
+++ b/daemon/provider/configuration.go
@@ -47,8 +47,8 @@
 	// Prefix begins and ends with a slash.
 	Prefix string
 	Mode   Mode
-	// Timeout bounds the time for which a request may be held. Objective is the latency target of
-	// the first byte of an answer.
+	// Timeout bounds how long a request may take. Objective is the latency target of the first
+	// byte of an answer.
 	Timeout, Objective time.Duration
 	// Priority ranks requests; 0 is the most urgent.
 	Priority int
@@ -107,8 +107,8 @@
 	Keys []string
 	// Priority overrides the route's priority if set.
 	Priority *int
-	// AllowedRegions are the regions in which requests may run; empty means all regions. The route's
-	// of the route apply as well.
+	// AllowedRegions are the regions in which requests may run; empty means all regions. Those of
+	// the route apply as well.
 	AllowedRegions []string
 }
 
--- a/daemon/provider/engine.go
+++ b/daemon/provider/engine.go
@@ -13,7 +13,7 @@
 	Report func(ctx context.Context, engine netip.AddrPort) (EngineReport, error)
 	// Start orders the engine to load the staged version.
 	Start func(ctx context.Context, engine netip.AddrPort, order Order) (OrderResult, error)
-	// WriteStaged writes a chunk to the staging area beside the engine, and Staged reads it back.
+	// WriteStaged writes a chunk to the staging area beside the engine, and ReadStaged reads it back.
 	WriteStaged func(ctx context.Context, engine netip.AddrPort, model string, index int, chunk []byte) error
 	ReadStaged  func(ctx context.Context, engine netip.AddrPort, model string, index int) ([]byte, error)
 }
@@ -22,7 +22,7 @@
 type EngineReport struct {
 	// Models are the versions that it has loaded.
 	Models []LoadedModel
-	// Loading says that the engine is executing an order.
+	// Loading is set while the engine is executing an order.
 	Loading bool
 	// Running and Waiting are the numbers of its requests that run and that are queued.
 	Running, Waiting int
--- a/daemon/provider/provider.go
+++ b/daemon/provider/provider.go
@@ -97,8 +97,8 @@
 	Configuration string
 }
 
-// MembersOfHall returns the prefix of the records of the routers of a data hall, or of one shard of them
-// unless shard is empty. If the store does not separate them, it is the prefix of all routers.
+// MembersOfHall returns the prefix of the records of the routers of a data hall, or of one shard of
+// them unless shard is empty. If the store does not separate them, it is the prefix of all routers.
 func (p Prefixes) MembersOfHall(hall, shard string) string {
 	if p.MembersOf == nil {
 		return p.Members
@@ -113,7 +113,7 @@
 	Upstream      *Upstream
 	Target        *Target
 	Member        *Member
-	// EvacuatedHall is a data hall whose upstreams must get no requests while the entry exists.
+	// EvacuatedHall is a data hall whose upstreams must receive no requests while the entry exists.
 	EvacuatedHall string
 	// Suspect is a record of a content under which upstreams crashed, as encoded by the routers.
 	Suspect []byte
@@ -132,7 +132,7 @@
 	EncodeMember func(Member) Put
 	// EncodeSuspect returns the write of a record of a content under which upstreams crashed. It
 	// may be nil.
-	EncodeSuspect func(content string, note []byte) Put
+	EncodeSuspect func(content string, report []byte) Put
 }
 
 // Member is the record under which a router announces itself.
