--- a/daemon/router/limits.go
+++ b/daemon/router/limits.go
@@ -58,12 +58,12 @@
 }
 
 // applyLimit applies a limit received from another process.
-func (p *Process) applyLimit(named ratelimit.UpstreamReport, from source, peer netip.AddrPort) {
+func (p *Process) applyLimit(received ratelimit.UpstreamReport, from source, peer netip.AddrPort) {
 	var change ratelimit.Change
 	p.limits.withTable(func(table *ratelimit.Table, now time.Time) {
-		change = table.Merge(named.Upstream, named.Report, now)
+		change = table.Merge(received.Upstream, received.Report, now)
 	})
-	p.limitChanged(limitUpdate{upstream: named.Upstream, change: change, from: from, peer: peer})
+	p.limitChanged(limitUpdate{upstream: received.Upstream, change: change, from: from, peer: peer})
 }
 
 // limitChanged logs a changed limit and makes the upstream eligible again at once, since it may
@@ -122,14 +122,14 @@
 // limit, because its version predates limits.
 var errLimitNotEnforced = errors.New("the loader does not support the engine's limit")
 
-// requestPlace asks the loader beside an engine for a place there. The query carries the limit
-// that this router holds for the engine, and the answer the limit that the loader holds.
+// requestPlace requests a place at an engine from the loader beside it. The query carries the
+// limit that this router holds for the engine, and the answer the limit that the loader holds.
 func (p *Process) requestPlace(ctx context.Context, engine *provider.Upstream, limit places.Limit) (places.Load, bool, error) {
 	upstream := instanceOf(engine)
 	query := places.Request{Limit: limit, Engine: ratelimit.Upstream{ID: upstream.ID, Started: upstream.Started}}
 	p.limits.withTable(func(table *ratelimit.Table, now time.Time) {
-		if note, known := table.Report(upstream, now); known {
-			query.RateLimit = &note
+		if report, known := table.Report(upstream, now); known {
+			query.RateLimit = &report
 		}
 		query.Cold = p.coldLimit(engine, now)
 	})
@@ -158,8 +158,8 @@
 }
 
 func (p *Process) applyLimits(all []ratelimit.UpstreamReport, from source, peer netip.AddrPort) {
-	for _, named := range all {
-		p.applyLimit(named, from, peer)
+	for _, received := range all {
+		p.applyLimit(received, from, peer)
 	}
 }
 
@@ -179,13 +179,13 @@
 	return all
 }
 
-// knownLimits returns the limits that this router holds for the upstreams of some notes.
-func (p *Process) knownLimits(notes []ratelimit.UpstreamReport) []ratelimit.UpstreamReport {
+// knownLimits returns the limits that this router holds for the upstreams of received reports.
+func (p *Process) knownLimits(reports []ratelimit.UpstreamReport) []ratelimit.UpstreamReport {
 	var known []ratelimit.UpstreamReport
 	p.limits.withTable(func(table *ratelimit.Table, now time.Time) {
-		for _, named := range notes {
-			if note, ok := table.Report(named.Upstream, now); ok {
-				known = append(known, ratelimit.UpstreamReport{Upstream: named.Upstream, Report: note})
+		for _, received := range reports {
+			if report, ok := table.Report(received.Upstream, now); ok {
+				known = append(known, ratelimit.UpstreamReport{Upstream: received.Upstream, Report: report})
 			}
 		}
 	})
--- a/daemon/router/listeners.go
+++ b/daemon/router/listeners.go
@@ -57,7 +57,7 @@
 			Unpooled: dial.NewHostTransport(connect, 0),
 		},
 		Pool: p.pool, Budget: p.budget, LoadTracker: &dispatch.LoadTracker{}, Callers: &admission.RetryDetector{}, View: p.compiler.View, Stale: p.isStale,
-		Buffers: holding.Budget{MaxBytes: p.maxHeldBytes()},
+		Buffers: holding.Budget{MaxBytes: p.maxBufferedBytes()},
 		Region:  func(hall string) string { return p.current.Load().RegionOf(hall) },
 		Demand:  p.demand, Report: p.recorder.request, RequestPlace: p.requestPlace, OnDisconnect: p.connectionBroke,
 		OnLimit: p.limitReported, Allow: p.allowSend,
@@ -65,9 +65,9 @@
 	}
 }
 
-// maxHeldBytes returns how many bytes of answers may be buffered for slow callers: a quarter of
-// the memory limit, or 0 for no bound where that is not set.
-func (p *Process) maxHeldBytes() int64 {
+// maxBufferedBytes returns how many bytes of answers may be buffered for slow callers: a quarter
+// of the memory limit, or 0 for no bound where that is not set.
+func (p *Process) maxBufferedBytes() int64 {
 	const divisor, megabyte = 4, 1 << 20
 	return int64(p.current.Load().Bounds.MemoryMB) * megabyte / divisor
 }
--- a/daemon/router/recorder.go
+++ b/daemon/router/recorder.go
@@ -144,8 +144,8 @@
 	r.log.WithFields(log.Fields{"content": name, "reason": err.Error()}).Warn("cannot write verdict on a content to the store")
 }
 
-// notificationFailed logs that another router did not receive a note on a crash or a limit. That
-// router receives it with the answer to its own next notification.
+// notificationFailed logs that another router did not receive a report of a crash or a limit. That
+// router receives it with the answer to the next notification that it sends.
 func (r *recorder) notificationFailed(peer netip.AddrPort, err error) {
 	r.scope.Counter("routers_not_told").Inc(1)
 	if !r.failed.Allow() {
@@ -155,7 +155,7 @@
 	r.log.WithFields(log.Fields{"dependency": "router", "peer": peer, "reason": err.Error()}).Warn("cannot notify router of crashes and limits of upstreams")
 }
 
-// notificationDropped counts a note that was dropped because the queue of the notifier was full.
+// notificationDropped counts a report that was dropped because the queue of the notifier was full.
 func (r *recorder) notificationDropped() { r.scope.Counter("notes_not_told").Inc(1) }
 
 // limitReported counts answers that carry a limit, and logs limits that cannot be parsed.
@@ -287,15 +287,15 @@
 func (r *recorder) storeBytes(bytes int) { r.scope.Counter("store_bytes").Inc(int64(bytes)) }
 
 // peerPulled logs the updates received from a peer, or a failed query.
-func (r *recorder) peerPulled(peer netip.AddrPort, fresh int, err error) {
+func (r *recorder) peerPulled(peer netip.AddrPort, updates int, err error) {
 	r.scope.Counter("peer_pulls").Inc(1)
-	fields := log.Fields{"dependency": "peer", "peer": peer, "entries": fresh}
+	fields := log.Fields{"dependency": "peer", "peer": peer, "entries": updates}
 	if err != nil {
 		fields["reason"] = err.Error()
 		r.log.WithFields(fields).Warn("cannot query peer")
 		return
 	}
-	if fresh > 0 {
+	if updates > 0 {
 		r.log.WithFields(fields).Info("news from a peer")
 	}
 }
--- a/daemon/router/replication.go
+++ b/daemon/router/replication.go
@@ -12,7 +12,7 @@
 
 const (
 	// storeProbeInterval is how often a router that reads the store checks that it is reachable.
-	// It is shorter than the time after which its followers take it for stale.
+	// It is shorter than the time after which its followers consider it stale.
 	storeProbeInterval = time.Second
 	// debouncePerRouter is the pause after a change of the store for each router of the fleet,
 	// within minDebounce and maxDebounce. In a large fleet some upstream changes at any time,
--- a/daemon/router/suspects.go
+++ b/daemon/router/suspects.go
@@ -26,13 +26,13 @@
 	suspectTTL = 10 * time.Minute
 	// suspectWriteTimeout bounds the two calls that write such a record.
 	suspectWriteTimeout = 3 * time.Second
-	// maxSuspectWrites is how often the write is attempted while the store is unreachable, and
+	// maxSuspectWrites is the number of attempts to write while the store is unreachable, and
 	// suspectWriteRetryDelay the pause between attempts.
 	maxSuspectWrites       = 10
 	suspectWriteRetryDelay = 3 * time.Second
 )
 
-// source is where an update of a content or of a limit came from.
+// source is the origin of an update of a content or of a limit.
 type source string
 
 // The sources.
@@ -46,7 +46,7 @@
 )
 
 // suspects holds the contents under which upstreams crashed, as far as this router has received
-// them.
+// or observed them.
 type suspects struct {
 	mu    sync.Mutex
 	table quarantine.Table
@@ -59,34 +59,35 @@
 	return s.table.Verdict(name, clock.Now())
 }
 
-// admit returns the verdict for a new request. It calls mayRetry only if the content is not Free.
+// admit returns the verdict for a new request. It calls mayRetry only if the content
+// is not Unrestricted.
 func (s *suspects) admit(name content.Digest, mayRetry func(content.Digest) bool) quarantine.Verdict {
 	if s.verdict(name) == quarantine.Unrestricted {
 		return quarantine.Unrestricted
 	}
-	own := mayRetry(name)
+	retry := mayRetry(name)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table.Admit(name, own, clock.Now())
+	return s.table.Admit(name, retry, clock.Now())
 }
 
-// verdictChange is the effect of a note on the verdict.
+// verdictChange is the effect of a crash report on the verdict on its content.
 type verdictChange struct {
-	// before and after are the verdicts, and known is the resulting note.
+	// before and after are the verdicts, and known is the resulting report.
 	before, after quarantine.Verdict
 	known         quarantine.Report
-	// wasQuarantined says that the content had been quarantined before the note.
+	// wasQuarantined is set if the content had been quarantined before the report.
 	wasQuarantined bool
 }
 
-// apply adds a note to the table, and reports false if the verdict stays the same.
-func (s *suspects) apply(note quarantine.Report) (verdictChange, bool) {
+// apply merges a report into the table, and reports false if the verdict stays the same.
+func (s *suspects) apply(report quarantine.Report) (verdictChange, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Now()
-	c := verdictChange{before: s.table.Verdict(note.Content, now), wasQuarantined: s.table.Report(note.Content).ReachesQuarantine()}
-	updated := s.table.Merge(note, now)
-	c.after, c.known = s.table.Verdict(note.Content, now), s.table.Report(note.Content)
+	c := verdictChange{before: s.table.Verdict(report.Content, now), wasQuarantined: s.table.Report(report.Content).ReachesQuarantine()}
+	updated := s.table.Merge(report, now)
+	c.after, c.known = s.table.Verdict(report.Content, now), s.table.Report(report.Content)
 	return c, updated && c.before != c.after
 }
 
@@ -109,7 +110,7 @@
 	return s.table.Attribute(sent, now)
 }
 
-func (s *suspects) note(name content.Digest) quarantine.Report {
+func (s *suspects) report(name content.Digest) quarantine.Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Report(name)
@@ -121,13 +122,13 @@
 	return s.table.Reports()
 }
 
-// knownFor returns this router's notes on the contents of some received notes. It omits contents
+// knownFor returns this router's reports on the contents of received reports. It omits contents
 // that the sender has just cleared: the sender would apply the answer as an update.
-func (s *suspects) knownFor(notes []quarantine.Report) []quarantine.Report {
+func (s *suspects) knownFor(reports []quarantine.Report) []quarantine.Report {
 	var known []quarantine.Report
-	for _, note := range notes {
-		if own := s.note(note.Content); !note.Cleared && len(own.Crashes) > 0 {
-			known = append(known, own)
+	for _, report := range reports {
+		if recorded := s.report(report.Content); !report.Cleared && len(recorded.Crashes) > 0 {
+			known = append(known, recorded)
 		}
 	}
 	return known
@@ -153,8 +154,8 @@
 	return p.suspects.admit(name, p.ownsRetry)
 }
 
-// ownsRetry reports whether this router is the one that resends a content once its quarantine
-// time is over. Only one router of all does, so that only one upstream is put at risk.
+// ownsRetry reports whether this router is the one that may send a quarantined content again once
+// its quarantine has expired. Only one router does, so that only one upstream is put at risk.
 func (p *Process) ownsRetry(name content.Digest) bool {
 	own := p.current.Load().Name
 	names := []string{own}
@@ -173,30 +174,30 @@
 	}
 }
 
-// publish applies a note of this router's own and notifies the other routers.
-func (p *Process) publish(note quarantine.Report, from source) {
-	p.applyNote(note, from, netip.AddrPort{})
-	if !p.crashNotifier.Send(note) {
+// publish applies a report that this router issues and sends it to the other routers.
+func (p *Process) publish(report quarantine.Report, from source) {
+	p.applyReport(report, from, netip.AddrPort{})
+	if !p.crashNotifier.Send(report) {
 		p.recorder.notificationDropped()
 	}
 }
 
-// applyNote applies a note and logs a changed verdict. The record of a quarantined content is
-// written to the store, for routers that start later, unless the note came from there or from a
+// applyReport applies a report and logs a changed verdict. The record of a quarantined content is
+// written to the store, for routers that start later, unless the report came from there or from a
 // router that writes it itself.
-func (p *Process) applyNote(note quarantine.Report, from source, peer netip.AddrPort) {
-	c, changed := p.suspects.apply(note)
+func (p *Process) applyReport(report quarantine.Report, from source, peer netip.AddrPort) {
+	c, changed := p.suspects.apply(report)
 	if !changed {
 		return
 	}
 	p.recorder.verdict(c, from, peer)
 	quarantined := c.after == quarantine.Quarantined || c.wasQuarantined // the store has a record once a content was quarantined
 	if quarantined && from != sourceRouter && from != sourceStore {
-		go p.persistVerdict(note.Content)
+		go p.persistVerdict(report.Content)
 	}
 }
 
-// persistVerdict writes the note on a content to the store, and retries while the store is
+// persistVerdict writes the report on a content to the store, and retries while the store is
 // unreachable.
 func (p *Process) persistVerdict(name content.Digest) {
 	if p.provider.EncodeSuspect == nil {
@@ -215,7 +216,7 @@
 func (p *Process) writeVerdict(name content.Digest) error {
 	ctx, cancel := context.WithTimeout(context.Background(), suspectWriteTimeout)
 	defer cancel()
-	known := p.suspects.note(name)
+	known := p.suspects.report(name)
 	known.Cleared = len(known.Crashes) == 0
 	value, err := json.Marshal(known)
 	if err != nil {
@@ -231,13 +232,13 @@
 	return err
 }
 
-// applyStoredSuspect applies a note read from the store.
+// applyStoredSuspect applies a report read from the store.
 func (p *Process) applyStoredSuspect(value []byte) error {
-	var note quarantine.Report
-	if err := json.Unmarshal(value, &note); err != nil {
+	var report quarantine.Report
+	if err := json.Unmarshal(value, &report); err != nil {
 		return err
 	}
-	p.applyNote(note, sourceStore, netip.AddrPort{})
+	p.applyReport(report, sourceStore, netip.AddrPort{})
 	return nil
 }
 
@@ -245,9 +246,9 @@
 func (p *Process) newCrashNotifier(client *http.Client) *broadcast.Sender[quarantine.Report] {
 	return &broadcast.Sender[quarantine.Report]{
 		Client: client, Path: broadcast.SuspectsPath, Peers: p.otherRouters, CatchUpPeer: p.choosePeer, OnFailed: p.recorder.notificationFailed,
-		OnNotes: func(notes []quarantine.Report, peer netip.AddrPort) {
-			for _, note := range notes {
-				p.applyNote(note, sourceAnswer, peer)
+		OnNotes: func(reports []quarantine.Report, peer netip.AddrPort) {
+			for _, report := range reports {
+				p.applyReport(report, sourceAnswer, peer)
 			}
 		},
 	}
@@ -265,14 +266,14 @@
 	return others
 }
 
-// addSuspectRoutes adds the routes on which this router serves its notes, receives those of other
-// routers, and lets operators lift a quarantine.
+// addSuspectRoutes adds the routes on which this router serves its reports, receives those of
+// other routers, and lets operators lift a quarantine.
 func (p *Process) addSuspectRoutes(routes *bunrouter.Router) {
 	known := &broadcast.Receiver[quarantine.Report]{
 		All: p.suspects.all, Related: p.suspects.knownFor,
-		Merge: func(notes []quarantine.Report) {
-			for _, note := range notes {
-				p.applyNote(note, sourceRouter, netip.AddrPort{})
+		Merge: func(reports []quarantine.Report) {
+			for _, report := range reports {
+				p.applyReport(report, sourceRouter, netip.AddrPort{})
 			}
 		},
 	}
@@ -288,7 +289,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return nil
 	}
-	if known := p.suspects.note(name); len(known.Crashes) == 0 {
+	if known := p.suspects.report(name); len(known.Crashes) == 0 {
 		http.Error(w, "no upstream is known to have ended under this content", http.StatusNotFound)
 		return nil
 	}
