--- a/daemon/internal/version/pace/pace.go
+++ b/daemon/internal/version/pace/pace.go
@@ -14,11 +14,11 @@
 //
 // Overdue time goes on for hosts that do not see the origin fail, because the assigned host may
 // have crashed. For a host that sees it fail only a small share of the outage counts, and a host
-// that was taking over a chunk starts to wait anew, because the origin was the cause. After the
+// that was taking over a chunk restarts its wait, because the origin was the cause. After the
 // recovery chunks are granted the additional time that the burst of requests takes.
 //
 // Rejected: a deadline per chunk that hosts agree on, which an outage makes wrong for all of
-// them; asking the origin for its load, which it does not report; and a fixed window of chunks
+// them; querying the origin for its load, which it does not report; and a fixed window of chunks
 // that no host has, which a large fleet fills with chunks that are not reported yet.
 package pace
 
--- a/daemon/internal/version/pace/pace_test.go
+++ b/daemon/internal/version/pace/pace_test.go
@@ -57,10 +57,10 @@
 	assert.Greater(t, timeline.OriginOverdue(0, start.Add(16*time.Second)), takeover)
 }
 
-// TestTakeoverWaitsAnewAfterOriginFailure: a host whose takeover fails knows that the origin and
-// not the assigned host is the cause, and must not request the same chunk as that host when the
+// TestTakeoverWaitRestartsAfterOriginFailure: when a takeover fails, the origin and not the
+// assigned host is the cause, so the host must not request the same chunk as that host when the
 // origin recovers.
-func TestTakeoverWaitsAnewAfterOriginFailure(t *testing.T) {
+func TestTakeoverWaitRestartsAfterOriginFailure(t *testing.T) {
 	start := time.Unix(1000, 0)
 	timeline := &pace.Timeline{Chunks: chunks, CopyTime: copyTime}
 	timeline.Start(start)
--- a/daemon/internal/version/schedule/schedule.go
+++ b/daemon/internal/version/schedule/schedule.go
@@ -89,8 +89,8 @@
 
 // Rank returns the rank of a host in the order in which all hosts load the version that key
 // names.
-func Rank(key, own string, hosts []string) int {
-	return max(slices.Index(rendezvous.Rank("turn of "+key, hosts), own), 0)
+func Rank(key, self string, hosts []string) int {
+	return max(slices.Index(rendezvous.Rank("turn of "+key, hosts), self), 0)
 }
 
 func fraction(share float64, of time.Duration) time.Duration {
--- a/daemon/internal/version/swarm/assignment.go
+++ b/daemon/internal/version/swarm/assignment.go
@@ -133,8 +133,8 @@
 
 // fetchesFromOrigin reports whether this host may fetch a chunk from the origin. The hosts of
 // the first hall do so in the order of their ranks. Those of other halls follow when the chunk
-// is overdue, because the first hall may be disconnected. An early host does not wait for each
-// of them in turn. A chunk that a neighbour offers is fetched from the origin only when the
+// is overdue, because the first hall may be disconnected. An early host does not wait for
+// each of them. A chunk that a neighbour offers is fetched from the origin only when the
 // neighbour does not deliver it in time.
 func (f *Fetch) fetchesFromOrigin(index int, now time.Time) bool {
 	if !f.peersReported(now) || !f.scanDone() {
@@ -152,7 +152,7 @@
 	return a.isPrimary() || f.timeline.OriginOverdue(index, now) > wait
 }
 
-// minEarlyWait returns how long an early host waits at least for an overdue chunk: the time
+// minEarlyWait returns the minimum time for which an early host waits for an overdue chunk: the time
 // in which the origin sends all chunks that are requested from it at once, and a margin for
 // the hop through another host. A shorter wait would fetch chunks twice from a slow origin.
 func (f *Fetch) minEarlyWait() time.Duration {
--- a/daemon/internal/version/swarm/fetch.go
+++ b/daemon/internal/version/swarm/fetch.go
@@ -95,7 +95,7 @@
 // fetch it from any hall, and all other hosts fetch it within their hall. So a chunk leaves
 // the origin once and enters each hall once. The first hall differs by chunk: always
 // choosing the origin's own hall would save a transfer between halls, but its hosts would
-// upload more than the others and delay all other hosts.
+// upload more than the others and delay the rollout.
 type Fetch struct {
 	Copy   *Copy
 	Model  string
--- a/daemon/internal/version/swarm/fetch_test.go
+++ b/daemon/internal/version/swarm/fetch_test.go
@@ -185,7 +185,7 @@
 	return serveChunks(t, c, func(r *http.Request) { <-r.Context().Done() })
 }
 
-// serveChunks serves a host that has a copy and calls before ahead of each chunk.
+// serveChunks serves a host that has a copy and calls the function before each chunk.
 func serveChunks(t *testing.T, c *swarm.Copy, before func(r *http.Request)) netip.AddrPort {
 	t.Helper()
 	hostCopies := &swarm.Copies{}
