--- a/daemon/loader/engineconfig.go
+++ b/daemon/loader/engineconfig.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// refreshEngineConfig queries a router of this hall, and reads the store where none answers and
+// refreshEngineConfig queries a router of this hall, and reads the store if none answers and
 // routersOnly is not set.
 func (p *Process) refreshEngineConfig(ctx context.Context, routersOnly bool) error {
 	update, err := p.neighbours.FetchEngine(ctx, p.current.Load().Service)
@@ -107,7 +107,7 @@
 	return peering.VersionedEngineConfig{EngineConfig: config, Revision: entry.Revision}, err
 }
 
-// chooseRouter returns the router of this hall to query, or false where none is usable. The
+// chooseRouter returns the router of this hall to query, or false if none is usable. The
 // loaders' preferences differ, which spreads the load.
 func (p *Process) chooseRouter(usable func(netip.AddrPort) bool) (netip.AddrPort, bool) {
 	routers := map[string]*provider.Member{}
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -287,7 +287,7 @@
 }
 
 // copyTime returns how long the origin takes to send one copy. It follows from the declared
-// rate of the origin's link, or from this host's link where none is declared. With an estimate
+// rate of the origin's link, or from this host's link if none is declared. With an estimate
 // that is too short, hosts would request each chunk long before the origin could send it.
 func (p *Process) copyTime(config *replica.EngineConfig) time.Duration {
 	bytes := config.Engine.Chunks * config.Engine.ChunkBytes
@@ -298,7 +298,7 @@
 }
 
 // linkTime returns how long a number of bytes takes over a link as fast as this host's, 0
-// where its rate is not known.
+// if its rate is not known.
 func (p *Process) linkTime(bytes int) time.Duration {
 	rate := p.linkRate()
 	if rate <= 0 {
@@ -312,7 +312,7 @@
 	return time.Duration(float64(bytes) / rate * float64(time.Second))
 }
 
-// linkRate returns the rate of this host's link in bytes per second, 0 where it is not known.
+// linkRate returns the rate of this host's link in bytes per second, 0 if it is not known.
 func (p *Process) linkRate() float64 {
 	const bytesPerMegabit = 1e6 / 8
 	return p.current.Load().Bounds.LinkMbps * bytesPerMegabit
