--- a/daemon/router/hedge_test.go
+++ b/daemon/router/hedge_test.go
@@ -126,9 +126,9 @@
 	writeEvents(conn, 1, to)
 }
 
-// TestHedgeOutlivesBrokenFirst breaks the first upstream while a second one has received the request but
-// has not answered. Canceling the second send would use up the last attempt that the route
-// allows.
+// TestHedgeOutlivesBrokenFirst breaks the first upstream while a second one has received the
+// request but has not answered. Canceling the second send would use up the last attempt that the
+// route allows.
 func TestHedgeOutlivesBrokenFirst(t *testing.T) {
 	s, first, cfg := startServing(t, "first", answerOK)
 	requested, broken := make(chan struct{}), make(chan struct{})
--- a/daemon/router/limit_test.go
+++ b/daemon/router/limit_test.go
@@ -45,13 +45,13 @@
 	n.upstream = startUpstream(t, id, func(req *http.Request, conn net.Conn) {
 		n.mu.Lock()
 		n.arrivals = append(n.arrivals, time.Now())
-		named := n.limit
+		announced := n.limit
 		n.mu.Unlock()
-		if named == "" {
+		if announced == "" {
 			answerOK(req, conn)
 			return
 		}
-		answerWithLimit(req, conn, named)
+		answerWithLimit(req, conn, announced)
 	})
 	return n
 }
--- a/daemon/router/listeners.go
+++ b/daemon/router/listeners.go
@@ -66,7 +66,7 @@
 }
 
 // maxBufferedBytes returns how many bytes of answers may be buffered for slow callers: a quarter
-// of the memory limit, or 0 for no bound where that is not set.
+// of the memory limit, or 0 for no bound if that is not set.
 func (p *Process) maxBufferedBytes() int64 {
 	const divisor, megabyte = 4, 1 << 20
 	return int64(p.current.Load().Bounds.MemoryMB) * megabyte / divisor
--- a/daemon/router/recorder.go
+++ b/daemon/router/recorder.go
@@ -197,11 +197,11 @@
 }
 
 // limitText formats a limit, in requests a second of all routers, or "none".
-func limitText(note ratelimit.Report) string {
-	if note.Lifted {
+func limitText(report ratelimit.Report) string {
+	if report.Lifted {
 		return "none"
 	}
-	return strconv.FormatFloat(note.PerSecond, 'g', -1, 64)
+	return strconv.FormatFloat(report.PerSecond, 'g', -1, 64)
 }
 
 // limitDenied counts requests rejected because an upstream's limit was used up.
@@ -301,9 +301,9 @@
 }
 
 // suspended logs a suspension of the host, during which the replica received no updates.
-func (r *recorder) suspended(took time.Duration) {
+func (r *recorder) suspended(duration time.Duration) {
 	r.scope.Counter("suspensions").Inc(1)
-	r.log.WithField("for", took.Round(time.Millisecond).String()).Warn("the host was suspended")
+	r.log.WithField("for", duration.Round(time.Millisecond).String()).Warn("the host was suspended")
 }
 
 func (r *recorder) started(s *settings.Router) {
