--- a/daemon/internal/version/fetch/schedule.go
+++ b/daemon/internal/version/fetch/schedule.go
@@ -37,7 +37,7 @@
 		r.scheduleAllFromOrigin(ctx, now)
 	case PolicyNaive:
 		r.schedulePeers(ctx, now)
-		r.scheduleUnheldFromOrigin(ctx, now)
+		r.scheduleUnavailableFromOrigin(ctx, now)
 	case PolicyTree:
 		r.schedulePeers(ctx, now)
 		if len(r.peers) == 0 || r.idleTime(now) > lastResortFactor*r.standInDelay() {
@@ -59,11 +59,11 @@
 // origin. Otherwise a slow origin would look like a failed one: at the start all
 // gateways share the origin's link, and their first chunks all arrive late.
 func (r *run) standInDelay() time.Duration {
-	own := r.originDuration
+	originTime := r.originDuration
 	if r.slots[FromOrigin] > 0 {
-		own = max(own, time.Since(r.originStart))
+		originTime = max(originTime, time.Since(r.originStart))
 	}
-	return max(helpers.OrDefault(r.fetcher.PeerWait, DefaultPeerWait), 4*r.newChunkGap, 2*own)
+	return max(helpers.OrDefault(r.fetcher.PeerWait, DefaultPeerWait), 4*r.newChunkGap, 2*originTime)
 }
 
 // idleTime returns the time since this host or a neighbour gained a new chunk.
@@ -169,9 +169,9 @@
 	r.scheduleFromOrigin(ctx, now, func(*chunkState) bool { return true })
 }
 
-// scheduleUnheldFromOrigin fetches chunks that no neighbour holds from the
+// scheduleUnavailableFromOrigin fetches chunks that no neighbour holds from the
 // origin.
-func (r *run) scheduleUnheldFromOrigin(ctx context.Context, now time.Time) {
+func (r *run) scheduleUnavailableFromOrigin(ctx context.Context, now time.Time) {
 	r.scheduleFromOrigin(ctx, now, func(c *chunkState) bool { return c.holders == 0 })
 }
 
--- a/daemon/internal/version/pace/pace.go
+++ b/daemon/internal/version/pace/pace.go
@@ -34,7 +34,7 @@
 	// paused. As many are requested at once when the origin recovers.
 	stallWindow = 2 * lookahead
 	// outageShare is the share of an outage that counts as overdue time. It is so small that
-	// an outage of some seconds does not make hosts take over from each other.
+	// an outage of a few seconds does not make hosts take over from each other.
 	outageShare = 1.0 / 16
 )
 
--- a/daemon/internal/version/reconcile/manifest.go
+++ b/daemon/internal/version/reconcile/manifest.go
@@ -60,7 +60,7 @@
 	PeerQueries int
 }
 
-// reply is the result of one query. Its peer is invalid where the origin was queried.
+// reply is the result of one query. Its peer is invalid if the origin was queried.
 type reply struct {
 	peer     netip.AddrPort
 	manifest provider.Manifest
@@ -74,7 +74,7 @@
 	return swarm.FromOrigin
 }
 
-// Find returns the first valid manifest. It fails where the origin fails or the context
+// Find returns the first valid manifest. It fails if the origin fails or the context
 // ends.
 func (l *ManifestLookup) Find(ctx context.Context) (LookupResult, error) {
 	ctx, cancel := context.WithCancel(ctx)
@@ -110,7 +110,7 @@
 	}
 }
 
-// query makes one call, to the origin where the peer is invalid, and sends the reply unless
+// query makes one call, to the origin if the peer is invalid, and sends the reply unless
 // the lookup has ended.
 func (l *ManifestLookup) query(ctx context.Context, replies chan<- reply, peer netip.AddrPort) {
 	callCtx, cancel := context.WithTimeout(ctx, manifestTimeout)
@@ -140,7 +140,7 @@
 	return time.Duration(leads)*leadStagger + time.Duration(rank-leads)*backupStagger
 }
 
-// nextPeer returns the next peer to query, or false where every candidate is still pending.
+// nextPeer returns the next peer to query, or false if every candidate is still pending.
 // A lead host cycles through the other lead hosts, so that it learns of the manifest before
 // it queries the origin itself. Other hosts alternate between a lead host and a random one.
 func (l *ManifestLookup) nextPeer() (netip.AddrPort, bool) {
--- a/daemon/internal/version/reconcile/reconcile.go
+++ b/daemon/internal/version/reconcile/reconcile.go
@@ -138,7 +138,7 @@
 type Step struct {
 	Name    string
 	Version int
-	// Reason explains the step, and Err is set where it failed.
+	// Reason explains the step, and Err is set if it failed.
 	Reason string
 	Err    error
 	Took   time.Duration
@@ -272,7 +272,7 @@
 }
 
 // next returns the version to load and its copy: the newest complete one whose load time
-// has come, otherwise the one that is scheduled first. The copy is nil where there is
+// has come, otherwise the one that is scheduled first. The copy is nil if there is
 // nothing to load.
 func (r *Reconciler) next(plan Plan, report provider.EngineReport) (Goal, *swarm.Copy) {
 	loaded := loadedVersion(report)
--- a/daemon/internal/version/schedule/schedule.go
+++ b/daemon/internal/version/schedule/schedule.go
@@ -78,7 +78,7 @@
 	return w
 }
 
-// LoadTime returns the scheduled load time of the host of a rank among some hosts.
+// LoadTime returns the scheduled load time of the host with a rank among a number of hosts.
 func (w Window) LoadTime(rank, hosts int) time.Time {
 	if IsEarly(rank) {
 		return w.Early
--- a/daemon/internal/version/schedule/schedule_test.go
+++ b/daemon/internal/version/schedule/schedule_test.go
@@ -73,7 +73,7 @@
 }
 
 // TestRanksArePermutation: every host has a rank of its own, and all hosts compute the same
-// ranks whatever the order of their lists.
+// ranks regardless of the order of their lists.
 func TestRanksArePermutation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 30).Draw(t, "hosts")
--- a/daemon/internal/version/swarm/assignment.go
+++ b/daemon/internal/version/swarm/assignment.go
@@ -50,7 +50,7 @@
 	return false
 }
 
-// assign recomputes this host's assignments where the hosts have changed.
+// assign recomputes this host's assignments if the list of hosts has changed.
 func (f *Fetch) assign(hosts []Host) {
 	if slices.Equal(hosts, f.assignedHosts) {
 		return
--- a/daemon/internal/version/swarm/copy.go
+++ b/daemon/internal/version/swarm/copy.go
@@ -36,7 +36,8 @@
 	count  int
 	// completedAt is when the last chunk was added, zero before.
 	completedAt time.Time
-	// seen marks the chunks that some host has been known to have, and seenCount counts them.
+	// seen marks the chunks that any host, this one included, has reported or stored, and
+	// seenCount is their number.
 	seen      []bool
 	seenCount int
 	// changed is closed and replaced when a chunk is added.
@@ -93,7 +94,7 @@
 	}
 }
 
-// Unseen returns the number of chunks that no host has been known to have, and that the origin
+// Unseen returns the number of chunks that were not seen at any host, and that the origin
 // therefore still has to send.
 func (c *Copy) Unseen() int {
 	c.mu.Lock()
@@ -101,7 +102,7 @@
 	return len(c.seen) - c.seenCount
 }
 
-// Chunk returns a chunk, or nil where this host does not have it.
+// Chunk returns a chunk, or nil if this host does not have it.
 func (c *Copy) Chunk(index int) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -150,7 +151,7 @@
 	byVersion map[int]*Copy
 }
 
-// Get returns the copy of a version, or nil where there is none.
+// Get returns the copy of a version, or nil if there is none.
 func (s *Copies) Get(version int) *Copy {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/daemon/internal/version/swarm/fetch.go
+++ b/daemon/internal/version/swarm/fetch.go
@@ -33,7 +33,7 @@
 	// inboundWindow bounds the time for which arriving chunks may occupy the host's link.
 	// Requests and place queries share the link: behind a longer queue of chunks, routers'
 	// place queries to this host would time out. defaultInbound is the number of chunks that
-	// may arrive at once where the link's rate is not known.
+	// may arrive at once if the link's rate is not known.
 	inboundWindow  = 60 * time.Millisecond
 	defaultInbound = 2
 	// arrivalWindow is how long a chunk in flight counts as arriving.
@@ -269,7 +269,7 @@
 	f.updateSeen(now)
 }
 
-// updateSeen advances the timeline where more chunks were seen than before; the caller
+// updateSeen advances the timeline if more chunks have been seen than before; the caller
 // holds mu.
 func (f *Fetch) updateSeen(now time.Time) {
 	if seen := f.seen(); seen > f.maxSeen {
--- a/daemon/internal/version/swarm/fromorigin.go
+++ b/daemon/internal/version/swarm/fromorigin.go
@@ -12,7 +12,7 @@
 
 // This file fetches from the origin the chunks that are assigned to this host.
 
-// fromOrigin fetches one chunk from the origin. It reports false where none is assigned to
+// fromOrigin fetches one chunk from the origin. It reports false if none is assigned to
 // this host.
 func (f *Fetch) fromOrigin(ctx context.Context) (bool, error) {
 	index, ok := f.pickForOrigin()
--- a/daemon/internal/version/swarm/frompeers.go
+++ b/daemon/internal/version/swarm/frompeers.go
@@ -12,7 +12,7 @@
 
 // This file chooses which chunks are fetched from which peer, and how many at once.
 
-// fromPeer fetches one chunk from a neighbour. It reports false where there is none to fetch
+// fromPeer fetches one chunk from a neighbour. It reports false if there is none to fetch
 // or the worker's number exceeds the current concurrency.
 func (f *Fetch) fromPeer(ctx context.Context, worker int) (bool, error) {
 	index, address, ok := f.pickFromPeers(worker)
--- a/daemon/internal/version/swarm/serve_test.go
+++ b/daemon/internal/version/swarm/serve_test.go
@@ -110,8 +110,8 @@
 	assert.NotNil(t, hostCopies.Get(5))
 }
 
-// TestServerRejectsUploadsBeyondQueue: the rejection is sent at once, so that the requesting host can use
-// another peer, and the queue has room again once the active uploads have ended.
+// TestServerRejectsUploadsBeyondQueue: the rejection is sent at once, so that the requesting host
+// can use another peer, and the queue has room again once the active uploads have ended.
 func TestServerRejectsUploadsBeyondQueue(t *testing.T) {
 	data, manifest := sample(2, 9)
 	c := swarm.NewCopy(manifest)
--- a/daemon/internal/version/swarm/uplink.go
+++ b/daemon/internal/version/swarm/uplink.go
@@ -49,7 +49,7 @@
 }
 
 // enqueue admits an upload and returns a channel that is closed when it may be sent, or
-// reports false where the queue is full. Urgent uploads are always admitted and precede the
+// reports false if the queue is full. Urgent uploads are always admitted and precede the
 // others.
 func (u *Uplink) enqueue(urgent bool) (ready chan struct{}, ok bool) {
 	u.mu.Lock()
@@ -99,7 +99,7 @@
 	}
 }
 
-// send writes a chunk once it may be sent. It reports false, and writes nothing, where the
+// send writes a chunk once it may be sent. It reports false, and writes nothing, if the
 // queue is full.
 func (u *Uplink) send(ctx context.Context, w http.ResponseWriter, chunk []byte, urgent bool) bool {
 	ready, ok := u.enqueue(urgent)
