--- a/daemon/internal/version/fetch/schedule.go
+++ b/daemon/internal/version/fetch/schedule.go
@@ -37,7 +37,7 @@
 		r.scheduleAllFromOrigin(ctx, now)
 	case PolicyNaive:
 		r.schedulePeers(ctx, now)
-		r.scheduleUnheldFromOrigin(ctx, now)
+		r.scheduleUnavailableFromOrigin(ctx, now)
 	case PolicyTree:
 		r.schedulePeers(ctx, now)
 		if len(r.peers) == 0 || r.idleTime(now) > lastResortFactor*r.standInDelay() {
@@ -59,11 +59,11 @@
 // origin. Otherwise a slow origin would look like a failed one: at the start all
 // gateways share the origin's link, and their first chunks all arrive late.
 func (r *run) standInDelay() time.Duration {
-	own := r.originDuration
+	originTime := r.originDuration
 	if r.slots[FromOrigin] > 0 {
-		own = max(own, time.Since(r.originStart))
+		originTime = max(originTime, time.Since(r.originStart))
 	}
-	return max(helpers.OrDefault(r.fetcher.PeerWait, DefaultPeerWait), 4*r.newChunkGap, 2*own)
+	return max(helpers.OrDefault(r.fetcher.PeerWait, DefaultPeerWait), 4*r.newChunkGap, 2*originTime)
 }
 
 // idleTime returns the time since this host or a neighbour gained a new chunk.
@@ -76,7 +76,7 @@
 	for i := range r.assignments {
 		a := &r.assignments[i]
 		chunk := &r.chunks[a.chunk]
-		if chunk.held || chunk.holders > 0 || chunk.transfers > 0 || now.Before(chunk.backoffUntil) {
+		if chunk.stored || chunk.holders > 0 || chunk.transfers > 0 || now.Before(chunk.backoffUntil) {
 			continue
 		}
 		if r.isDue(a, now, idleTime) {
@@ -128,7 +128,7 @@
 	}
 }
 
-// usableHops returns the agents of other halls to ask, without those that
+// usableHops returns the agents of other halls to query, without those that
 // failed recently: an unresponsive agent would delay every chunk by a timeout.
 func (r *run) usableHops(a *assignment, now time.Time) []Peer {
 	var usable []Peer
@@ -169,9 +169,9 @@
 	r.scheduleFromOrigin(ctx, now, func(*chunkState) bool { return true })
 }
 
-// scheduleUnheldFromOrigin fetches chunks that no neighbour holds from the
+// scheduleUnavailableFromOrigin fetches chunks that no neighbour holds from the
 // origin.
-func (r *run) scheduleUnheldFromOrigin(ctx context.Context, now time.Time) {
+func (r *run) scheduleUnavailableFromOrigin(ctx context.Context, now time.Time) {
 	r.scheduleFromOrigin(ctx, now, func(c *chunkState) bool { return c.holders == 0 })
 }
 
@@ -183,7 +183,7 @@
 		}
 		index := (start + i) % len(r.chunks)
 		chunk := &r.chunks[index]
-		if !chunk.held && chunk.transfers == 0 && eligible(chunk) {
+		if !chunk.stored && chunk.transfers == 0 && eligible(chunk) {
 			r.start(ctx, transfer{chunk: index, kind: FromOrigin}, now)
 		}
 	}
@@ -216,7 +216,7 @@
 	for i := range r.chunks {
 		index := (start + i) % len(r.chunks)
 		chunk := &r.chunks[index]
-		if chunk.held || chunk.transfers > 0 || chunk.holders == 0 {
+		if chunk.stored || chunk.transfers > 0 || chunk.holders == 0 {
 			continue
 		}
 		if best >= 0 && chunk.holders >= bestHolders {
@@ -272,7 +272,7 @@
 			return
 		}
 		chunk := &r.chunks[index]
-		if chunk.held || chunk.transfers != 1 || now.Sub(chunk.transferStart) < hedgeDelay || chunk.holders == 0 {
+		if chunk.stored || chunk.transfers != 1 || now.Sub(chunk.transferStart) < hedgeDelay || chunk.holders == 0 {
 			continue
 		}
 		if peer := r.randomHolder(index, now); peer != nil {
--- a/daemon/internal/version/swarm/uplink.go
+++ b/daemon/internal/version/swarm/uplink.go
@@ -26,7 +26,7 @@
 
 // Uplink sends chunks one after the other, in slices, at a share of the rate of the host's
 // link. Concurrent uploads would fill the link's queue, and the engine's responses would wait
-// behind whole chunks. The zero value does not limit the rate.
+// behind complete chunks. The zero value does not limit the rate.
 //
 // Lock order: mu is the only lock, and it is not held while a chunk is sent.
 type Uplink struct {
@@ -49,7 +49,7 @@
 }
 
 // enqueue admits an upload and returns a channel that is closed when it may be sent, or
-// reports false where the queue is full. Urgent uploads are always admitted and precede the
+// reports false if the queue is full. Urgent uploads are always admitted and precede the
 // others.
 func (u *Uplink) enqueue(urgent bool) (ready chan struct{}, ok bool) {
 	u.mu.Lock()
@@ -99,7 +99,7 @@
 	}
 }
 
-// send writes a chunk once it may be sent. It reports false, and writes nothing, where the
+// send writes a chunk once it may be sent. It reports false, and writes nothing, if the
 // queue is full.
 func (u *Uplink) send(ctx context.Context, w http.ResponseWriter, chunk []byte, urgent bool) bool {
 	ready, ok := u.enqueue(urgent)
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -56,7 +56,7 @@
 	hostsInterval        = 8 * time.Second
 	routersRetryInterval = 400 * time.Millisecond
 	// routersInterval is the interval in which the hall's routers are listed otherwise. Until
-	// then a new router is merely not queried.
+	// the next listing a new router is not queried, which is harmless.
 	routersInterval = 20 * time.Second
 	// maxRouterFailures is the number of consecutive failed queries to routers after which
 	// the list of hosts is read from the store.
@@ -287,7 +287,7 @@
 }
 
 // copyTime returns how long the origin takes to send one copy. It follows from the declared
-// rate of the origin's link, or from this host's link where none is declared. With an estimate
+// rate of the origin's link, or from this host's link if none is declared. With an estimate
 // that is too short, hosts would request each chunk long before the origin could send it.
 func (p *Process) copyTime(config *replica.EngineConfig) time.Duration {
 	bytes := config.Engine.Chunks * config.Engine.ChunkBytes
@@ -298,7 +298,7 @@
 }
 
 // linkTime returns how long a number of bytes takes over a link as fast as this host's, 0
-// where its rate is not known.
+// if its rate is not known.
 func (p *Process) linkTime(bytes int) time.Duration {
 	rate := p.linkRate()
 	if rate <= 0 {
@@ -312,14 +312,14 @@
 	return time.Duration(float64(bytes) / rate * float64(time.Second))
 }
 
-// linkRate returns the rate of this host's link in bytes per second, 0 where it is not known.
+// linkRate returns the rate of this host's link in bytes per second, 0 if it is not known.
 func (p *Process) linkRate() float64 {
 	const bytesPerMegabit = 1e6 / 8
 	return p.current.Load().Bounds.LinkMbps * bytesPerMegabit
 }
 
-// own returns this loader as a host.
-func (p *Process) own() swarm.Host {
+// self returns this loader as its peers address it.
+func (p *Process) self() swarm.Host {
 	return swarm.Host{Address: p.current.Load().Listen.Peers, Hall: p.current.Load().Hall}
 }
 
@@ -342,7 +342,7 @@
 	return &swarm.Fetch{
 		Early: schedule.IsEarly(rank),
 		Copy:  c, Model: plan.Goal.Model, Origin: plan.Origin, Source: p.provider.Origin,
-		Self: p.own(), Hosts: p.loaders, Client: p.client, CopyTime: plan.CopyTime,
+		Self: p.self(), Hosts: p.loaders, Client: p.client, CopyTime: plan.CopyTime,
 		ChunkTime: p.linkTime(plan.ChunkBytes), OnChunk: p.countChunk,
 	}
 }
--- a/daemon/provider/engine.go
+++ b/daemon/provider/engine.go
@@ -13,7 +13,7 @@
 	Report func(ctx context.Context, engine netip.AddrPort) (EngineReport, error)
 	// Start orders the engine to load the staged version.
 	Start func(ctx context.Context, engine netip.AddrPort, order Order) (OrderResult, error)
-	// WriteStaged writes a chunk to the staging area beside the engine, and Staged reads it back.
+	// WriteStaged writes a chunk to the staging area beside the engine, and ReadStaged reads it back.
 	WriteStaged func(ctx context.Context, engine netip.AddrPort, model string, index int, chunk []byte) error
 	ReadStaged  func(ctx context.Context, engine netip.AddrPort, model string, index int) ([]byte, error)
 }
@@ -22,7 +22,7 @@
 type EngineReport struct {
 	// Models are the versions that it has loaded.
 	Models []LoadedModel
-	// Loading says that the engine is executing an order.
+	// Loading is set while the engine is executing an order.
 	Loading bool
 	// Running and Waiting are the numbers of its requests that run and that are queued.
 	Running, Waiting int
@@ -32,12 +32,12 @@
 	Started  time.Time
 }
 
-// Order tells an engine to load a staged version once its current requests are done.
+// Order directs an engine to load a staged version once its current requests are done.
 type Order struct {
 	Model   string
 	Version int
-	// FencingToken is a fencing token: the engine rejects an order whose token is lower than one it has
-	// that it has already seen.
+	// FencingToken orders the senders: the engine rejects an order whose token is lower than
+	// the highest one that it has seen.
 	FencingToken Revision
 	// Sequence is the sender's view of the engine's order count.
 	Sequence uint64
--- a/daemon/router/limit_test.go
+++ b/daemon/router/limit_test.go
@@ -45,13 +45,13 @@
 	n.upstream = startUpstream(t, id, func(req *http.Request, conn net.Conn) {
 		n.mu.Lock()
 		n.arrivals = append(n.arrivals, time.Now())
-		named := n.limit
+		announced := n.limit
 		n.mu.Unlock()
-		if named == "" {
+		if announced == "" {
 			answerOK(req, conn)
 			return
 		}
-		answerWithLimit(req, conn, named)
+		answerWithLimit(req, conn, announced)
 	})
 	return n
 }
@@ -87,15 +87,15 @@
 func (n *limitedUpstream) maxPerWindow() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	most := 0
+	largest := 0
 	for first, from := range n.arrivals {
 		end := first
 		for end < len(n.arrivals) && n.arrivals[end].Sub(from) < limitWindow {
 			end++
 		}
-		most = max(most, end-first)
+		largest = max(largest, end-first)
 	}
-	return most
+	return largest
 }
 
 // limitFleet is three routers and two upstreams, one of which announces a limit.
--- a/daemon/router/recorder.go
+++ b/daemon/router/recorder.go
@@ -144,8 +144,8 @@
 	r.log.WithFields(log.Fields{"content": name, "reason": err.Error()}).Warn("cannot write verdict on a content to the store")
 }
 
-// notificationFailed logs that another router did not receive a note on a crash or a limit. That
-// router receives it with the answer to its own next notification.
+// notificationFailed logs that another router did not receive a report of a crash or a limit. That
+// router receives it with the answer to the next notification that it sends.
 func (r *recorder) notificationFailed(peer netip.AddrPort, err error) {
 	r.scope.Counter("routers_not_told").Inc(1)
 	if !r.failed.Allow() {
@@ -155,7 +155,7 @@
 	r.log.WithFields(log.Fields{"dependency": "router", "peer": peer, "reason": err.Error()}).Warn("cannot notify router of crashes and limits of upstreams")
 }
 
-// notificationDropped counts a note that was dropped because the queue of the notifier was full.
+// notificationDropped counts a report that was dropped because the queue of the notifier was full.
 func (r *recorder) notificationDropped() { r.scope.Counter("notes_not_told").Inc(1) }
 
 // limitReported counts answers that carry a limit, and logs limits that cannot be parsed.
@@ -197,20 +197,20 @@
 }
 
 // limitText formats a limit, in requests a second of all routers, or "none".
-func limitText(note ratelimit.Report) string {
-	if note.Lifted {
+func limitText(report ratelimit.Report) string {
+	if report.Lifted {
 		return "none"
 	}
-	return strconv.FormatFloat(note.PerSecond, 'g', -1, 64)
+	return strconv.FormatFloat(report.PerSecond, 'g', -1, 64)
 }
 
-// limitDenied counts requests turned away because an upstream's limit was used up.
+// limitDenied counts requests rejected because an upstream's limit was used up.
 func (r *recorder) limitDenied(path dispatch.AdmissionPath) {
 	r.scope.Tagged(map[string]string{"by": string(path)}).Counter("limit_denied").Inc(1)
 }
 
-// logSuppressed logs, at most once a second, how many lines were dropped, so that a missing line
-// is explained.
+// logSuppressed logs, at most once a second, how many lines were dropped, so that readers of the log
+// know that lines are missing.
 func (r *recorder) logSuppressed() {
 	if r.suppressed.Load() == 0 || !r.suppressedNotices.Allow() {
 		return
@@ -274,10 +274,11 @@
 	r.log.WithFields(fields).Info("belief changed")
 }
 
-// storeConnectionChanged logs that the store was lost or is reachable again.
-func (r *recorder) storeConnectionChanged(prefix string, lost error) {
-	r.telemetry.LogStoreConnection(prefix, lost)
-	if lost != nil {
+// storeConnectionChanged logs that the store became unreachable, with the cause, or is reachable
+// again.
+func (r *recorder) storeConnectionChanged(prefix string, cause error) {
+	r.telemetry.LogStoreConnection(prefix, cause)
+	if cause != nil {
 		r.scope.Counter("store_lost").Inc(1)
 	}
 }
@@ -286,23 +287,23 @@
 func (r *recorder) storeBytes(bytes int) { r.scope.Counter("store_bytes").Inc(int64(bytes)) }
 
 // peerPulled logs the updates received from a peer, or a failed query.
-func (r *recorder) peerPulled(peer netip.AddrPort, fresh int, err error) {
+func (r *recorder) peerPulled(peer netip.AddrPort, updates int, err error) {
 	r.scope.Counter("peer_pulls").Inc(1)
-	fields := log.Fields{"dependency": "peer", "peer": peer, "entries": fresh}
+	fields := log.Fields{"dependency": "peer", "peer": peer, "entries": updates}
 	if err != nil {
 		fields["reason"] = err.Error()
 		r.log.WithFields(fields).Warn("cannot query peer")
 		return
 	}
-	if fresh > 0 {
+	if updates > 0 {
 		r.log.WithFields(fields).Info("news from a peer")
 	}
 }
 
 // suspended logs a suspension of the host, during which the replica received no updates.
-func (r *recorder) suspended(took time.Duration) {
+func (r *recorder) suspended(duration time.Duration) {
 	r.scope.Counter("suspensions").Inc(1)
-	r.log.WithField("for", took.Round(time.Millisecond).String()).Warn("the host was suspended")
+	r.log.WithField("for", duration.Round(time.Millisecond).String()).Warn("the host was suspended")
 }
 
 func (r *recorder) started(s *settings.Router) {
