--- a/daemon/lab/engine.go
+++ b/daemon/lab/engine.go
@@ -94,7 +94,7 @@
 	e.ledger.Observe(e.load(), e.sim.events.now >= e.unavailableUntil)
 }
 
-// closesAt returns the scheduled load time if it is within keep.CloseAhead, else the zero time.
+// closesAt returns the scheduled load time if it is within reconcile.CloseLeadTime, else the zero time.
 func (e *engine) closesAt() time.Time {
 	if e.loadAt == 0 || e.loaded || e.loadAt-e.sim.events.now > reconcile.CloseLeadTime {
 		return time.Time{}
@@ -107,9 +107,9 @@
 	return e.sim.Pattern.Limits.active(e.index, len(e.sim.engines), e.sim.events.now)
 }
 
-// limitNote returns the routers' view of the engine's limit. Routers exchange limits within
+// limitReport returns the routers' view of the engine's limit. Routers exchange limits within
 // milliseconds, so the simulation gives all of them the current one.
-func (e *engine) limitNote() *ratelimit.Report {
+func (e *engine) limitReport() *ratelimit.Report {
 	switch limits := e.sim.Pattern.Limits; {
 	case limits == nil:
 		return nil
--- a/daemon/lab/fleet_model.go
+++ b/daemon/lab/fleet_model.go
@@ -22,8 +22,8 @@
 	storeDelay             = 4 * time.Millisecond
 	// firstByteTimeout is the wait limit for the first byte of a store answer.
 	firstByteTimeout = 1500 * time.Millisecond
-	// pollHold and snapshotPollHold are the times for which a follower's call is held without an
-	// update, pollGrace what a caller waits beyond them.
+	// pollHold and snapshotPollHold are the times after which a follower's call is answered without an
+	// update, pollGrace the additional time that the follower waits.
 	pollHold, snapshotPollHold = 500 * time.Millisecond, time.Second
 	pollGrace                  = 400 * time.Millisecond
 	// muteTime is how long an unreachable router is skipped, startingMuteTime how long one
@@ -181,9 +181,9 @@
 	// storeSeen when the router, or the one that it follows, last had an answer of the store.
 	revision              int
 	revisionAt, storeSeen time.Duration
-	// heldCalls are the followers' calls that the router holds.
-	heldCalls  []func()
-	readsStore bool
+	// pendingPolls are the followers' calls that await an update.
+	pendingPolls []func()
+	readsStore   bool
 	// following caches the last decision while nothing that it depends on has changed: no new
 	// peers and no muted routers. It is nil otherwise.
 	following *fleetRouter
@@ -332,7 +332,7 @@
 		func() { s.events.after(decidePause, r.decide) })
 }
 
-// apply records a revision and when the store was seen with it, answers held calls and decides
+// apply records a revision and when the store was seen with it, answers pending polls and decides
 // again after a pause.
 func (r *fleetRouter) apply(revision int, seenAt, pause time.Duration) {
 	s := r.hall.sim
@@ -347,9 +347,9 @@
 		}
 		r.addPeers(r.hall.announcedNames())
 	}
-	heldCalls := r.heldCalls
-	r.heldCalls = nil
-	for _, answer := range heldCalls {
+	pendingPolls := r.pendingPolls
+	r.pendingPolls = nil
+	for _, answer := range pendingPolls {
 		answer()
 	}
 	s.events.after(pause, r.decide)
@@ -379,7 +379,7 @@
 			answer()
 			return
 		}
-		other.heldCalls = append(other.heldCalls, answer)
+		other.pendingPolls = append(other.pendingPolls, answer)
 		s.events.after(hold, answer)
 	})
 }
--- a/daemon/lab/limit.go
+++ b/daemon/lab/limit.go
@@ -251,8 +251,8 @@
 	}
 }
 
-func (r *limitRouter) applyLimit(upstream ratelimit.Upstream, note ratelimit.Report) {
-	if r.table.Merge(upstream, note, r.sim.now()).Changed {
+func (r *limitRouter) applyLimit(upstream ratelimit.Upstream, report ratelimit.Report) {
+	if r.table.Merge(upstream, report, r.sim.now()).Changed {
 		r.pool.Throttle(upstream.ID, 0)
 	}
 }
@@ -295,11 +295,11 @@
 		}
 		return r.table.Allow(key, ratelimit.LoaderUnreachableShare.Among(routers), now)
 	}
-	if note, known := r.table.Report(key, now); known {
-		u.loader.Merge(key, note, now)
+	if report, known := r.table.Report(key, now); known {
+		u.loader.Merge(key, report, now)
 	}
-	if note, known := u.loader.Report(key, now); known {
-		r.applyLimit(key, note)
+	if report, known := u.loader.Report(key, now); known {
+		r.applyLimit(key, report)
 	}
 	return u.loader.Allow(key, ratelimit.FullShare, now)
 }
--- a/daemon/lab/policy.go
+++ b/daemon/lab/policy.go
@@ -65,11 +65,11 @@
 	}
 }
 
-// variant returns the standing search parameters with one change applied.
-func variant(change func(w *admission.Policy)) *admission.Policy {
-	w := admission.DefaultPolicy()
-	change(&w)
-	return &w
+// variant returns the production search parameters with one change applied.
+func variant(change func(p *admission.Policy)) *admission.Policy {
+	p := admission.DefaultPolicy()
+	change(&p)
+	return &p
 }
 
 // Policies returns all policies that can be compared, the production one first.
@@ -84,15 +84,15 @@
 		{Name: "return-soon", RetryDelay: uniformDelay(second*3/10, second*9/10)},
 		{Name: "return-late", RetryDelay: uniformDelay(second*16/10, second*2)},
 		{Name: "return-wide", RetryDelay: uniformDelay(second*3/10, second*2)},
-		{Name: "look-5", Search: variant(func(w *admission.Policy) { w.MaxQueries, w.MaxOvercommit = 5, 0 })},
-		{Name: "look-8", Search: variant(func(w *admission.Policy) { w.MaxQueries, w.MaxOvercommit = 8, 0 })},
-		{Name: "look-5-beyond-1", Search: variant(func(w *admission.Policy) { w.MaxQueries, w.MaxOvercommit = 5, 1 })},
-		{Name: "look-8-beyond-1", Search: variant(func(w *admission.Policy) { w.MaxQueries, w.MaxOvercommit = 8, 1 })},
-		{Name: "look-8-beyond-2", Search: variant(func(w *admission.Policy) { w.MaxQueries, w.MaxOvercommit = 8, 2 })},
-		{Name: "look-8-wait-soon", Search: variant(func(w *admission.Policy) { w.MaxQueries, w.QueriesPerStep, w.MaxOvercommit = 8, 1, 1 })},
-		{Name: "look-10-beyond-1", Search: variant(func(w *admission.Policy) { w.MaxQueries, w.MaxOvercommit = 10, 1 })},
-		{Name: "back-any-place", Search: variant(func(w *admission.Policy) { w.RetryReserve = 0 })},
-		{Name: "back-half-free", Search: variant(func(w *admission.Policy) { w.RetryReserve = 0.5 })},
+		{Name: "look-5", Search: variant(func(p *admission.Policy) { p.MaxQueries, p.MaxOvercommit = 5, 0 })},
+		{Name: "look-8", Search: variant(func(p *admission.Policy) { p.MaxQueries, p.MaxOvercommit = 8, 0 })},
+		{Name: "look-5-beyond-1", Search: variant(func(p *admission.Policy) { p.MaxQueries, p.MaxOvercommit = 5, 1 })},
+		{Name: "look-8-beyond-1", Search: variant(func(p *admission.Policy) { p.MaxQueries, p.MaxOvercommit = 8, 1 })},
+		{Name: "look-8-beyond-2", Search: variant(func(p *admission.Policy) { p.MaxQueries, p.MaxOvercommit = 8, 2 })},
+		{Name: "look-8-wait-soon", Search: variant(func(p *admission.Policy) { p.MaxQueries, p.QueriesPerStep, p.MaxOvercommit = 8, 1, 1 })},
+		{Name: "look-10-beyond-1", Search: variant(func(p *admission.Policy) { p.MaxQueries, p.MaxOvercommit = 10, 1 })},
+		{Name: "back-any-place", Search: variant(func(p *admission.Policy) { p.RetryReserve = 0 })},
+		{Name: "back-half-free", Search: variant(func(p *admission.Policy) { p.RetryReserve = 0.5 })},
 	}
 }
 
