--- a/daemon/internal/request/quarantine/quarantine.go
+++ b/daemon/internal/request/quarantine/quarantine.go
@@ -3,7 +3,7 @@
 // kept in the store as well. The dispatcher asks for a verdict before each attempt.
 //
 // A crash is evidence against every request that ran on the upstream, bystanders included. A
-// bystander is elsewhere when the next upstream crashes, while the cause runs there each time.
+// bystander seldom runs on the next upstream that crashes, whereas the cause always does.
 // Contents are therefore judged by the depth of their crashes. A crash is one deeper than the
 // deepest earlier crash of the content that its router had received before it sent the request,
 // or more than simultaneousWindow before the present crash. Upstreams that crash together, as in
@@ -46,7 +46,7 @@
 	// cost few upstreams, and a bystander is soon cleared.
 	initialQuarantine = 15 * time.Second
 	quarantineGrowth  = 4
-	// maxQuarantine bounds the duration. A content is forgotten twice as long after its last
+	// maxQuarantine bounds the duration. A record is dropped after twice this time without a
 	// crash.
 	maxQuarantine = 3 * time.Hour
 	// suspectTTL is how long crashes count against a content that was never quarantined.
@@ -69,7 +69,7 @@
 	maxCrashes = 16
 )
 
-// Verdict states whether and how a request may be attempt.
+// Verdict states whether a request may be sent, and how often.
 type Verdict int
 
 // Values of Verdict.
@@ -78,7 +78,7 @@
 	Unrestricted Verdict = iota
 	// SingleAttempt means a single attempt, without retry or hedge.
 	SingleAttempt
-	// Quarantined means quarantined: the request is not attempt.
+	// Quarantined means that the request is not sent.
 	Quarantined
 )
 
@@ -200,7 +200,7 @@
 }
 
 // merge merges one crash and reports whether the record changed. A greater depth of a crash
-// already held is a change, since the reporting router had received more crashes. A full record
+// already recorded is a change, since the reporting router had received more crashes. A full record
 // accepts only crashes deeper than all that it holds.
 func (r *record) merge(crash Crash, now time.Time) bool {
 	i := slices.IndexFunc(r.crashes, func(c observedCrash) bool { return c.equal(crash) })
@@ -377,8 +377,8 @@
 		return
 	}
 	digests := slices.SortedFunc(maps.Keys(t.contents), func(a, b content.Digest) int {
-		one, other := t.contents[a], t.contents[b]
-		return cmp.Or(cmp.Compare(one.depth(), other.depth()), one.lastAt.Compare(other.lastAt))
+		recordA, recordB := t.contents[a], t.contents[b]
+		return cmp.Or(cmp.Compare(recordA.depth(), recordB.depth()), recordA.lastAt.Compare(recordB.lastAt))
 	})
 	for _, digest := range digests[:maxContents/8] {
 		delete(t.contents, digest)
--- a/daemon/internal/request/quarantine/simulation_test.go
+++ b/daemon/internal/request/quarantine/simulation_test.go
@@ -52,8 +52,8 @@
 	now       time.Duration
 	contents  uint64
 
-	crashes, late, bystandersHeld, bystanders int
-	thirdCrash                                time.Duration
+	crashes, late, bystandersQuarantined, bystanders int
+	thirdCrash                                       time.Duration
 }
 
 type delivery struct {
@@ -89,7 +89,7 @@
 func (f *fleet) sendWith(r *request, verdict quarantine.Verdict) {
 	switch {
 	case verdict == quarantine.Quarantined && !r.crashing:
-		f.bystandersHeld++
+		f.bystandersQuarantined++
 		return
 	case verdict == quarantine.Quarantined:
 		return
@@ -241,15 +241,15 @@
 func TestCrashingContentIsStopped(t *testing.T) {
 	const seeds = 40
 	for delay, maxCrashes := range map[time.Duration]int{20 * time.Millisecond: 6, time.Second: 12} {
-		crashes, held, bystanders := 0, 0, 0
+		crashes, quarantined, bystanders := 0, 0, 0
 		for seed := range uint64(seeds) {
 			f := &fleet{random: rand.New(rand.NewPCG(seed, 0)), reportDelay: delay}
 			f.simulate(30 * time.Second)
 			assert.LessOrEqual(t, f.crashes, maxCrashes, "seed %d, report delay %s", seed, delay)
 			assert.LessOrEqual(t, f.late, 1, "more than the trial was sent after the quarantine; seed %d, report delay %s", seed, delay)
-			crashes, held, bystanders = crashes+f.crashes, held+f.bystandersHeld, bystanders+f.bystanders
+			crashes, quarantined, bystanders = crashes+f.crashes, quarantined+f.bystandersQuarantined, bystanders+f.bystanders
 		}
-		t.Logf("report delay %s: %.2f engines crash, %d of %d other requests are quarantined", delay, float64(crashes)/seeds, held, bystanders)
-		assert.LessOrEqual(t, held, bystanders/10000)
+		t.Logf("report delay %s: %.2f engines crash, %d of %d other requests are quarantined", delay, float64(crashes)/seeds, quarantined, bystanders)
+		assert.LessOrEqual(t, quarantined, bystanders/10000)
 	}
 }
