--- a/daemon/internal/request/ratelimit/header.go
+++ b/daemon/internal/request/ratelimit/header.go
@@ -8,7 +8,7 @@
 
 // This file parses the header in which a response names its upstream's limit.
 
-// Kind classifies what a response says of the limit.
+// Kind classifies what a response states about the limit.
 type Kind int
 
 // Values of Kind.
--- a/daemon/internal/request/ratelimit/ratelimit.go
+++ b/daemon/internal/request/ratelimit/ratelimit.go
@@ -23,8 +23,8 @@
 )
 
 const (
-	// minPerSecond replaces lower limits, 0 included, so that some requests find out whether
-	// the limit still holds.
+	// minPerSecond replaces lower limits, 0 included, so that a few requests detect when
+	// the limit is lifted.
 	minPerSecond = 0.2
 	// maxBurst bounds the credit that an idle limiter accumulates.
 	maxBurst = 100 * time.Millisecond
@@ -146,7 +146,7 @@
 	notifiedAt time.Time
 }
 
-// Observe records what the response to a request sent at the given time says of the limit.
+// Observe records what the response to a request sent at the given time states about the limit.
 func (t *Table) Observe(upstream Upstream, limit ResponseLimit, sent, now time.Time) Change {
 	switch limit.Kind {
 	case Limited:
@@ -167,24 +167,24 @@
 // equal limit refreshes the time of observation only if it is newer by more than slack, so that
 // reports passed back and forth do not keep a limit alive.
 func (t *Table) update(upstream Upstream, report Report, at, now time.Time, slack time.Duration) Change {
-	held := t.limits[upstream.key()]
-	if held == nil {
+	entry := t.limits[upstream.key()]
+	if entry == nil {
 		if report.Lifted {
 			return Change{}
 		}
-		held = t.add(upstream, at)
-	} else if !at.After(held.at) {
+		entry = t.add(upstream, at)
+	} else if !at.After(entry.at) {
 		return Change{}
 	}
-	if report.same(held.report) {
-		if at.Sub(held.at) > slack {
-			held.at = at
+	if report.same(entry.report) {
+		if at.Sub(entry.at) > slack {
+			entry.at = at
 		}
 		return Change{}
 	}
-	change := Change{Changed: true, Previous: held.report}
-	held.report, held.at = report, at
-	change.Current, change.Notify = held.reportAt(now), held.notifyDue(now)
+	change := Change{Changed: true, Previous: entry.report}
+	entry.report, entry.at = report, at
+	change.Current, change.Notify = entry.reportAt(now), entry.notifyDue(now)
 	return change
 }
 
@@ -231,11 +231,11 @@
 // Report returns the report of an upstream's limit, or false if the upstream never named a limit
 // or lifted it longer than liftedReportTTL ago.
 func (t *Table) Report(upstream Upstream, now time.Time) (Report, bool) {
-	held := t.limits[upstream.key()]
-	if held == nil || held.report.Lifted && now.Sub(held.at) > liftedReportTTL {
+	entry := t.limits[upstream.key()]
+	if entry == nil || entry.report.Lifted && now.Sub(entry.at) > liftedReportTTL {
 		return Report{}, false
 	}
-	return held.reportAt(now), true
+	return entry.reportAt(now), true
 }
 
 func (l *limit) reportAt(now time.Time) Report {
@@ -263,28 +263,28 @@
 
 // Limited reports whether an upstream has a limit.
 func (t *Table) Limited(upstream Upstream) bool {
-	held := t.limits[upstream.key()]
-	return held != nil && !held.report.Lifted
+	entry := t.limits[upstream.key()]
+	return entry != nil && !entry.report.Lifted
 }
 
 // Allow reports whether a request may be sent to an upstream now by the given share of its
-// limit, and counts the request if so. Otherwise it returns the delay before the next try.
+// limit, and counts the request if so. Otherwise it returns the delay before the next attempt.
 func (t *Table) Allow(upstream Upstream, share Share, now time.Time) (wait time.Duration, ok bool) {
-	held := t.limits[upstream.key()]
-	if held == nil || held.report.Lifted {
+	entry := t.limits[upstream.key()]
+	if entry == nil || entry.report.Lifted {
 		return 0, true
 	}
-	period := periodOf(held.report.PerSecond, share)
+	period := periodOf(entry.report.PerSecond, share)
 	if share.Processes > 1 {
-		held.advanceSlot(period, now, t.draw)
+		entry.advanceSlot(period, now, t.draw)
 	} else {
-		held.advanceBucket(period, now)
+		entry.advanceBucket(period, now)
 	}
-	if held.due.After(now) {
-		held.denied++
-		return held.wait(period, share, now), false
+	if entry.due.After(now) {
+		entry.denied++
+		return entry.wait(period, share, now), false
 	}
-	held.due, held.denied = held.due.Add(period), 0
+	entry.due, entry.denied = entry.due.Add(period), 0
 	return 0, true
 }
 
@@ -317,8 +317,8 @@
 	}
 }
 
-// wait returns the delay before the next try. A single counter adds a period for each request
-// denied before, so that the denied requests do not all return at once.
+// wait returns the delay before the next attempt. A single counter adds a period for each request
+// denied before, so that the denied requests are not all retried at once.
 func (l *limit) wait(period time.Duration, share Share, now time.Time) time.Duration {
 	wait := l.due.Sub(now)
 	if share.Processes == 1 {
