--- a/daemon/internal/request/admission/admission.go
+++ b/daemon/internal/request/admission/admission.go
@@ -14,7 +14,7 @@
 //
 // A retry of a refused request is likely to be late already. It gets only places that first
 // attempts leave free. In a sustained overload each admitted retry would otherwise make a first
-// attempt late, which would then be retried in turn.
+// attempt late, which would then be retried as well.
 //
 // All routes of a service share one limit. With limits per route, the route that tolerates the
 // longest wait would occupy every place of a full engine.
@@ -140,7 +140,7 @@
 }
 
 // overcommit returns the number of requests that may be admitted beyond the places of an engine.
-// It keeps places from standing empty until the next pass. An engine that frees places too slowly
+// It keeps places from being idle until the next pass. An engine that frees places too slowly
 // gets none, since the waiting request would be late.
 func (p Policy) overcommit(s Service) int {
 	if s.PlaceInterval <= 0 {
--- a/daemon/internal/request/admission/admission_test.go
+++ b/daemon/internal/request/admission/admission_test.go
@@ -12,7 +12,7 @@
 )
 
 // current is the policy of the package. baseline is an earlier policy, whose last query admits a
-// wait of up to the whole objective.
+// wait of up to the full objective.
 var (
 	current  = policy{queries: admission.DefaultPolicy().MaxQueries, limit: admission.DefaultPolicy().Limit}
 	baseline = policy{queries: 3, limit: func(s admission.Service, _ admission.Request, queried int, last bool) places.Limit {
@@ -83,7 +83,7 @@
 	})
 }
 
-// TestPlacesAreReservedOnlyWhenScarce guards against places that stand empty while all accounts
+// TestPlacesAreReservedOnlyWhenScarce guards against places that stay empty while all accounts
 // have the same priority or no engine is full.
 func TestPlacesAreReservedOnlyWhenScarce(t *testing.T) {
 	lessUrgent := admission.Request{Rank: 1}
--- a/daemon/internal/request/admission/retryafter.go
+++ b/daemon/internal/request/admission/retryafter.go
@@ -3,8 +3,8 @@
 import "time"
 
 // This file computes the Retry-After of refused requests. In a sustained overload a retry is
-// recognized by the time that has passed since the first attempt, so it must not come earlier than
-// first attempts differ in their timeouts; see RetryDetector.
+// recognized by the time that has passed since the first attempt, so the minimum delay must exceed
+// the difference between the timeouts of first attempts; see RetryDetector.
 
 // Cause is the cause of a refusal.
 type Cause int
@@ -13,7 +13,7 @@
 const (
 	// EnginesFull means that the response would be late.
 	EnginesFull Cause = iota
-	// NotReady means that this process or all upstreams that it knows cannot serve yet. They
+	// NotReady means that this process or all upstreams in its view cannot serve yet. They
 	// will soon, or another process already can.
 	NotReady
 )
--- a/daemon/internal/request/admission/retrydetector.go
+++ b/daemon/internal/request/admission/retrydetector.go
@@ -18,7 +18,7 @@
 	// timeout, since a few clients may send far longer ones.
 	longestQuantile = 0.05
 	// maxShortShare is the share of short remaining times, sampled while no request is refused,
-	// above which retries cannot be told from first attempts. shortWeight is the weight of one
+	// above which retries cannot be distinguished from first attempts. shortWeight is the weight of one
 	// sample in the moving average.
 	maxShortShare, shortWeight = 0.1, 0.02
 	// minLongShare is the share of samples above the threshold that is required while no calm
@@ -41,8 +41,8 @@
 }
 
 // RetryDetector recognizes retries of refused requests by the time until the client's deadline. The
-// timeout of a client includes its retries, and no refused client retries before ShortestReturn. A
-// request is therefore a first attempt if its remaining time is within ShortestReturn of the
+// timeout of a client includes its retries, and no refused client retries before MinRetryAfter. A
+// request is therefore a first attempt if its remaining time is within MinRetryAfter of the
 // longest timeout on its route, and a likely retry otherwise.
 //
 // The longest timeout is taken from sampled requests. Until some were sampled while no request was
