--- a/daemon/internal/request/dispatch/admit.go
+++ b/daemon/internal/request/dispatch/admit.go
@@ -160,8 +160,8 @@
 	return defaultDeadline
 }
 
-// declaredTimeout returns how long the caller says it waits, false if it says nothing or an
-// invalid time.
+// declaredTimeout returns the timeout that the caller declares, false if it declares none or an
+// invalid one.
 func (q *request) declaredTimeout() (time.Duration, bool) {
 	ms, err := strconv.ParseFloat(q.Header.Get(q.Headers.Deadline), 64)
 	if err != nil || !(ms > 0 && ms <= float64(maxDeadline/time.Millisecond)) {
@@ -180,7 +180,7 @@
 	return remaining, q.Callers.IsRetry(admission.Arrival{Route: q.route.Name, Remaining: remaining, Declared: q.route.Timeout})
 }
 
-// routeTimeout returns how long the route lets a request take.
+// routeTimeout returns the time limit that the route sets for a request.
 func (q *request) routeTimeout() time.Duration {
 	if q.route.Timeout <= 0 {
 		return defaultDeadline
--- a/daemon/internal/request/dispatch/dispatch.go
+++ b/daemon/internal/request/dispatch/dispatch.go
@@ -57,12 +57,12 @@
 	// RequestPlace requests a place from an engine's loader. An error means that the loader
 	// did not answer. Nil means that there are no loaders.
 	RequestPlace func(ctx context.Context, engine *provider.Upstream, limit places.Limit) (places.Load, bool, error)
-	// OnLimit is called with what each response says about its upstream's rate limit. It may
+	// OnLimit is called with what each response states about its upstream's rate limit. It may
 	// be nil.
 	OnLimit func(LimitReport)
 	// Allow reports whether this router's share of an upstream's rate limit admits a request
 	// that no loader gave a place, and counts the request. If it does not, it returns how
-	// long to wait before asking again. It may be nil.
+	// long to wait before the next request. It may be nil.
 	Allow func(upstream *provider.Upstream, path AdmissionPath) (time.Duration, bool)
 	// OnDisconnect is called for each send whose connection broke, before the request is
 	// retried. It may be nil.
@@ -79,7 +79,7 @@
 	Report func(*Trace)
 }
 
-// LimitReport is what a response says about its upstream's rate limit.
+// LimitReport is what a response states about its upstream's rate limit.
 type LimitReport struct {
 	Request  string
 	Upstream *provider.Upstream
@@ -305,15 +305,15 @@
 	return query
 }
 
-func (q *request) balanceOutcome(fate exchange.Kind) balance.Outcome {
+func (q *request) balanceOutcome(kind exchange.Kind) balance.Outcome {
 	switch {
 	case q.Context().Err() != nil:
 		return balance.Canceled
-	case fate == exchange.Unsent:
+	case kind == exchange.Unsent:
 		return balance.Unreachable
-	case fate == exchange.Refused:
+	case kind == exchange.Refused:
 		return balance.Full
-	case fate == exchange.Misdirected:
+	case kind == exchange.Misdirected:
 		return balance.Moved
 	default:
 		return balance.Failed
@@ -330,20 +330,20 @@
 //
 // Content that crashed several upstreams in a row is sent again only if it did not run, and
 // quarantined content not at all.
-func (q *request) mayRetry(fate exchange.Kind) bool {
-	if fate == exchange.Answered || len(q.tried) >= maxUpstreams {
+func (q *request) mayRetry(kind exchange.Kind) bool {
+	if kind == exchange.Answered || len(q.tried) >= maxUpstreams {
 		return false
 	}
-	if verdict := q.verdict(); verdict == quarantine.Quarantined || verdict == quarantine.SingleAttempt && fate == exchange.Unknown {
+	if verdict := q.verdict(); verdict == quarantine.Quarantined || verdict == quarantine.SingleAttempt && kind == exchange.Unknown {
 		return false
 	}
-	if fate == exchange.Unsent {
+	if kind == exchange.Unsent {
 		return true
 	}
 	if q.sent >= q.route.MaxAttempts {
 		return false
 	}
-	if fate == exchange.Unknown && !q.repeatable() {
+	if kind == exchange.Unknown && !q.repeatable() {
 		return false
 	}
 	return q.Budget.Allow(q.service.Name)
--- a/daemon/internal/request/dispatch/interrupt_test.go
+++ b/daemon/internal/request/dispatch/interrupt_test.go
@@ -14,7 +14,7 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 )
 
-// TestInterruptReasonFollowsError: logs must tell a connection that the upstream closed from
+// TestInterruptReasonFollowsError: logs must distinguish a connection that the upstream closed from
 // a send that this router canceled.
 func TestInterruptReasonFollowsError(t *testing.T) {
 	q := &request{Dispatcher: &Dispatcher{Pool: &balance.Pool{}}, Request: httptest.NewRequest("GET", "/", nil), trace: &Trace{}}
--- a/daemon/internal/request/dispatch/limit_test.go
+++ b/daemon/internal/request/dispatch/limit_test.go
@@ -38,7 +38,7 @@
 	choice, err := q.choosePlace(context.Background())
 	require.NoError(t, err)
 	assert.Equal(t, "u3", choice.Upstream.ID)
-	asked := len(q.trace.PlaceRequests)
+	queried := len(q.trace.PlaceRequests)
 
 	second := f.request("hasty", 0)
 	f.limitAllBut(second, "u3")
@@ -47,8 +47,8 @@
 		require.NoError(t, err)
 		assert.Equal(t, "u3", choice.Upstream.ID)
 	}
-	assert.LessOrEqual(t, asked+len(second.trace.PlaceRequests), 2*engines, "each engine but the free one is queried once")
-	assert.Positive(t, q.trace.PlaceRequests[0].RetryAfter+q.trace.PlaceRequests[asked-1].RetryAfter+second.trace.PlaceRequests[0].RetryAfter, "the wait is recorded")
+	assert.LessOrEqual(t, queried+len(second.trace.PlaceRequests), 2*engines, "each engine but the free one is queried once")
+	assert.Positive(t, q.trace.PlaceRequests[0].RetryAfter+q.trace.PlaceRequests[queried-1].RetryAfter+second.trace.PlaceRequests[0].RetryAfter, "the wait is recorded")
 }
 
 // TestRefusesWhenAllLimitsAreUsedUp: nothing is sent past the limits.
@@ -81,13 +81,13 @@
 func TestDenyingEngineIsQueriedAgain(t *testing.T) {
 	f := newFleet(t, 2, nil)
 	q := f.request("hasty", 0)
-	asked := map[string]int{}
+	queried := map[string]int{}
 	first := ""
 	q.RequestPlace = func(_ context.Context, engine *provider.Upstream, limit places.Limit) (places.Load, bool, error) {
 		if first == "" {
 			first = engine.ID
 		}
-		asked[engine.ID]++
+		queried[engine.ID]++
 		if engine.ID == first {
 			return places.Load{Waiting: 1}, limit.Waiting > 0, nil
 		}
@@ -96,7 +96,7 @@
 	choice, err := q.choosePlace(context.Background())
 	require.NoError(t, err)
 	assert.Equal(t, first, choice.Upstream.ID)
-	assert.Equal(t, 2, asked[first])
+	assert.Equal(t, 2, queried[first])
 }
 
 // TestEveryAdmissionPathChecksLimit: without an answer from a loader, and without a loader,
--- a/daemon/internal/request/dispatch/overload_test.go
+++ b/daemon/internal/request/dispatch/overload_test.go
@@ -58,7 +58,7 @@
 	assert.True(t, q.overloaded(choice))
 }
 
-// frozenNow is a clock that stands still.
+// frozenNow is a clock that does not advance.
 func frozenNow() time.Time { return time.Unix(1000, 0) }
 
 func makeFull(tracker *LoadTracker) {
--- a/daemon/internal/request/dispatch/place.go
+++ b/daemon/internal/request/dispatch/place.go
@@ -26,7 +26,7 @@
 	MaxWaiting int           `json:"most"`
 	MaxInUse   int           `json:"taken"` // running and waiting
 	Duration   time.Duration `json:"took"`
-	// RetryAfter is when to ask again if the engine's rate limit is used up.
+	// RetryAfter is when to request again if the engine's rate limit is used up.
 	RetryAfter time.Duration `json:"wait,omitempty"`
 	Cause      string        `json:"cause,omitempty"`
 }
@@ -37,8 +37,9 @@
 // cut off.
 //
 // An upstream whose rate limit is used up is skipped too, and does not count among the
-// queried engines. If no upstream remains after it, the others are queried once more: the
-// last query carries the loosest limit, and it went to an upstream that could not use it.
+// queried engines. If no upstream remains after it, the others are queried once more, since the
+// last query of a search has the loosest limit and was spent on an upstream whose rate limit
+// was used up.
 func (q *request) choosePlace(ctx context.Context) (balance.Choice, error) {
 	query := q.upstreamQuery()
 	candidates, err := q.candidates()
@@ -85,9 +86,9 @@
 	if limit != admission.Unlimited {
 		limit.Duration = hold
 	}
-	load, given, err := q.queryLoader(ctx, choice, limit)
+	load, granted, err := q.queryLoader(ctx, choice, limit)
 	switch {
-	case given:
+	case granted:
 		q.LoadTracker.RecordFull(q.service.Name, load.Running+load.Waiting >= choice.Upstream.Places)
 		q.recordPath(choice, PathLoader)
 		return choice.WithLoad(load.Running, load.Waiting), true, nil
@@ -123,7 +124,7 @@
 
 // unplacedError returns why no upstream can be chosen.
 func (q *request) unplacedError(candidates []*provider.Upstream) error {
-	if wait, held := q.Pool.ThrottledFor(candidates); held {
+	if wait, throttled := q.Pool.ThrottledFor(candidates); throttled {
 		return fmt.Errorf("%w, next retry in %s", errLimitsUsedUp, wait.Round(time.Millisecond))
 	}
 	return errNoUpstream
@@ -136,9 +137,9 @@
 }
 
 // admitUnqueried admits the request to an upstream that was chosen by load reports, unless
-// its response would be late there. Refused at once, the caller can retry; a late request
-// would delay others. If the upstream's rate limit leaves no room, another upstream must be
-// chosen.
+// its response would be late there. A caller that is refused at once can retry, whereas a late
+// request would delay others. If the upstream's rate limit leaves no room, another upstream
+// must be chosen.
 func (q *request) admitUnqueried(choice balance.Choice, path AdmissionPath) (balance.Choice, bool, error) {
 	if q.overloaded(choice) {
 		choice.Done(balance.Canceled)
@@ -181,9 +182,9 @@
 // queryLoader requests a place and records the result.
 func (q *request) queryLoader(ctx context.Context, choice balance.Choice, limit places.Limit) (places.Load, bool, error) {
 	started := clock.Now()
-	load, given, err := q.RequestPlace(ctx, choice.Upstream, limit)
+	load, granted, err := q.RequestPlace(ctx, choice.Upstream, limit)
 	result := PlaceRequest{
-		Upstream: choice.Upstream.ID, Granted: given, Running: load.Running, Waiting: load.Waiting,
+		Upstream: choice.Upstream.ID, Granted: granted, Running: load.Running, Waiting: load.Waiting,
 		MaxWaiting: limit.Waiting, MaxInUse: limit.InUse, Duration: clock.Since(started), RetryAfter: load.RetryAfter,
 	}
 	if err != nil {
@@ -192,11 +193,11 @@
 		q.Pool.ReportLoad(choice.Upstream.ID, load.Running, load.Waiting, load.Loading)
 	}
 	q.trace.PlaceRequests = append(q.trace.PlaceRequests, result)
-	return load, given, err
+	return load, granted, err
 }
 
-// serviceState returns what admission needs to know of the service's engines, for an
-// objective.
+// serviceState returns the state of the service's engines for an admission decision with the
+// given objective.
 func (q *request) serviceState(choice balance.Choice, objective time.Duration) admission.Service {
 	return admission.Service{
 		Places: choice.Upstream.Places, ReadTime: q.promptTime(), PlaceInterval: q.placeInterval(choice),
@@ -204,7 +205,7 @@
 	}
 }
 
-// admissionRequest returns what admission needs to know of the request.
+// admissionRequest returns the properties of the request for an admission decision.
 func (q *request) admissionRequest() admission.Request {
 	return admission.Request{Rank: q.rank, Retry: q.trace.Retried, Sent: q.sent > 0}
 }
--- a/daemon/internal/request/dispatch/place_test.go
+++ b/daemon/internal/request/dispatch/place_test.go
@@ -25,13 +25,13 @@
 	pool    *balance.Pool
 	view    *replica.View
 	queries []places.Limit
-	// given returns the result of the n-th request for a place.
-	given func(n int) (bool, error)
+	// grant returns the result of the n-th request for a place.
+	grant func(n int) (bool, error)
 }
 
-func newFleet(t *testing.T, engines int, given func(n int) (bool, error)) *fleet {
+func newFleet(t *testing.T, engines int, grant func(n int) (bool, error)) *fleet {
 	t.Helper()
-	f := &fleet{pool: &balance.Pool{}, given: given}
+	f := &fleet{pool: &balance.Pool{}, grant: grant}
 	configuration := &provider.Configuration{
 		Routes: []provider.Route{
 			{Name: "hasty", Objective: 300 * time.Millisecond, Shares: []provider.Share{{Service: "s", Weight: 1}}},
@@ -59,8 +59,8 @@
 
 func (f *fleet) answer(_ context.Context, _ *provider.Upstream, limit places.Limit) (places.Load, bool, error) {
 	f.queries = append(f.queries, limit)
-	given, err := f.given(len(f.queries))
-	return places.Load{Running: 10, Waiting: 1}, given, err
+	granted, err := f.grant(len(f.queries))
+	return places.Load{Running: 10, Waiting: 1}, granted, err
 }
 
 func (f *fleet) request(route string, sent int) *request {
@@ -102,7 +102,7 @@
 	assert.NotEqual(t, q.trace.PlaceRequests[0].Upstream, q.trace.PlaceRequests[1].Upstream)
 	assert.Equal(t, q.trace.PlaceRequests[1].Upstream, choice.Upstream.ID)
 	assert.Equal(t, 10, choice.Running)
-	assert.Zero(t, f.queries[0].Waiting, "the first query is for an engine where nothing waits")
+	assert.Zero(t, f.queries[0].Waiting, "the first query is for an engine with an empty queue")
 	assert.Equal(t, 16-1, f.queries[1].InUse, "no query exceeds the engine's places")
 	assert.Equal(t, 1, f.inFlight(t))
 	choice.Done(balance.Served)
--- a/daemon/internal/request/dispatch/quarantine_test.go
+++ b/daemon/internal/request/dispatch/quarantine_test.go
@@ -30,15 +30,15 @@
 // TestVerdictLimitsRetries: content that crashed two upstreams is retried only if it has not
 // run, and quarantined content never.
 func TestVerdictLimitsRetries(t *testing.T) {
-	fates := []exchange.Kind{exchange.Unknown, exchange.Unsent, exchange.Refused, exchange.Misdirected}
+	kinds := []exchange.Kind{exchange.Unknown, exchange.Unsent, exchange.Refused, exchange.Misdirected}
 	for verdict, want := range map[quarantine.Verdict][]bool{
 		quarantine.Unrestricted:  {true, true, true, true},
 		quarantine.SingleAttempt: {false, true, true, true},
 		quarantine.Quarantined:   {false, false, false, false},
 	} {
 		q := requestWithVerdict(&verdict)
-		for i, fate := range fates {
-			assert.Equal(t, want[i], q.mayRetry(fate), "%s after %s", verdict, fate)
+		for i, kind := range kinds {
+			assert.Equal(t, want[i], q.mayRetry(kind), "%s after %s", verdict, kind)
 		}
 		assert.Equal(t, verdict == quarantine.Unrestricted, q.mayHedge(), "%s", verdict)
 	}
--- a/daemon/internal/request/dispatch/response.go
+++ b/daemon/internal/request/dispatch/response.go
@@ -26,12 +26,12 @@
 	if q.route.Mode == provider.ModeStream && response.StatusCode/100 == 2 {
 		return q.forwardStream(ctx, choice, response)
 	}
-	return q.forwardWhole(choice, response)
+	return q.forwardBuffered(choice, response)
 }
 
-// forwardWhole reads a response completely before it writes any of it, so that the request
+// forwardBuffered reads a response completely before it writes any of it, so that the request
 // can be retried if the response is truncated. Long responses are streamed instead.
-func (q *request) forwardWhole(choice balance.Choice, response *http.Response) bool {
+func (q *request) forwardBuffered(choice balance.Choice, response *http.Response) bool {
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxBuffered))
 	if err == nil && len(body) == maxBuffered {
@@ -178,8 +178,8 @@
 }
 
 // notRunReason returns why a request that an upstream did not run is refused.
-func notRunReason(fate exchange.Kind) admission.Cause {
-	if fate == exchange.Refused {
+func notRunReason(kind exchange.Kind) admission.Cause {
+	if kind == exchange.Refused {
 		return admission.EnginesFull
 	}
 	return admission.NotReady
--- a/daemon/internal/request/dispatch/resume.go
+++ b/daemon/internal/request/dispatch/resume.go
@@ -22,7 +22,7 @@
 	// maxResumeGap is how long after its last event a broken stream may resume. Callers give
 	// up after two seconds without an event.
 	maxResumeGap = 1800 * time.Millisecond
-	// minResumeSearch is how long a place is searched for at least.
+	// minResumeSearch is the minimum time of the search for a place.
 	minResumeSearch = 300 * time.Millisecond
 )
 
--- a/daemon/internal/request/dispatch/stream.go
+++ b/daemon/internal/request/dispatch/stream.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// streamOutcome returns what a broken stream says about its upstream: nothing, if the
+// streamOutcome returns what a broken stream reveals about its upstream: nothing, if the
 // upstream broke it to load a version.
 func (q *request) streamOutcome(choice balance.Choice) balance.Outcome {
 	if q.Pool.Loading(choice.Upstream.ID) {
@@ -59,7 +59,7 @@
 	return q.balanceOutcome(exchange.Unknown)
 }
 
-// callerLastEvent returns the event after which the caller asks to resume.
+// callerLastEvent returns the event after which the caller requests to resume.
 func (q *request) callerLastEvent() (int64, bool) {
 	id, err := strconv.ParseInt(q.Header.Get(q.Headers.LastEvent), 10, 64)
 	return id, err == nil
