--- a/daemon/internal/request/gate/gate_test.go
+++ b/daemon/internal/request/gate/gate_test.go
@@ -12,7 +12,7 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/outcome"
 )
 
-func TestEnterRefusesWithReason(t *testing.T) {
+func TestAdmitRefusesWithReason(t *testing.T) {
 	target := Target{"s", "v1"}
 	tests := []struct {
 		name   string
