--- a/daemon/internal/request/intake/budget_test.go
+++ b/daemon/internal/request/intake/budget_test.go
@@ -8,7 +8,7 @@
 	"github.com/wheelcleat/wheelcleat/api"
 )
 
-func TestBudget(t *testing.T) {
+func TestBudgetGrowsWithRequestsUpToBound(t *testing.T) {
 	budgets := &Budgets{}
 	service := &api.Resource{Name: "s", Service: &api.ServiceSpec{Limits: api.Limits{RetryShare: 0.1}}}
 	count := func() int {
--- a/daemon/internal/request/intake/intake_test.go
+++ b/daemon/internal/request/intake/intake_test.go
@@ -39,7 +39,7 @@
 	t.Helper()
 	h := &changedHost{gate: &gate.Gate{}}
 	mux := http.NewServeMux()
-	handler := &gate.Handler{Gate: h.gate, Name: name, Transport: &http.Transport{}, Telemetry: silentTelemetry(t)}
+	handler := &gate.Handler{Gate: h.gate, Name: name, Transport: &http.Transport{}, Telemetry: discardTelemetry(t)}
 	handler.Register(mux)
 	upstream := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }))
 	t.Cleanup(upstream.Close)
@@ -105,7 +105,7 @@
 	router := bunrouter.New()
 	(&Handler{
 		Table: table, Members: known, Router: &route.Router{}, Accounts: &account.Limiter{}, Budgets: &Budgets{},
-		Transport: &http.Transport{}, Telemetry: silentTelemetry(t), MaxBodyBytes: 1 << 20,
+		Transport: &http.Transport{}, Telemetry: discardTelemetry(t), MaxBodyBytes: 1 << 20,
 	}).Register(router)
 	server := httptest.NewServer(router)
 	t.Cleanup(server.Close)
@@ -137,9 +137,9 @@
 	return server.Listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-func silentTelemetry(t *testing.T) *telemetry.Telemetry {
+func discardTelemetry(t *testing.T) *telemetry.Telemetry {
 	t.Helper()
-	silentTelemetry, err := telemetry.New(telemetry.Options{Level: "error", Output: io.Discard})
+	discarding, err := telemetry.New(telemetry.Options{Level: "error", Output: io.Discard})
 	require.NoError(t, err)
-	return silentTelemetry
+	return discarding
 }
