--- a/daemon/internal/request/dispatch/dispatch.go
+++ b/daemon/internal/request/dispatch/dispatch.go
@@ -412,8 +412,8 @@
 func priorityClass(rank, ranks, size int) int {
 	ranks = min(ranks, priorityClasses)
 	rank = min(rank, ranks-1)
-	each := priorityClasses / ranks
-	return rank*each + size*each/priorityClasses
+	perRank := priorityClasses / ranks
+	return rank*perRank + size*perRank/priorityClasses
 }
 
 const (
--- a/daemon/internal/request/dispatch/interrupt.go
+++ b/daemon/internal/request/dispatch/interrupt.go
@@ -33,7 +33,7 @@
 const (
 	InterruptUpstream   InterruptReason = "upstream"
 	InterruptTimeout    InterruptReason = "silence"  // no response head or event arrived in time
-	InterruptVersion    InterruptReason = "version"  // the upstream's version must not start requests any more
+	InterruptVersion    InterruptReason = "version"  // the upstream's version is below the minimum version
 	InterruptDeadline   InterruptReason = "deadline" // the caller's or the route's
 	InterruptCaller     InterruptReason = "caller"   // the caller disconnected
 	InterruptShutdown   InterruptReason = "stop"     // this router is stopping
--- a/daemon/internal/request/dispatch/quarantine.go
+++ b/daemon/internal/request/dispatch/quarantine.go
@@ -6,7 +6,7 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/quarantine"
 )
 
-// This file keeps quarantined content from upstreams, because they crash under it.
+// This file withholds quarantined content from upstreams, which it is likely to crash.
 
 // verdict returns the current quarantine verdict on the request's content.
 func (q *request) verdict() quarantine.Verdict {
--- a/daemon/internal/request/dispatch/response.go
+++ b/daemon/internal/request/dispatch/response.go
@@ -119,11 +119,11 @@
 	if q.OnServed != nil && status/100 == 2 {
 		q.OnServed(q.trace.Content)
 	}
-	ending := OutcomeServed
+	outcome := OutcomeServed
 	if status >= http.StatusBadRequest {
-		ending = OutcomeFailed
+		outcome = OutcomeFailed
 	}
-	q.setOutcome(ending, status, "")
+	q.setOutcome(outcome, status, "")
 }
 
 func (q *request) copyHeader(response *http.Response) {
@@ -186,13 +186,13 @@
 }
 
 // refuse answers a request that has not run, and sends the backoff for its retry.
-func (q *request) refuse(why admission.Cause, cause string) {
+func (q *request) refuse(reason admission.Cause, cause string) {
 	if !q.neverRan() {
 		q.fail(http.StatusBadGateway, OutcomeUnknown, cause)
 		return
 	}
 	q.Callers.RecordRefusal()
-	wait := admission.RetryAfter(why, rand.Float64())
+	wait := admission.RetryAfter(reason, rand.Float64())
 	q.trace.RetryAfter = wait
 	q.writer.Header().Set("Retry-After", strconv.FormatFloat(wait.Seconds(), 'f', 3, 64))
 	q.fail(http.StatusServiceUnavailable, OutcomeRefused, cause)
@@ -205,7 +205,7 @@
 
 // fail writes a response of the router's own, which never carries a signature. If a retry
 // followed an upstream's failure, it forwards that failure instead.
-func (q *request) fail(status int, ending Outcome, cause string) {
+func (q *request) fail(status int, outcome Outcome, cause string) {
 	if q.errorResponse != nil {
 		q.writeBuffered(*q.errorResponse)
 		q.trace.Cause = "no other upstream responded after the failure: " + cause
@@ -216,15 +216,15 @@
 		header.Set(q.Headers.RequestID, q.trace.ID)
 	}
 	header.Set("Content-Type", "text/plain; charset=utf-8")
-	body := string(ending) + "\n"
+	body := string(outcome) + "\n"
 	header.Set("Content-Length", strconv.Itoa(len(body)))
 	q.writer.WriteHeader(status)
 	_, _ = io.WriteString(q.writer, body)
-	q.setOutcome(ending, status, cause)
+	q.setOutcome(outcome, status, cause)
 }
 
-func (q *request) setOutcome(ending Outcome, status int, cause string) {
-	q.trace.Outcome, q.trace.Status, q.trace.Cause = ending, status, cause
+func (q *request) setOutcome(outcome Outcome, status int, cause string) {
+	q.trace.Outcome, q.trace.Status, q.trace.Cause = outcome, status, cause
 }
 
 // amendAttempt records why the response of an attempt was not forwarded.
--- a/daemon/internal/request/dispatch/resume.go
+++ b/daemon/internal/request/dispatch/resume.go
@@ -33,7 +33,7 @@
 }
 
 // findResumption searches for an upstream at which the stream resumes. It returns nil once
-// searchCtx or the stream's own context is done, or once no send remains.
+// searchCtx or the stream's own context is done, or once no further send is allowed.
 func (s *stream) findResumption(ctx, searchCtx context.Context) *resumption {
 	for searchCtx.Err() == nil && s.mayHedge() {
 		send := s.startHedge(ctx, searchCtx, s.lastEvent())
@@ -95,7 +95,7 @@
 	cancel    context.CancelFunc
 	done      chan struct{}
 	found     *resumption
-	// closedFirst reports whether the first upstream sent nothing until the second had begun.
+	// closedFirst is set if run closed the first upstream because the second had begun.
 	closedFirst bool
 }
 
--- a/daemon/internal/request/dispatch/send.go
+++ b/daemon/internal/request/dispatch/send.go
@@ -176,8 +176,8 @@
 	}
 }
 
-// cancelOutdated cancels sends without a response head whose upstream's version must not
-// start requests any more.
+// cancelOutdated cancels sends without a response head whose upstream's version is
+// below the minimum version.
 func (q *request) cancelOutdated(sends ...*pendingSend) {
 	for _, s := range sends {
 		if s != nil && s.choice.Version > 0 && s.choice.Version < q.upstreamQuery().MinVersion {
