--- a/daemon/internal/request/ratelimit/header.go
+++ b/daemon/internal/request/ratelimit/header.go
@@ -31,7 +31,7 @@
 	Invalid string
 }
 
-// maxInvalidBytes bounds Unread.
+// maxInvalidBytes bounds ResponseLimit.Invalid.
 const maxInvalidBytes = 40
 
 // String returns the limit for logs, "" if the response names none.
--- a/daemon/internal/request/ratelimit/warmup.go
+++ b/daemon/internal/request/ratelimit/warmup.go
@@ -55,7 +55,7 @@
 
 // Allow reports whether a request may be sent to an upstream now by the given share of its
 // warm-up limit, and counts the request if so. Otherwise it returns the delay before the next
-// try.
+// attempt.
 func (w *WarmupTable) Allow(upstream Upstream, share Share, now time.Time) (wait time.Duration, ok bool) {
 	if !w.until[upstream.key()].After(now) {
 		return 0, true
