--- a/daemon/internal/request/intake/intake.go
+++ b/daemon/internal/request/intake/intake.go
@@ -323,9 +323,9 @@
 }
 
 func (p *proxyRequest) handleSendError(ctx context.Context, choice route.Choice, err error) (*outcome.Refusal, bool) {
-	callerGone := p.r.Context().Err() != nil
+	disconnected := p.r.Context().Err() != nil
 	result := route.ResultFailed
-	if callerGone {
+	if disconnected {
 		result = route.ResultCanceled
 	}
 	p.handler.Router.Done(choice.Host, result)
