--- a/daemon/internal/request/gate/gate.go
+++ b/daemon/internal/request/gate/gate.go
@@ -69,7 +69,7 @@
 	}
 	g.inFlight++
 	var once sync.Once
-	return g.inFlight, func() { once.Do(g.exit) }, nil
+	return g.inFlight, func() { once.Do(g.release) }, nil
 }
 
 // refuse returns the refusal of a request, or nil to admit it. The caller must hold mu.
@@ -87,7 +87,7 @@
 	}
 }
 
-func (g *Gate) exit() {
+func (g *Gate) release() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.inFlight--
--- a/daemon/internal/request/gate/handler.go
+++ b/daemon/internal/request/gate/handler.go
@@ -52,7 +52,7 @@
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	h.requests.Inc(1)
 	target := Target{Service: r.Header.Get(HeaderService), Manifest: r.Header.Get(HeaderManifest)}
-	inFlight, leave, refusal := h.Gate.Admit(target)
+	inFlight, release, refusal := h.Gate.Admit(target)
 	w.Header().Set(HeaderInFlight, strconv.Itoa(inFlight))
 	w.Header().Set(api.HeaderHost, h.Name)
 	if refusal != nil {
@@ -61,7 +61,7 @@
 		refusal.Write(w)
 		return
 	}
-	defer leave()
+	defer release()
 	h.forward(w, r, target)
 }
 
