--- a/daemon/internal/request/account/account.go
+++ b/daemon/internal/request/account/account.go
@@ -78,7 +78,7 @@
 	}
 	s.inFlight++
 	var once sync.Once
-	return func() { once.Do(func() { l.exit(s) }) }, nil
+	return func() { once.Do(func() { l.release(s) }) }, nil
 }
 
 // state returns the state of an account and rebuilds the token bucket if the
@@ -102,7 +102,7 @@
 	return s
 }
 
-func (l *Limiter) exit(s *state) {
+func (l *Limiter) release(s *state) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s.inFlight--
