--- a/daemon/lab/oracle.go
+++ b/daemon/lab/oracle.go
@@ -11,7 +11,7 @@
 // divides time into slices of one objective and spends the engine time of each slice on the
 // requests that arrived in it, either by worth per engine time or in order of arrival. Policies
 // stay below the bound because engines work in passes. The bound ignores that work continues into
-// the next slice, so a run near capacity can exceed it by about 0.001.
+// the next slice, so a run near capacity can exceed it slightly.
 
 // engineTime returns the engine time that the request needs on a fully occupied engine.
 func (c *caller) engineTime() time.Duration {
