--- a/daemon/internal/request/admission/retryafter.go
+++ b/daemon/internal/request/admission/retryafter.go
@@ -32,12 +32,12 @@
 	maxWaitDivisor = 3
 )
 
-// RetryAfter returns the Retry-After of a refused request, which a random number in [0, 1) spreads so
+// RetryAfter returns the Retry-After of a refused request, spread by a uniform variate in [0, 1) so
 // that refused clients do not retry at the same time.
-func RetryAfter(cause Cause, drawn float64) time.Duration {
+func RetryAfter(cause Cause, variate float64) time.Duration {
 	lower, upper := MinRetryAfter, MaxRetryAfter
 	if cause == NotReady {
 		lower, upper = minNotReady, maxNotReady
 	}
-	return lower + time.Duration(drawn*float64(upper-lower))
+	return lower + time.Duration(variate*float64(upper-lower))
 }
--- a/daemon/internal/request/admission/retrydetector_test.go
+++ b/daemon/internal/request/admission/retrydetector_test.go
@@ -14,11 +14,11 @@
 type clients struct {
 	detector admission.RetryDetector
 	now      time.Time
-	draw     *rand.Rand
+	rng      *rand.Rand
 }
 
 func newClients() *clients {
-	c := &clients{now: time.Unix(1000, 0), draw: rand.New(rand.NewPCG(1, 2))}
+	c := &clients{now: time.Unix(1000, 0), rng: rand.New(rand.NewPCG(1, 2))}
 	c.detector.Now = func() time.Time { return c.now }
 	return c
 }
@@ -26,13 +26,13 @@
 // timeout draws the timeout of a first attempt, shorter than the longest by up to the given
 // fraction.
 func (c *clients) timeout(longest time.Duration, spread float64) time.Duration {
-	return time.Duration((1 - spread*c.draw.Float64()) * float64(longest))
+	return time.Duration((1 - spread*c.rng.Float64()) * float64(longest))
 }
 
 // retryTimeout draws the remaining time of a retry that honoured Retry-After.
 func (c *clients) retryTimeout(longest time.Duration, spread float64) time.Duration {
 	first := c.timeout(longest, spread)
-	return first - min(admission.RetryAfter(admission.EnginesFull, c.draw.Float64()), first/3)
+	return first - min(admission.RetryAfter(admission.EnginesFull, c.rng.Float64()), first/3)
 }
 
 // countRetries sends requests 100 ms apart and returns how many are classified as retries.
--- a/daemon/internal/request/admission/simulation_test.go
+++ b/daemon/internal/request/admission/simulation_test.go
@@ -143,7 +143,7 @@
 // simulate runs requests that arrive at a rate given as a fraction of the engines' capacity.
 func simulate(p policy, rate func(now time.Duration) float64) result {
 	const capacity = 4.4 // requests per second and engine
-	draw, hints := rand.New(rand.NewPCG(7, 7)), rand.New(rand.NewPCG(8, 8))
+	rng, hints := rand.New(rand.NewPCG(7, 7)), rand.New(rand.NewPCG(8, 8))
 	fleet := make([]*engine, engines)
 	for i := range fleet {
 		fleet[i] = &engine{}
@@ -160,17 +160,17 @@
 			e.loadIfDrained(now)
 		}
 		for len(retries) > 0 && retries[0].arrival+retryAfter <= now {
-			full = search(p, fleet, retries[0], now, full, draw)
+			full = search(p, fleet, retries[0], now, full, rng)
 			retries = retries[1:]
 		}
 		expected := rate(now) * capacity * engines * tick.Seconds()
-		for now < arrivalTime && draw.Float64() < expected {
+		for now < arrivalTime && rng.Float64() < expected {
 			expected--
-			req := &request{arrival: now, prompt: 200 + int(draw.ExpFloat64()*(typicalPrompt-200)), remaining: 5 + int(draw.ExpFloat64()*(typicalAnswer-5))}
+			req := &request{arrival: now, prompt: 200 + int(rng.ExpFloat64()*(typicalPrompt-200)), remaining: 5 + int(rng.ExpFloat64()*(typicalAnswer-5))}
 			req.prompt = min(req.prompt, maxPassPrompt)
 			req.hint = float64(req.remaining) * hintError(hints)
 			requests = append(requests, req)
-			full = search(p, fleet, req, now, full, draw)
+			full = search(p, fleet, req, now, full, rng)
 			if req.refusals > 0 {
 				retries = append(retries, req)
 			}
@@ -181,13 +181,13 @@
 
 // search queries engines for a place, in the order of their reported load, and returns the updated
 // moving share of searches that found all engines full.
-func search(p policy, fleet []*engine, req *request, now time.Duration, full float64, draw *rand.Rand) float64 {
+func search(p policy, fleet []*engine, req *request, now time.Duration, full float64, rng *rand.Rand) float64 {
 	const weight = 0.01
 	s := admission.Service{
 		Places: enginePlaces, ReadTime: readTime(typicalPrompt),
 		PlaceInterval: 1500 * time.Millisecond / enginePlaces, Objective: objective, Saturation: full,
 	}
-	order := draw.Perm(len(fleet))[:2*p.queries]
+	order := rng.Perm(len(fleet))[:2*p.queries]
 	score := func(i int) int {
 		const penalty = 10
 		if p.rollout.closed(fleet[i], req, now) || fleet[i].unavailable(now) {
@@ -216,9 +216,9 @@
 }
 
 // hintError draws the factor by which a client's estimate of its answer's length is off.
-func hintError(draw *rand.Rand) float64 {
+func hintError(rng *rand.Rand) float64 {
 	const spread = 0.7
-	return math.Exp(spread * draw.NormFloat64())
+	return math.Exp(spread * rng.NormFloat64())
 }
 
 func summarize(requests []*request) result {
--- a/daemon/internal/request/dispatch/retry_test.go
+++ b/daemon/internal/request/dispatch/retry_test.go
@@ -29,8 +29,8 @@
 	assert.Equal(t, admission.EnginesFull, notRunReason(exchange.Refused))
 	assert.Equal(t, admission.NotReady, notRunReason(exchange.Misdirected))
 	assert.Equal(t, admission.NotReady, notRunReason(exchange.Unsent))
-	for drawn := 0.0; drawn < 1; drawn += 0.1 {
-		assert.Less(t, admission.RetryAfter(admission.NotReady, drawn), admission.RetryAfter(admission.EnginesFull, drawn))
+	for variate := 0.0; variate < 1; variate += 0.1 {
+		assert.Less(t, admission.RetryAfter(admission.NotReady, variate), admission.RetryAfter(admission.EnginesFull, variate))
 	}
 }
 
