--- a/daemon/internal/request/admission/retryafter.go
+++ b/daemon/internal/request/admission/retryafter.go
@@ -3,8 +3,8 @@
 import "time"
 
 // This file computes the Retry-After of refused requests. In a sustained overload a retry is
-// recognized by the time that has passed since the first attempt, so it must not come earlier than
-// first attempts differ in their timeouts; see RetryDetector.
+// recognized by the time that has passed since the first attempt, so the minimum delay must exceed
+// the difference between the timeouts of first attempts; see RetryDetector.
 
 // Cause is the cause of a refusal.
 type Cause int
@@ -13,7 +13,7 @@
 const (
 	// EnginesFull means that the response would be late.
 	EnginesFull Cause = iota
-	// NotReady means that this process or all upstreams that it knows cannot serve yet. They
+	// NotReady means that this process or all upstreams in its view cannot serve yet. They
 	// will soon, or another process already can.
 	NotReady
 )
@@ -32,12 +32,12 @@
 	maxWaitDivisor = 3
 )
 
-// RetryAfter returns the Retry-After of a refused request. A random number in [0, 1) spreads it, so
+// RetryAfter returns the Retry-After of a refused request. A uniform variate in [0, 1) spreads it, so
 // that refused clients do not retry at the same time.
-func RetryAfter(cause Cause, drawn float64) time.Duration {
+func RetryAfter(cause Cause, variate float64) time.Duration {
 	lower, upper := MinRetryAfter, MaxRetryAfter
 	if cause == NotReady {
 		lower, upper = minNotReady, maxNotReady
 	}
-	return lower + time.Duration(drawn*float64(upper-lower))
+	return lower + time.Duration(variate*float64(upper-lower))
 }
--- a/daemon/internal/request/admission/retrydetector.go
+++ b/daemon/internal/request/admission/retrydetector.go
@@ -18,7 +18,7 @@
 	// timeout, since a few clients may send far longer ones.
 	longestQuantile = 0.05
 	// maxShortShare is the share of short remaining times, sampled while no request is refused,
-	// above which retries cannot be told from first attempts. shortWeight is the weight of one
+	// above which retries cannot be distinguished from first attempts. shortWeight is the weight of one
 	// sample in the moving average.
 	maxShortShare, shortWeight = 0.1, 0.02
 	// minLongShare is the share of samples above the threshold that is required while no calm
--- a/daemon/internal/request/dispatch/resume.go
+++ b/daemon/internal/request/dispatch/resume.go
@@ -22,7 +22,7 @@
 	// maxResumeGap is how long after its last event a broken stream may resume. Callers give
 	// up after two seconds without an event.
 	maxResumeGap = 1800 * time.Millisecond
-	// minResumeSearch is how long a place is searched for at least.
+	// minResumeSearch is the minimum time of the search for a place.
 	minResumeSearch = 300 * time.Millisecond
 )
 
@@ -33,7 +33,7 @@
 }
 
 // findResumption searches for an upstream at which the stream resumes. It returns nil once
-// searchCtx or the stream's own context is done, or once no send remains.
+// searchCtx or the stream's own context is done, or once no further send is allowed.
 func (s *stream) findResumption(ctx, searchCtx context.Context) *resumption {
 	for searchCtx.Err() == nil && s.mayHedge() {
 		send := s.startHedge(ctx, searchCtx, s.lastEvent())
@@ -95,7 +95,7 @@
 	cancel    context.CancelFunc
 	done      chan struct{}
 	found     *resumption
-	// closedFirst reports whether the first upstream sent nothing until the second had begun.
+	// closedFirst is set if run closed the first upstream because the second had begun.
 	closedFirst bool
 }
 
--- a/daemon/internal/request/ratelimit/header.go
+++ b/daemon/internal/request/ratelimit/header.go
@@ -8,7 +8,7 @@
 
 // This file parses the header in which a response names its upstream's limit.
 
-// Kind classifies what a response says of the limit.
+// Kind classifies what a response states about the limit.
 type Kind int
 
 // Values of Kind.
@@ -31,7 +31,7 @@
 	Invalid string
 }
 
-// maxInvalidBytes bounds Unread.
+// maxInvalidBytes bounds ResponseLimit.Invalid.
 const maxInvalidBytes = 40
 
 // String returns the limit for logs, "" if the response names none.
