--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -5,7 +5,7 @@
 //
 //	POST /admin/load       Order; returns State, or 409 for an outdated fencing token
 //	GET  /admin/state      State
-//	POST /v1/completions   Completion; returns Answer, or server-sent events
+//	POST /v1/completions   Completion; returns Response, or server-sent events
 //	GET  /load             Load, delayed by ReportLag
 //	GET  /events?after=N   CacheEvents, delayed and with gaps
 package engine
@@ -54,7 +54,7 @@
 	CutBefore bool
 	// CutAfterTokens closes it after that many tokens; 0 means never.
 	CutAfterTokens int
-	// Stall sends all tokens but never completes the resp.
+	// Stall sends all tokens but never completes the response.
 	Stall bool
 }
 
--- a/standin/engine/report.go
+++ b/standin/engine/report.go
@@ -14,7 +14,7 @@
 	Running int `json:"running"`
 }
 
-// loadSample is the number of running requests since a point in time.
+// loadSample is the number of running requests from a point in time until the next sample.
 type loadSample struct {
 	at      time.Time
 	running int
--- a/standin/kv/kv.go
+++ b/standin/kv/kv.go
@@ -111,7 +111,7 @@
 const AnyRevision = ^uint64(0)
 
 // Put writes a key if its current revision equals ifRevision. An ifRevision of 0
-// requires the key to be absent, and Any disables the check. It returns the key's
+// requires the key to be absent, and AnyRevision disables the check. It returns the key's
 // revision after the call, and whether the write took effect.
 func (s *Store) Put(key string, value []byte, ifRevision, leaseID uint64) (uint64, bool) {
 	s.mu.Lock()
