--- a/standin/kv/kv.go
+++ b/standin/kv/kv.go
@@ -123,11 +123,11 @@
 		return current, false
 	}
 	if leaseID != 0 {
-		held, ok := s.leases[leaseID]
+		l, ok := s.leases[leaseID]
 		if !ok {
 			return current, false
 		}
-		held.keys[key] = true
+		l.keys[key] = true
 	}
 	s.revision++
 	item := Item{Key: key, Value: append([]byte(nil), value...), Revision: s.revision, Lease: leaseID}
@@ -219,9 +219,9 @@
 	defer s.mu.Unlock()
 	s.init()
 	s.expire()
-	held, ok := s.leases[id]
+	l, ok := s.leases[id]
 	if ok {
-		held.expires = s.now().Add(held.ttl)
+		l.expires = s.now().Add(l.ttl)
 	}
 	return ok
 }
@@ -247,8 +247,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	for _, held := range s.leases {
-		limit = min(limit, held.expires.Sub(now))
+	for _, l := range s.leases {
+		limit = min(limit, l.expires.Sub(now))
 	}
 	return max(limit, 0)
 }
@@ -256,8 +256,8 @@
 // expire ends the expired leases. The caller holds mu.
 func (s *Store) expire() {
 	now := s.now()
-	for id, held := range s.leases {
-		if now.After(held.expires) {
+	for id, l := range s.leases {
+		if now.After(l.expires) {
 			s.revoke(id)
 		}
 	}
@@ -265,12 +265,12 @@
 
 // revoke deletes a lease and the keys that still belong to it. The caller holds mu.
 func (s *Store) revoke(id uint64) {
-	held, ok := s.leases[id]
+	l, ok := s.leases[id]
 	if !ok {
 		return
 	}
 	delete(s.leases, id)
-	for key := range held.keys {
+	for key := range l.keys {
 		if s.items[key].Lease == id {
 			s.remove(key)
 		}
