--- a/cli/internal/soak/crashing.go
+++ b/cli/internal/soak/crashing.go
@@ -16,7 +16,7 @@
 	crashRestartDelay     = 1500 * time.Millisecond
 )
 
-// sendCrashing sends one crashing request again and again, to each router in turn, until
+// sendCrashing sends one crashing request repeatedly, to the routers in round-robin order, until
 // the duration has passed.
 func (f *fleet) sendCrashing(duration time.Duration) {
 	path := fmt.Sprintf("%s%d", standin.CrashPath, f.crashingRequests.Add(1))
--- a/cli/internal/soak/oracle.go
+++ b/cli/internal/soak/oracle.go
@@ -224,9 +224,9 @@
 	o.arrivals++
 	now := time.Now()
 	o.checkLimit(id, upstream, now)
-	left, leaves := o.leaving[upstream]
-	if leaves && now.Sub(left) > leaveBound+o.Slack && !o.disturbed(left, now, o.router[id], "store", "router", "all") {
-		o.violatef(CheckLeaving, id, "%s received a request from %s %s after it announced that it leaves", upstream, o.router[id], now.Sub(left).Round(time.Millisecond))
+	leftAt, leaves := o.leaving[upstream]
+	if leaves && now.Sub(leftAt) > leaveBound+o.Slack && !o.disturbed(leftAt, now, o.router[id], "store", "router", "all") {
+		o.violatef(CheckLeaving, id, "%s received a request from %s %s after it announced that it leaves", upstream, o.router[id], now.Sub(leftAt).Round(time.Millisecond))
 	}
 }
 
@@ -266,15 +266,15 @@
 	if len(starts) <= quarantineAfter {
 		return
 	}
-	late := 0
+	lateRuns := 0
 	for _, at := range starts[quarantineAfter:] {
 		if at.Sub(starts[quarantineAfter-1]) > quarantineBound+o.Slack {
-			late++
+			lateRuns++
 		}
 	}
-	if late > maxLateRuns {
+	if lateRuns > maxLateRuns {
 		o.violatef(CheckQuarantine, run.ID, "%s started a request %s after it had crashed three upstreams; late start number %d",
-			run.Upstream, run.At.Sub(starts[quarantineAfter-1]).Round(time.Millisecond), late)
+			run.Upstream, run.At.Sub(starts[quarantineAfter-1]).Round(time.Millisecond), lateRuns)
 	}
 }
 
@@ -364,14 +364,16 @@
 	}
 }
 
+// checkLatef reports an outcome that contradicts a configuration which was acknowledged longer
+// than configurationBound before the request. It must be called with mu held.
 func (o *Oracle) checkLatef(outcome Outcome, declared time.Time, format string, args ...any) {
-	late := outcome.Started.Sub(declared)
-	fresh := outcome.Started.Sub(outcome.ConditionBefore.started) < settleTime
-	if late <= configurationBound+o.Slack || fresh || o.disturbed(declared, outcome.Ended, outcome.Router, "store", "router", "all") {
+	delay := outcome.Started.Sub(declared)
+	justStarted := outcome.Started.Sub(outcome.ConditionBefore.started) < settleTime
+	if delay <= configurationBound+o.Slack || justStarted || o.disturbed(declared, outcome.Ended, outcome.Router, "store", "router", "all") {
 		return
 	}
 	o.violatef(CheckConfiguration, outcome.ID, "%s %s, %s after the change was acknowledged", outcome.Router,
-		fmt.Sprintf(format, args...), late.Round(time.Millisecond))
+		fmt.Sprintf(format, args...), delay.Round(time.Millisecond))
 }
 
 // Finish checks the bounds that apply to the complete run.
--- a/cli/internal/soak/plan.go
+++ b/cli/internal/soak/plan.go
@@ -61,7 +61,7 @@
 	// UpstreamLimited makes an upstream announce a rate limit over all routers.
 	UpstreamLimited Kind = "upstream-limited"
 	EngineCorrupt   Kind = "engine-rot"
-	// RequestsCrash sends, again and again, a request that crashes each upstream that
+	// RequestsCrash repeatedly sends a request that crashes each upstream that
 	// begins it.
 	RequestsCrash Kind = "requests-crash"
 	// EntriesCorrupt replaces an upstream's store entry by a value that cannot be decoded.
--- a/cli/internal/soak/process.go
+++ b/cli/internal/soak/process.go
@@ -214,7 +214,7 @@
 }
 
 // usage reads the usage of the process from /proc. ok is false unless the process runs.
-func (p *process) usage() (held usage, ok bool) {
+func (p *process) usage() (current usage, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.state != Running {
--- a/cli/internal/soak/proxy_test.go
+++ b/cli/internal/soak/proxy_test.go
@@ -51,17 +51,17 @@
 	if _, err := io.WriteString(conn, word); err != nil {
 		return "", err
 	}
-	back := make([]byte, len(word))
-	n, err := io.ReadFull(conn, back)
-	return string(back[:n]), err
+	reply := make([]byte, len(word))
+	n, err := io.ReadFull(conn, reply)
+	return string(reply[:n]), err
 }
 
 func TestProxyForwardsDataAndHalfClose(t *testing.T) {
 	p := startEcho(t)
 	conn := dial(t, p)
-	back, err := exchange(conn)
+	reply, err := exchange(conn)
 	require.NoError(t, err)
-	assert.Equal(t, "word", back)
+	assert.Equal(t, "word", reply)
 	require.NoError(t, conn.(*net.TCPConn).CloseWrite())
 	rest, err := io.ReadAll(conn)
 	require.NoError(t, err, "a half-close is forwarded as a half-close, not as a reset")
@@ -77,9 +77,9 @@
 	_, err = exchange(conn)
 	require.Error(t, err)
 	p.SetFault(LinkFault{})
-	back, err := exchange(dial(t, p))
+	reply, err := exchange(dial(t, p))
 	require.NoError(t, err)
-	assert.Equal(t, "word", back)
+	assert.Equal(t, "word", reply)
 }
 
 func TestProxyBlocksUntilFaultEnds(t *testing.T) {
@@ -90,14 +90,14 @@
 	p.SetFault(LinkFault{BlockFromTarget: true})
 	received := make(chan string, 1)
 	go func() {
-		back, _ := exchange(conn)
-		received <- back
+		reply, _ := exchange(conn)
+		received <- reply
 	}()
 	// Nothing may arrive while both directions are blocked.
 	p.SetFault(LinkFault{BlockFromTarget: true, BlockToTarget: true})
 	select {
-	case back := <-received:
-		t.Fatalf("received %q over a blocked link", back)
+	case reply := <-received:
+		t.Fatalf("received %q over a blocked link", reply)
 	default:
 	}
 	p.SetFault(LinkFault{})
