--- a/cli/internal/explain/explain_test.go
+++ b/cli/internal/explain/explain_test.go
@@ -87,7 +87,7 @@
 }
 
 // TestPrintNamesDeadlineAndRetryAfterOfRefusal checks the remaining time that the caller stated
-// and the delay that it was told to wait.
+// and the Retry-After delay that it received.
 func TestPrintNamesDeadlineAndRetryAfterOfRefusal(t *testing.T) {
 	const line = `{"fields":{"name":"router-1","role":"router","request":"late-2","outcome":"refused","status":503,"took":"9ms",` +
 		`"left":"4.485s","retryAfter":"1.311s","returned":true},"level":"info","timestamp":"2026-05-04T09:18:47Z","message":"request ended"}`
--- a/cli/internal/fleet/fleet_test.go
+++ b/cli/internal/fleet/fleet_test.go
@@ -41,7 +41,7 @@
 	return config
 }
 
-// rig is a fleet under test.
+// testFleet is a fleet under test.
 type testFleet struct {
 	*testing.T
 	*Fleet
@@ -247,7 +247,7 @@
 		require.NoError(t, got.err)
 		require.NoError(t, checkComplete(got), "%s", got.answer.Body)
 		assert.Equal(t, got.id, got.answer.Header.Get(api.HeaderRequestID))
-		assert.True(t, strings.HasPrefix(got.answer.Header.Get(api.HeaderHost), e.Hall), "hosts of the own hall are preferred")
+		assert.True(t, strings.HasPrefix(got.answer.Header.Get(api.HeaderHost), e.Hall), "hosts of the entry's hall are preferred")
 	}
 }
 
@@ -306,8 +306,8 @@
 	r.checkAllDone(results, r.Hosts())
 	for _, host := range r.EngineHosts() {
 		assert.Zero(t, host.Engine.AbortedByLoad(), "an engine replaced its version while a request ran")
-		for _, held := range host.Engine.History() {
-			id, err := manifest.ParseDigest(held.Manifest)
+		for _, state := range host.Engine.History() {
+			id, err := manifest.ParseDigest(state.Manifest)
 			require.NoError(t, err)
 			require.Contains(t, r.versions, id)
 		}
--- a/cli/internal/fleet/partition_test.go
+++ b/cli/internal/fleet/partition_test.go
@@ -14,13 +14,13 @@
 
 // entriesOf returns the entries of one hall.
 func (r *testFleet) entriesOf(hall string) []*Entry {
-	var own []*Entry
+	var entries []*Entry
 	for _, e := range r.Entries() {
 		if e.Hall == hall {
-			own = append(own, e)
+			entries = append(entries, e)
 		}
 	}
-	return own
+	return entries
 }
 
 // operatorAt returns a client of the resource API of one entry.
