--- a/standin/serve/free.go
+++ b/standin/serve/free.go
@@ -11,7 +11,7 @@
 
 const (
 	// firstPort to lastPort lie below the ephemeral port range, so that no outgoing
-	// connection occupies a port between Free and its use.
+	// connection occupies a port between FreeAddress and its use.
 	firstPort, lastPort = 12000, 31999
 	// portsPerProcess offsets the first port that a process tries by its process id,
 	// so that concurrent processes try different ports.
--- a/standin/serve/free_test.go
+++ b/standin/serve/free_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestFreeReturnsUnusedAddresses checks that addresses don't repeat, have no listener and
+// TestFreeAddressReturnsUnusedAddresses checks that addresses don't repeat, have no listener and
 // lie below the ephemeral port range.
-func TestFreeReturnsUnusedAddresses(t *testing.T) {
+func TestFreeAddressReturnsUnusedAddresses(t *testing.T) {
 	first, err := FreeAddress()
 	require.NoError(t, err)
 	next := netip.AddrPortFrom(first.Addr(), first.Port()+1)
