--- a/cli/internal/fleet/control_test.go
+++ b/cli/internal/fleet/control_test.go
@@ -41,7 +41,7 @@
 }
 
 func TestKeyValueServiceOutage(t *testing.T) {
-	r, fault := startTestFleetWithKVFault(t, quick(2, 2, 4))
+	r, fault := startTestFleetWithKVFault(t, quickConfig(2, 2, 4))
 	r.serve(nil)
 	fault.Store(&kv.Fault{Down: true})
 	stop := r.load(4)
@@ -78,7 +78,7 @@
 func TestEntryWithoutConfigurationIsNotReady(t *testing.T) {
 	f := &kvFault{}
 	f.Store(&kv.Fault{Down: true})
-	config := quick(1, 1, 0)
+	config := quickConfig(1, 1, 0)
 	config.SetUpKV = func(s *kv.Server) { s.Fault = func(kv.Op, string) kv.Fault { return *f.Load() } }
 	fleet, err := Start(config)
 	require.NoError(t, err)
@@ -96,7 +96,7 @@
 }
 
 func TestWriteSucceedsWhenAnswerIsLost(t *testing.T) {
-	config := quick(1, 2, 2)
+	config := quickConfig(1, 2, 2)
 	var calls atomic.Int64
 	config.SetUpKV = func(s *kv.Server) {
 		s.Fault = func(op kv.Op, _ string) kv.Fault {
@@ -119,7 +119,7 @@
 }
 
 func TestConcurrentWritesConflict(t *testing.T) {
-	r := startTestFleet(t, quick(2, 2, 2))
+	r := startTestFleet(t, quickConfig(2, 2, 2))
 	r.declare(r.account())
 	present, err := r.Operator().Get(r.ctx, api.KindAccount, "till")
 	require.NoError(t, err)
@@ -159,7 +159,7 @@
 }
 
 func TestResourceAPIRejectsInvalidCalls(t *testing.T) {
-	r := startTestFleet(t, quick(1, 1, 1))
+	r := startTestFleet(t, quickConfig(1, 1, 1))
 	r.declare(r.account(), r.model())
 	operator := r.Operator()
 	put := func(resource *api.Resource, options client.PutOptions) error {
@@ -209,7 +209,7 @@
 }
 
 func TestWatchAcrossEntries(t *testing.T) {
-	r := startTestFleet(t, quick(1, 2, 0))
+	r := startTestFleet(t, quickConfig(1, 2, 0))
 	list, err := r.Operator().List(r.ctx, api.KindAccount)
 	require.NoError(t, err)
 	after := list.Revision
@@ -255,7 +255,7 @@
 }
 
 func TestLeaseHolderCrash(t *testing.T) {
-	r := startTestFleet(t, quick(1, 3, 2))
+	r := startTestFleet(t, quickConfig(1, 3, 2))
 	r.serve(nil)
 	item, ok := r.KV.Store.Get("wheelcleat/lease/placement/hall-1")
 	require.True(t, ok)
@@ -273,7 +273,7 @@
 // Deleting the lease's key lets a second entry acquire the lease while the first
 // one still acts as its holder. Fencing tokens must keep orders from going back.
 func TestTwoLeaseHolders(t *testing.T) {
-	r := startTestFleet(t, quick(1, 3, 4))
+	r := startTestFleet(t, quickConfig(1, 3, 4))
 	r.serve(nil)
 	for i := range 6 {
 		r.KV.Store.Delete("wheelcleat/lease/placement/hall-1", kv.AnyRevision)
@@ -285,7 +285,7 @@
 }
 
 func TestCrashedHostIsReplaced(t *testing.T) {
-	r := startTestFleet(t, quick(1, 2, 3))
+	r := startTestFleet(t, quickConfig(1, 2, 3))
 	r.serve(nil)
 	var serving *Host
 	for _, host := range r.EngineHosts() {
@@ -299,7 +299,7 @@
 }
 
 func TestFailingVersionHaltsAndRollsBack(t *testing.T) {
-	config := quick(1, 1, 3)
+	config := quickConfig(1, 1, 3)
 	var bad atomic.Value
 	bad.Store("")
 	config.SetUpEngine = func(e *engine.Server) {
@@ -329,7 +329,7 @@
 }
 
 func TestOperatorKeys(t *testing.T) {
-	r := startTestFleet(t, quick(1, 1, 0))
+	r := startTestFleet(t, quickConfig(1, 1, 0))
 	settings := r.EntrySettings("guarded", "hall-1")
 	settings.OperatorKeyDigests = r.account().Account.KeyDigests
 	guarded, err := entry.New(settings, r.Config.Entry)
--- a/cli/internal/fleet/fleet_test.go
+++ b/cli/internal/fleet/fleet_test.go
@@ -29,8 +29,8 @@
 	testTokens = 6
 )
 
-// quick returns the configuration of a fleet with short timeouts.
-func quick(halls, entries, agents int) Config {
+// quickConfig returns the configuration of a fleet with short timeouts.
+func quickConfig(halls, entries, agents int) Config {
 	config := Config{Halls: HallNames(halls), EntriesPerHall: entries, Agents: agents, PlainServices: []string{"loans"}, PeerWait: 300 * time.Millisecond}
 	config.Entry.RearmDelay, config.Entry.LameDuck = 10*time.Millisecond, 100*time.Millisecond
 	config.Entry.LeaseTTL, config.Entry.PlaceInterval, config.Entry.ReplaceAfter = time.Second, 20*time.Millisecond, time.Second
@@ -236,7 +236,7 @@
 }
 
 func TestDeclaredServiceAnswersRequests(t *testing.T) {
-	r := startTestFleet(t, quick(2, 2, 4))
+	r := startTestFleet(t, quickConfig(2, 2, 4))
 	r.serve(nil)
 	assert.Equal(t, 4, r.ReadyEngines(r.versions[0]))
 	for _, host := range r.EngineHosts() {
@@ -252,7 +252,7 @@
 }
 
 func TestEntryRefusesInvalidRequests(t *testing.T) {
-	r := startTestFleet(t, quick(1, 1, 1))
+	r := startTestFleet(t, quickConfig(1, 1, 1))
 	r.serve(func(s *api.ServiceSpec) { s.Replicas = 1 })
 	e := r.Entries()[0]
 	tests := []struct {
@@ -279,7 +279,7 @@
 }
 
 func TestDeadlineCancelsRequestAtEngine(t *testing.T) {
-	config := quick(1, 1, 1)
+	config := quickConfig(1, 1, 1)
 	config.SetUpEngine = func(e *engine.Server) { e.Prefill = time.Hour }
 	r := startTestFleet(t, config)
 	r.serve(func(s *api.ServiceSpec) { s.Replicas = 1 })
@@ -295,7 +295,7 @@
 }
 
 func TestVersionChangeUnderLoad(t *testing.T) {
-	r := startTestFleet(t, quick(2, 1, 4))
+	r := startTestFleet(t, quickConfig(2, 1, 4))
 	r.serve(nil)
 	stop := r.load(8)
 	for _, version := range []string{"v2", "v3", "v1"} {
@@ -324,7 +324,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			config := quick(2, 1, 4)
+			config := quickConfig(2, 1, 4)
 			config.SetUpEngine = func(e *engine.Server) { e.PerToken = 20 * time.Millisecond }
 			r := startTestFleet(t, config)
 			r.serve(nil)
@@ -337,7 +337,7 @@
 }
 
 func TestEntryDrainCompletesStreams(t *testing.T) {
-	config := quick(1, 2, 2)
+	config := quickConfig(1, 2, 2)
 	config.SetUpEngine = func(e *engine.Server) { e.PerToken = 30 * time.Millisecond }
 	r := startTestFleet(t, config)
 	r.serve(nil)
@@ -352,7 +352,7 @@
 }
 
 func TestLeavingHostGetsNoNewRequests(t *testing.T) {
-	r := startTestFleet(t, quick(1, 1, 2))
+	r := startTestFleet(t, quickConfig(1, 1, 2))
 	r.serve(nil)
 	leaving := r.EngineHosts()[0]
 	listed := r.HostList.Current("").Hosts
@@ -388,7 +388,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			config := quick(2, 2, 6)
+			config := quickConfig(2, 2, 6)
 			// Long enough that the kill happens between the send and the answer of
 			// some requests.
 			config.SetUpEngine = func(e *engine.Server) { e.Prefill = 20 * time.Millisecond }
@@ -407,7 +407,7 @@
 }
 
 func TestEngineBreaksConnection(t *testing.T) {
-	config := quick(1, 1, 1)
+	config := quickConfig(1, 1, 1)
 	config.SetUpEngine = func(e *engine.Server) {
 		e.Fault = func(id string) engine.Fault {
 			switch {
@@ -433,7 +433,7 @@
 }
 
 func TestPlainServiceRunsAtMostOnce(t *testing.T) {
-	config := quick(2, 2, 0)
+	config := quickConfig(2, 2, 0)
 	config.PlainAgents = 2
 	r := startTestFleet(t, config)
 	r.declare(r.account(), &api.Resource{Kind: api.KindService, Name: "loans", Service: &api.ServiceSpec{Plain: true, NotRepeatable: true}})
--- a/cli/internal/fleet/partition_test.go
+++ b/cli/internal/fleet/partition_test.go
@@ -43,7 +43,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			r := startTestFleet(t, quick(2, 2, 4))
+			r := startTestFleet(t, quickConfig(2, 2, 4))
 			r.serve(nil)
 			hosts := r.Hosts()
 			test.cut(r)
@@ -91,7 +91,7 @@
 // A host that crashes in a hall that is cut off from everything must fail no more
 // than the requests in flight.
 func TestHostCrashInPartitionedHall(t *testing.T) {
-	config := quick(2, 2, 6)
+	config := quickConfig(2, 2, 6)
 	config.SetUpEngine = func(e *engine.Server) { e.PerToken = 0 }
 	r := startTestFleet(t, config)
 	r.serve(func(s *api.ServiceSpec) { s.Replicas = 3 })
