--- a/cli/internal/soak/crashing.go
+++ b/cli/internal/soak/crashing.go
@@ -24,7 +24,7 @@
 	defer cancel()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: callTimeout}
 	f.injectOnce(RequestsCrash, path, func() {
-		for i := 0; ctx.Err() == nil && !f.stopped(); i++ {
+		for i := 0; ctx.Err() == nil && !f.isCancelled(); i++ {
 			router := f.routers[i%len(f.routers)]
 			c := &caller{router: router.process, address: router.callers, oracle: f.oracle, requestCount: &f.crashingSent, client: client}
 			c.send(ctx, request{path: path, key: constantKey})
@@ -33,18 +33,18 @@
 	})
 }
 
-func (f *fleet) stopped() bool {
+func (f *fleet) isCancelled() bool {
 	select {
-	case <-f.stop:
+	case <-f.cancelled:
 		return true
 	default:
 		return false
 	}
 }
 
-// crashUnderRequest crashes the upstream of a host that began a crashing request, and
-// restarts it after crashRestartDelay.
-func (f *fleet) crashUnderRequest(h *host) { go f.crash(h, crashRestartDelay) }
+// crashDuringRequest crashes the upstream of a host on which a crashing request has started,
+// and restarts it after crashRestartDelay.
+func (f *fleet) crashDuringRequest(h *host) { go f.crash(h, crashRestartDelay) }
 
 // corruptEntry replaces the store entry of a host's upstream by a value that cannot be
 // decoded, for the given duration.
@@ -54,7 +54,7 @@
 	}
 	defer h.release()
 	f.injectOnce(EntriesCorrupt, h.address.String(), func() {
-		u := h.current()
+		u := h.currentUpstream()
 		u.CorruptRecord(standin.InvalidUpstreamRecords[index%len(standin.InvalidUpstreamRecords)])
 		f.oracle.RecordLeaving(u.Record.ID)
 		f.wait(duration)
--- a/cli/internal/soak/fleet.go
+++ b/cli/internal/soak/fleet.go
@@ -61,11 +61,12 @@
 	crashingRequests, crashingSent atomic.Int64
 	// version is the newest published version of the model.
 	version int
-	// stop ends all waits, done ends the stand-ins.
-	stop    <-chan struct{}
-	done    chan struct{}
-	servers []*serve.Server
-	proxies []*Proxy
+	// cancelled is closed when the run is cancelled, which ends all waits. done is closed by
+	// close, which ends the expiry of leases in the store.
+	cancelled <-chan struct{}
+	done      chan struct{}
+	servers   []*serve.Server
+	proxies   []*Proxy
 
 	// declareMu serializes the changes of operators.
 	declareMu sync.Mutex
@@ -116,10 +117,10 @@
 }
 
 // errSize reports that a fleet of the given size cannot be built.
-var errSize = errors.New("the size must be at least one of each and at most 250 hosts in all")
+var errSize = errors.New("each number must be at least 1, and all halls together may have at most 250 hosts")
 
 // newFleet builds a fleet and starts its stand-ins and proxies, but not the daemons.
-func newFleet(options *Options, oracle *Oracle, stop <-chan struct{}) (*fleet, error) {
+func newFleet(options *Options, oracle *Oracle, cancelled <-chan struct{}) (*fleet, error) {
 	size := options.Size
 	const maxHosts = 250
 	hosts := size.Halls * (size.Routers + size.Loaders + size.Plain)
@@ -127,7 +128,7 @@
 		return nil, fmt.Errorf("%d halls of %d routers, %d loaders and %d plain upstreams: %w", size.Halls, size.Routers, size.Loaders, size.Plain, errSize)
 	}
 	f := &fleet{
-		folder: options.Folder, daemon: options.Daemon, size: size, oracle: oracle, stop: stop, done: make(chan struct{}),
+		folder: options.Folder, daemon: options.Daemon, size: size, oracle: oracle, cancelled: cancelled, done: make(chan struct{}),
 		store: &standin.Store{}, origin: &standin.Origin{Model: modelName, Chunks: chunks, ChunkBytes: chunkBytes},
 	}
 	const platformHost = 1
@@ -183,18 +184,18 @@
 		return err
 	}
 	name := fmt.Sprintf("router-%d", number)
-	set := settings.Router{
+	routerSettings := settings.Router{
 		Role: settings.RoleRouter, Name: name, Hall: hall, Store: addrPort(address, storeLinkPort), LoaderPort: loaderPort,
 		Listen: settings.RouterListen{
 			Callers: addrPort(address, callersPort), Ready: addrPort(address, readyPort), Peers: addrPort(address, peersPort), Metrics: addrPort(address, metricsPort),
 		},
 	}
 	for _, other := range f.routers {
-		set.Seeds = append(set.Seeds, addrPort(other.callers.Addr(), peersPort))
+		routerSettings.Seeds = append(routerSettings.Seeds, addrPort(other.callers.Addr(), peersPort))
 	}
 	f.routers = append(f.routers, &router{
-		process: &process{name: name, binary: f.daemon, folder: f.folder, settings: &set},
-		hall:    hall, callers: set.Listen.Callers, link: link,
+		process: &process{name: name, binary: f.daemon, folder: f.folder, settings: &routerSettings},
+		hall:    hall, callers: routerSettings.Listen.Callers, link: link,
 	})
 	return nil
 }
@@ -233,7 +234,7 @@
 		},
 		Store: f.store, OnRun: f.oracle.RecordRun, OnReceive: f.oracle.RecordArrival,
 		OnFault: func(text string) { f.oracle.Violatef(CheckWeights, "%s", text) },
-		OnCrash: func() { f.crashUnderRequest(h) },
+		OnCrash: func() { f.crashDuringRequest(h) },
 	}
 	if h.loader != nil {
 		u.Origin, u.Record.Places = f.origin, enginePlaces
@@ -280,14 +281,14 @@
 	h.busy = false
 }
 
-func (h *host) current() *standin.Upstream {
+func (h *host) currentUpstream() *standin.Upstream {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.upstream
 }
 
 // wait waits for a duration, or until the run is cancelled.
-func (f *fleet) wait(d time.Duration) { wait(d, f.stop) }
+func (f *fleet) wait(d time.Duration) { wait(d, f.cancelled) }
 
 func wait(d time.Duration, stop <-chan struct{}) {
 	select {
@@ -296,8 +297,8 @@
 	}
 }
 
-// configure declares the next configuration. Each has its own probe route and key, so that
-// an answer shows which configuration the router has in force.
+// configure declares the next configuration. Each configuration has its own probe route and
+// key, so that an answer shows which configuration the router has in force.
 func (f *fleet) configure() {
 	f.declareMu.Lock()
 	defer f.declareMu.Unlock()
@@ -387,12 +388,12 @@
 	close(f.done)
 }
 
-// drainLimit bounds the time that a process takes to stop: its own drain timeout and slack.
-const drainLimit = settings.DefaultRouterLoaderDrain + 5*time.Second
+// stopTimeout bounds the time that a process takes to stop: its own drain timeout and slack.
+const stopTimeout = settings.DefaultRouterLoaderDrain + 5*time.Second
 
 // changeSettings changes the retry window by a millisecond, so that a reload finds other
 // settings while every checked bound stays valid. It must be called with mu held.
 func (r *router) changeSettings(reload int) {
-	set := r.settings.(*settings.Router)
-	set.Bounds.RetryWindow = api.Duration(retryWindow + time.Duration(reload%2)*time.Millisecond)
+	routerSettings := r.settings.(*settings.Router)
+	routerSettings.Bounds.RetryWindow = api.Duration(retryWindow + time.Duration(reload%2)*time.Millisecond)
 }
--- a/cli/internal/soak/inject.go
+++ b/cli/internal/soak/inject.go
@@ -13,18 +13,20 @@
 	// drainTime is how long a leaving upstream keeps serving: longer than routers may send
 	// to it.
 	drainTime = leaveBound + 2*time.Second
-	// slowStore delays each answer of the store or the origin, slowLink each chunk that a
-	// proxy forwards.
-	slowStore, slowLink = 400 * time.Millisecond, 40 * time.Millisecond
-	narrowLink          = 20 << 10 // bytes per second
+	// answerDelay is the delay of each answer of a slow store or origin, chunkDelay the mean
+	// delay of each chunk that a proxy forwards.
+	answerDelay, chunkDelay = 400 * time.Millisecond, 40 * time.Millisecond
+	// narrowLinkRate is the rate of a narrow link in bytes per second.
+	narrowLinkRate = 20 << 10
 	// storeRefuseShare is the share of calls that a refusing store refuses.
 	storeRefuseShare = 0.7
 )
 
-// inject executes a step and reverts it after the step's duration.
+// inject injects the fault of a step and ends it after the step's duration, or makes the
+// change of the step.
 func (f *fleet) inject(step Step) {
 	if step.Kind.isChange() {
-		f.change(step.Kind)
+		f.applyChange(step.Kind)
 		return
 	}
 	duration := time.Duration(step.For)
@@ -53,24 +55,24 @@
 	case step.Kind == RequestsCrash:
 		f.sendCrashing(duration)
 	case step.Kind == UpstreamLimited:
-		f.limit(host, step)
+		f.limitUpstream(host, step)
 	case step.Kind == EntriesCorrupt:
 		f.corruptEntry(host, step.Target, duration)
 	case step.Kind == EngineCorrupt:
 		f.injectOnce(step.Kind, engine.address.String(), func() {
-			engine.current().CorruptStagedChunk()
+			engine.currentUpstream().CorruptStagedChunk()
 		})
 	default:
-		f.injectFor(step.Kind, host.address.String(), duration, func(on bool) { host.current().SetFault(upstreamFault(step, on)) })
+		f.injectFor(step.Kind, host.address.String(), duration, func(on bool) { host.currentUpstream().SetFault(upstreamFault(step, on)) })
 	}
 }
 
 // injectFor activates a fault for a duration and records it with the oracle.
-func (f *fleet) injectFor(kind Kind, target string, duration time.Duration, set func(on bool)) {
+func (f *fleet) injectFor(kind Kind, target string, duration time.Duration, setActive func(on bool)) {
 	end := f.oracle.BeginFault(kind, target)
-	set(true)
+	setActive(true)
 	f.wait(duration)
-	set(false)
+	setActive(false)
 	end()
 }
 
@@ -81,7 +83,7 @@
 	end()
 }
 
-func (f *fleet) change(kind Kind) {
+func (f *fleet) applyChange(kind Kind) {
 	if kind == Configure {
 		f.configure()
 		return
@@ -98,7 +100,7 @@
 		}
 	case RouterStop, LoaderStop:
 		f.injectOnce(step.Kind, p.name, func() {
-			p.stop(drainLimit)
+			p.stop(stopTimeout)
 			f.restart(p)
 		})
 	case RouterKill, LoaderKill:
@@ -159,7 +161,7 @@
 	case StoreUnresponsive:
 		return standin.StoreFault{Unresponsive: true}
 	case StoreSlow:
-		return standin.StoreFault{Delay: slowStore}
+		return standin.StoreFault{Delay: answerDelay}
 	case StoreRefuse:
 		return standin.StoreFault{Refuse: storeRefuseShare}
 	default:
@@ -173,13 +175,13 @@
 	}
 	switch kind {
 	case LinkDelay:
-		return LinkFault{Delay: slowLink}
+		return LinkFault{Delay: chunkDelay}
 	case LinkReset:
 		return LinkFault{Reset: true}
 	case LinkOneWay:
 		return LinkFault{BlockFromTarget: true}
 	case LinkNarrow:
-		return LinkFault{BytesPerSecond: narrowLink}
+		return LinkFault{BytesPerSecond: narrowLinkRate}
 	default:
 		return LinkFault{BlockToTarget: true, BlockFromTarget: true}
 	}
@@ -194,7 +196,7 @@
 	case step.Kind == OriginCorrupt:
 		return standin.OriginFault{Corrupt: step.Strength}
 	default:
-		return standin.OriginFault{Delay: slowStore}
+		return standin.OriginFault{Delay: answerDelay}
 	}
 }
 
@@ -238,7 +240,7 @@
 	}
 	defer h.release()
 	f.injectOnce(UpstreamLeave, h.address.String(), func() {
-		u := h.current()
+		u := h.currentUpstream()
 		u.StartDraining()
 		f.oracle.RecordLeaving(u.Record.ID)
 		f.wait(drainTime)
--- a/cli/internal/soak/limit.go
+++ b/cli/internal/soak/limit.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// In any limitWindow that begins limitGrace after an upstream announced its limit, the
-	// upstream may receive limitSlack times the limit plus limitExtra requests. Oracle.Slack
-	// is not added: a slow machine sends fewer requests, not more.
+	// From limitGrace after an upstream announced its limit, it may receive in any limitWindow
+	// limitSlack times the requests that the limit allows, plus limitExtra. Oracle.Slack is not
+	// added, since a slow machine sends fewer requests, not more.
 	limitGrace             = 3*time.Second + boundSlack
 	limitWindow            = 4 * time.Second
 	limitSlack, limitExtra = 1.5, 5.0
@@ -24,11 +24,11 @@
 	arrivals  []time.Time
 }
 
-// limit makes an upstream announce a rate limit for the duration of the step.
-func (f *fleet) limit(h *host, step Step) {
+// limitUpstream makes an upstream announce a rate limit for the duration of the step.
+func (f *fleet) limitUpstream(h *host, step Step) {
 	perSecond := maxUpstreamLimit * step.Strength
 	f.injectFor(step.Kind, h.address.String(), time.Duration(step.For), func(on bool) {
-		u := h.current()
+		u := h.currentUpstream()
 		if !on {
 			u.SetLimit("")
 			f.oracle.RecordLimitCleared(u.Record.ID)
@@ -58,7 +58,7 @@
 // It must be called with mu held.
 func (o *Oracle) checkLimit(id, upstream string, now time.Time) {
 	l := o.limits[upstream]
-	if l == nil || now.Sub(l.since) < limitGrace || o.disturbed(l.since, now, o.router[id], "router", "all") {
+	if l == nil || now.Sub(l.since) < limitGrace || o.faultActive(l.since, now, o.routerOf[id], "router", "all") {
 		return
 	}
 	l.arrivals = append(l.arrivals, now)
--- a/cli/internal/soak/oracle.go
+++ b/cli/internal/soak/oracle.go
@@ -13,8 +13,8 @@
 
 // Bounds of the checks, from docs/PLATFORM.md, each with slack for a loaded machine.
 const (
-	// configurationBound is how long a change may take to be in force, leaveBound how long
-	// routers may still send to an upstream that announced that it leaves.
+	// configurationBound is the time within which a change must be in force, leaveBound the time
+	// within which routers must stop sending to an upstream that announced that it leaves.
 	configurationBound = 3*time.Second + boundSlack
 	leaveBound         = 3*time.Second + boundSlack
 	// versionBound is how long requests may start on an older version.
@@ -106,16 +106,17 @@
 	mu         sync.Mutex
 	violations []Violation
 	spans      []*faultSpan
-	// router is the router that each request was sent to, by request id. runs counts how
-	// often upstreams started it.
-	router map[string]string
-	runs   map[string]int
-	sent   int
+	// routerOf is the router that each request was sent to, runs the number of times that
+	// upstreams started it, by request id.
+	routerOf map[string]string
+	runs     map[string]int
+	sent     int
 	// arrivals counts the requests that arrived at upstreams.
 	arrivals int
-	// leaving is when the store acknowledged that each upstream leaves.
+	// leaving is the time at which each upstream announced that it leaves, by its id.
 	leaving map[string]time.Time
-	// declared is when each configuration was acknowledged, published when each version was.
+	// declared holds the times at which configurations were acknowledged, published those at
+	// which versions were. newest and version are the last of each.
 	declared  map[int]time.Time
 	published map[int]time.Time
 	newest    int
@@ -125,7 +126,8 @@
 	crashingRuns map[string][]time.Time
 	// limits are the limits that upstreams announce, by upstream id.
 	limits map[string]*upstreamLimit
-	// inForce is the newest configuration that each run of a router process has answered by.
+	// inForce is the newest configuration that each run of a router process has answered by,
+	// by the router's name and the number of its start.
 	inForce map[string]observedConfiguration
 }
 
@@ -168,10 +170,10 @@
 	}
 }
 
-// disturbed reports whether a fault of the given components was active between from and to,
+// faultActive reports whether a fault of the given components was active between from and to,
 // or within settleTime before. Faults of routers count only for the named router: the others
 // must keep their guarantees without it. It must be called with mu held.
-func (o *Oracle) disturbed(from, to time.Time, router string, components ...string) bool {
+func (o *Oracle) faultActive(from, to time.Time, router string, components ...string) bool {
 	return slices.ContainsFunc(o.spans, func(s *faultSpan) bool {
 		active := !s.from.After(to) && (s.to.IsZero() || s.to.After(from.Add(-settleTime)))
 		applies := !s.kind.affects("router") || s.target == router
@@ -180,11 +182,11 @@
 }
 
 // RecordConfiguration records that a configuration was acknowledged.
-func (o *Oracle) RecordConfiguration(version int) {
+func (o *Oracle) RecordConfiguration(configuration int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	set(&o.declared, version, time.Now())
-	o.newest = version
+	set(&o.declared, configuration, time.Now())
+	o.newest = configuration
 }
 
 // RecordVersion records that a version was published as the target.
@@ -213,7 +215,7 @@
 func (o *Oracle) RecordSent(id, router string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	set(&o.router, id, router)
+	set(&o.routerOf, id, router)
 	o.sent++
 }
 
@@ -225,8 +227,8 @@
 	now := time.Now()
 	o.checkLimit(id, upstream, now)
 	leftAt, leaves := o.leaving[upstream]
-	if leaves && now.Sub(leftAt) > leaveBound+o.Slack && !o.disturbed(leftAt, now, o.router[id], "store", "router", "all") {
-		o.violatef(CheckLeaving, id, "%s received a request from %s %s after it announced that it leaves", upstream, o.router[id], now.Sub(leftAt).Round(time.Millisecond))
+	if leaves && now.Sub(leftAt) > leaveBound+o.Slack && !o.faultActive(leftAt, now, o.routerOf[id], "store", "router", "all") {
+		o.violatef(CheckLeaving, id, "%s received a request from %s %s after it announced that it leaves", upstream, o.routerOf[id], now.Sub(leftAt).Round(time.Millisecond))
 	}
 }
 
@@ -244,7 +246,7 @@
 	}
 	published := o.published[o.version]
 	if run.Version > 0 && run.Version < o.version && run.At.Sub(published) > versionBound+o.Slack &&
-		!o.disturbed(published, run.At, o.router[run.ID], "store", "router", "loader", "all", "link", "upstream", "engine", "origin") {
+		!o.faultActive(published, run.At, o.routerOf[run.ID], "store", "router", "loader", "all", "link", "upstream", "engine", "origin") {
 		o.violatef(CheckVersion, run.ID, "%s started a request on version %d, %s after version %d was published",
 			run.Upstream, run.Version, run.At.Sub(published).Round(time.Millisecond), o.version)
 	}
@@ -256,7 +258,7 @@
 	starts := o.crashingRuns[run.Path]
 	starts = append(starts, run.At)
 	set(&o.crashingRuns, run.Path, starts)
-	if o.disturbed(starts[0], run.At, o.router[run.ID], "store", "router", "all", "link") {
+	if o.faultActive(starts[0], run.At, o.routerOf[run.ID], "store", "router", "all", "link") {
 		return
 	}
 	if len(starts) > maxCrashingRuns {
@@ -316,10 +318,10 @@
 func (o *Oracle) checkStop(outcome Outcome) {
 	stopped := outcome.ConditionAfter.state == Stopping || outcome.ConditionAfter.state == Down && outcome.ConditionBefore.state == Stopping
 	same := outcome.ConditionBefore.starts == outcome.ConditionAfter.starts
-	if outcome.Unsent || !stopped || !same || outcome.ConditionAfter.disturbed.After(outcome.ConditionAfter.started) {
+	if outcome.Unsent || !stopped || !same || outcome.ConditionAfter.lastFaultSignal.After(outcome.ConditionAfter.started) {
 		return
 	}
-	if outcome.Status != 0 && o.disturbed(outcome.Started, outcome.Ended, outcome.Router, "upstream", "link", "loader", "all", "engine") {
+	if outcome.Status != 0 && o.faultActive(outcome.Started, outcome.Ended, outcome.Router, "upstream", "link", "loader", "all", "engine") {
 		return // the upstream or its link may have broken the response
 	}
 	o.violatef(CheckStop, outcome.ID, "%s broke a connection while it was stopping, %s after the request was sent, status %d: %v",
@@ -331,7 +333,7 @@
 // connection that carries a request.
 func (o *Oracle) checkCut(outcome Outcome) {
 	ran := outcome.ConditionBefore.state == Running && outcome.ConditionAfter.state == Running && outcome.ConditionBefore.starts == outcome.ConditionAfter.starts
-	if outcome.Unsent || !ran || o.disturbed(outcome.Started, outcome.Ended, outcome.Router, "router", "upstream", "link", "all") {
+	if outcome.Unsent || !ran || o.faultActive(outcome.Started, outcome.Ended, outcome.Router, "router", "upstream", "link", "all") {
 		return
 	}
 	o.violatef(CheckCut, outcome.ID, "%s broke a connection %s after the request was sent, status %d: %v",
@@ -369,7 +371,7 @@
 func (o *Oracle) checkLatef(outcome Outcome, declared time.Time, format string, args ...any) {
 	delay := outcome.Started.Sub(declared)
 	justStarted := outcome.Started.Sub(outcome.ConditionBefore.started) < settleTime
-	if delay <= configurationBound+o.Slack || justStarted || o.disturbed(declared, outcome.Ended, outcome.Router, "store", "router", "all") {
+	if delay <= configurationBound+o.Slack || justStarted || o.faultActive(declared, outcome.Ended, outcome.Router, "store", "router", "all") {
 		return
 	}
 	o.violatef(CheckConfiguration, outcome.ID, "%s %s, %s after the change was acknowledged", outcome.Router,
--- a/cli/internal/soak/oracle_test.go
+++ b/cli/internal/soak/oracle_test.go
@@ -65,7 +65,7 @@
 func recordCrashingRuns(o *Oracle, count int, after time.Duration) {
 	sleep(after)
 	for range count {
-		id := fmt.Sprint("deadly-", o.sent)
+		id := fmt.Sprint("crashing-", o.sent)
 		o.RecordSent(id, "router")
 		o.RecordRun(standin.Run{ID: id, Upstream: "u", Path: standin.CrashPath + "1", At: time.Now()})
 	}
@@ -81,8 +81,8 @@
 	cases := map[string]struct {
 		check   Check
 		violate func(*Oracle)
-		// sound records similar events without a violation.
-		sound func(*Oracle)
+		// comply records similar events without a violation.
+		comply func(*Oracle)
 	}{
 		"an answer to another request": {
 			CheckComplete,
@@ -213,7 +213,7 @@
 			func(o *Oracle) { o.RecordOutcome(brokenWhileStopping()) },
 			func(o *Oracle) {
 				killed := brokenWhileStopping()
-				killed.ConditionAfter.disturbed = time.Now()
+				killed.ConditionAfter.lastFaultSignal = time.Now()
 				o.RecordOutcome(killed)
 			},
 		},
@@ -314,13 +314,13 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				violating, sound := &Oracle{Start: time.Now()}, &Oracle{Start: time.Now()}
+				violating, compliant := &Oracle{Start: time.Now()}, &Oracle{Start: time.Now()}
 				c.violate(violating)
 				found := violating.Violations()
 				require.Len(t, found, 1)
 				assert.Equal(t, c.check, found[0].Check)
-				c.sound(sound)
-				assert.Empty(t, sound.Violations())
+				c.comply(compliant)
+				assert.Empty(t, compliant.Violations())
 			})
 		})
 	}
--- a/cli/internal/soak/plan.go
+++ b/cli/internal/soak/plan.go
@@ -61,8 +61,7 @@
 	// UpstreamLimited makes an upstream announce a rate limit over all routers.
 	UpstreamLimited Kind = "upstream-limited"
 	EngineCorrupt   Kind = "engine-rot"
-	// RequestsCrash repeatedly sends a request that crashes each upstream that
-	// begins it.
+	// RequestsCrash repeatedly sends a request that crashes each upstream that starts it.
 	RequestsCrash Kind = "requests-crash"
 	// EntriesCorrupt replaces an upstream's store entry by a value that cannot be decoded.
 	EntriesCorrupt Kind = "entries-spoiled"
@@ -75,7 +74,7 @@
 	Version   Kind = "version"
 )
 
-// kinds lists the kinds to draw from. Changes are listed twice, so that each run has some.
+// kinds lists the kinds to draw from. Changes are listed twice, which doubles their frequency.
 var kinds = []Kind{
 	RouterStop, RouterKill, RouterFreeze, RouterReload, LoaderStop, LoaderKill, LoaderFreeze, AllKill,
 	StoreDown, StoreUnresponsive, StoreSlow, StoreRefuse, StoreLoseAnswers, StoreDropHistory, StoreBlockRouter,
@@ -108,7 +107,7 @@
 // Plan is the schedule of a run.
 type Plan struct {
 	Seed uint64 `json:"seed"`
-	// Cause describes the fault that the plan once found.
+	// Cause describes the defect that the plan reproduced.
 	Cause  string       `json:"cause,omitempty"`
 	Length api.Duration `json:"length"`
 	Steps  []Step       `json:"steps"`
--- a/cli/internal/soak/process.go
+++ b/cli/internal/soak/process.go
@@ -46,8 +46,8 @@
 	// starts counts the starts. started is the time of the last one.
 	starts  int
 	started time.Time
-	// disturbed is when a signal other than SIGTERM or SIGHUP was last sent.
-	disturbed time.Time
+	// lastFaultSignal is when SIGSTOP, SIGCONT or SIGKILL was last sent.
+	lastFaultSignal time.Time
 	// failure is the error of an unexpected or unclean exit.
 	failure error
 }
@@ -145,7 +145,7 @@
 		return
 	}
 	p.state = to
-	p.disturbed = time.Now()
+	p.lastFaultSignal = time.Now()
 	_ = p.command.Process.Signal(signal)
 }
 
@@ -156,7 +156,7 @@
 		p.mu.Unlock()
 		return
 	}
-	p.state, p.disturbed = Frozen, time.Now() // an exit in this state is no failure
+	p.state, p.lastFaultSignal = Frozen, time.Now() // an exit in this state is no failure
 	exited := p.exited
 	_ = p.command.Process.Kill()
 	p.mu.Unlock()
@@ -189,16 +189,16 @@
 
 // condition is a snapshot of a process for the oracle.
 type condition struct {
-	state     State
-	starts    int
-	started   time.Time
-	disturbed time.Time
+	state           State
+	starts          int
+	started         time.Time
+	lastFaultSignal time.Time
 }
 
 func (p *process) condition() condition {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return condition{state: p.state, starts: p.starts, started: p.started, disturbed: p.disturbed}
+	return condition{state: p.state, starts: p.starts, started: p.started, lastFaultSignal: p.lastFaultSignal}
 }
 
 func (p *process) failureErr() error {
--- a/cli/internal/soak/process_test.go
+++ b/cli/internal/soak/process_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// script returns a process that runs a shell script in place of the daemon.
-func script(t *testing.T, text string) *process {
+// scriptProcess returns a process that runs a shell script in place of the daemon.
+func scriptProcess(t *testing.T, text string) *process {
 	t.Helper()
 	folder := t.TempDir()
 	path := filepath.Join(folder, "daemon")
@@ -32,8 +32,8 @@
 		{"trap 'exit 1' TERM" + loop, true, true},
 		{"trap 'exit 0' TERM" + loop, true, false},
 	} {
-		p := script(t, c.text)
-		for range 2 { // output of an earlier start does not count
+		p := scriptProcess(t, c.text)
+		for range 2 { // the output of an earlier start must not count
 			require.NoError(t, p.start())
 			if c.writes {
 				require.Eventually(t, func() bool { return p.wrote() }, time.Minute, time.Millisecond)
--- a/cli/internal/soak/proxy.go
+++ b/cli/internal/soak/proxy.go
@@ -126,7 +126,7 @@
 	}
 }
 
-// forward copies a connection to the target and back until both directions have ended.
+// forward connects a client to the target and copies both directions until they have ended.
 func (p *Proxy) forward(client net.Conn) {
 	if !p.register(client) {
 		reset(client)
--- a/cli/internal/soak/proxy_test.go
+++ b/cli/internal/soak/proxy_test.go
@@ -11,8 +11,8 @@
 	"github.com/wheelcleat/wheelcleat/standin/serve"
 )
 
-// startEcho starts a proxy to a server that echoes what it receives.
-func startEcho(t *testing.T) *Proxy {
+// startProxyToEcho starts a proxy to a server that echoes what it receives.
+func startProxyToEcho(t *testing.T) *Proxy {
 	t.Helper()
 	target, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -57,7 +57,7 @@
 }
 
 func TestProxyForwardsDataAndHalfClose(t *testing.T) {
-	p := startEcho(t)
+	p := startProxyToEcho(t)
 	conn := dial(t, p)
 	reply, err := exchange(conn)
 	require.NoError(t, err)
@@ -69,7 +69,7 @@
 }
 
 func TestProxyResetsConnections(t *testing.T) {
-	p := startEcho(t)
+	p := startProxyToEcho(t)
 	conn := dial(t, p)
 	_, err := exchange(conn)
 	require.NoError(t, err)
@@ -83,7 +83,7 @@
 }
 
 func TestProxyBlocksUntilFaultEnds(t *testing.T) {
-	p := startEcho(t)
+	p := startProxyToEcho(t)
 	conn := dial(t, p)
 	_, err := exchange(conn)
 	require.NoError(t, err)
--- a/cli/internal/soak/report.go
+++ b/cli/internal/soak/report.go
@@ -18,8 +18,8 @@
 	"github.com/wheelcleat/wheelcleat/api"
 )
 
-// Second counts the requests that ended within one second of the run, by result.
-type Second struct {
+// RequestCounts counts requests that have ended, by result.
+type RequestCounts struct {
 	Requested int `json:"asked"`
 	Served    int `json:"served"`
 	Refused   int `json:"refused"`
@@ -28,28 +28,29 @@
 
 // Report is the result of a run.
 type Report struct {
-	Seed                   uint64       `json:"seed"`
-	Length                 api.Duration `json:"length"`
-	Size                   Size         `json:"size"`
-	Processes              int          `json:"processes"`
-	Total                  Second       `json:"total"`
-	Starts                 int          `json:"starts"`
-	Versions               int          `json:"versions"`
-	Configurations         int          `json:"configurations"`
-	OriginCopiesPerVersion float64      `json:"originCopiesAVersion"`
-	Violations             []Violation  `json:"violations"`
-	Seconds                []Second     `json:"seconds"`
-	Steps                  []Step       `json:"steps"`
-	Folder                 string       `json:"-"`
+	Seed                   uint64          `json:"seed"`
+	Length                 api.Duration    `json:"length"`
+	Size                   Size            `json:"size"`
+	Processes              int             `json:"processes"`
+	Total                  RequestCounts   `json:"total"`
+	Starts                 int             `json:"starts"`
+	Versions               int             `json:"versions"`
+	Configurations         int             `json:"configurations"`
+	OriginCopiesPerVersion float64         `json:"originCopiesAVersion"`
+	Violations             []Violation     `json:"violations"`
+	Seconds                []RequestCounts `json:"seconds"`
+	Steps                  []Step          `json:"steps"`
+	Folder                 string          `json:"-"`
 }
 
-// Tally counts the outcomes of requests per second. start must be called before use.
+// Tally counts the outcomes of requests per second. The method start must be called before use.
 type Tally struct {
 	mu        sync.Mutex
 	startTime time.Time
-	seconds   []Second
-	results   []result
-	steps     []Step
+	// seconds are the counts of each second since startTime.
+	seconds []RequestCounts
+	results []result
+	steps   []Step
 }
 
 // result is the outcome of one request, kept for the recovery check.
@@ -84,7 +85,7 @@
 	defer t.mu.Unlock()
 	second := max(int(outcome.Ended.Sub(t.startTime).Seconds()), 0)
 	for len(t.seconds) <= second {
-		t.seconds = append(t.seconds, Second{})
+		t.seconds = append(t.seconds, RequestCounts{})
 	}
 	s := &t.seconds[second]
 	s.Requested++
--- a/cli/internal/soak/run.go
+++ b/cli/internal/soak/run.go
@@ -47,7 +47,7 @@
 // are in the report.
 func Run(ctx context.Context, options Options) (*Report, error) {
 	if err := os.MkdirAll(options.Folder, 0o750); err != nil {
-		return nil, fmt.Errorf("create the folder: %w", err)
+		return nil, fmt.Errorf("create the folder of the run: %w", err)
 	}
 	if err := writeJSON(filepath.Join(options.Folder, "plan.json"), options.Plan); err != nil {
 		return nil, err
@@ -65,7 +65,7 @@
 	if err := r.awaitReady(ctx); err != nil {
 		return nil, err
 	}
-	r.play(ctx)
+	r.execute(ctx)
 	return r.report(), ctx.Err()
 }
 
@@ -104,9 +104,9 @@
 	}
 }
 
-// play runs the callers and injects the steps of the plan, then waits for recovery with the
+// execute runs the callers and injects the steps of the plan, then waits for recovery with the
 // callers still sending.
-func (r *run) play(ctx context.Context) {
+func (r *run) execute(ctx context.Context) {
 	r.startTime = time.Now()
 	r.tally.start(r.startTime)
 	r.oracle.Start = r.startTime
@@ -128,13 +128,13 @@
 	}
 	pause(ctx, time.Until(r.startTime.Add(time.Duration(r.Plan.Length))))
 	steps.Wait()
-	r.settle(ctx)
+	r.finish(ctx)
 	stop()
 	callers.Wait()
 }
 
-// settle waits for service to recover and runs the checks of the end of a run.
-func (r *run) settle(ctx context.Context) {
+// finish waits for service to recover and runs the checks of the complete run.
+func (r *run) finish(ctx context.Context) {
 	deadline := time.Now().Add(recoveryTimeout + recoveryWindow + r.Slack)
 	if !pause(ctx, recoveryWindow) {
 		return
@@ -171,7 +171,7 @@
 		}
 	}
 	for _, h := range r.fleet.engines() {
-		if loaded := h.current().LoadedVersion(); loaded != r.fleet.version {
+		if loaded := h.currentUpstream().LoadedVersion(); loaded != r.fleet.version {
 			add(CheckVersion, "the engine on %s holds version %d at the end of the run, version %d was published", h.address, loaded, r.fleet.version)
 		}
 	}
@@ -192,7 +192,7 @@
 	for name, last := range r.usages() {
 		first := r.initialUsage[name]
 		if last.memory > 2*first.memory+maxMemoryGrowth || last.files > 2*first.files+maxFileGrowth {
-			r.oracle.Violatef(CheckUsage, "%s uses %d MB and %d open files, %d MB and %d at the start of the traffic", name, last.memory>>20, last.files, first.memory>>20, first.files)
+			r.oracle.Violatef(CheckUsage, "%s uses %d MB and %d open files; it used %d MB and %d at the start of the traffic", name, last.memory>>20, last.files, first.memory>>20, first.files)
 		}
 	}
 }
