--- a/cli/internal/explain/explain_test.go
+++ b/cli/internal/explain/explain_test.go
@@ -14,9 +14,9 @@
 	"github.com/wheelcleat/wheelcleat/cli/internal/explain"
 )
 
-// TestPrintMatchesGoldenFiles compares the output for each request with testdata/ID.txt: refused
-// under overload, denied a place, cut with its upstreams, sent by a stale upstream entry, admitted
-// by an agent, and mentioned in no line.
+// TestPrintMatchesGoldenFiles compares the output for each request with testdata/ID.txt. The
+// requests were refused under overload, denied a place, interrupted at two upstreams, sent to an
+// upstream that had left the store, and refused by an agent; no line mentions the last one.
 func TestPrintMatchesGoldenFiles(t *testing.T) {
 	for _, id := range []string{"refused-1", "denied-1", "moved-1", "late-1", "entry-way", "nobody"} {
 		t.Run(id, func(t *testing.T) {
--- a/cli/internal/explain/line.go
+++ b/cli/internal/explain/line.go
@@ -117,20 +117,20 @@
 
 // Attempt is one attempt to send a request to an upstream; see package dispatch.
 type Attempt struct {
-	Upstream  string        `json:"upstream"`
-	Offset    time.Duration `json:"at"`
-	Duration  time.Duration `json:"took"`
-	Result    string        `json:"fate"`
-	Cause     string        `json:"cause"`
-	Interrupt string        `json:"brokenBy"`
-	Loading   bool          `json:"loading"`
-	Version   int           `json:"version"`
-	Waiting   int           `json:"waiting"`
-	Excess    int           `json:"beyond"`
-	Running   int           `json:"running"`
-	ReportAge time.Duration `json:"age"`
-	Path      string        `json:"door"`
-	Limit     string        `json:"limit"`
+	Upstream      string        `json:"upstream"`
+	Offset        time.Duration `json:"at"`
+	Duration      time.Duration `json:"took"`
+	Result        string        `json:"fate"`
+	Cause         string        `json:"cause"`
+	Interrupt     string        `json:"brokenBy"`
+	Loading       bool          `json:"loading"`
+	Version       int           `json:"version"`
+	Waiting       int           `json:"waiting"`
+	Excess        int           `json:"beyond"`
+	Running       int           `json:"running"`
+	ReportAge     time.Duration `json:"age"`
+	AdmissionPath string        `json:"door"`
+	Limit         string        `json:"limit"`
 }
 
 // PlaceRequest is a request to a loader for a place at its engine; see package dispatch.
--- a/cli/internal/explain/print.go
+++ b/cli/internal/explain/print.go
@@ -54,7 +54,7 @@
 func (t *Trace) printLine(p *printer, line Line) {
 	f := line.Fields
 	if line.Message == messageBroke {
-		p.linef(0, "%s %s %s: the connection to %s broke %s after the request was sent; %s", line.At.Format(timeLayout), f.Role, f.Name, f.Upstream, f.Elapsed, crashText(f.Crashed))
+		p.linef(0, "%s %s %s: the connection to %s broke %s after the request was sent; %s", line.At.Format(timeLayout), f.Role, f.Name, f.Upstream, f.Elapsed, upstreamStatusText(f.Crashed))
 		return
 	}
 	if line.Message != messageEnded {
@@ -96,7 +96,8 @@
 	}
 }
 
-func crashesText(crashes []Crash) string {
+// crashList formats crashes as a comma-separated list.
+func crashList(crashes []Crash) string {
 	names := make([]string, 0, len(crashes))
 	for _, crash := range crashes {
 		names = append(names, fmt.Sprintf("%s (depth %d)", crash.Upstream, crash.Depth))
@@ -104,7 +105,8 @@
 	return strings.Join(names, ", ")
 }
 
-func crashText(crashed bool) string {
+// upstreamStatusText describes an upstream after the connection to it broke.
+func upstreamStatusText(crashed bool) string {
 	if crashed {
 		return "the upstream crashed"
 	}
@@ -133,7 +135,7 @@
 			attempt.Version, attempt.Running, attempt.Waiting, attempt.Excess, rounded(attempt.ReportAge))
 	}
 	if attempt.Limit != "" {
-		p.linef(2, "rate limit stated in its answer, in requests a second over all routers: %s; admitted by: %s", attempt.Limit, orNone(attempt.Path))
+		p.linef(2, "rate limit stated in its answer, in requests a second over all routers: %s; admitted by: %s", attempt.Limit, orNone(attempt.AdmissionPath))
 	}
 	if attempt.Cause != "" {
 		p.linef(2, "cause: %s", attempt.Cause)
@@ -151,19 +153,20 @@
 }
 
 // printState writes the state that the process of a line held at that time: the configuration,
-// the declared versions, the upstreams of the request, and lost dependencies.
+// the declared versions, the upstreams of the request and their rate limits and loads, the verdict
+// on the content, and lost dependencies.
 func (t *Trace) printState(p *printer, process *process, line Line) {
 	p.linef(1, "%s held at that time:", process.name)
-	for _, update := range process.state(line.At) {
+	for _, update := range process.storeState(line.At) {
 		if text := updateText(update, line.Fields.Attempts); text != "" {
 			p.linef(2, "%s (revision %d, received %s earlier)", text, update.Fields.Revision, rounded(line.At.Sub(update.At)))
 		}
 	}
 	if verdict, ok := process.verdict(line.Fields.Content, line.At); ok {
 		p.linef(2, "verdict on content %s: %s, set %s earlier, source: %s; upstreams that crashed while running it: %s",
-			line.Fields.Content, verdict.Fields.Verdict, rounded(line.At.Sub(verdict.At)), verdict.Fields.Source, crashesText(verdict.Fields.Crashes))
+			line.Fields.Content, verdict.Fields.Verdict, rounded(line.At.Sub(verdict.At)), verdict.Fields.Source, crashList(verdict.Fields.Crashes))
 	}
-	for _, outage := range process.lost(line.At) {
+	for _, outage := range process.lostDependencies(line.At) {
 		p.linef(2, "%s unreachable, lost %s earlier: %s", outage.Fields.Dependency, rounded(line.At.Sub(outage.At)), outage.Fields.Reason)
 	}
 	for _, upstream := range line.upstreams() {
@@ -211,7 +214,7 @@
 // request.
 func (t *Trace) printLoads(p *printer, process *process, line Line, upstream string) {
 	address := ""
-	for _, update := range process.state(line.At) {
+	for _, update := range process.storeState(line.At) {
 		if isUpdateOf(update, upstream) && update.Fields.Address != "" {
 			address = update.Fields.Address
 		}
--- a/cli/internal/explain/trace.go
+++ b/cli/internal/explain/trace.go
@@ -32,13 +32,13 @@
 
 // process holds the lines of one process about its state, in the order in which they were read.
 type process struct {
-	name, role  string
-	updates     []Line
-	verdicts    []Line
-	limits      []Line
-	connections []Line
-	loads       []Line
-	// engine is the address of the engine that a loader manages.
+	name, role   string
+	updates      []Line
+	verdicts     []Line
+	limits       []Line
+	dependencies []Line
+	loads        []Line
+	// engine is the address of the engine that a loader manages, "" for other processes.
 	engine string
 }
 
@@ -78,7 +78,7 @@
 	case messageVerdict:
 		p.verdicts = append(p.verdicts, line)
 	case messageLost, messageRegained:
-		p.connections = append(p.connections, line)
+		p.dependencies = append(p.dependencies, line)
 	case messageWeights:
 		p.loads = append(p.loads, line)
 	case messageStarted:
@@ -98,9 +98,9 @@
 	return p
 }
 
-// state returns the latest update of each store key that a process had logged by a time, sorted
-// by key.
-func (p *process) state(until time.Time) []Line {
+// storeState returns the latest update of each store key that a process had logged by a time,
+// sorted by key.
+func (p *process) storeState(until time.Time) []Line {
 	latest := map[string]Line{}
 	var keys []string
 	for _, line := range p.updates {
@@ -142,10 +142,11 @@
 	return found, ok
 }
 
-// lost returns the lines about the dependencies that a process had lost at a time, sorted by time.
-func (p *process) lost(at time.Time) []Line {
+// lostDependencies returns the lines about the dependencies that a process had lost at a time,
+// sorted by time.
+func (p *process) lostDependencies(at time.Time) []Line {
 	latest := map[string]Line{}
-	for _, line := range p.connections {
+	for _, line := range p.dependencies {
 		if !line.At.After(at) {
 			latest[line.Fields.Dependency+" "+line.Fields.Prefix] = line
 		}
@@ -160,7 +161,7 @@
 	return lines
 }
 
-// isUpdateOf reports whether an update is one of an upstream.
+// isUpdateOf reports whether an update concerns the store entry of an upstream.
 func isUpdateOf(update Line, upstream string) bool {
 	return upstream != "" && strings.HasSuffix(update.Fields.Key, upstream)
 }
