--- a/cli/internal/bench/control.go
+++ b/cli/internal/bench/control.go
@@ -228,8 +228,8 @@
 // write declares one value and measures the time until it is in force. It reports whether the
 // write was accepted.
 func (r *controlRun) write(ctx context.Context, e *fleet.Entry, name string, value int, group *sync.WaitGroup) (bool, error) {
-	operator := &client.Client{Entries: []string{"http://" + e.Process.Addresses().Operators.String()}}
-	got, err := operator.Put(ctx, r.account(name, value), client.PutOptions{})
+	c := &client.Client{Entries: []string{"http://" + e.Process.Addresses().Operators.String()}}
+	got, err := c.Put(ctx, r.account(name, value), client.PutOptions{})
 	if err != nil {
 		if ctx.Err() != nil {
 			return false, ctx.Err()
@@ -271,9 +271,9 @@
 
 // watchEntry polls an entry and records the values that it shows.
 func (r *controlRun) watchEntry(ctx context.Context, e *fleet.Entry) {
-	operator := &client.Client{Entries: []string{"http://" + e.Process.Addresses().Operators.String()}}
+	c := &client.Client{Entries: []string{"http://" + e.Process.Addresses().Operators.String()}}
 	for ctx.Err() == nil {
-		list, err := operator.List(ctx, api.KindAccount)
+		list, err := c.List(ctx, api.KindAccount)
 		if err == nil {
 			r.recordList(e.Name, list)
 		}
--- a/cli/internal/bench/route.go
+++ b/cli/internal/bench/route.go
@@ -145,10 +145,10 @@
 
 // allSynced reports whether every entry sees the rollout as done.
 func (r *routeRun) allSynced(ctx context.Context) bool {
-	for _, address := range r.fleet.Operator().Entries {
-		operator := r.fleet.Operator()
-		operator.Entries = []string{address}
-		status, err := operator.Rollout(ctx, "s")
+	for _, address := range r.fleet.ResourceClient().Entries {
+		c := r.fleet.ResourceClient()
+		c.Entries = []string{address}
+		status, err := c.Rollout(ctx, "s")
 		if err != nil || !status.Done {
 			return false
 		}
--- a/cli/internal/command/command.go
+++ b/cli/internal/command/command.go
@@ -87,8 +87,8 @@
 	return cmp.Or(info.Main.Version, unknown)
 }
 
-// operator returns a client for the entries given on the command line.
-func operator(command *cli.Command) *client.Client {
+// resourceClient returns a client for the entries given on the command line.
+func resourceClient(command *cli.Command) *client.Client {
 	return &client.Client{Entries: command.StringSlice("entry"), Key: command.String("key")}
 }
 
--- a/cli/internal/command/command_test.go
+++ b/cli/internal/command/command_test.go
@@ -117,7 +117,7 @@
 	require.NoError(t, err)
 	t.Cleanup(f.Kill)
 	require.NoError(t, f.AwaitReady(t.Context()))
-	return f, []string{"--entry", f.Operator().Entries[0]}
+	return f, []string{"--entry", f.ResourceClient().Entries[0]}
 }
 
 func TestApplyDiffAndPruneDeclarations(t *testing.T) {
--- a/cli/internal/command/declare.go
+++ b/cli/internal/command/declare.go
@@ -49,7 +49,7 @@
 	}
 	dryRun := command.Bool("dry-run")
 	out := command.Root().Writer
-	return declare.Apply(ctx, operator(command), changes, dryRun, func(change declare.Change, accepted *api.Resource) {
+	return declare.Apply(ctx, resourceClient(command), changes, dryRun, func(change declare.Change, accepted *api.Resource) {
 		line := applyResult{Change: change.Type, Kind: change.Kind, Name: change.Name, DryRun: dryRun}
 		if accepted != nil && change.Type != declare.ChangeDelete {
 			line.Revision = accepted.Revision
@@ -75,7 +75,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", errUsage, err)
 	}
-	return declare.Plan(ctx, operator(command), all, command.Bool("prune"))
+	return declare.Plan(ctx, resourceClient(command), all, command.Bool("prune"))
 }
 
 func diffCommand() *cli.Command {
@@ -178,7 +178,7 @@
 	}
 	var items []api.Resource
 	if name := command.Args().Get(1); name != "" {
-		found, err := operator(command).Get(ctx, kind, name)
+		found, err := resourceClient(command).Get(ctx, kind, name)
 		if err != nil {
 			return err
 		}
@@ -187,7 +187,7 @@
 		}
 		items = []api.Resource{*found}
 	} else {
-		list, err := operator(command).List(ctx, kind)
+		list, err := resourceClient(command).List(ctx, kind)
 		if err != nil {
 			return err
 		}
@@ -238,7 +238,7 @@
 			if name == "" {
 				return fmt.Errorf("%w: missing resource name", errUsage)
 			}
-			if err := operator(command).Delete(ctx, kind, name, uint64(command.Uint("if-revision"))); err != nil {
+			if err := resourceClient(command).Delete(ctx, kind, name, uint64(command.Uint("if-revision"))); err != nil {
 				return err
 			}
 			_, _ = fmt.Fprintf(command.Root().Writer, "delete %s/%s\n", kind.Plural(), name)
--- a/cli/internal/command/dev.go
+++ b/cli/internal/command/dev.go
@@ -186,10 +186,10 @@
 // any entry can be routed to that many hosts.
 func (d *devRun) readyHosts(ctx context.Context) int {
 	lowest := d.hosts
-	for _, entry := range d.fleet.Operator().Entries {
-		operator := d.fleet.Operator()
-		operator.Entries = []string{entry}
-		status, err := operator.Rollout(ctx, d.service)
+	for _, entry := range d.fleet.ResourceClient().Entries {
+		c := d.fleet.ResourceClient()
+		c.Entries = []string{entry}
+		status, err := c.Rollout(ctx, d.service)
 		if err != nil {
 			return 0
 		}
--- a/cli/internal/command/watch.go
+++ b/cli/internal/command/watch.go
@@ -29,10 +29,10 @@
 const watchRetryDelay = 500 * time.Millisecond
 
 func watch(ctx context.Context, command *cli.Command) error {
-	entries := operator(command)
+	c := resourceClient(command)
 	after := uint64(command.Uint("after"))
 	if !command.IsSet("after") {
-		list, err := entries.List(ctx, api.KindService)
+		list, err := c.List(ctx, api.KindService)
 		if err != nil {
 			return err
 		}
@@ -40,7 +40,7 @@
 	}
 	out := command.Root().Writer
 	for {
-		err := entries.Watch(ctx, after, func(event api.Event) error {
+		err := c.Watch(ctx, after, func(event api.Event) error {
 			after = max(after, event.Revision)
 			if wantsJSON(command) {
 				return json.NewEncoder(out).Encode(event)
@@ -93,7 +93,7 @@
 		return err
 	}
 	if !command.Bool("wait") {
-		status, err := operator(command).Rollout(ctx, service)
+		status, err := resourceClient(command).Rollout(ctx, service)
 		if err != nil {
 			return err
 		}
@@ -101,7 +101,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, command.Duration("timeout"))
 	defer cancel()
-	status, err := WaitRollout(ctx, operator(command), service, newProgress(command))
+	status, err := WaitRollout(ctx, resourceClient(command), service, newProgress(command))
 	if err != nil {
 		return err
 	}
@@ -143,11 +143,11 @@
 
 // WaitRollout polls the status of a rollout until it is done, and passes each status to show. It
 // fails if a hall halts or the service does not exist, and retries other errors until ctx ends.
-func WaitRollout(ctx context.Context, operator *client.Client, service string, show func(*api.RolloutStatus)) (*api.RolloutStatus, error) {
+func WaitRollout(ctx context.Context, c *client.Client, service string, show func(*api.RolloutStatus)) (*api.RolloutStatus, error) {
 	ticker := time.NewTicker(statusInterval)
 	defer ticker.Stop()
 	for {
-		status, err := operator.Rollout(ctx, service)
+		status, err := c.Rollout(ctx, service)
 		if err == nil {
 			show(status)
 			if status.Done {
--- a/cli/internal/declare/declare.go
+++ b/cli/internal/declare/declare.go
@@ -113,7 +113,7 @@
 	ChangeNone   ChangeType = "unchanged"
 )
 
-// Change is one step of an apply.
+// Change is one step of a plan. Current is nil for a create, Desired for a delete.
 type Change struct {
 	Type    ChangeType    `json:"change"`
 	Kind    api.Kind      `json:"kind"`
@@ -122,13 +122,13 @@
 	Desired *api.Resource `json:"wanted,omitempty"`
 }
 
-// Plan compares declarations with the current resources. With prune, it deletes resources that are
-// not declared. The changes are in an order in which they can be applied: models before the
+// Plan compares declarations with the current resources. With prune, the plan deletes resources that
+// are not declared. The changes are in an order in which they can be applied: models before the
 // services that refer to them, and deletes last, services before models.
-func Plan(ctx context.Context, operator *client.Client, declarations []Declaration, prune bool) ([]Change, error) {
+func Plan(ctx context.Context, c *client.Client, declarations []Declaration, prune bool) ([]Change, error) {
 	var changes, deletes []Change
 	for _, kind := range api.Kinds() {
-		list, err := operator.List(ctx, kind)
+		list, err := c.List(ctx, kind)
 		if err != nil {
 			return nil, fmt.Errorf("list %s: %w", kind.Plural(), err)
 		}
@@ -172,19 +172,20 @@
 }
 
 // Apply applies the changes of a plan in order and calls report after each one. A change fails if
-// the resource is no longer at the revision that the plan was made for.
-func Apply(ctx context.Context, operator *client.Client, changes []Change, dryRun bool, report func(Change, *api.Resource)) error {
+// the resource is no longer at the revision that the plan was made for. With dryRun, the entries
+// validate the changes and write nothing; deletes are only reported.
+func Apply(ctx context.Context, c *client.Client, changes []Change, dryRun bool, report func(Change, *api.Resource)) error {
 	for _, change := range changes {
 		accepted := change.Current
 		var err error
 		switch change.Type {
 		case ChangeCreate:
-			accepted, err = operator.Put(ctx, change.Desired, client.PutOptions{DryRun: dryRun, Create: true})
+			accepted, err = c.Put(ctx, change.Desired, client.PutOptions{DryRun: dryRun, Create: true})
 		case ChangeUpdate:
-			accepted, err = operator.Put(ctx, change.Desired, client.PutOptions{DryRun: dryRun, IfRevision: change.Current.Revision})
+			accepted, err = c.Put(ctx, change.Desired, client.PutOptions{DryRun: dryRun, IfRevision: change.Current.Revision})
 		case ChangeDelete:
 			if !dryRun {
-				err = operator.Delete(ctx, change.Kind, change.Name, change.Current.Revision)
+				err = c.Delete(ctx, change.Kind, change.Name, change.Current.Revision)
 			}
 		case ChangeNone:
 		}
--- a/cli/internal/fleet/control_test.go
+++ b/cli/internal/fleet/control_test.go
@@ -45,7 +45,7 @@
 	r.serve(nil)
 	fault.Store(&kv.Fault{Down: true})
 	stop := r.load(4)
-	_, err := r.Operator().Put(r.ctx, r.service("v2", nil), client.PutOptions{})
+	_, err := r.ResourceClient().Put(r.ctx, r.service("v2", nil), client.PutOptions{})
 	assert.Equal(t, api.CodeUnavailable, problemCode(err), "%v", err)
 
 	// An entry that starts during the outage gets its configuration from its peers.
@@ -69,7 +69,7 @@
 	done := r.checkOutcomes(stop(), hosts)
 	assert.Greater(t, done, 100)
 	require.NoError(t, Await(r.ctx, "a write after the outage", func() bool {
-		accepted, err := r.Operator().Put(r.ctx, r.service("v2", func(s *api.ServiceSpec) { s.Replicas = 1 }), client.PutOptions{})
+		accepted, err := r.ResourceClient().Put(r.ctx, r.service("v2", func(s *api.ServiceSpec) { s.Replicas = 1 }), client.PutOptions{})
 		return err == nil && accepted.Revision > 0
 	}))
 	r.awaitDone()
@@ -109,7 +109,7 @@
 	for i := range 10 {
 		account := r.account()
 		account.Account.Concurrency = i + 1
-		accepted, err := r.Operator().Put(r.ctx, account, client.PutOptions{})
+		accepted, err := r.ResourceClient().Put(r.ctx, account, client.PutOptions{})
 		require.NoError(t, err, "a write whose answer was lost is recognized by its id")
 		item, ok := r.KV.Store.Get("wheelcleat/resources/accounts/till")
 		require.True(t, ok)
@@ -121,18 +121,18 @@
 func TestConcurrentWritesConflict(t *testing.T) {
 	r := startTestFleet(t, quickConfig(2, 2, 2))
 	r.declare(r.account())
-	present, err := r.Operator().Get(r.ctx, api.KindAccount, "till")
+	present, err := r.ResourceClient().Get(r.ctx, api.KindAccount, "till")
 	require.NoError(t, err)
 	require.NoError(t, r.AwaitRevision(r.ctx, present.Revision))
 	var group sync.WaitGroup
 	var won, lost atomic.Int64
 	var accepted atomic.Uint64
-	for i, address := range r.Operator().Entries {
+	for i, address := range r.ResourceClient().Entries {
 		group.Go(func() {
 			account := r.account()
 			account.Account.Concurrency = 100 + i
-			operator := &client.Client{Entries: []string{address}}
-			got, err := operator.Put(r.ctx, account, client.PutOptions{IfRevision: present.Revision})
+			c := &client.Client{Entries: []string{address}}
+			got, err := c.Put(r.ctx, account, client.PutOptions{IfRevision: present.Revision})
 			switch {
 			case err == nil:
 				won.Add(1)
@@ -151,7 +151,7 @@
 	assert.Equal(t, int64(1), won.Load())
 	assert.Equal(t, int64(3), lost.Load())
 	require.NoError(t, r.AwaitRevision(r.ctx, accepted.Load()))
-	for _, address := range r.Operator().Entries {
+	for _, address := range r.ResourceClient().Entries {
 		got, err := (&client.Client{Entries: []string{address}}).Get(r.ctx, api.KindAccount, "till")
 		require.NoError(t, err)
 		assert.Equal(t, accepted.Load(), got.Revision)
@@ -161,9 +161,9 @@
 func TestResourceAPIRejectsInvalidCalls(t *testing.T) {
 	r := startTestFleet(t, quickConfig(1, 1, 1))
 	r.declare(r.account(), r.model())
-	operator := r.Operator()
+	c := r.ResourceClient()
 	put := func(resource *api.Resource, options client.PutOptions) error {
-		_, err := operator.Put(r.ctx, resource, options)
+		_, err := c.Put(r.ctx, resource, options)
 		return err
 	}
 	tests := []struct {
@@ -178,9 +178,9 @@
 		{"unknown version, dry run", func() error { return put(r.service("v9", nil), client.PutOptions{DryRun: true}) }, api.CodeInvalid},
 		{"stale revision", func() error { return put(r.account(), client.PutOptions{IfRevision: 1 << 40}) }, api.CodeConflict},
 		{"create an existing resource", func() error { return put(r.account(), client.PutOptions{Create: true}) }, api.CodeConflict},
-		{"delete a missing resource", func() error { return operator.Delete(r.ctx, api.KindAccount, "nobody", 0) }, api.CodeNotFound},
-		{"get a missing resource", func() error { _, err := operator.Get(r.ctx, api.KindModel, "none"); return err }, api.CodeNotFound},
-		{"rollout of a missing service", func() error { _, err := operator.Rollout(r.ctx, "none"); return err }, api.CodeNotFound},
+		{"delete a missing resource", func() error { return c.Delete(r.ctx, api.KindAccount, "nobody", 0) }, api.CodeNotFound},
+		{"get a missing resource", func() error { _, err := c.Get(r.ctx, api.KindModel, "none"); return err }, api.CodeNotFound},
+		{"rollout of a missing service", func() error { _, err := c.Rollout(r.ctx, "none"); return err }, api.CodeNotFound},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -189,17 +189,17 @@
 	}
 	t.Run("dry run writes nothing", func(t *testing.T) {
 		require.NoError(t, put(r.service("v1", nil), client.PutOptions{DryRun: true}))
-		_, err := operator.Get(r.ctx, api.KindService, "s")
+		_, err := c.Get(r.ctx, api.KindService, "s")
 		assert.Equal(t, api.CodeNotFound, problemCode(err))
 	})
 	t.Run("model in use", func(t *testing.T) {
 		require.NoError(t, put(r.service("v1", nil), client.PutOptions{}))
-		assert.Equal(t, api.CodeInUse, problemCode(operator.Delete(r.ctx, api.KindModel, "m", 0)))
+		assert.Equal(t, api.CodeInUse, problemCode(c.Delete(r.ctx, api.KindModel, "m", 0)))
 		smaller := r.model()
 		smaller.Model.Versions = smaller.Model.Versions[1:]
 		assert.Equal(t, api.CodeInvalid, problemCode(put(smaller, client.PutOptions{})), "a served version cannot be removed")
-		require.NoError(t, operator.Delete(r.ctx, api.KindService, "s", 0))
-		require.NoError(t, operator.Delete(r.ctx, api.KindModel, "m", 0))
+		require.NoError(t, c.Delete(r.ctx, api.KindService, "s", 0))
+		require.NoError(t, c.Delete(r.ctx, api.KindModel, "m", 0))
 	})
 	t.Run("an unchanged resource is not written", func(t *testing.T) {
 		before := r.KV.Counts().Writes
@@ -210,7 +210,7 @@
 
 func TestWatchAcrossEntries(t *testing.T) {
 	r := startTestFleet(t, quickConfig(1, 2, 0))
-	list, err := r.Operator().List(r.ctx, api.KindAccount)
+	list, err := r.ResourceClient().List(r.ctx, api.KindAccount)
 	require.NoError(t, err)
 	after := list.Revision
 	var concurrency []int
@@ -224,10 +224,10 @@
 	}()
 	for len(concurrency) == 0 || concurrency[len(concurrency)-1] < 20 {
 		// Each watch resumes at another entry, from the last revision received.
-		operator := r.Operator()
-		operator.Entries = operator.Entries[len(concurrency)%2:]
+		c := r.ResourceClient()
+		c.Entries = c.Entries[len(concurrency)%2:]
 		seen := 0
-		err := operator.Watch(r.ctx, after, func(event api.Event) error {
+		err := c.Watch(r.ctx, after, func(event api.Event) error {
 			require.GreaterOrEqual(t, event.Revision, after, "revisions never decrease")
 			after = event.Revision
 			if event.Type != api.EventPut {
@@ -247,7 +247,7 @@
 	fresh, err := r.AddEntry("hall-1-entry-9", "hall-1")
 	require.NoError(t, err)
 	require.NoError(t, r.AwaitReady(r.ctx))
-	err = r.operatorAt(fresh).Watch(r.ctx, 1, func(api.Event) error { return nil })
+	err = r.resourceClientAt(fresh).Watch(r.ctx, 1, func(api.Event) error { return nil })
 	assert.Equal(t, api.CodeTooOld, problemCode(err), "an entry without the history reports it: %v", err)
 	var problem *api.Problem
 	require.ErrorAs(t, err, &problem)
@@ -318,7 +318,7 @@
 	var status *api.RolloutStatus
 	require.NoError(t, Await(r.ctx, "the halt", func() bool {
 		var err error
-		status, err = r.Operator().Rollout(r.ctx, "s")
+		status, err = r.ResourceClient().Rollout(r.ctx, "s")
 		return err == nil && status.Halls[0].Halted != ""
 	}))
 	assert.Contains(t, status.Halls[0].Halted, "out of accelerator memory")
@@ -337,8 +337,8 @@
 	require.NoError(t, guarded.Start())
 	defer guarded.Kill()
 	for key, code := range map[string]api.ProblemCode{"": api.CodeUnauthorized, "wrong": api.CodeForbidden, testKey: ""} {
-		operator := &client.Client{Entries: []string{"http://" + guarded.Addresses().Operators.String()}, Key: key}
-		_, err := operator.List(r.ctx, api.KindModel)
+		c := &client.Client{Entries: []string{"http://" + guarded.Addresses().Operators.String()}, Key: key}
+		_, err := c.List(r.ctx, api.KindModel)
 		assert.Equal(t, code, problemCode(err), "key %q", key)
 	}
 }
--- a/cli/internal/fleet/fleet.go
+++ b/cli/internal/fleet/fleet.go
@@ -39,11 +39,11 @@
 	Halls []string
 	// EntriesPerHall is the number of entries in each hall.
 	EntriesPerHall int
-	// Agents is the number of engine hosts over all halls, PlainAgents the number
-	// of hosts with a plain service in each hall.
+	// Agents is the number of engine hosts in all halls together, PlainAgents the
+	// number of hosts with a plain upstream in each hall.
 	Agents      int
 	PlainAgents int
-	// PlainServices are the services of the plain hosts.
+	// PlainServices are the services that the plain upstreams serve.
 	PlainServices []string
 	// LogOutput receives the log lines of all processes; nil discards them.
 	LogOutput io.Writer
@@ -92,8 +92,8 @@
 	entries []*Entry
 	hosts   []*Host
 
-	kvServer, listServer, originServer *serve.Server
-	network                            *network
+	kvServer, hostListServer, originServer *serve.Server
+	network                                *network
 }
 
 // Entry is one entry of the fleet.
@@ -102,17 +102,17 @@
 	Process    *entry.Process
 }
 
-// Host is one upstream host: an agent and the program beside it.
+// Host is one upstream host: an agent and the upstream that it manages.
 type Host struct {
 	Name, Hall string
 	Agent      *agent.Process
-	// Exactly one of Engine and Plain is set.
+	// Exactly one of Engine and Plain is set. server serves it.
 	Engine *engine.Server
 	Plain  *plain.Server
 	server *serve.Server
 }
 
-// UpstreamURL returns the URL of the program beside the agent.
+// UpstreamURL returns the URL of the upstream itself, without the agent.
 func (h *Host) UpstreamURL() string { return h.server.URL() }
 
 // syncWriter serializes the log lines of all processes.
@@ -158,13 +158,13 @@
 	if f.kvServer, err = serve.Loopback(f.KV); err != nil {
 		return err
 	}
-	if f.listServer, err = serve.Loopback(f.HostList); err != nil {
+	if f.hostListServer, err = serve.Loopback(f.HostList); err != nil {
 		return err
 	}
 	if f.originServer, err = serve.Loopback(f.Origin); err != nil {
 		return err
 	}
-	for _, s := range []*serve.Server{f.kvServer, f.listServer, f.originServer} {
+	for _, s := range []*serve.Server{f.kvServer, f.hostListServer, f.originServer} {
 		f.network.setLocation(s.Address, Platform)
 	}
 	for _, hall := range f.Config.Halls {
@@ -188,9 +188,9 @@
 	return nil
 }
 
-func ephemeral() netip.AddrPort { return netip.MustParseAddrPort("127.0.0.1:0") }
+func ephemeralAddress() netip.AddrPort { return netip.MustParseAddrPort("127.0.0.1:0") }
 
-func (f *Fleet) log() settings.Log {
+func (f *Fleet) logSettings() settings.Log {
 	level := f.Config.LogLevel
 	if level == "" {
 		level = "info"
@@ -202,9 +202,9 @@
 func (f *Fleet) EntrySettings(name, hall string) settings.Entry {
 	return settings.Entry{
 		Role: settings.RoleEntry, Name: name, Hall: hall,
-		Listen:   settings.EntryListen{Callers: ephemeral(), Operators: ephemeral(), Peers: ephemeral()},
-		Platform: settings.EntryPlatform{KeyValue: f.kvServer.Address, HostList: f.listServer.Address},
-		Log:      f.log(),
+		Listen:   settings.EntryListen{Callers: ephemeralAddress(), Operators: ephemeralAddress(), Peers: ephemeralAddress()},
+		Platform: settings.EntryPlatform{KeyValue: f.kvServer.Address, HostList: f.hostListServer.Address},
+		Log:      f.logSettings(),
 	}
 }
 
@@ -214,10 +214,10 @@
 	options.Dial = f.network.dialFrom(hall)
 	process, err := entry.New(f.EntrySettings(name, hall), options)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("set up entry %s: %w", name, err)
 	}
 	if err := process.Start(); err != nil {
-		return nil, err
+		return nil, fmt.Errorf("start entry %s: %w", name, err)
 	}
 	f.network.setLocation(process.Addresses().Peers, hall)
 	added := &Entry{Name: name, Hall: hall, Process: process}
@@ -257,16 +257,16 @@
 	upstream.Address = server.Address
 	process, err := agent.New(settings.Agent{
 		Role: settings.RoleAgent, Name: host.Name, Hall: host.Hall,
-		Listen:   settings.AgentListen{Peers: ephemeral()},
-		Platform: settings.AgentPlatform{HostList: f.listServer.Address},
+		Listen:   settings.AgentListen{Peers: ephemeralAddress()},
+		Platform: settings.AgentPlatform{HostList: f.hostListServer.Address},
 		Weights:  settings.Weights{Origin: f.originServer.Address, PeerWait: api.Duration(f.Config.PeerWait)},
-		Upstream: upstream, Log: f.log(),
+		Upstream: upstream, Log: f.logSettings(),
 	}, f.agentOptions(host))
 	if err != nil {
-		return err
+		return fmt.Errorf("set up agent %s: %w", host.Name, err)
 	}
 	if err := process.Start(); err != nil {
-		return err
+		return fmt.Errorf("start agent %s: %w", host.Name, err)
 	}
 	host.Agent = process
 	f.network.setLocation(process.Address(), host.Hall)
@@ -323,13 +323,13 @@
 	return engines
 }
 
-// Operator returns a client of the resource API on all entries.
-func (f *Fleet) Operator() *client.Client {
-	operator := &client.Client{}
+// ResourceClient returns a client of the resource API on all entries.
+func (f *Fleet) ResourceClient() *client.Client {
+	c := &client.Client{}
 	for _, e := range f.Entries() {
-		operator.Entries = append(operator.Entries, "http://"+e.Process.Addresses().Operators.String())
+		c.Entries = append(c.Entries, "http://"+e.Process.Addresses().Operators.String())
 	}
-	return operator
+	return c
 }
 
 // AddVersion adds a version with the given bytes to the origin and returns its
@@ -405,7 +405,7 @@
 	for _, host := range f.Hosts() {
 		host.server.Close()
 	}
-	for _, s := range []*serve.Server{f.kvServer, f.listServer, f.originServer} {
+	for _, s := range []*serve.Server{f.kvServer, f.hostListServer, f.originServer} {
 		if s != nil {
 			s.Close()
 		}
@@ -427,7 +427,7 @@
 	return nil
 }
 
-// AwaitReady waits until every entry has its configuration.
+// AwaitReady waits until every entry reports itself ready.
 func (f *Fleet) AwaitReady(ctx context.Context) error {
 	return Await(ctx, "readiness of every entry", func() bool {
 		for _, e := range f.Entries() {
@@ -467,9 +467,9 @@
 
 // Declare writes resources in the given order.
 func (f *Fleet) Declare(ctx context.Context, resources ...*api.Resource) error {
-	operator := f.Operator()
+	c := f.ResourceClient()
 	for _, r := range resources {
-		if _, err := operator.Put(ctx, r, client.PutOptions{}); err != nil {
+		if _, err := c.Put(ctx, r, client.PutOptions{}); err != nil {
 			return fmt.Errorf("declare %s %q: %w", r.Kind, r.Name, err)
 		}
 	}
--- a/cli/internal/fleet/fleet_test.go
+++ b/cli/internal/fleet/fleet_test.go
@@ -47,7 +47,7 @@
 	*Fleet
 	ctx      context.Context //nolint:containedctx // cancelled at the end of the test
 	versions []manifest.Digest
-	// rounds counts the calls of load, so that request ids are unique.
+	// loadCount counts the calls of load, so that request ids are unique.
 	loadCount atomic.Int64
 }
 
@@ -106,10 +106,10 @@
 func (r *testFleet) awaitDone() {
 	r.Helper()
 	err := Await(r.ctx, "the rollout", func() bool {
-		for _, address := range r.Operator().Entries {
-			operator := r.Operator()
-			operator.Entries = []string{address}
-			status, err := operator.Rollout(r.ctx, "s")
+		for _, address := range r.ResourceClient().Entries {
+			c := r.ResourceClient()
+			c.Entries = []string{address}
+			status, err := c.Rollout(r.ctx, "s")
 			if err != nil || !status.Done {
 				return false
 			}
@@ -144,7 +144,7 @@
 	if len(entries) == 0 {
 		entries = r.Entries()
 	}
-	round := r.loadCount.Add(1)
+	loadNumber := r.loadCount.Add(1)
 	var stopped atomic.Bool
 	var mu sync.Mutex
 	var results []result
@@ -152,7 +152,7 @@
 	for worker := range workers {
 		group.Go(func() {
 			for i := 0; !stopped.Load(); i++ {
-				got := r.call(entries[(worker+i)%len(entries)], fmt.Sprintf("r-%d-%d-%d", round, worker, i))
+				got := r.call(entries[(worker+i)%len(entries)], fmt.Sprintf("r-%d-%d-%d", loadNumber, worker, i))
 				mu.Lock()
 				results = append(results, got)
 				mu.Unlock()
@@ -185,7 +185,7 @@
 func checkComplete(got result) error {
 	events := strings.Split(strings.TrimSuffix(string(got.answer.Body), "\n\n"), "\n\n")
 	if len(events) != testTokens+1 || events[testTokens] != "data: [DONE]" {
-		return fmt.Errorf("%s: %d events", got.id, len(events))
+		return fmt.Errorf("%s: got %d events, want %d tokens and the end marker", got.id, len(events), testTokens)
 	}
 	version := got.answer.Header.Get(api.HeaderVersion)
 	for index, event := range events[:testTokens] {
@@ -438,7 +438,7 @@
 	r := startTestFleet(t, config)
 	r.declare(r.account(), &api.Resource{Kind: api.KindService, Name: "loans", Service: &api.ServiceSpec{Plain: true, NotRepeatable: true}})
 	require.NoError(t, Await(r.ctx, "the plain hosts", func() bool {
-		status, err := r.Operator().Rollout(r.ctx, "loans")
+		status, err := r.ResourceClient().Rollout(r.ctx, "loans")
 		return err == nil && status.Done && len(status.Halls) == 2
 	}))
 	hosts := r.Hosts()
--- a/cli/internal/fleet/partition.go
+++ b/cli/internal/fleet/partition.go
@@ -12,28 +12,28 @@
 const Platform = "platform"
 
 // network partitions the fleet. Every process dials through it, so that it can
-// refuse dials between locations that are cut off from each other and close
-// the connections between them. A location is a hall or Platform.
+// close the connections between two locations and refuse new ones. A location
+// is a hall or Platform.
 type network struct {
 	mu sync.Mutex
-	// location is the hall, or Platform, of each listening address.
+	// location is the location of each listening address.
 	location map[string]string
-	cut      map[pair]bool
-	conns    map[*cutConn]pair
+	cut      map[locationPair]bool
+	conns    map[*trackedConn]locationPair
 }
 
-// pair is two locations, in order of name.
-type pair struct{ a, b string }
+// locationPair is two locations, in order of name.
+type locationPair struct{ a, b string }
 
-func pairOf(a, b string) pair {
+func newLocationPair(a, b string) locationPair {
 	if a > b {
 		a, b = b, a
 	}
-	return pair{a, b}
+	return locationPair{a, b}
 }
 
 func newNetwork() *network {
-	return &network{location: map[string]string{}, cut: map[pair]bool{}, conns: map[*cutConn]pair{}}
+	return &network{location: map[string]string{}, cut: map[locationPair]bool{}, conns: map[*trackedConn]locationPair{}}
 }
 
 func (n *network) setLocation(address netip.AddrPort, location string) {
@@ -46,7 +46,7 @@
 func (n *network) dialFrom(hall string) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		n.mu.Lock()
-		link := pairOf(hall, n.location[address])
+		link := newLocationPair(hall, n.location[address])
 		isCut := n.cut[link]
 		n.mu.Unlock()
 		if isCut {
@@ -57,7 +57,7 @@
 		if err != nil {
 			return nil, err
 		}
-		tracked := &cutConn{Conn: conn, network: n}
+		tracked := &trackedConn{Conn: conn, network: n}
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		n.conns[tracked] = link
@@ -68,14 +68,14 @@
 	}
 }
 
-// cutConn is a connection that Cut closes.
-type cutConn struct {
+// trackedConn is an open connection that Cut can close.
+type trackedConn struct {
 	net.Conn
 	network *network
 }
 
 // Close closes the connection and removes it from the network.
-func (c *cutConn) Close() error {
+func (c *trackedConn) Close() error {
 	c.network.mu.Lock()
 	delete(c.network.conns, c)
 	c.network.mu.Unlock()
@@ -87,7 +87,7 @@
 	n := f.network
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	link := pairOf(a, b)
+	link := newLocationPair(a, b)
 	n.cut[link] = true
 	for conn, connLink := range n.conns {
 		if connLink == link {
@@ -100,7 +100,7 @@
 func (f *Fleet) Heal(a, b string) {
 	f.network.mu.Lock()
 	defer f.network.mu.Unlock()
-	delete(f.network.cut, pairOf(a, b))
+	delete(f.network.cut, newLocationPair(a, b))
 }
 
 // CutHall cuts a hall off from all other halls, and from the platform if
