--- a/cli/internal/bench/control.go
+++ b/cli/internal/bench/control.go
@@ -18,7 +18,7 @@
 )
 
 // Control configures a run of the control plane bench: an idle fleet first, then concurrent
-// declarations through different entries while the key-value store has a fault.
+// declarations through different entries while the key-value service has a fault.
 type Control struct {
 	Halls, EntriesPerHall, Agents int
 	// IdleDuration is the duration of the measurement on the idle fleet.
@@ -63,11 +63,12 @@
 	CPUPercent           float64 `json:"control_cpu_percent_per_daemon"`
 	// HeapMB is the live heap and stack memory per daemon.
 	HeapMB float64 `json:"control_heap_mb_per_daemon"`
-	// KVCallsPerChange is the number of reads per declaration.
-	KVCallsPerChange float64 `json:"kv_calls_per_change"`
+	// KVReadsPerChange is the number of reads of the key-value service per declaration.
+	KVReadsPerChange float64 `json:"kv_calls_per_change"`
 }
 
-// controlFaults are the faults of the key-value store during the declarations.
+// controlFaults are the faults of the key-value service during the declarations, by name. Each
+// returns the fault of the n-th call.
 var controlFaults = map[string]func(n int64) kv.Fault{
 	"none":         func(int64) kv.Fault { return kv.Fault{} },
 	"slow":         func(int64) kv.Fault { return kv.Fault{Delay: 200 * time.Millisecond} },
@@ -89,7 +90,8 @@
 	result ControlResult
 
 	// mu guards the fields below.
-	mu       sync.Mutex
+	mu sync.Mutex
+	// faultFor returns the fault of the n-th call of the key-value service, calls counts them.
 	faultFor func(n int64) kv.Fault
 	calls    int64
 	// newest is the highest value seen, by entry and resource.
@@ -184,11 +186,11 @@
 
 // runChanges writes the declarations and measures when they come into force.
 func (r *controlRun) runChanges(ctx context.Context) error {
-	watchCtx, stopWatching := context.WithCancel(ctx)
-	defer stopWatching()
-	var watching sync.WaitGroup
+	pollCtx, stopPolling := context.WithCancel(ctx)
+	defer stopPolling()
+	var pollers sync.WaitGroup
 	for _, e := range r.fleet.Entries() {
-		watching.Go(func() { r.watchEntry(watchCtx, e) })
+		pollers.Go(func() { r.pollEntry(pollCtx, e) })
 	}
 	r.setFault(r.Fault)
 	before := r.fleet.KV.Counts()
@@ -211,10 +213,10 @@
 	group.Wait()
 	r.setFault("none")
 	counts := r.fleet.KV.Counts()
-	r.result.KVCallsPerChange = float64(counts.Reads-before.Reads) / float64(max(r.Changes, 1))
-	err := r.settle(ctx, accepted)
-	stopWatching()
-	watching.Wait()
+	r.result.KVReadsPerChange = float64(counts.Reads-before.Reads) / float64(max(r.Changes, 1))
+	err := r.awaitAccepted(ctx, accepted)
+	stopPolling()
+	pollers.Wait()
 	r.summarize()
 	return err
 }
@@ -269,8 +271,8 @@
 	return err == nil && stored.Resource.Account.Concurrency == value
 }
 
-// watchEntry polls an entry and records the values that it shows.
-func (r *controlRun) watchEntry(ctx context.Context, e *fleet.Entry) {
+// pollEntry polls an entry and records the values that it shows.
+func (r *controlRun) pollEntry(ctx context.Context, e *fleet.Entry) {
 	c := &client.Client{Entries: []string{"http://" + e.Process.Addresses().Operators.String()}}
 	for ctx.Err() == nil {
 		list, err := c.List(ctx, api.KindAccount)
@@ -294,8 +296,8 @@
 	}
 }
 
-// settle waits until every entry has every accepted value or a later one.
-func (r *controlRun) settle(ctx context.Context, accepted map[string]int) error {
+// awaitAccepted waits until every entry has every accepted value or a later one.
+func (r *controlRun) awaitAccepted(ctx context.Context, accepted map[string]int) error {
 	missing := func() int {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -321,9 +323,9 @@
 	if len(r.inForce) == 0 {
 		return
 	}
-	at := func(share float64) float64 {
-		index := min(int(share*float64(len(r.inForce))), len(r.inForce)-1)
+	percentileMS := func(fraction float64) float64 {
+		index := min(int(fraction*float64(len(r.inForce))), len(r.inForce)-1)
 		return float64(r.inForce[index].Microseconds()) / 1000
 	}
-	r.result.InForceP50MS, r.result.InForceP99MS, r.result.InForceMaxMS = at(0.5), at(0.99), at(1)
+	r.result.InForceP50MS, r.result.InForceP99MS, r.result.InForceMaxMS = percentileMS(0.5), percentileMS(0.99), percentileMS(1)
 }
--- a/cli/internal/bench/control_test.go
+++ b/cli/internal/bench/control_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestControlUnderFaults guards against lost, reverted or misreported configuration while
-// declarations are concurrent and the key-value store has a fault.
+// declarations are concurrent and the key-value service has a fault.
 func TestControlUnderFaults(t *testing.T) {
 	for fault := range controlFaults {
 		t.Run(fault, func(t *testing.T) {
@@ -26,6 +26,6 @@
 			assert.Positive(t, result.EntryBytesPerSecond)
 		})
 	}
-	_, err := (&Control{Fault: "gremlins", Timeout: time.Second}).Run(t.Context())
+	_, err := (&Control{Fault: "unknown", Timeout: time.Second}).Run(t.Context())
 	require.ErrorContains(t, err, "unknown fault")
 }
--- a/cli/internal/bench/distribute.go
+++ b/cli/internal/bench/distribute.go
@@ -1,6 +1,6 @@
 // Package bench measures the distribution of versions, the control plane and the request path on
 // a fleet of real entries and agents over loopback, with stand-ins for the engines, the origin,
-// the host list and the key-value store. It also runs the simulations of package lab and prints
+// the host list and the key-value service. It also runs the simulations of package lab and prints
 // and plots their results. The bench commands of the CLI call it.
 //
 // The fleet benches run in one process, so CPU and memory figures include the stand-ins and the
@@ -44,7 +44,7 @@
 	// Uploads and Downloads limit each host's concurrent transfers, Neighbours the peers that it
 	// follows; 0 selects the defaults.
 	Uploads, Downloads, Neighbours int
-	// Fault is a name of Faults; empty means none.
+	// Fault is one of DistributeFaults; empty means none.
 	Fault   string
 	Seed    uint64
 	Timeout time.Duration
@@ -52,7 +52,7 @@
 	LogOutput io.Writer
 }
 
-// Point is the number of ready hosts from a time on.
+// Point is the number of ready hosts from a time on, in seconds after the declaration.
 type Point struct {
 	Seconds float64 `json:"seconds"`
 	Ready   int     `json:"ready"`
@@ -73,17 +73,19 @@
 	// DuplicateCopies are the bytes that a host received but already had, relative to the model's
 	// size.
 	DuplicateCopies float64 `json:"duplicate_copies"`
-	TimeTo50        float64 `json:"time_to_50_s"`
-	TimeTo90        float64 `json:"time_to_90_s"`
-	TimeTo100       float64 `json:"time_to_100_s"`
+	// TimeTo50, TimeTo90 and TimeTo100 are the times at which that percentage of the expected
+	// hosts served the version, 0 if they never did.
+	TimeTo50  float64 `json:"time_to_50_s"`
+	TimeTo90  float64 `json:"time_to_90_s"`
+	TimeTo100 float64 `json:"time_to_100_s"`
 	// Bound is the minimum time to distribute the version to all hosts at these rates.
 	Bound        float64 `json:"bound_s"`
 	RatioToBound float64 `json:"ratio_to_bound"`
-	// CorruptServed is the number of engine states that match no declared version.
-	CorruptServed  int `json:"corrupt_chunks_served_to_engines"`
-	FaultsInjected int `json:"faults_injected"`
-	HostsCompleted int `json:"hosts_completed"`
-	// HostsExpected is the number of hosts that survive the fault.
+	// UndeclaredStates is the number of engine states that match no declared version.
+	UndeclaredStates int `json:"corrupt_chunks_served_to_engines"`
+	FaultsInjected   int `json:"faults_injected"`
+	HostsCompleted   int `json:"hosts_completed"`
+	// HostsExpected is the number of hosts that run at the end.
 	HostsExpected int `json:"hosts_expected"`
 	// CPUShare is the process's share of the machine's CPU time. Near 1, the machine limits the
 	// result.
@@ -169,7 +171,7 @@
 }
 
 func (r *distributeRun) prepare(ctx context.Context) error {
-	fault, err := findFault(r.Fault)
+	fault, err := findDistributeFault(r.Fault)
 	if err != nil {
 		return err
 	}
@@ -213,7 +215,8 @@
 // the traffic of the first out of the measurement.
 const settleTime = 3 * time.Second
 
-// sampleInterval is the interval of the ready count and the error of the measured times.
+// sampleInterval is the interval at which ready hosts are counted, and thus the error of the
+// measured times.
 const sampleInterval = 10 * time.Millisecond
 
 func (r *distributeRun) measure(ctx context.Context) (*DistributeResult, error) {
@@ -294,7 +297,7 @@
 	result.Chunks = int((r.ModelBytes + chunkBytes - 1) / chunkBytes)
 	result.RatioToBound = result.TimeTo100 / result.Bound
 	for _, host := range r.fleet.EngineHosts() {
-		result.CorruptServed += r.undeclaredStates(host.Engine)
+		result.UndeclaredStates += r.undeclaredStates(host.Engine)
 	}
 	return result
 }
--- a/cli/internal/bench/distribute_test.go
+++ b/cli/internal/bench/distribute_test.go
@@ -22,12 +22,12 @@
 // TestDistributionUnderFaults guards against engines that load undeclared data, surviving hosts
 // that never serve the version, and excess load on the origin, for every fault.
 func TestDistributionUnderFaults(t *testing.T) {
-	for _, name := range Faults() {
+	for _, name := range DistributeFaults() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			result, err := smallRun(name).Run(t.Context())
 			require.NoError(t, err)
-			assert.Zero(t, result.CorruptServed)
+			assert.Zero(t, result.UndeclaredStates)
 			assert.Equal(t, result.HostsExpected, result.HostsCompleted)
 			if name != "none" {
 				assert.Positive(t, result.FaultsInjected)
@@ -82,15 +82,15 @@
 	assert.Zero(t, timeTo(series, 11, 100))
 }
 
-func TestUnknownFault(t *testing.T) {
-	_, err := smallRun("gremlins").Run(t.Context())
+func TestUnknownFaultIsRejected(t *testing.T) {
+	_, err := smallRun("unknown").Run(t.Context())
 	require.ErrorContains(t, err, "use one of none, host-dies")
 }
 
-func TestPlot(t *testing.T) {
+func TestPlotReadyHostsWritesFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "p.png")
 	results := []*DistributeResult{{Policy: "swarm", Hosts: 2, Bound: 1, Series: []Point{{0, 0}, {1, 2}}}, {Policy: "tree", Hosts: 2, Series: []Point{{0, 0}, {2, 2}}}}
-	require.NoError(t, PlotReplicas(path, results))
+	require.NoError(t, PlotReadyHosts(path, results))
 	info, err := os.Stat(path)
 	require.NoError(t, err)
 	assert.Positive(t, info.Size())
--- a/cli/internal/bench/fault.go
+++ b/cli/internal/bench/fault.go
@@ -15,15 +15,15 @@
 	"github.com/wheelcleat/wheelcleat/standin/weights"
 )
 
-// fault is an entry of the fault table.
+// fault is a fault that a run of the distribution bench can inject.
 type fault struct {
 	name string
 	// configure changes the fleet before it starts; nil leaves it unchanged.
 	configure func(*faultRun, *fleet.Config)
-	// at is the share of the model's copies that must have arrived before inject is called.
-	// inject is called once.
-	at     float64
-	inject func(ctx context.Context, r *faultRun)
+	// inject is called once, when the share injectAt of all copies of the model has arrived; nil
+	// does nothing.
+	injectAt float64
+	inject   func(ctx context.Context, r *faultRun)
 }
 
 // faultRun is the state of a run's fault.
@@ -32,7 +32,7 @@
 	run          *distributeRun
 	injected     int
 	injectCalled bool
-	// pending is closed when a temporary fault has ended; nil if the fault is not temporary.
+	// pending is closed when a temporary fault has ended; nil if no temporary fault was injected.
 	pending chan struct{}
 	// uploads counts the chunks sent by hosts with a faulty link.
 	uploads atomic.Int64
@@ -44,10 +44,10 @@
 // outageDuration is the duration of a temporary fault.
 const outageDuration = 3 * time.Second
 
-var faults = []fault{
+var distributeFaults = []fault{
 	{name: "none"},
-	{name: "host-dies", at: 0.3, inject: func(_ context.Context, r *faultRun) { r.kill(1) }},
-	{name: "primary-dies", at: 0.1, inject: func(_ context.Context, r *faultRun) { r.kill(2) }},
+	{name: "host-dies", injectAt: 0.3, inject: func(_ context.Context, r *faultRun) { r.kill(1) }},
+	{name: "primary-dies", injectAt: 0.1, inject: func(_ context.Context, r *faultRun) { r.kill(2) }},
 	{name: "link-stalls", configure: func(r *faultRun, c *fleet.Config) { r.setUploadFault(c, agent.UploadFault{Stall: true}) }},
 	{name: "corrupt-peer", configure: func(r *faultRun, c *fleet.Config) { r.setUploadFault(c, agent.UploadFault{Corrupt: true}) }},
 	{name: "corrupt-origin", configure: func(r *faultRun, c *fleet.Config) {
@@ -61,34 +61,34 @@
 	}},
 	{name: "origin-slow", configure: func(r *faultRun, c *fleet.Config) { c.OriginBytesPerSecond /= 4; r.injected = 1 }},
 	{name: "origin-down", configure: func(r *faultRun, c *fleet.Config) { r.failOriginAfterHalf(c) }},
-	{name: "hall-cut", at: 0.3, inject: func(ctx context.Context, r *faultRun) { r.partitionHall(ctx) }},
-	{name: "superseded", at: 0.3, inject: func(ctx context.Context, r *faultRun) { r.supersede(ctx) }},
-	{name: "agent-replaced", at: 0.5, inject: func(_ context.Context, r *faultRun) { r.replaceAgent() }},
+	{name: "hall-cut", injectAt: 0.3, inject: func(ctx context.Context, r *faultRun) { r.partitionHall(ctx) }},
+	{name: "superseded", injectAt: 0.3, inject: func(ctx context.Context, r *faultRun) { r.supersede(ctx) }},
+	{name: "agent-replaced", injectAt: 0.5, inject: func(_ context.Context, r *faultRun) { r.replaceAgent() }},
 	{
-		name: "host-dies+corrupt-peer", at: 0.3, inject: func(_ context.Context, r *faultRun) { r.kill(1) },
+		name: "host-dies+corrupt-peer", injectAt: 0.3, inject: func(_ context.Context, r *faultRun) { r.kill(1) },
 		configure: func(r *faultRun, c *fleet.Config) { r.setUploadFault(c, agent.UploadFault{Corrupt: true}) },
 	},
 }
 
-// Faults returns the names of all faults.
-func Faults() []string {
-	names := make([]string, len(faults))
-	for i, f := range faults {
+// DistributeFaults returns the names of the distribution bench's faults.
+func DistributeFaults() []string {
+	names := make([]string, len(distributeFaults))
+	for i, f := range distributeFaults {
 		names[i] = f.name
 	}
 	return names
 }
 
-func findFault(name string) (fault, error) {
+func findDistributeFault(name string) (fault, error) {
 	if name == "" {
 		name = "none"
 	}
-	for _, f := range faults {
+	for _, f := range distributeFaults {
 		if f.name == name {
 			return f, nil
 		}
 	}
-	return fault{}, fmt.Errorf("unknown fault %q; use one of %s", name, strings.Join(Faults(), ", "))
+	return fault{}, fmt.Errorf("unknown fault %q; use one of %s", name, strings.Join(DistributeFaults(), ", "))
 }
 
 func (r *faultRun) configure(config *fleet.Config) {
@@ -97,9 +97,9 @@
 	}
 }
 
-// injectWhenDue injects the fault once enough copies have arrived.
+// injectWhenDue injects the fault once the share injectAt of all copies has arrived.
 func (r *faultRun) injectWhenDue(ctx context.Context) {
-	if r.fault.inject == nil || r.injectCalled || r.progress() < r.fault.at {
+	if r.fault.inject == nil || r.injectCalled || r.progress() < r.fault.injectAt {
 		return
 	}
 	r.injectCalled = true
@@ -122,7 +122,7 @@
 	}
 }
 
-// progress returns the share of all copies that have arrived.
+// progress returns the share of all copies of the model that has arrived at the hosts.
 func (r *faultRun) progress() float64 {
 	t := &r.run.transfers
 	t.mu.Lock()
--- a/cli/internal/bench/fleet.go
+++ b/cli/internal/bench/fleet.go
@@ -13,7 +13,7 @@
 )
 
 // RunFleets simulates fleets sequentially. It calls progress after each one, unless that is nil.
-func RunFleets(ctx context.Context, setups []lab.FleetSetup, progress func(done, all int)) ([]*lab.FleetResult, error) {
+func RunFleets(ctx context.Context, setups []lab.FleetSetup, progress func(done, total int)) ([]*lab.FleetResult, error) {
 	var results []*lab.FleetResult
 	for i, setup := range setups {
 		if err := ctx.Err(); err != nil {
--- a/cli/internal/bench/load.go
+++ b/cli/internal/bench/load.go
@@ -19,7 +19,7 @@
 	Policies []lab.Policy
 	Seeds    []uint64
 	// Progress is called after each simulation; nil disables it.
-	Progress func(done, all int)
+	Progress func(done, total int)
 }
 
 // LoadResult is the mean over all seeds for one pattern and policy.
@@ -31,12 +31,12 @@
 // Run runs all simulations sequentially.
 func (b *Load) Run(ctx context.Context) ([]*LoadResult, error) {
 	var results []*LoadResult
-	all := len(b.Patterns) * len(b.Policies) * len(b.Seeds)
+	total := len(b.Patterns) * len(b.Policies) * len(b.Seeds)
 	for _, pattern := range b.Patterns {
 		for _, policy := range b.Policies {
 			result, err := b.runSeeds(ctx, pattern, policy, func(done int) {
 				if b.Progress != nil {
-					b.Progress(len(results)*len(b.Seeds)+done, all)
+					b.Progress(len(results)*len(b.Seeds)+done, total)
 				}
 			})
 			if err != nil {
--- a/cli/internal/bench/plot.go
+++ b/cli/internal/bench/plot.go
@@ -14,8 +14,8 @@
 	plotHeight = 10 * vg.Centimeter
 )
 
-// PlotReplicas plots the number of ready hosts over time, one line per run.
-func PlotReplicas(path string, results []*DistributeResult) error {
+// PlotReadyHosts plots the number of ready hosts over time, one line per run.
+func PlotReadyHosts(path string, results []*DistributeResult) error {
 	p := plot.New()
 	p.X.Label.Text = "seconds after the declaration"
 	p.Y.Label.Text = "ready hosts"
--- a/cli/internal/bench/route.go
+++ b/cli/internal/bench/route.go
@@ -106,7 +106,7 @@
 	perRequest := float64((routed.cpu - direct.cpu).Microseconds()) / float64(max(len(routed.answers), 1))
 	r.result.CPUPerRequestUS = perRequest
 	r.result.CPUPerTokenUS = perRequest / float64(max(b.Tokens, 1))
-	r.result.CPUShare = routed.share
+	r.result.CPUShare = routed.cpuShare
 	return &r.result, nil
 }
 
@@ -140,11 +140,11 @@
 	if err := fleet.Await(ctx, "the version on all hosts", func() bool { return r.fleet.ReadyEngines(r.versions[0]) == r.Hosts }); err != nil {
 		return err
 	}
-	return fleet.Await(ctx, "all hosts known to every entry", func() bool { return r.allSynced(ctx) })
+	return fleet.Await(ctx, "all hosts known to every entry", func() bool { return r.rolloutDoneEverywhere(ctx) })
 }
 
-// allSynced reports whether every entry sees the rollout as done.
-func (r *routeRun) allSynced(ctx context.Context) bool {
+// rolloutDoneEverywhere reports whether every entry sees the rollout as done.
+func (r *routeRun) rolloutDoneEverywhere(ctx context.Context) bool {
 	for _, address := range r.fleet.ResourceClient().Entries {
 		c := r.fleet.ResourceClient()
 		c.Entries = []string{address}
@@ -211,7 +211,7 @@
 	firstTokens *hdrhistogram.Histogram
 	tokenGaps   *hdrhistogram.Histogram
 	cpu         time.Duration
-	share       float64
+	cpuShare    float64
 	mu          sync.Mutex
 }
 
@@ -228,7 +228,7 @@
 	arrivals := r.arrivals()
 	transport := &http.Transport{MaxIdleConnsPerHost: 1024}
 	defer transport.CloseIdleConnections()
-	used, cpuBefore := startUsage(), cpuTime()
+	usage, cpuBefore := startUsage(), cpuTime()
 	started := time.Now()
 	var group sync.WaitGroup
 	group.Go(func() {
@@ -245,7 +245,7 @@
 	}
 	group.Wait()
 	p.cpu = cpuTime() - cpuBefore
-	p.share, _ = used.end()
+	p.cpuShare, _ = usage.end()
 	return p
 }
 
--- a/cli/internal/command/bench.go
+++ b/cli/internal/command/bench.go
@@ -35,7 +35,7 @@
 			&cli.IntFlag{Name: "uploads", Usage: "maximum number `N` of concurrent uploads of a host"},
 			&cli.IntFlag{Name: "downloads", Usage: "maximum number `N` of concurrent downloads of a host from peers"},
 			&cli.IntFlag{Name: "neighbours", Usage: "number `N` of peers whose chunk lists a host follows"},
-			&cli.StringFlag{Name: "fault", Value: "none", Usage: "comma-separated `FAULTS`, or all: " + strings.Join(bench.Faults(), ", ")},
+			&cli.StringFlag{Name: "fault", Value: "none", Usage: "comma-separated `FAULTS`, or all: " + strings.Join(bench.DistributeFaults(), ", ")},
 			&cli.Uint64Flag{Name: "seed", Aliases: []string{"seeds"}, Value: 1, Usage: "`SEED` of the weights and of the choice of faulty hosts"},
 			&cli.DurationFlag{Name: "timeout", Value: 5 * time.Minute, Usage: "`DURATION` after which a run is aborted"},
 			&cli.BoolFlag{Name: "json", Usage: "print only JSON, one line per run"},
@@ -86,7 +86,7 @@
 	}
 	faults := strings.Split(command.String("fault"), ",")
 	if command.String("fault") == "all" {
-		faults = bench.Faults()
+		faults = bench.DistributeFaults()
 	}
 	var results []*bench.DistributeResult
 	for _, fault := range faults {
@@ -102,7 +102,7 @@
 		}
 	}
 	if path := command.String("plot"); path != "" {
-		return bench.PlotReplicas(path, results)
+		return bench.PlotReadyHosts(path, results)
 	}
 	return nil
 }
--- a/cli/internal/command/command_test.go
+++ b/cli/internal/command/command_test.go
@@ -86,13 +86,13 @@
 	require.NoError(t, err)
 	decisions := map[string]int{}
 	for _, line := range strings.Split(strings.TrimSpace(string(log)), "\n") {
-		var entry struct {
+		var logLine struct {
 			Fields map[string]any `json:"fields"`
 		}
-		require.NoError(t, json.Unmarshal([]byte(line), &entry), "log line is not JSON: %s", line)
-		if decision, ok := entry.Fields["decision"].(string); ok {
+		require.NoError(t, json.Unmarshal([]byte(line), &logLine), "log line is not JSON: %s", line)
+		if decision, ok := logLine.Fields["decision"].(string); ok {
 			decisions[decision]++
-			assert.NotEmpty(t, entry.Fields["reason"])
+			assert.NotEmpty(t, logLine.Fields["reason"])
 		}
 	}
 	assert.GreaterOrEqual(t, decisions["route"], onceRequests, "missing lines of routing decisions")
--- a/cli/internal/command/daemon_test.go
+++ b/cli/internal/command/daemon_test.go
@@ -95,7 +95,7 @@
 	operators := "http://" + entry.Listen.Operators.String()
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
-	require.NoError(t, fleet.Await(ctx, "the entry", func() bool {
+	require.NoError(t, fleet.Await(ctx, "readiness of the entry", func() bool {
 		response, err := http.Get(operators + "/readyz")
 		if err != nil {
 			return false
--- a/cli/internal/command/dev.go
+++ b/cli/internal/command/dev.go
@@ -128,8 +128,8 @@
 	return err
 }
 
-// exercise rolls out the samples and sends requests. Without once, it then waits until the context
-// is canceled.
+// exercise rolls out the samples and sends a sample request. With once, it then sends onceRequests
+// requests, otherwise it waits until the context is canceled.
 func (d *devRun) exercise(ctx context.Context, once bool) error {
 	readyCtx, cancel := context.WithTimeout(ctx, devTimeout)
 	defer cancel()
@@ -162,7 +162,7 @@
 	if err != nil {
 		return err
 	}
-	d.adapt(samples)
+	d.adaptSamples(samples)
 	started := time.Now()
 	if err := d.fleet.Declare(ctx, samples...); err != nil {
 		return err
@@ -202,8 +202,9 @@
 	return lowest
 }
 
-// adapt sets the manifest and the number of replicas of the samples to those of the fleet.
-func (d *devRun) adapt(samples []*api.Resource) {
+// adaptSamples sets the manifest and the number of replicas of the samples to those of the fleet, and
+// takes the names of the service and the key from them.
+func (d *devRun) adaptSamples(samples []*api.Resource) {
 	for _, r := range samples {
 		switch r.Kind {
 		case api.KindModel:
@@ -217,14 +218,14 @@
 	}
 }
 
-// prompt returns the body of a sample request.
-func prompt(text string) []byte {
+// completionBody returns the body of a sample request.
+func completionBody(text string) []byte {
 	body, _ := json.Marshal(engine.Completion{Prompt: text, MaxTokens: devTokens, Stream: true})
 	return body
 }
 
 func (d *devRun) call(ctx context.Context, e *fleet.Entry, text string) (fleet.Answer, error) {
-	return fleet.Call(ctx, e, fleet.CallOptions{Service: d.service, Path: "/v1/completions", Key: d.key, Body: prompt(text)})
+	return fleet.Call(ctx, e, fleet.CallOptions{Service: d.service, Path: "/v1/completions", Key: d.key, Body: completionBody(text)})
 }
 
 func (d *devRun) sendSampleRequest(ctx context.Context) error {
@@ -310,5 +311,5 @@
   curl http://%s/metrics
 
 Press Ctrl-C to drain and stop all processes.
-`, d.key, prompt("hello"), a.Callers, d.service, a.Operators, d.service, a.Operators, a.Operators, a.Operators)
+`, d.key, completionBody("hello"), a.Callers, d.service, a.Operators, d.service, a.Operators, a.Operators, a.Operators)
 }
--- a/cli/internal/command/load.go
+++ b/cli/internal/command/load.go
@@ -33,7 +33,7 @@
 			&cli.StringFlag{Name: "policy", Value: "now", Usage: "comma-separated `POLICIES`, or all: " + strings.Join(lab.PolicyNames(), ", ")},
 			&cli.StringFlag{Name: "seed", Aliases: []string{"seeds"}, Value: "1", Usage: "comma-separated `SEEDS`; results are averaged over them"},
 			&cli.BoolFlag{Name: "json", Usage: "print only JSON, one line per pattern and policy"},
-			&cli.StringFlag{Name: "plot", Usage: "plot the value served over time to `FILE.png`"},
+			&cli.StringFlag{Name: "plot", Usage: "plot the worth of served requests by time of arrival to `FILE.png`"},
 		},
 		Action: benchLoad,
 	}
@@ -65,7 +65,7 @@
 }
 
 // writeResults writes results as JSON lines or as a table, and plots them if --plot is given.
-func writeResults[R any](command *cli.Command, results []R, table func(io.Writer, []R) error, plot func(string, []R) error) error {
+func writeResults[R any](command *cli.Command, results []R, writeTable func(io.Writer, []R) error, plot func(string, []R) error) error {
 	out := command.Root().Writer
 	if command.Bool("json") {
 		encoder := json.NewEncoder(out)
@@ -74,7 +74,7 @@
 				return fmt.Errorf("write result: %w", err)
 			}
 		}
-	} else if err := table(out, results); err != nil {
+	} else if err := writeTable(out, results); err != nil {
 		return err
 	}
 	if path := command.String("plot"); path != "" {
--- a/cli/internal/command/standins.go
+++ b/cli/internal/command/standins.go
@@ -58,7 +58,7 @@
 	} {
 		server, err := serve.Listen(standin.address, standin.handler)
 		if err != nil {
-			return fmt.Errorf("%s: %w", standin.name, err)
+			return fmt.Errorf("start the %s: %w", standin.name, err)
 		}
 		defer server.Close()
 		_, _ = fmt.Fprintf(command.Root().Writer, "%-18s http://%s\n", standin.name, server.Address)
--- a/cli/internal/command/suspects.go
+++ b/cli/internal/command/suspects.go
@@ -32,7 +32,8 @@
 	Crashes []suspectCrash `json:"ends"`
 }
 
-// suspectCrash is the crash of an upstream. A content is quarantined at depth 3.
+// suspectCrash is the crash of an upstream. Its depth is one more than that of the deepest earlier
+// crash of the content that the router knew. A content is quarantined at depth 3.
 type suspectCrash struct {
 	Upstream string    `json:"upstream"`
 	Started  time.Time `json:"started,omitzero"`
@@ -57,7 +58,7 @@
 			outputFlag(),
 		},
 		Action:   listSuspects,
-		Commands: []*cli.Command{{Name: "lift", Usage: "lift the quarantine of a content", ArgsUsage: "CONTENT", Action: liftSuspect}},
+		Commands: []*cli.Command{{Name: "lift", Usage: "clear a content at all routers, which lifts its quarantine", ArgsUsage: "CONTENT", Action: liftSuspect}},
 	}
 }
 
