--- a/cli/internal/bench/distribute.go
+++ b/cli/internal/bench/distribute.go
@@ -155,7 +155,7 @@
 	versions        []manifest.Digest
 	declaredDigests map[string]bool // file digests of all declared versions
 	target          manifest.Digest
-	faults          faultRun
+	faultState      faultState
 }
 
 // Run measures a rollout from its declaration until the last host serves the version.
@@ -175,10 +175,10 @@
 	if err != nil {
 		return err
 	}
-	r.faults = faultRun{fault: fault, run: r}
+	r.faultState = faultState{fault: fault, run: r}
 	config := r.fleetConfig()
 	config.Agent.OnFetched = r.transfers.add
-	r.faults.configure(&config)
+	r.faultState.configure(&config)
 	if r.fleet, err = fleet.Start(config); err != nil {
 		return err
 	}
@@ -252,13 +252,13 @@
 	defer ticker.Stop()
 	last := -1
 	for {
-		r.faults.injectWhenDue(ctx)
+		r.faultState.injectWhenDue(ctx)
 		ready := r.fleet.ReadyEngines(r.target)
 		if ready != last {
 			series = append(series, Point{time.Since(started).Seconds(), ready})
 			last = ready
 		}
-		if ready >= len(r.fleet.EngineHosts()) && r.faults.ended() {
+		if ready >= len(r.fleet.EngineHosts()) && r.faultState.ended() {
 			return series
 		}
 		select {
@@ -278,7 +278,7 @@
 		CrossHallCopies: float64(r.transfers.byKind["hall"]) / size,
 		DuplicateCopies: float64(r.transfers.duplicates) / size,
 		TimeTo50:        timeTo(series, expected, 50), TimeTo90: timeTo(series, expected, 90), TimeTo100: timeTo(series, expected, 100),
-		Bound: r.bound().Seconds(), FaultsInjected: r.faults.injected, HostsExpected: expected,
+		Bound: r.bound().Seconds(), FaultsInjected: r.faultState.injected, HostsExpected: expected,
 		HostsCompleted: r.fleet.ReadyEngines(r.target), Series: series,
 	}
 	if result.Policy == "" {
--- a/cli/internal/bench/fault.go
+++ b/cli/internal/bench/fault.go
@@ -19,15 +19,15 @@
 type fault struct {
 	name string
 	// configure changes the fleet before it starts; nil leaves it unchanged.
-	configure func(*faultRun, *fleet.Config)
+	configure func(*faultState, *fleet.Config)
 	// inject is called once, when the share injectAt of all copies of the model has arrived; nil
 	// does nothing.
 	injectAt float64
-	inject   func(ctx context.Context, r *faultRun)
+	inject   func(ctx context.Context, r *faultState)
 }
 
-// faultRun is the state of a run's fault.
-type faultRun struct {
+// faultState is the state of a run's fault.
+type faultState struct {
 	fault        fault
 	run          *distributeRun
 	injected     int
@@ -46,11 +46,11 @@
 
 var distributeFaults = []fault{
 	{name: "none"},
-	{name: "host-dies", injectAt: 0.3, inject: func(_ context.Context, r *faultRun) { r.kill(1) }},
-	{name: "primary-dies", injectAt: 0.1, inject: func(_ context.Context, r *faultRun) { r.kill(2) }},
-	{name: "link-stalls", configure: func(r *faultRun, c *fleet.Config) { r.setUploadFault(c, agent.UploadFault{Stall: true}) }},
-	{name: "corrupt-peer", configure: func(r *faultRun, c *fleet.Config) { r.setUploadFault(c, agent.UploadFault{Corrupt: true}) }},
-	{name: "corrupt-origin", configure: func(r *faultRun, c *fleet.Config) {
+	{name: "host-dies", injectAt: 0.3, inject: func(_ context.Context, r *faultState) { r.kill(1) }},
+	{name: "primary-dies", injectAt: 0.1, inject: func(_ context.Context, r *faultState) { r.kill(2) }},
+	{name: "link-stalls", configure: func(r *faultState, c *fleet.Config) { r.setUploadFault(c, agent.UploadFault{Stall: true}) }},
+	{name: "corrupt-peer", configure: func(r *faultState, c *fleet.Config) { r.setUploadFault(c, agent.UploadFault{Corrupt: true}) }},
+	{name: "corrupt-origin", configure: func(r *faultState, c *fleet.Config) {
 		var corrupted atomic.Int64
 		c.SetUpOrigin = func(s *weights.Server) {
 			s.Fault = func(manifest.Digest, int64, int64) weights.Fault {
@@ -59,14 +59,14 @@
 		}
 		r.injected = corruptRanges
 	}},
-	{name: "origin-slow", configure: func(r *faultRun, c *fleet.Config) { c.OriginBytesPerSecond /= 4; r.injected = 1 }},
-	{name: "origin-down", configure: func(r *faultRun, c *fleet.Config) { r.failOriginAfterHalf(c) }},
-	{name: "hall-cut", injectAt: 0.3, inject: func(ctx context.Context, r *faultRun) { r.partitionHall(ctx) }},
-	{name: "superseded", injectAt: 0.3, inject: func(ctx context.Context, r *faultRun) { r.supersede(ctx) }},
-	{name: "agent-replaced", injectAt: 0.5, inject: func(_ context.Context, r *faultRun) { r.replaceAgent() }},
+	{name: "origin-slow", configure: func(r *faultState, c *fleet.Config) { c.OriginBytesPerSecond /= 4; r.injected = 1 }},
+	{name: "origin-down", configure: func(r *faultState, c *fleet.Config) { r.failOriginAfterHalf(c) }},
+	{name: "hall-cut", injectAt: 0.3, inject: func(ctx context.Context, r *faultState) { r.partitionHall(ctx) }},
+	{name: "superseded", injectAt: 0.3, inject: func(ctx context.Context, r *faultState) { r.supersede(ctx) }},
+	{name: "agent-replaced", injectAt: 0.5, inject: func(_ context.Context, r *faultState) { r.replaceAgent() }},
 	{
-		name: "host-dies+corrupt-peer", injectAt: 0.3, inject: func(_ context.Context, r *faultRun) { r.kill(1) },
-		configure: func(r *faultRun, c *fleet.Config) { r.setUploadFault(c, agent.UploadFault{Corrupt: true}) },
+		name: "host-dies+corrupt-peer", injectAt: 0.3, inject: func(_ context.Context, r *faultState) { r.kill(1) },
+		configure: func(r *faultState, c *fleet.Config) { r.setUploadFault(c, agent.UploadFault{Corrupt: true}) },
 	},
 }
 
@@ -91,14 +91,14 @@
 	return fault{}, fmt.Errorf("unknown fault %q; use one of %s", name, strings.Join(DistributeFaults(), ", "))
 }
 
-func (r *faultRun) configure(config *fleet.Config) {
+func (r *faultState) configure(config *fleet.Config) {
 	if r.fault.configure != nil {
 		r.fault.configure(r, config)
 	}
 }
 
 // injectWhenDue injects the fault once the share injectAt of all copies has arrived.
-func (r *faultRun) injectWhenDue(ctx context.Context) {
+func (r *faultState) injectWhenDue(ctx context.Context) {
 	if r.fault.inject == nil || r.injectCalled || r.progress() < r.fault.injectAt {
 		return
 	}
@@ -107,7 +107,7 @@
 }
 
 // ended reports whether the fault has been injected and, if temporary, has ended.
-func (r *faultRun) ended() bool {
+func (r *faultState) ended() bool {
 	if r.fault.inject != nil && !r.injectCalled {
 		return false
 	}
@@ -123,7 +123,7 @@
 }
 
 // progress returns the share of all copies of the model that has arrived at the hosts.
-func (r *faultRun) progress() float64 {
+func (r *faultState) progress() float64 {
 	t := &r.run.transfers
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -135,7 +135,7 @@
 }
 
 // kill kills hosts and removes them from the host list.
-func (r *faultRun) kill(count int) {
+func (r *faultState) kill(count int) {
 	hosts := r.run.fleet.EngineHosts()
 	for i := range count {
 		victim := hosts[(int(r.run.Seed)+i*7)%len(hosts)] //nolint:gosec // a small number
@@ -147,7 +147,7 @@
 }
 
 // setUploadFault gives the first host of each hall a faulty link.
-func (r *faultRun) setUploadFault(config *fleet.Config, uploadFault agent.UploadFault) {
+func (r *faultState) setUploadFault(config *fleet.Config, uploadFault agent.UploadFault) {
 	config.SetUpAgent = func(name string, options *agent.Options) {
 		if !strings.HasSuffix(name, "-host-001") {
 			return
@@ -161,7 +161,7 @@
 }
 
 // failOriginAfterHalf makes the origin fail temporarily, once it has sent half a copy.
-func (r *faultRun) failOriginAfterHalf(config *fleet.Config) {
+func (r *faultState) failOriginAfterHalf(config *fleet.Config) {
 	var downUntil atomic.Int64
 	config.SetUpOrigin = func(s *weights.Server) {
 		s.Fault = func(manifest.Digest, int64, int64) weights.Fault {
@@ -176,7 +176,7 @@
 }
 
 // partitionHall temporarily disconnects one hall from the others, but not from the origin.
-func (r *faultRun) partitionHall(ctx context.Context) {
+func (r *faultState) partitionHall(ctx context.Context) {
 	hall := r.run.fleet.Config.Halls[len(r.run.fleet.Config.Halls)-1]
 	r.run.fleet.CutHall(hall, false)
 	r.injected++
@@ -194,14 +194,14 @@
 }
 
 // supersede declares another version during the rollout.
-func (r *faultRun) supersede(ctx context.Context) {
+func (r *faultState) supersede(ctx context.Context) {
 	r.injected++
 	r.run.target = r.run.versions[1]
 	_ = r.run.fleet.Declare(ctx, r.run.service("v2"))
 }
 
 // replaceAgent kills a host and starts an empty one of the same name.
-func (r *faultRun) replaceAgent() {
+func (r *faultState) replaceAgent() {
 	hosts := r.run.fleet.EngineHosts()
 	victim := hosts[len(hosts)/2]
 	r.run.fleet.KillHost(victim)
--- a/cli/internal/bench/route.go
+++ b/cli/internal/bench/route.go
@@ -197,12 +197,14 @@
 
 // answerRecord records the answer to one request.
 type answerRecord struct {
-	id        string
-	outcome   api.Outcome
-	version   string
+	id      string
+	outcome api.Outcome
+	version string
+	// truncated reports whether the connection ended early, endMarker whether the event that ends
+	// an answer was received.
 	truncated bool
 	tokens    []engine.Token
-	finished  bool
+	endMarker bool
 }
 
 // phase holds the measurements of one phase of a run.
@@ -296,13 +298,13 @@
 	for {
 		line, err := lines.ReadString('\n')
 		if err != nil {
-			return answer.finished
+			return answer.endMarker
 		}
 		data, isEvent := strings.CutPrefix(strings.TrimSuffix(line, "\n"), "data: ")
 		switch {
 		case !isEvent:
 		case data == "[DONE]":
-			answer.finished = true
+			answer.endMarker = true
 		default:
 			now := time.Now()
 			var token engine.Token
@@ -365,7 +367,7 @@
 // isComplete reports whether an answer is complete, belongs to its request and is by the version
 // that it names.
 func (r *routeRun) isComplete(answer *answerRecord) bool {
-	if len(answer.tokens) != r.Tokens || !answer.finished {
+	if len(answer.tokens) != r.Tokens || !answer.endMarker {
 		return false
 	}
 	for i, token := range answer.tokens {
