--- a/cli/internal/soak/caller.go
+++ b/cli/internal/soak/caller.go
@@ -51,8 +51,8 @@
 	address netip.AddrPort
 	oracle  *Oracle
 	tally   *Tally
-	// newest is the configuration that was acknowledged last.
-	newest *atomic.Int64
+	// newestConfiguration is the configuration that was acknowledged last.
+	newestConfiguration *atomic.Int64
 	// requestCount numbers the requests of all callers.
 	requestCount *atomic.Int64
 	client       *http.Client
@@ -97,7 +97,7 @@
 	case drawn < 18:
 		return request{path: safePath + "x", key: constantKey}
 	default:
-		probe := max(int(c.newest.Load())-rand.IntN(2), 1)
+		probe := max(int(c.newestConfiguration.Load())-rand.IntN(2), 1)
 		return request{path: probePath(probe) + "x", key: probeKey(probe), probe: probe}
 	}
 }
--- a/cli/internal/soak/fleet.go
+++ b/cli/internal/soak/fleet.go
@@ -55,8 +55,8 @@
 	origin         *standin.Origin
 	routers        []*router
 	hosts          []*host
-	// newest is the newest declared configuration.
-	newest atomic.Int64
+	// newestConfiguration is the newest declared configuration.
+	newestConfiguration atomic.Int64
 	// crashingRequests counts the distinct crashing requests, crashingSent their sends.
 	crashingRequests, crashingSent atomic.Int64
 	// version is the newest published version of the model.
@@ -302,7 +302,7 @@
 func (f *fleet) configure() {
 	f.declareMu.Lock()
 	defer f.declareMu.Unlock()
-	next := int(f.newest.Load()) + 1
+	next := int(f.newestConfiguration.Load()) + 1
 	route := func(name, prefix, service string, mode provider.Mode) provider.Route {
 		const attempts, objective = 2, 300 * time.Millisecond
 		return provider.Route{
@@ -327,7 +327,7 @@
 		Limits:   provider.Limits{MaxBodyBytes: 1 << 20},
 	})
 	f.oracle.RecordConfiguration(next)
-	f.newest.Store(int64(next))
+	f.newestConfiguration.Store(int64(next))
 }
 
 // publishVersion sets the next version of the model as the target.
@@ -345,14 +345,14 @@
 	for _, r := range f.routers {
 		all = append(all, r.process)
 	}
-	for _, h := range f.engines() {
+	for _, h := range f.engineHosts() {
 		all = append(all, h.loader)
 	}
 	return all
 }
 
-// engines returns the hosts that have a loader.
-func (f *fleet) engines() []*host {
+// engineHosts returns the hosts that have a loader.
+func (f *fleet) engineHosts() []*host {
 	var engines []*host
 	for _, h := range f.hosts {
 		if h.loader != nil {
--- a/cli/internal/soak/inject.go
+++ b/cli/internal/soak/inject.go
@@ -32,7 +32,7 @@
 	duration := time.Duration(step.For)
 	router := f.routers[step.Target%len(f.routers)]
 	host := f.hosts[step.Target%len(f.hosts)]
-	engine := f.engines()[step.Target%len(f.engines())]
+	engine := f.engineHosts()[step.Target%len(f.engineHosts())]
 	switch {
 	case step.Kind == AllKill:
 		f.killAll(duration)
--- a/cli/internal/soak/oracle.go
+++ b/cli/internal/soak/oracle.go
@@ -116,11 +116,11 @@
 	// leaving is the time at which each upstream announced that it leaves, by its id.
 	leaving map[string]time.Time
 	// declared holds the times at which configurations were acknowledged, published those at
-	// which versions were. newest and version are the last of each.
-	declared  map[int]time.Time
-	published map[int]time.Time
-	newest    int
-	version   int
+	// which versions were. newestConfiguration and version are the last of each.
+	declared            map[int]time.Time
+	published           map[int]time.Time
+	newestConfiguration int
+	version             int
 	// crashingRuns holds the times at which each crashing request started at an upstream, by
 	// path.
 	crashingRuns map[string][]time.Time
@@ -186,7 +186,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	set(&o.declared, configuration, time.Now())
-	o.newest = configuration
+	o.newestConfiguration = configuration
 }
 
 // RecordVersion records that a version was published as the target.
--- a/cli/internal/soak/plan.go
+++ b/cli/internal/soak/plan.go
@@ -40,27 +40,28 @@
 	StoreUnresponsive Kind = "store-silent"
 	StoreSlow         Kind = "store-slow"
 	StoreRefuse       Kind = "store-refuse"
-	StoreLoseAnswers  Kind = "store-lose"
-	StoreDropHistory  Kind = "store-forget"
+	StoreLoseAnswers  Kind = "store-lose"     // a share of writes is applied, but not answered
+	StoreDropHistory  Kind = "store-forget"   // watches cannot resume and have to list again
 	StoreBlockRouter  Kind = "store-turn-off" // the store's answers to one router are blocked
 	// Faults of the links to upstreams.
 	LinkDelay        Kind = "link-delay"
 	LinkReset        Kind = "link-reset"
-	LinkOneWay       Kind = "link-one-way"
+	LinkOneWay       Kind = "link-one-way" // bytes from the upstream are blocked
 	LinkUnresponsive Kind = "link-silent"
 	LinkNarrow       Kind = "link-narrow"
 	// Faults of upstreams.
 	UpstreamCrash   Kind = "upstream-crash"
 	UpstreamLeave   Kind = "upstream-leave"
-	UpstreamShed    Kind = "upstream-shed"
-	UpstreamFail    Kind = "upstream-fail"
+	UpstreamShed    Kind = "upstream-shed" // rejects a share of requests as not run
+	UpstreamFail    Kind = "upstream-fail" // runs a share of requests and returns an error
 	UpstreamHang    Kind = "upstream-hang"
 	UpstreamReset   Kind = "upstream-reset"
-	UpstreamCut     Kind = "upstream-cut"
-	UpstreamSurplus Kind = "upstream-surplus"
+	UpstreamCut     Kind = "upstream-cut"     // truncates a share of responses
+	UpstreamSurplus Kind = "upstream-surplus" // appends bytes to a share of responses
 	// UpstreamLimited makes an upstream announce a rate limit over all routers.
 	UpstreamLimited Kind = "upstream-limited"
-	EngineCorrupt   Kind = "engine-rot"
+	// EngineCorrupt flips a bit of a chunk that an engine has staged.
+	EngineCorrupt Kind = "engine-rot"
 	// RequestsCrash repeatedly sends a request that crashes each upstream that starts it.
 	RequestsCrash Kind = "requests-crash"
 	// EntriesCorrupt replaces an upstream's store entry by a value that cannot be decoded.
--- a/cli/internal/soak/report.go
+++ b/cli/internal/soak/report.go
@@ -131,7 +131,7 @@
 func (r *run) report() *Report {
 	report := &Report{
 		Seed: r.Plan.Seed, Length: r.Plan.Length, Size: r.Size, Folder: r.Folder,
-		Processes: len(r.fleet.processes()), Versions: r.fleet.version, Configurations: int(r.fleet.newest.Load()),
+		Processes: len(r.fleet.processes()), Versions: r.fleet.version, Configurations: int(r.fleet.newestConfiguration.Load()),
 		Violations: r.oracle.Violations(),
 	}
 	for _, p := range r.fleet.processes() {
--- a/cli/internal/soak/run.go
+++ b/cli/internal/soak/run.go
@@ -100,7 +100,7 @@
 func (r *run) caller(router *router, tally *Tally, oracle *Oracle) *caller {
 	return &caller{
 		router: router.process, address: router.callers, oracle: oracle, tally: tally,
-		newest: &r.fleet.newest, requestCount: &r.requestCount,
+		newestConfiguration: &r.fleet.newestConfiguration, requestCount: &r.requestCount,
 	}
 }
 
@@ -170,7 +170,7 @@
 			add(CheckRecovery, "%s served %d of %d requests in the last %s", router.name, served, requested, recoveryWindow)
 		}
 	}
-	for _, h := range r.fleet.engines() {
+	for _, h := range r.fleet.engineHosts() {
 		if loaded := h.currentUpstream().LoadedVersion(); loaded != r.fleet.version {
 			add(CheckVersion, "the engine on %s holds version %d at the end of the run, version %d was published", h.address, loaded, r.fleet.version)
 		}
--- a/cli/internal/soak/soak_test.go
+++ b/cli/internal/soak/soak_test.go
@@ -11,13 +11,14 @@
 	"github.com/wheelcleat/wheelcleat/api"
 )
 
-// seeds matches the plans that TestPlans runs: regression plans and one of all components.
-const seeds = "seeds/*.json"
+// planFiles matches the plans that TestPlans runs: regression plans, and one with faults of every
+// component.
+const planFiles = "seeds/*.json"
 
 func TestPlans(t *testing.T) {
 	daemon := filepath.Join(t.TempDir(), "wheelcleatd")
 	require.NoError(t, Build(t.Context(), daemon))
-	paths, err := filepath.Glob(seeds)
+	paths, err := filepath.Glob(planFiles)
 	require.NoError(t, err)
 	require.NotEmpty(t, paths)
 	for _, path := range paths {
