--- a/cli/internal/fleet/control_test.go
+++ b/cli/internal/fleet/control_test.go
@@ -34,10 +34,10 @@
 
 func startTestFleetWithKVFault(t *testing.T, config Config) (*testFleet, *kvFault) {
 	t.Helper()
-	f := &kvFault{}
-	f.Store(&kv.Fault{})
-	config.SetUpKV = func(s *kv.Server) { s.Fault = func(kv.Op, string) kv.Fault { return *f.Load() } }
-	return startTestFleet(t, config), f
+	fault := &kvFault{}
+	fault.Store(&kv.Fault{})
+	config.SetUpKV = func(s *kv.Server) { s.Fault = func(kv.Op, string) kv.Fault { return *fault.Load() } }
+	return startTestFleet(t, config), fault
 }
 
 func TestKeyValueServiceOutage(t *testing.T) {
@@ -63,8 +63,8 @@
 	// Entries stop sending to a host that crashes during the outage.
 	hosts := r.Hosts()
 	r.KillHost(r.EngineHosts()[0])
-	reached := len(runs(hosts)) + 100
-	require.NoError(t, Await(r.ctx, "more requests", func() bool { return len(runs(hosts)) > reached }))
+	target := len(runs(hosts)) + 100
+	require.NoError(t, Await(r.ctx, "more requests", func() bool { return len(runs(hosts)) > target }))
 	fault.Store(&kv.Fault{})
 	done := r.checkOutcomes(stop(), hosts)
 	assert.Greater(t, done, 100)
@@ -76,10 +76,10 @@
 }
 
 func TestEntryWithoutConfigurationIsNotReady(t *testing.T) {
-	f := &kvFault{}
-	f.Store(&kv.Fault{Down: true})
+	fault := &kvFault{}
+	fault.Store(&kv.Fault{Down: true})
 	config := quickConfig(1, 1, 0)
-	config.SetUpKV = func(s *kv.Server) { s.Fault = func(kv.Op, string) kv.Fault { return *f.Load() } }
+	config.SetUpKV = func(s *kv.Server) { s.Fault = func(kv.Op, string) kv.Fault { return *fault.Load() } }
 	fleet, err := Start(config)
 	require.NoError(t, err)
 	defer fleet.Kill()
@@ -91,7 +91,7 @@
 	require.NoError(t, err)
 	_ = response.Body.Close()
 	assert.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
-	f.Store(&kv.Fault{})
+	fault.Store(&kv.Fault{})
 	require.NoError(t, fleet.AwaitReady(ctx))
 }
 
--- a/cli/internal/fleet/fleet_test.go
+++ b/cli/internal/fleet/fleet_test.go
@@ -398,8 +398,8 @@
 			stop := r.load(16)
 			require.NoError(t, Await(r.ctx, "some load", func() bool { return len(runs(hosts)) > 100 }))
 			test.kill(r)
-			reached := len(runs(hosts)) + 200
-			require.NoError(t, Await(r.ctx, "more requests", func() bool { return len(runs(hosts)) > reached }))
+			target := len(runs(hosts)) + 200
+			require.NoError(t, Await(r.ctx, "more requests", func() bool { return len(runs(hosts)) > target }))
 			done := r.checkOutcomes(stop(), hosts)
 			assert.Greater(t, done, 250)
 		})
--- a/cli/internal/fleet/partition_test.go
+++ b/cli/internal/fleet/partition_test.go
@@ -62,8 +62,8 @@
 					}
 				}
 			}
-			served := len(runs(hosts)) + 100
-			require.NoError(t, Await(r.ctx, "requests", func() bool { return len(runs(hosts)) > served }))
+			target := len(runs(hosts)) + 100
+			require.NoError(t, Await(r.ctx, "requests", func() bool { return len(runs(hosts)) > target }))
 			r.checkAllDone(stopInside(), hosts)
 			r.checkAllDone(stopOutside(), hosts)
 
