--- a/cli/internal/soak/run.go
+++ b/cli/internal/soak/run.go
@@ -192,7 +192,7 @@
 	for name, last := range r.usages() {
 		first := r.initialUsage[name]
 		if last.memory > 2*first.memory+maxMemoryGrowth || last.files > 2*first.files+maxFileGrowth {
-			r.oracle.Violatef(CheckUsage, "%s uses %d MB and %d open files; it used %d MB and %d at the start of the traffic", name, last.memory>>20, last.files, first.memory>>20, first.files)
+			r.oracle.Violatef(CheckUsage, "%s uses %d MB and %d open files, %d MB and %d at the start of the traffic", name, last.memory>>20, last.files, first.memory>>20, first.files)
 		}
 	}
 }
