--- a/cli/internal/bench/route.go
+++ b/cli/internal/bench/route.go
@@ -106,7 +106,7 @@
 	perRequest := float64((routed.cpu - direct.cpu).Microseconds()) / float64(max(len(routed.answers), 1))
 	r.result.CPUPerRequestUS = perRequest
 	r.result.CPUPerTokenUS = perRequest / float64(max(b.Tokens, 1))
-	r.result.CPUShare = routed.share
+	r.result.CPUShare = routed.cpuShare
 	return &r.result, nil
 }
 
@@ -140,15 +140,15 @@
 	if err := fleet.Await(ctx, "the version on all hosts", func() bool { return r.fleet.ReadyEngines(r.versions[0]) == r.Hosts }); err != nil {
 		return err
 	}
-	return fleet.Await(ctx, "all hosts known to every entry", func() bool { return r.allSynced(ctx) })
+	return fleet.Await(ctx, "all hosts known to every entry", func() bool { return r.rolloutDoneEverywhere(ctx) })
 }
 
-// allSynced reports whether every entry sees the rollout as done.
-func (r *routeRun) allSynced(ctx context.Context) bool {
-	for _, address := range r.fleet.Operator().Entries {
-		operator := r.fleet.Operator()
-		operator.Entries = []string{address}
-		status, err := operator.Rollout(ctx, "s")
+// rolloutDoneEverywhere reports whether every entry sees the rollout as done.
+func (r *routeRun) rolloutDoneEverywhere(ctx context.Context) bool {
+	for _, address := range r.fleet.ResourceClient().Entries {
+		c := r.fleet.ResourceClient()
+		c.Entries = []string{address}
+		status, err := c.Rollout(ctx, "s")
 		if err != nil || !status.Done {
 			return false
 		}
@@ -197,12 +197,14 @@
 
 // answerRecord records the answer to one request.
 type answerRecord struct {
-	id        string
-	outcome   api.Outcome
-	version   string
+	id      string
+	outcome api.Outcome
+	version string
+	// truncated reports whether the connection ended early, endMarker whether the event that ends
+	// an answer was received.
 	truncated bool
 	tokens    []engine.Token
-	finished  bool
+	endMarker bool
 }
 
 // phase holds the measurements of one phase of a run.
@@ -211,7 +213,7 @@
 	firstTokens *hdrhistogram.Histogram
 	tokenGaps   *hdrhistogram.Histogram
 	cpu         time.Duration
-	share       float64
+	cpuShare    float64
 	mu          sync.Mutex
 }
 
@@ -228,7 +230,7 @@
 	arrivals := r.arrivals()
 	transport := &http.Transport{MaxIdleConnsPerHost: 1024}
 	defer transport.CloseIdleConnections()
-	used, cpuBefore := startUsage(), cpuTime()
+	usage, cpuBefore := startUsage(), cpuTime()
 	started := time.Now()
 	var group sync.WaitGroup
 	group.Go(func() {
@@ -245,7 +247,7 @@
 	}
 	group.Wait()
 	p.cpu = cpuTime() - cpuBefore
-	p.share, _ = used.end()
+	p.cpuShare, _ = usage.end()
 	return p
 }
 
@@ -296,13 +298,13 @@
 	for {
 		line, err := lines.ReadString('\n')
 		if err != nil {
-			return answer.finished
+			return answer.endMarker
 		}
 		data, isEvent := strings.CutPrefix(strings.TrimSuffix(line, "\n"), "data: ")
 		switch {
 		case !isEvent:
 		case data == "[DONE]":
-			answer.finished = true
+			answer.endMarker = true
 		default:
 			now := time.Now()
 			var token engine.Token
@@ -365,7 +367,7 @@
 // isComplete reports whether an answer is complete, belongs to its request and is by the version
 // that it names.
 func (r *routeRun) isComplete(answer *answerRecord) bool {
-	if len(answer.tokens) != r.Tokens || !answer.finished {
+	if len(answer.tokens) != r.Tokens || !answer.endMarker {
 		return false
 	}
 	for i, token := range answer.tokens {
