--- a/daemon/router/crash_test.go
+++ b/daemon/router/crash_test.go
@@ -19,6 +19,7 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/broadcast"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/quarantine"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
+	"github.com/wheelcleat/wheelcleat/daemon/settings"
 )
 
 // crashingUpstream is an upstream whose process crashes when it begins to run a crashing request.
@@ -37,54 +38,54 @@
 
 func startCrashingUpstream(t *testing.T, id string) *crashingUpstream {
 	t.Helper()
-	m := &crashingUpstream{upstream: &upstream{id: id}}
-	answer := upstreamFunc(m.answerOrCrash)
-	m.answer.Store(&answer)
-	m.listen(t, "127.0.0.1:0")
-	m.address = m.listener.Addr().(*net.TCPAddr).AddrPort()
-	t.Cleanup(m.crash)
-	return m
+	u := &crashingUpstream{upstream: &upstream{id: id}}
+	answer := upstreamFunc(u.answerOrCrash)
+	u.answer.Store(&answer)
+	u.listen(t, "127.0.0.1:0")
+	u.address = u.listener.Addr().(*net.TCPAddr).AddrPort()
+	t.Cleanup(u.crash)
+	return u
 }
 
-// listen starts the process.
-func (m *crashingUpstream) listen(t *testing.T, address string) {
+// listen opens the listener and serves its connections, as a process that starts does.
+func (u *crashingUpstream) listen(t *testing.T, address string) {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", address)
 	require.NoError(t, err)
-	m.mu.Lock()
-	m.listener, m.conns = listener, map[net.Conn]bool{}
-	m.mu.Unlock()
+	u.mu.Lock()
+	u.listener, u.conns = listener, map[net.Conn]bool{}
+	u.mu.Unlock()
 	go func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			m.mu.Lock()
-			if m.listener == listener {
-				m.conns[conn] = true
+			u.mu.Lock()
+			if u.listener == listener {
+				u.conns[conn] = true
 			}
-			m.mu.Unlock()
-			go m.serve(conn)
+			u.mu.Unlock()
+			go u.serve(conn)
 		}
 	}()
 }
 
-func (m *crashingUpstream) crash() {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.listener == nil {
+func (u *crashingUpstream) crash() {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if u.listener == nil {
 		return
 	}
-	_ = m.listener.Close()
-	for conn := range m.conns {
+	_ = u.listener.Close()
+	for conn := range u.conns {
 		_ = conn.Close()
 	}
-	m.listener = nil
+	u.listener = nil
 }
 
 // answerOrCrash answers a request, or crashes; a stream crashes after its first event.
-func (m *crashingUpstream) answerOrCrash(req *http.Request, conn net.Conn) {
+func (u *crashingUpstream) answerOrCrash(req *http.Request, conn net.Conn) {
 	text, _ := io.ReadAll(req.Body)
 	if string(text) != crashingBody {
 		answerOK(req, conn)
@@ -93,23 +94,23 @@
 	if strings.HasPrefix(req.URL.Path, "/stream/") {
 		sendEvents(req, conn, 1)
 	}
-	m.crashes.Add(1)
-	m.crash()
+	u.crashes.Add(1)
+	u.crash()
 }
 
 // restart starts the process again if it has crashed.
-func (m *crashingUpstream) restart(t *testing.T) {
+func (u *crashingUpstream) restart(t *testing.T) {
 	t.Helper()
-	m.mu.Lock()
-	down := m.listener == nil
-	m.mu.Unlock()
+	u.mu.Lock()
+	down := u.listener == nil
+	u.mu.Unlock()
 	if down {
-		m.listen(t, m.address.String())
+		u.listen(t, u.address.String())
 	}
 }
 
-// crashesKnownTo returns the number of crashes that a router lists.
-func crashesKnownTo(cfg settingsRouter) int64 {
+// crashesListedBy returns the number of crashes that a router reports to its peers.
+func crashesListedBy(cfg settings.Router) int64 {
 	resp, err := http.Get("http://" + cfg.Listen.Peers.String() + "/suspects")
 	if err != nil {
 		return 0
@@ -138,7 +139,7 @@
 			f := startCrashFleet(t)
 			if test.storeDown {
 				for _, cfg := range f.routers {
-					f.environment.unreachable.Store(cfg.Name, true)
+					f.store.unreachable.Store(cfg.Name, true)
 				}
 			}
 			const attempts = 9
@@ -152,24 +153,24 @@
 
 // crashFleet is three routers in two halls and six upstreams that crash under one request.
 type crashFleet struct {
-	environment *environment
-	upstreams   []*crashingUpstream
-	routers     []settingsRouter
-	attempts    int
+	store     *testStore
+	upstreams []*crashingUpstream
+	routers   []settings.Router
+	attempts  int
 }
 
 func startCrashFleet(t *testing.T) *crashFleet {
 	t.Helper()
-	f := &crashFleet{environment: &environment{}}
-	f.environment.configure(baseConfiguration(1))
+	f := &crashFleet{store: &testStore{}}
+	f.store.configure(baseConfiguration(1))
 	for _, id := range []string{"u1", "u2", "u3", "u4", "u5", "u6"} {
-		m := startCrashingUpstream(t, id)
-		f.environment.list(m.record())
-		f.upstreams = append(f.upstreams, m)
+		u := startCrashingUpstream(t, id)
+		f.store.list(u.record())
+		f.upstreams = append(f.upstreams, u)
 	}
-	first := startRouterIn(t, f.environment, "hall", "r1")
-	f.routers = []settingsRouter{
-		first, startRouterIn(t, f.environment, "hall", "r2", first.Listen.Peers), startRouterIn(t, f.environment, "other", "r3", first.Listen.Peers),
+	first := startRouterIn(t, f.store, "hall", "r1")
+	f.routers = []settings.Router{
+		first, startRouterIn(t, f.store, "hall", "r2", first.Listen.Peers), startRouterIn(t, f.store, "other", "r3", first.Listen.Peers),
 	}
 	for _, cfg := range f.routers {
 		await(t, "all routers list each other", func() bool { return ready(cfg) && strings.Count(replicaOf(cfg), `"key":"m/`) == len(f.routers) })
@@ -179,15 +180,15 @@
 
 func (f *crashFleet) crashes() int64 {
 	total := int64(0)
-	for _, m := range f.upstreams {
-		total += m.crashes.Load()
+	for _, u := range f.upstreams {
+		total += u.crashes.Load()
 	}
 	return total
 }
 
 // sendCrashing sends the crashing request to a router, waits until all routers have received the
 // crashes, and checks that another request is served.
-func (f *crashFleet) sendCrashing(t *testing.T, cfg settingsRouter, target string) {
+func (f *crashFleet) sendCrashing(t *testing.T, cfg settings.Router, target string) {
 	t.Helper()
 	f.attempts++
 	crashed := f.crashes()
@@ -198,10 +199,10 @@
 		assert.Empty(t, got.header.Get("Retry-After"), "a retry would fail too")
 	}
 	for _, other := range f.routers {
-		assert.Eventually(t, func() bool { return crashesKnownTo(other) == f.crashes() }, time.Second, 2*time.Millisecond, "%s has received each crash", other.Name)
+		assert.Eventually(t, func() bool { return crashesListedBy(other) == f.crashes() }, time.Second, 2*time.Millisecond, "%s has received each crash", other.Name)
 	}
-	for _, m := range f.upstreams {
-		m.restart(t)
+	for _, u := range f.upstreams {
+		u.restart(t)
 	}
 	innocent := call(t, cfg, fmt.Sprint("innocent-", f.attempts), "POST", "/safe/x", "innocent")
 	assert.Equal(t, http.StatusOK, innocent.status)
@@ -217,14 +218,14 @@
 	require.Equal(t, int64(3), f.crashes())
 	await(t, "the store has the record", func() bool { return f.storedSuspect() != nil })
 
-	another := &environment{}
+	another := &testStore{}
 	another.configure(baseConfiguration(1))
 	another.put("q/x", f.storedSuspect())
 	alone := startRouterIn(t, another, "third", "r4")
-	f.environment.unreachable.Store("r5", true)
-	seeded := startRouterIn(t, f.environment, "third", "r5", f.routers[2].Listen.Peers)
-	for _, cfg := range []settingsRouter{alone, seeded} {
-		await(t, "ready, with all crashes received", func() bool { return ready(cfg) && crashesKnownTo(cfg) == 3 })
+	f.store.unreachable.Store("r5", true)
+	seeded := startRouterIn(t, f.store, "third", "r5", f.routers[2].Listen.Peers)
+	for _, cfg := range []settings.Router{alone, seeded} {
+		await(t, "ready, with all crashes received", func() bool { return ready(cfg) && crashesListedBy(cfg) == 3 })
 		got := call(t, cfg, "deadly", "POST", "/safe/x", crashingBody)
 		assert.Equal(t, http.StatusServiceUnavailable, got.status)
 		assert.Empty(t, got.header.Get("Retry-After"))
@@ -234,7 +235,7 @@
 
 // storedSuspect returns the record of a quarantined content in the store, or nil.
 func (f *crashFleet) storedSuspect() []byte {
-	items, _ := f.environment.store.List("q/")
+	items, _ := f.store.kv.List("q/")
 	if len(items) == 0 {
 		return nil
 	}
@@ -267,7 +268,7 @@
 	assert.Equal(t, http.StatusNoContent, lift(name))
 	assert.Equal(t, http.StatusNotFound, lift(name), "already lifted")
 	for _, cfg := range f.routers {
-		await(t, "lifted at each router", func() bool { return crashesKnownTo(cfg) == 0 })
+		await(t, "lifted at each router", func() bool { return crashesListedBy(cfg) == 0 })
 	}
 	await(t, "the record in the store is cleared", func() bool {
 		record, err := decodeRecord(provider.Entry{Value: f.storedSuspect()})
--- a/daemon/router/fixture_test.go
+++ b/daemon/router/fixture_test.go
@@ -29,10 +29,10 @@
 // errStoreDown is returned by a store that is unreachable for a caller.
 var errStoreDown = errors.New("the store is unreachable for this caller")
 
-// environment is a store that the tests write to. It may be unreachable for some routers, by the
-// name in their settings.
-type environment struct {
-	store       kv.Store
+// testStore is the store of the routers under test. It can be made unreachable for single routers.
+type testStore struct {
+	kv kv.Store
+	// unreachable holds the names of the routers that cannot reach the store.
 	unreachable sync.Map
 	// readers holds the names of the routers that received the configuration from the store.
 	readers sync.Map
@@ -44,8 +44,8 @@
 	Tokens: "Tokens", LengthHint: "Length", Limit: "Limit",
 }
 
-// provider returns the environment as the named router sees it.
-func (s *environment) provider(name string) provider.Provider {
+// provider returns the provider of the named router.
+func (s *testStore) provider(name string) provider.Provider {
 	return provider.Provider{
 		Store:    s.client(name),
 		Prefixes: provider.Prefixes{Root: "", Members: "m/", MembersOf: membersOf, Configuration: "c", Upstreams: "u/", Versions: "v/"},
@@ -81,7 +81,7 @@
 	return data
 }
 
-func (s *environment) client(name string) provider.Store {
+func (s *testStore) client(name string) provider.Store {
 	check := func() error {
 		if _, unreachable := s.unreachable.Load(name); unreachable {
 			return errStoreDown
@@ -89,7 +89,7 @@
 		return nil
 	}
 	list := func(_ context.Context, prefix string) (provider.Listing, error) {
-		items, at := s.store.List(prefix)
+		items, at := s.kv.List(prefix)
 		listing := provider.Listing{Revision: provider.Revision(at)}
 		for _, item := range items {
 			listing.Entries = append(listing.Entries, provider.Entry{Key: item.Key, Value: item.Value, Revision: provider.Revision(item.Revision)})
@@ -121,7 +121,7 @@
 	}
 }
 
-func (s *environment) recordReader(name string, listing provider.Listing) {
+func (s *testStore) recordReader(name string, listing provider.Listing) {
 	for _, entry := range listing.Entries {
 		if entry.Key == "c" {
 			s.readers.Store(name, true)
@@ -129,11 +129,11 @@
 	}
 }
 
-func (s *environment) watch(ctx context.Context, prefix string, after provider.Revision, wait time.Duration) (provider.Listing, error) {
+func (s *testStore) watch(ctx context.Context, prefix string, after provider.Revision, wait time.Duration) (provider.Listing, error) {
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
 	for {
-		events, at, changed, kept := s.store.EventsAfter(prefix, uint64(after))
+		events, at, changed, kept := s.kv.EventsAfter(prefix, uint64(after))
 		if !kept {
 			return provider.Listing{}, provider.ErrCompacted
 		}
@@ -156,21 +156,21 @@
 	}
 }
 
-func (s *environment) put(key string, value []byte) {
-	item, _ := s.store.Get(key)
-	s.store.Put(key, value, item.Revision, 0)
+func (s *testStore) put(key string, value []byte) {
+	item, _ := s.kv.Get(key)
+	s.kv.Put(key, value, item.Revision, 0)
 }
 
-func (s *environment) remove(key string) {
-	item, _ := s.store.Get(key)
-	s.store.Delete(key, item.Revision)
+func (s *testStore) remove(key string) {
+	item, _ := s.kv.Get(key)
+	s.kv.Delete(key, item.Revision)
 }
 
-func (s *environment) configure(configuration provider.Configuration) {
+func (s *testStore) configure(configuration provider.Configuration) {
 	s.put("c", encodeRecord(provider.Record{Configuration: &configuration}))
 }
 
-func (s *environment) list(upstream provider.Upstream) {
+func (s *testStore) list(upstream provider.Upstream) {
 	s.put("u/"+upstream.ID, encodeRecord(provider.Record{Upstream: &upstream}))
 }
 
@@ -197,15 +197,15 @@
 // upstreamFunc answers one request, or misbehaves, on a raw connection.
 type upstreamFunc func(req *http.Request, conn net.Conn)
 
-// upstream is a server that requests are routed to. It counts the requests that it ran.
+// upstream is a server that requests are routed to.
 type upstream struct {
 	id      string
 	address netip.AddrPort
 	answer  atomic.Pointer[upstreamFunc]
-	// ran counts the requests received; seen keeps them.
-	ran  atomic.Int64
-	mu   sync.Mutex
-	seen []*http.Request
+	// received is the number of received requests, which requests holds.
+	received atomic.Int64
+	mu       sync.Mutex
+	requests []*http.Request
 }
 
 func startUpstream(t testing.TB, id string, answer upstreamFunc) *upstream {
@@ -238,9 +238,9 @@
 		body, _ := io.ReadAll(req.Body)
 		req.Body = io.NopCloser(strings.NewReader(string(body)))
 		u.mu.Lock()
-		u.seen = append(u.seen, req)
+		u.requests = append(u.requests, req)
 		u.mu.Unlock()
-		u.ran.Add(1)
+		u.received.Add(1)
 		(*u.answer.Load())(req, conn)
 	}
 }
@@ -248,10 +248,10 @@
 func (u *upstream) lastRequest() *http.Request {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if len(u.seen) == 0 {
+	if len(u.requests) == 0 {
 		return nil
 	}
-	return u.seen[len(u.seen)-1]
+	return u.requests[len(u.requests)-1]
 }
 
 func (u *upstream) record() provider.Upstream {
@@ -260,7 +260,7 @@
 
 // listBeforeAnswering makes the upstream, on receiving a request, list another upstream and
 // answer only once the router has applied that.
-func (u *upstream) listBeforeAnswering(s *environment, cfg settings.Router, other *upstream, answer upstreamFunc) {
+func (u *upstream) listBeforeAnswering(s *testStore, cfg settings.Router, other *upstream, answer upstreamFunc) {
 	wrapped := upstreamFunc(func(req *http.Request, conn net.Conn) {
 		s.list(other.record())
 		awaitListed(s, cfg, "u/"+other.id)
@@ -289,12 +289,12 @@
 func closeConnection(_ *http.Request, conn net.Conn) { _ = conn.Close() }
 
 // startRouter starts a router in the data hall "hall". It does not wait for readiness.
-func startRouter(t testing.TB, s *environment, name string, seeds ...netip.AddrPort) settings.Router {
+func startRouter(t testing.TB, s *testStore, name string, seeds ...netip.AddrPort) settings.Router {
 	t.Helper()
 	return startRouterIn(t, s, "hall", name, seeds...)
 }
 
-func startRouterIn(t testing.TB, s *environment, hall, name string, seeds ...netip.AddrPort) settings.Router {
+func startRouterIn(t testing.TB, s *testStore, hall, name string, seeds ...netip.AddrPort) settings.Router {
 	t.Helper()
 	p, cfg := newRouter(t, s, settings.Router{Name: name, Hall: hall, Seeds: seeds})
 	require.NoError(t, p.Start())
@@ -306,7 +306,7 @@
 	return cfg
 }
 
-func newRouter(t testing.TB, s *environment, cfg settings.Router) (*router.Process, settings.Router) {
+func newRouter(t testing.TB, s *testStore, cfg settings.Router) (*router.Process, settings.Router) {
 	t.Helper()
 	ports := freePorts(t, 4)
 	cfg.Role, cfg.Store, cfg.Drain = settings.RoleRouter, netip.MustParseAddrPort("127.0.0.1:1"), api.Duration(5*time.Second)
@@ -321,9 +321,9 @@
 
 // startServing starts a router with the base configuration and one upstream, and waits until it
 // is ready.
-func startServing(t testing.TB, id string, answer upstreamFunc) (*environment, *upstream, settings.Router) {
+func startServing(t testing.TB, id string, answer upstreamFunc) (*testStore, *upstream, settings.Router) {
 	t.Helper()
-	s := &environment{}
+	s := &testStore{}
 	s.configure(baseConfiguration(1))
 	u := startUpstream(t, id, answer)
 	s.list(u.record())
@@ -388,8 +388,6 @@
 	return reply{status: resp.StatusCode, header: resp.Header, body: string(data), err: err}
 }
 
-type settingsRouter = settings.Router
-
 // replicaOf returns a router's replica of the store as its peers receive it.
 func replicaOf(cfg settings.Router) string {
 	resp, err := http.Get("http://" + cfg.Listen.Peers.String() + "/copy?after=0")
--- a/daemon/router/hedge_test.go
+++ b/daemon/router/hedge_test.go
@@ -51,7 +51,7 @@
 			require.NoError(t, got.err)
 			assert.Equal(t, http.StatusOK, got.status)
 			assert.Equal(t, test.body, got.body)
-			assert.Equal(t, int64(1), second.ran.Load())
+			assert.Equal(t, int64(1), second.received.Load())
 		})
 	}
 }
@@ -90,7 +90,7 @@
 			require.NoError(t, got.err)
 			assert.Equal(t, test.body, got.body)
 			assert.Equal(t, test.lastEvent, second.lastRequest().Header.Get("Last-Event-Id"))
-			assert.Equal(t, int64(1), second.ran.Load())
+			assert.Equal(t, int64(1), second.received.Load())
 		})
 	}
 }
@@ -115,8 +115,8 @@
 
 // awaitClose gives a router time to close a connection that it must keep open.
 func awaitClose(conn net.Conn) {
-	const long = 300 * time.Millisecond
-	_ = conn.SetReadDeadline(time.Now().Add(long))
+	const waitTime = 300 * time.Millisecond
+	_ = conn.SetReadDeadline(time.Now().Add(waitTime))
 	_, _ = conn.Read(make([]byte, 1))
 }
 
@@ -149,5 +149,5 @@
 	got := call(t, cfg, "id-1", "POST", "/stream/x", "body")
 	require.NoError(t, got.err)
 	assert.Equal(t, wantEvents(6), got.body)
-	assert.Equal(t, int64(1), second.ran.Load())
+	assert.Equal(t, int64(1), second.received.Load())
 }
--- a/daemon/router/limit_test.go
+++ b/daemon/router/limit_test.go
@@ -41,32 +41,32 @@
 
 func startLimitedUpstream(t *testing.T, id, limit string) *limitedUpstream {
 	t.Helper()
-	n := &limitedUpstream{limit: limit}
-	n.upstream = startUpstream(t, id, func(req *http.Request, conn net.Conn) {
-		n.mu.Lock()
-		n.arrivals = append(n.arrivals, time.Now())
-		announced := n.limit
-		n.mu.Unlock()
+	u := &limitedUpstream{limit: limit}
+	u.upstream = startUpstream(t, id, func(req *http.Request, conn net.Conn) {
+		u.mu.Lock()
+		u.arrivals = append(u.arrivals, time.Now())
+		announced := u.limit
+		u.mu.Unlock()
 		if announced == "" {
 			answerOK(req, conn)
 			return
 		}
 		answerWithLimit(req, conn, announced)
 	})
-	return n
+	return u
 }
 
 // setLimit changes the announced limit; "" means none.
-func (n *limitedUpstream) setLimit(limit string) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.limit = limit
+func (u *limitedUpstream) setLimit(limit string) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.limit = limit
 }
 
-func (n *limitedUpstream) count() int {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return len(n.arrivals)
+func (u *limitedUpstream) count() int {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return len(u.arrivals)
 }
 
 // answerWithLimit answers with status 200 and a limit.
@@ -77,20 +77,20 @@
 }
 
 // resetArrivals discards the arrivals so far.
-func (n *limitedUpstream) resetArrivals() {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.arrivals = nil
+func (u *limitedUpstream) resetArrivals() {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.arrivals = nil
 }
 
 // maxPerWindow returns the largest number of arrivals in any window.
-func (n *limitedUpstream) maxPerWindow() int {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+func (u *limitedUpstream) maxPerWindow() int {
+	u.mu.Lock()
+	defer u.mu.Unlock()
 	largest := 0
-	for first, from := range n.arrivals {
+	for first, from := range u.arrivals {
 		end := first
-		for end < len(n.arrivals) && n.arrivals[end].Sub(from) < limitWindow {
+		for end < len(u.arrivals) && u.arrivals[end].Sub(from) < limitWindow {
 			end++
 		}
 		largest = max(largest, end-first)
@@ -100,19 +100,19 @@
 
 // limitFleet is three routers and two upstreams, one of which announces a limit.
 type limitFleet struct {
-	environment *environment
-	routers     []settings.Router
-	limited     *limitedUpstream
-	other       *upstream
+	store   *testStore
+	routers []settings.Router
+	limited *limitedUpstream
+	other   *upstream
 }
 
 // startLimitFleet starts routers and waits until they list each other. With a loader port their
 // upstreams are engines.
 func startLimitFleet(t *testing.T, limit string, loaderPort uint16) *limitFleet {
 	t.Helper()
-	s := &environment{}
+	s := &testStore{}
 	configuration := baseConfiguration(1)
-	f := &limitFleet{environment: s, limited: startLimitedUpstream(t, "u1", limit), other: startUpstream(t, "u2", answerOK)}
+	f := &limitFleet{store: s, limited: startLimitedUpstream(t, "u1", limit), other: startUpstream(t, "u2", answerOK)}
 	records := []provider.Upstream{f.limited.record(), f.other.record()}
 	for _, record := range records {
 		record.Places = 16
@@ -141,11 +141,11 @@
 	return f
 }
 
-// sendFromEach has each router send the same number of requests, at an interval, and returns how
-// many were served.
-func (f *limitFleet) sendFromEach(t *testing.T, each int, interval time.Duration) (served int) {
+// sendFromEach sends count requests to each router, at an interval, and returns how many were
+// served.
+func (f *limitFleet) sendFromEach(t *testing.T, count int, interval time.Duration) (served int) {
 	t.Helper()
-	for i := range each {
+	for i := range count {
 		for _, cfg := range f.routers {
 			<-time.After(interval)
 			if call(t, cfg, fmt.Sprint(cfg.Name, "-", i), "GET", "/safe/x", "").status == http.StatusOK {
@@ -160,20 +160,20 @@
 // together they must stay within it on every admission path, while callers are served elsewhere.
 func TestLimitHoldsAcrossRouters(t *testing.T) {
 	// A granted place counts as in use until the next report shows otherwise.
-	const shown = 30 * time.Millisecond
+	const reportInterval = 30 * time.Millisecond
 	paths := map[string]struct {
 		loader   func(t *testing.T) uint16
 		interval time.Duration
 	}{
-		"upstreams without loaders":     {loader: func(*testing.T) uint16 { return 0 }},
-		"places granted by a loader":    {loader: startLoader, interval: shown},
-		"a loader that is unresponsive": {loader: func(t *testing.T) uint16 { return freePorts(t, 1)[0].Port() }},
+		"upstreams without loaders":  {loader: func(*testing.T) uint16 { return 0 }},
+		"places granted by a loader": {loader: startLoader, interval: reportInterval},
+		"an unreachable loader":      {loader: func(t *testing.T) uint16 { return freePorts(t, 1)[0].Port() }},
 	}
 	for name, path := range paths {
 		t.Run(name, func(t *testing.T) {
 			const limit, each = 2.0, 20
 			f := startLimitFleet(t, fmt.Sprint(limit), path.loader(t))
-			f.sendFromEach(t, 4, path.interval) // each router receives the limit
+			f.sendFromEach(t, 4, path.interval) // each router learns the limit
 			f.limited.resetArrivals()
 			assert.Equal(t, each*len(f.routers), f.sendFromEach(t, each, path.interval), "all callers are served by the other upstream")
 			assert.LessOrEqual(t, f.limited.maxPerWindow(), int(limitSlack*limit*limitWindow.Seconds()+limitExtra))
@@ -218,7 +218,7 @@
 	for _, cfg := range f.routers {
 		await(t, "the limit is received", func() bool { return holdsLimit(cfg, false) })
 	}
-	started := startRouter(t, f.environment, "r4")
+	started := startRouter(t, f.store, "r4")
 	await(t, "a router that starts receives the limit", func() bool { return holdsLimit(started, false) })
 
 	f.limited.setLimit("")
@@ -261,24 +261,24 @@
 	t.Helper()
 	ledger := &places.Ledger{}
 	ledger.Observe(places.Load{}, true)
-	pages := http.NewServeMux()
+	mux := http.NewServeMux()
 	feed := loadfeed.NewFeed()
 	feed.Publish(loadfeed.Line{Models: []provider.LoadedModel{{Model: "m", Version: 1}}})
-	pages.Handle(loadfeed.Path, feed)
+	mux.Handle(loadfeed.Path, feed)
 	answer := places.Handler(ledger, func(places.Response) {})
-	pages.HandleFunc(places.Path, func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc(places.Path, func(w http.ResponseWriter, r *http.Request) {
 		ledger.Observe(places.Load{}, true)
 		answer(w, r)
 	})
-	return serveAt(t, freePorts(t, 1)[0], pages)
+	return serveAt(t, freePorts(t, 1)[0], mux)
 }
 
 // serveAt serves a handler until the end of the test, and returns its port.
-func serveAt(t *testing.T, address netip.AddrPort, pages http.Handler) uint16 {
+func serveAt(t *testing.T, address netip.AddrPort, handler http.Handler) uint16 {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", address.String())
 	require.NoError(t, err)
-	server := &http.Server{Handler: pages, ReadHeaderTimeout: time.Second}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: time.Second}
 	t.Cleanup(func() { _ = server.Close() })
 	go func() { _ = server.Serve(listener) }()
 	return address.Port()
--- a/daemon/router/limits.go
+++ b/daemon/router/limits.go
@@ -149,7 +149,7 @@
 	return answer.Load, answer.Granted, nil
 }
 
-// newLimitNotifier prepares the notification of other routers about limits.
+// newLimitNotifier returns the sender of limits to other routers.
 func (p *Process) newLimitNotifier(client *http.Client) *broadcast.Sender[ratelimit.UpstreamReport] {
 	return &broadcast.Sender[ratelimit.UpstreamReport]{
 		Client: client, Path: broadcast.LimitsPath, Peers: p.otherRouters, CatchUpPeer: p.choosePeer, OnFailed: p.recorder.notificationFailed,
@@ -166,12 +166,12 @@
 // addLimitRoutes adds the routes on which this router serves its limits and receives those of
 // other routers.
 func (p *Process) addLimitRoutes(routes *bunrouter.Router) {
-	known := &broadcast.Receiver[ratelimit.UpstreamReport]{
+	receiver := &broadcast.Receiver[ratelimit.UpstreamReport]{
 		All: p.allLimits, Related: p.knownLimits,
 		Merge: func(all []ratelimit.UpstreamReport) { p.applyLimits(all, sourceRouter, netip.AddrPort{}) },
 	}
-	routes.Compat().GET(broadcast.LimitsPath, known.ServeAll)
-	routes.Compat().POST(broadcast.LimitsPath, known.ServeNotes)
+	routes.Compat().GET(broadcast.LimitsPath, receiver.ServeAll)
+	routes.Compat().POST(broadcast.LimitsPath, receiver.ServeNotes)
 }
 
 func (p *Process) allLimits() (all []ratelimit.UpstreamReport) {
--- a/daemon/router/listeners.go
+++ b/daemon/router/listeners.go
@@ -18,7 +18,7 @@
 
 // listen opens the listeners for callers, the load balancer, other daemons and operators.
 func (p *Process) listen() error {
-	listens := []struct {
+	listeners := []struct {
 		server  **server.Server
 		options server.Options
 	}{
@@ -29,7 +29,7 @@
 		{&p.peers, server.Options{Name: "peers", Address: p.current.Load().Listen.Peers, Handler: p.peerHandler()}},
 		{&p.metrics, server.Options{Name: "metrics", Address: p.current.Load().Listen.Metrics, Handler: p.metricsHandler()}},
 	}
-	for _, l := range listens {
+	for _, l := range listeners {
 		s, err := server.Listen(l.options)
 		if err != nil {
 			return err
@@ -59,7 +59,7 @@
 		Pool: p.pool, Budget: p.budget, LoadTracker: &dispatch.LoadTracker{}, Callers: &admission.RetryDetector{}, View: p.compiler.View, Stale: p.isStale,
 		Buffers: holding.Budget{MaxBytes: p.maxBufferedBytes()},
 		Region:  func(hall string) string { return p.current.Load().RegionOf(hall) },
-		Demand:  p.demand, Report: p.recorder.request, RequestPlace: p.requestPlace, OnDisconnect: p.connectionBroke,
+		Demand:  p.versionPolicy, Report: p.recorder.request, RequestPlace: p.requestPlace, OnDisconnect: p.connectionBroke,
 		OnLimit: p.limitReported, Allow: p.allowSend,
 		AdmitContent: p.admitContent, CheckContent: p.suspects.verdict, OnServed: p.contentCompleted, ShutdownDeadline: p.drainExpired,
 	}
@@ -72,8 +72,8 @@
 	return int64(p.current.Load().Bounds.MemoryMB) * megabyte / divisor
 }
 
-// demand returns the versions of a model on which requests may run.
-func (p *Process) demand(declared *replica.Declaration) replica.VersionPolicy {
+// versionPolicy returns the versions of a model on which requests may run.
+func (p *Process) versionPolicy(declared *replica.Declaration) replica.VersionPolicy {
 	return declared.VersionPolicy(clock.Now(), p.current.Load().Bounds.VersionApply.Std())
 }
 
@@ -90,8 +90,8 @@
 	})
 }
 
-// peerHandler serves other daemons: the replica, the needs of engines, suspect contents and rate
-// limits.
+// peerHandler serves other daemons: the replica, the configuration of engines, crash reports and
+// rate limits.
 func (p *Process) peerHandler() http.Handler {
 	routes := bunrouter.New()
 	source := &peering.Source{Table: p.table, Status: p.follower.Status}
--- a/daemon/router/loadfeeds_test.go
+++ b/daemon/router/loadfeeds_test.go
@@ -19,8 +19,8 @@
 	return engines
 }
 
-// TestLoadFeedsAreBounded expects all loaders of a small fleet, and of a large one those of the
-// own hall plus some of other halls up to the bound, which differ between routers.
+// TestLoadFeedsAreBounded expects a router to follow all loaders of a small fleet. In a large fleet
+// it follows the loaders of its own hall and some of other halls, which differ between routers.
 func TestLoadFeedsAreBounded(t *testing.T) {
 	small := append(enginesOf("own", 1, 12), enginesOf("other", 2, 12)...)
 	small = append(small, small[0]) // a second engine at the same host
@@ -35,12 +35,12 @@
 	assert.ElementsMatch(t, first, chooseLoadFeeds(large, "own", "r1", 7000), "the choice is stable")
 	assert.NotSubset(t, first, chooseLoadFeeds(large, "own", "r2", 7000))
 
-	middling := append(enginesOf("own", 1, 12), enginesOf("other", 2, 500)...)
-	assert.Len(t, chooseLoadFeeds(middling, "own", "r1", 7000), maxLoadFeeds)
+	medium := append(enginesOf("own", 1, 12), enginesOf("other", 2, 500)...)
+	assert.Len(t, chooseLoadFeeds(medium, "own", "r1", 7000), maxLoadFeeds)
 }
 
 // TestReadersPerLoaderDoNotGrowWithHall doubles a hall and expects each loader to have as many
-// readers as before, spread evenly.
+// followers as before, spread evenly.
 func TestReadersPerLoaderDoNotGrowWithHall(t *testing.T) {
 	for _, scale := range []int{1, 2} {
 		engines := append(enginesOf("own", 1, 88*scale), enginesOf("other", 2, 352*scale)...)
--- a/daemon/router/recorder.go
+++ b/daemon/router/recorder.go
@@ -140,8 +140,8 @@
 
 // verdictNotPersisted logs that a verdict could not be written to the store. Routers that start
 // later receive it only from other routers.
-func (r *recorder) verdictNotPersisted(name content.Digest, err error) {
-	r.log.WithFields(log.Fields{"content": name, "reason": err.Error()}).Warn("cannot write verdict on a content to the store")
+func (r *recorder) verdictNotPersisted(digest content.Digest, err error) {
+	r.log.WithFields(log.Fields{"content": digest, "reason": err.Error()}).Warn("cannot write verdict on a content to the store")
 }
 
 // notificationFailed logs that another router did not receive a report of a crash or a limit. That
@@ -223,9 +223,9 @@
 	if len(trace.Attempts) > 1 {
 		r.scope.Counter("second_sends").Inc(int64(len(trace.Attempts) - 1))
 	}
-	for _, try := range trace.Attempts {
-		if try.Interrupt != "" {
-			r.scope.Tagged(map[string]string{"by": string(try.Interrupt)}).Counter("sends_broken").Inc(1)
+	for _, attempt := range trace.Attempts {
+		if attempt.Interrupt != "" {
+			r.scope.Tagged(map[string]string{"by": string(attempt.Interrupt)}).Counter("sends_broken").Inc(1)
 		}
 	}
 	if !trace.FirstByte.IsZero() {
--- a/daemon/router/replication_test.go
+++ b/daemon/router/replication_test.go
@@ -15,7 +15,7 @@
 // store by itself, which saturates the hall's link and delays all other updates.
 func TestHallReadsEachChangeOnce(t *testing.T) {
 	const routers = 8
-	s := &environment{}
+	s := &testStore{}
 	s.configure(baseConfiguration(1))
 	u := startUpstream(t, "u1", answerOK)
 	s.list(u.record())
--- a/daemon/router/residency_test.go
+++ b/daemon/router/residency_test.go
@@ -17,7 +17,7 @@
 // twoRegions is a store with one upstream in each of two halls, which are in different regions,
 // and a router in the first.
 type twoRegions struct {
-	*environment
+	*testStore
 	north, south *upstream
 	router       settings.Router
 }
@@ -25,7 +25,7 @@
 func startTwoRegions(t *testing.T, configuration provider.Configuration) *twoRegions {
 	t.Helper()
 	r := &twoRegions{
-		environment: &environment{}, north: startUpstream(t, "north", answerOK), south: startUpstream(t, "south", answerOK),
+		testStore: &testStore{}, north: startUpstream(t, "north", answerOK), south: startUpstream(t, "south", answerOK),
 	}
 	r.configure(configuration)
 	for _, u := range []*upstream{r.north, r.south} {
@@ -33,7 +33,7 @@
 		record.Hall = u.id
 		r.list(record)
 	}
-	p, cfg := newRouter(t, r.environment, settings.Router{Name: "r1", Hall: "north", Regions: []settings.HallRegion{
+	p, cfg := newRouter(t, r.testStore, settings.Router{Name: "r1", Hall: "north", Regions: []settings.HallRegion{
 		{Hall: "north", Region: "region of north"}, {Hall: "south", Region: "region of south"},
 	}})
 	require.NoError(t, p.Start())
@@ -43,12 +43,12 @@
 	return r
 }
 
-// send sends some requests and returns the number of answers with each status.
-func (r *twoRegions) send(t *testing.T, what string) map[int]int {
+// send sends 12 requests and returns the number of answers by status.
+func (r *twoRegions) send(t *testing.T, idPrefix string) map[int]int {
 	t.Helper()
 	statuses := map[int]int{}
 	for i := range 12 {
-		statuses[call(t, r.router, fmt.Sprintf("%s-%d", what, i), "GET", "/safe/x", "").status]++
+		statuses[call(t, r.router, fmt.Sprintf("%s-%d", idPrefix, i), "GET", "/safe/x", "").status]++
 	}
 	return statuses
 }
@@ -75,15 +75,15 @@
 			restrict(&configuration)
 			r := startTwoRegions(t, configuration)
 			assert.Equal(t, map[int]int{http.StatusOK: 12}, r.send(t, "home"))
-			assert.Zero(t, r.north.ran.Load())
-			assert.Equal(t, int64(12), r.south.ran.Load())
+			assert.Zero(t, r.north.received.Load())
+			assert.Equal(t, int64(12), r.south.received.Load())
 
 			failing := upstreamFunc(func(req *http.Request, conn net.Conn) {
 				writeAnswer(req, conn, http.StatusInternalServerError, "failed", "")
 			})
 			r.south.answer.Store(&failing)
 			assert.Equal(t, map[int]int{http.StatusInternalServerError: 12}, r.send(t, "failing"))
-			assert.Zero(t, r.north.ran.Load(), "retries stay in the regions too")
+			assert.Zero(t, r.north.received.Load(), "retries stay in the regions too")
 
 			r.remove("u/south")
 			await(t, "the upstream is removed", func() bool {
@@ -94,7 +94,7 @@
 			assert.Equal(t, http.StatusServiceUnavailable, got.status)
 			assert.NotEmpty(t, got.header.Get("Retry-After"))
 			assert.Less(t, time.Since(started), 4*time.Second, "refused before the deadline of 5 s")
-			assert.Zero(t, r.north.ran.Load())
+			assert.Zero(t, r.north.received.Load())
 		})
 	}
 }
@@ -106,7 +106,7 @@
 	configuration.Accounts[0].AllowedRegions = []string{"moon"}
 	r := startTwoRegions(t, configuration)
 	assert.Equal(t, map[int]int{http.StatusServiceUnavailable: 12}, r.send(t, "nowhere"))
-	assert.Zero(t, r.north.ran.Load()+r.south.ran.Load())
+	assert.Zero(t, r.north.received.Load()+r.south.received.Load())
 }
 
 func (r *twoRegions) evacuate(hall string) {
@@ -116,9 +116,9 @@
 // reached reports whether an upstream receives requests.
 func (r *twoRegions) reached(t *testing.T, u *upstream) bool {
 	t.Helper()
-	before := u.ran.Load()
+	before := u.received.Load()
 	r.send(t, "reach")
-	return u.ran.Load() > before
+	return u.received.Load() > before
 }
 
 // TestEvacuatedHallGetsNoRequests expects no requests to an evacuated hall until the evacuation
@@ -136,9 +136,9 @@
 	await(t, "no hall gets requests", func() bool {
 		return r.send(t, "none")[http.StatusServiceUnavailable] == 12
 	})
-	ran := r.north.ran.Load() + r.south.ran.Load()
+	received := r.north.received.Load() + r.south.received.Load()
 	assert.NotEmpty(t, call(t, r.router, "refused", "GET", "/safe/x", "").header.Get("Retry-After"))
-	assert.Equal(t, ran, r.north.ran.Load()+r.south.ran.Load())
+	assert.Equal(t, received, r.north.received.Load()+r.south.received.Load())
 
 	r.remove("e/north")
 	await(t, "the hall gets requests again", func() bool { return r.reached(t, r.north) })
@@ -149,7 +149,7 @@
 // evacuation from a peer.
 func TestEvacuationPropagatesWithoutStore(t *testing.T) {
 	r := startTwoRegions(t, baseConfiguration(1))
-	other := startRouterIn(t, r.environment, "south", "other", r.router.Listen.Peers)
+	other := startRouterIn(t, r.testStore, "south", "other", r.router.Listen.Peers)
 	await(t, "ready", func() bool { return ready(other) })
 	r.unreachable.Store("r1", true)
 	r.evacuate("north")
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -98,8 +98,8 @@
 	placeClient *places.Client
 	pool        *balance.Pool
 	budget      *dispatch.Budget
-	// probe detects crashed upstreams, suspects holds the contents that ran there, and
-	// crashNotifier sends them to the other routers.
+	// probe detects crashed upstreams, suspects holds the contents of the requests that ran
+	// there, and crashNotifier sends crash reports to the other routers.
 	probe         *livenessprobe.Probe
 	suspects      *suspects
 	crashNotifier *broadcast.Sender[quarantine.Report]
@@ -244,9 +244,9 @@
 	}
 }
 
-// Reload applies changed settings. Seeds, bounds and the log level of new requests take effect at
-// once. A changed name or address needs a restart: it is logged, and the settings in force are
-// kept.
+// Reload applies changed settings. Seeds, regions and the bounds of retries and version changes
+// take effect at once; the log level remains until a restart. If the role, the name or an address
+// has changed, Reload logs that a restart is needed and keeps the settings in force.
 func (p *Process) Reload(file settings.File) {
 	if file.Router == nil {
 		p.recorder.reloaded("the settings are for another role", false)
--- a/daemon/router/router_test.go
+++ b/daemon/router/router_test.go
@@ -12,6 +12,7 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
+	"github.com/wheelcleat/wheelcleat/daemon/settings"
 )
 
 // foreignAnswer is a complete answer to another request.
@@ -42,22 +43,22 @@
 // each kind of fault, while a second upstream works.
 func TestOutcomesWhenFirstUpstreamFails(t *testing.T) {
 	faults := map[string]upstreamFunc{
-		"refused": answerNotRun,
-		"cut":     closeConnection,
-		"other answer": func(_ *http.Request, conn net.Conn) {
+		"not run": answerNotRun,
+		"closed":  closeConnection,
+		"answer to another request": func(_ *http.Request, conn net.Conn) {
 			_, _ = conn.Write([]byte(foreignAnswer))
 		},
 		"unsigned": func(req *http.Request, conn net.Conn) {
 			_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nContent-Length: 1\r\n\r\nx", req.Header.Get("Request-Id"))
 		},
-		"broken off": func(req *http.Request, conn net.Conn) {
+		"truncated": func(req *http.Request, conn net.Conn) {
 			_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nSignature: s\r\nContent-Length: 10\r\n\r\nhalf", req.Header.Get("Request-Id"))
 			_ = conn.Close()
 		},
-		"bare 503": func(req *http.Request, conn net.Conn) {
+		"503 that may have run": func(req *http.Request, conn net.Conn) {
 			_, _ = fmt.Fprintf(conn, "HTTP/1.1 503 X\r\nRequest-Id: %s\r\nContent-Length: 0\r\n\r\n", req.Header.Get("Request-Id"))
 		},
-		"elsewhere": func(req *http.Request, conn net.Conn) {
+		"misdirected": func(req *http.Request, conn net.Conn) {
 			_, _ = fmt.Fprintf(conn, "HTTP/1.1 421 X\r\nRequest-Id: %s\r\nContent-Length: 0\r\n\r\n", req.Header.Get("Request-Id"))
 		},
 		"not HTTP": func(_ *http.Request, conn net.Conn) {
@@ -65,14 +66,14 @@
 			_ = conn.Close()
 		},
 	}
-	notRun := map[string]bool{"refused": true, "elsewhere": true}
+	notRun := map[string]bool{"not run": true, "misdirected": true}
 	for name, fault := range faults {
 		for _, route := range []string{"unsafe", "unsafe2", "safe", "stream"} {
 			t.Run(name+" "+route, func(t *testing.T) {
 				s, bad, cfg := startServing(t, "bad", fault)
-				// The sound upstream is listed only after the bad one has received the request.
-				sound := startUpstream(t, "good", answerOK)
-				bad.listBeforeAnswering(s, cfg, sound, fault)
+				// The healthy upstream is listed only after the bad one has received the request.
+				healthy := startUpstream(t, "good", answerOK)
+				bad.listBeforeAnswering(s, cfg, healthy, fault)
 
 				got := call(t, cfg, "id-1", "POST", "/"+route+"/x", "body")
 				repeatable := route == "safe" || route == "stream"
@@ -82,38 +83,38 @@
 					require.NoError(t, got.err)
 					assert.Equal(t, http.StatusOK, got.status)
 					assert.Equal(t, "answer to id-1", got.body)
-					assert.Equal(t, int64(1), sound.ran.Load())
+					assert.Equal(t, int64(1), healthy.received.Load())
 				case notRun[name]:
 					assert.Equal(t, http.StatusServiceUnavailable, got.status)
 					assert.NotEmpty(t, got.header.Get("Retry-After"))
-					assert.Zero(t, sound.ran.Load())
+					assert.Zero(t, healthy.received.Load())
 				default:
 					assert.Equal(t, http.StatusBadGateway, got.status, "it may have run, so the answer must not say otherwise")
 					assert.Empty(t, got.header.Get("Signature"))
-					assert.Zero(t, sound.ran.Load(), "it must not run twice")
+					assert.Zero(t, healthy.received.Load(), "it must not run twice")
 				}
-				assert.Equal(t, int64(1), bad.ran.Load(), "no request is sent twice to one upstream")
+				assert.Equal(t, int64(1), bad.received.Load(), "no request is sent twice to one upstream")
 			})
 		}
 	}
 }
 
-// awaitListed waits until a router chooses from a list of upstreams that has a key. The replica
+// awaitListed waits until a router's compiled view contains the upstream with a key. The replica
 // shows a change before the view is compiled from it. Changes are applied in order, so once a
 // later change shows, the view contains the earlier one.
-func awaitListed(s *environment, cfg settingsRouter, key string) {
+func awaitListed(s *testStore, cfg settings.Router, key string) {
 	awaitApplied(s, cfg, `"`+key+`"`, "after/"+key)
 }
 
-// awaitApplied waits until a router has applied the change that shows as some text in its
-// replica. The marker is the key of a later change, and must differ between calls.
-func awaitApplied(s *environment, cfg settingsRouter, text, marker string) {
+// awaitApplied waits until a router has applied a change, which is found in its replica by text.
+// It writes a later change under the key marker, which must differ between calls.
+func awaitApplied(s *testStore, cfg settings.Router, text, marker string) {
 	awaitReplica(cfg, text)
 	s.put(marker, encodeRecord(provider.Record{}))
 	awaitReplica(cfg, `"`+marker+`"`)
 }
 
-func awaitReplica(cfg settingsRouter, text string) {
+func awaitReplica(cfg settings.Router, text string) {
 	for range 5000 {
 		if strings.Contains(replicaOf(cfg), text) {
 			return
@@ -195,7 +196,7 @@
 }
 
 func TestRefusalsWithoutRouteKeyOrConfiguration(t *testing.T) {
-	s := &environment{}
+	s := &testStore{}
 	cfg := startRouter(t, s, "r1")
 	assert.False(t, ready(cfg))
 	got := call(t, cfg, "id-1", "GET", "/safe/x", "")
@@ -209,9 +210,9 @@
 	require.NoError(t, resp.Body.Close())
 	assert.Equal(t, http.StatusOK, resp.StatusCode, "both readiness endpoints agree")
 	assert.Equal(t, http.StatusNotFound, call(t, cfg, "id-2", "GET", "/nowhere/x", "").status)
-	without := baseConfiguration(2)
-	without.Accounts = []provider.Account{{Name: "library", Keys: []string{"key-2"}}}
-	s.configure(without)
+	withoutKey := baseConfiguration(2)
+	withoutKey.Accounts = []provider.Account{{Name: "library", Keys: []string{"key-2"}}}
+	s.configure(withoutKey)
 	await(t, "the key is refused", func() bool {
 		return call(t, cfg, "id-3", "GET", "/safe/x", "").status == http.StatusUnauthorized
 	})
@@ -220,7 +221,7 @@
 // TestPeersPropagateUpdatesWhileStoreIsUnreachable removes a key while the only router of a hall
 // cannot reach the store, and expects it to receive the removal from a router of another hall.
 func TestPeersPropagateUpdatesWhileStoreIsUnreachable(t *testing.T) {
-	s := &environment{}
+	s := &testStore{}
 	s.configure(baseConfiguration(1))
 	u := startUpstream(t, "u1", answerOK)
 	s.list(u.record())
@@ -230,9 +231,9 @@
 	require.Equal(t, http.StatusOK, call(t, second, "id-1", "GET", "/safe/x", "").status)
 
 	s.unreachable.Store("second", true)
-	without := baseConfiguration(2)
-	without.Accounts = []provider.Account{{Name: "library", Keys: []string{"key-2"}}}
-	s.configure(without)
+	withoutKey := baseConfiguration(2)
+	withoutKey.Accounts = []provider.Account{{Name: "library", Keys: []string{"key-2"}}}
+	s.configure(withoutKey)
 	await(t, "the removed key is refused without the store", func() bool {
 		return call(t, second, "id-2", "GET", "/safe/x", "").status != http.StatusOK
 	})
@@ -246,7 +247,7 @@
 func TestHallReceivesUpdatesWhileOneRouterIsCutOff(t *testing.T) {
 	for _, down := range []string{"first", "second"} {
 		t.Run(down, func(t *testing.T) {
-			s := &environment{}
+			s := &testStore{}
 			s.configure(baseConfiguration(1))
 			u := startUpstream(t, "u1", answerOK)
 			s.list(u.record())
@@ -255,17 +256,17 @@
 			await(t, "both routers list each other", func() bool {
 				return strings.Count(replicaOf(first), `"key":"m/`) == 2 && strings.Count(replicaOf(second), `"key":"m/`) == 2
 			})
-			cut, other := first, second
+			isolated, other := first, second
 			if down == second.Name {
-				cut, other = second, first
+				isolated, other = second, first
 			}
 			s.unreachable.Store(down, true)
-			without := baseConfiguration(2)
-			without.Accounts = []provider.Account{{Name: "library", Keys: []string{"key-2"}}}
-			s.configure(without)
+			withoutKey := baseConfiguration(2)
+			withoutKey.Accounts = []provider.Account{{Name: "library", Keys: []string{"key-2"}}}
+			s.configure(withoutKey)
 			await(t, "both routers refuse the removed key", func() bool {
 				return call(t, other, "id-1", "GET", "/safe/x", "").status == http.StatusUnauthorized &&
-					call(t, cut, "id-2", "GET", "/safe/x", "").status != http.StatusOK
+					call(t, isolated, "id-2", "GET", "/safe/x", "").status != http.StatusOK
 			})
 		})
 	}
@@ -274,7 +275,7 @@
 // TestRouterStartsFromSeedWithoutStore starts a router that cannot reach the store and must take
 // its first replica from a seed.
 func TestRouterStartsFromSeedWithoutStore(t *testing.T) {
-	s := &environment{}
+	s := &testStore{}
 	s.configure(baseConfiguration(1))
 	u := startUpstream(t, "u1", answerOK)
 	s.list(u.record())
@@ -289,7 +290,7 @@
 // TestLeavingUpstreamGetsNoNewRequests guards against sending to an upstream that has announced
 // that it leaves.
 func TestLeavingUpstreamGetsNoNewRequests(t *testing.T) {
-	s := &environment{}
+	s := &testStore{}
 	s.configure(baseConfiguration(1))
 	leaving, staying := startUpstream(t, "leaving", answerOK), startUpstream(t, "staying", answerOK)
 	s.list(leaving.record())
@@ -301,20 +302,20 @@
 	s.list(record)
 	s.list(staying.record())
 	awaitListed(s, cfg, "u/staying")
-	before := leaving.ran.Load()
+	before := leaving.received.Load()
 	for i := range 10 {
 		require.Equal(t, http.StatusOK, call(t, cfg, fmt.Sprintf("id-%d", i), "GET", "/safe/x", "").status)
 	}
-	assert.Equal(t, before, leaving.ran.Load())
+	assert.Equal(t, before, leaving.received.Load())
 }
 
 // TestRetryUsesNewestUpstreamList removes the only other upstream while a stream runs. When the
 // stream breaks, it must not resume there.
 func TestRetryUsesNewestUpstreamList(t *testing.T) {
-	s := &environment{}
+	s := &testStore{}
 	s.configure(baseConfiguration(1))
 	other := startUpstream(t, "other", events(6, true, ""))
-	var cfg settingsRouter
+	var cfg settings.Router
 	breaking := events(3, false, "")
 	first := startUpstream(t, "first", func(req *http.Request, conn net.Conn) {
 		s.remove("u/other")
@@ -327,10 +328,10 @@
 	s.list(record)
 	cfg = startRouter(t, s, "r1")
 	await(t, "ready", func() bool { return ready(cfg) })
-	for i := 0; first.ran.Load() == 0 && i < 50; i++ {
+	for i := 0; first.received.Load() == 0 && i < 50; i++ {
 		_ = call(t, cfg, fmt.Sprintf("id-%d", i), "POST", "/stream/x", "body")
 	}
-	require.Positive(t, first.ran.Load())
+	require.Positive(t, first.received.Load())
 	assert.NotContains(t, lastIDs(other), "3", "no stream resumes at an upstream that has left")
 }
 
@@ -338,14 +339,14 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	text := ""
-	for _, req := range u.seen {
+	for _, req := range u.requests {
 		text += req.Header.Get("Last-Event-Id") + ";"
 	}
 	return text
 }
 
 func TestRouteTimeoutIsEnforced(t *testing.T) {
-	s := &environment{}
+	s := &testStore{}
 	configuration := baseConfiguration(1)
 	for i := range configuration.Routes {
 		configuration.Routes[i].Timeout = 200 * time.Millisecond
--- a/daemon/router/stop_test.go
+++ b/daemon/router/stop_test.go
@@ -19,7 +19,7 @@
 // TestStopCompletesWhileEnginesChange guards against a stop that hangs: an update of the store
 // during the stop must not start load feeds that nothing stops.
 func TestStopCompletesWhileEnginesChange(t *testing.T) {
-	s := &environment{}
+	s := &testStore{}
 	configuration := baseConfiguration(1)
 	configuration.Services = []provider.Service{{Name: "s", Engine: &provider.EngineSpec{Model: "m", Places: 4}}}
 	s.configure(configuration)
@@ -78,7 +78,7 @@
 	for name, target := range map[string]string{"may run once": "/unsafe/x", "may run again": "/safe/x", "a stream": "/stream/x"} {
 		t.Run(name, func(t *testing.T) {
 			reached = make(chan struct{})
-			s := &environment{}
+			s := &testStore{}
 			s.configure(baseConfiguration(1))
 			u := startUpstream(t, "u1", hang)
 			s.list(u.record())
--- a/daemon/router/suspects.go
+++ b/daemon/router/suspects.go
@@ -45,30 +45,31 @@
 	sourceLoader source = "loader" // the answer of the loader beside the engine
 )
 
-// suspects holds the contents under which upstreams crashed, as far as this router has received
-// or observed them.
+// suspects holds the contents whose requests ran at an upstream when it crashed, as far as this
+// router has received or observed them. A content is identified by the digest of a request, which
+// is the same for each retry.
 type suspects struct {
 	mu    sync.Mutex
 	table quarantine.Table
 }
 
-// verdict returns whether a request for a content may be sent.
-func (s *suspects) verdict(name content.Digest) quarantine.Verdict {
+// verdict returns whether requests with a content may be sent.
+func (s *suspects) verdict(digest content.Digest) quarantine.Verdict {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table.Verdict(name, clock.Now())
+	return s.table.Verdict(digest, clock.Now())
 }
 
-// admit returns the verdict for a new request. It calls mayRetry only if the content
-// is not Unrestricted.
-func (s *suspects) admit(name content.Digest, mayRetry func(content.Digest) bool) quarantine.Verdict {
-	if s.verdict(name) == quarantine.Unrestricted {
+// admit returns the verdict for a new request. It calls mayRetry only if the content is not
+// Unrestricted.
+func (s *suspects) admit(digest content.Digest, mayRetry func(content.Digest) bool) quarantine.Verdict {
+	if s.verdict(digest) == quarantine.Unrestricted {
 		return quarantine.Unrestricted
 	}
-	retry := mayRetry(name)
+	retry := mayRetry(digest)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table.Admit(name, retry, clock.Now())
+	return s.table.Admit(digest, retry, clock.Now())
 }
 
 // verdictChange is the effect of a crash report on the verdict on its content.
@@ -91,18 +92,18 @@
 	return c, updated && c.before != c.after
 }
 
-// complete records a complete answer to a content, and reports whether crashes are recorded
-// against it.
-func (s *suspects) complete(name content.Digest) bool {
+// complete records a complete answer to a request, and reports whether crashes are recorded
+// against its content.
+func (s *suspects) complete(digest content.Digest) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.table.RecordSuccess(name, clock.Now())
-	return len(s.table.Report(name).Crashes) > 0
+	s.table.RecordSuccess(digest, clock.Now())
+	return len(s.table.Report(digest).Crashes) > 0
 }
 
-// crash identifies the crash of the upstream of a broken send, and reports whether it counts
-// against the content.
-func (s *suspects) crash(b dispatch.Disconnect) (quarantine.Crash, bool) {
+// attributeCrash returns the crash of an upstream whose connection broke, and reports whether it
+// counts against the content of the request.
+func (s *suspects) attributeCrash(b dispatch.Disconnect) (quarantine.Crash, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Now()
@@ -110,10 +111,10 @@
 	return s.table.Attribute(sent, now)
 }
 
-func (s *suspects) report(name content.Digest) quarantine.Report {
+func (s *suspects) report(digest content.Digest) quarantine.Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table.Report(name)
+	return s.table.Report(digest)
 }
 
 func (s *suspects) all() []quarantine.Report {
@@ -134,15 +135,15 @@
 	return known
 }
 
-// connectionBroke probes whether the upstream crashed under a send whose connection broke, and
-// publishes the crash. The request waits for the probe, one round trip, before it is retried.
+// connectionBroke probes an upstream after a connection to it broke during a request, and
+// publishes a crash. The request waits for the probe, one round trip, before it is retried.
 func (p *Process) connectionBroke(b dispatch.Disconnect) {
 	crashed := p.probe.Crashed(context.Background(), b.Upstream.Address)
 	p.recorder.connectionBroke(b, crashed)
 	if !crashed {
 		return
 	}
-	crash, counts := p.suspects.crash(b)
+	crash, counts := p.suspects.attributeCrash(b)
 	if !counts {
 		return
 	}
@@ -150,13 +151,13 @@
 }
 
 // admitContent returns the verdict for a new request.
-func (p *Process) admitContent(name content.Digest) quarantine.Verdict {
-	return p.suspects.admit(name, p.ownsRetry)
+func (p *Process) admitContent(digest content.Digest) quarantine.Verdict {
+	return p.suspects.admit(digest, p.ownsRetry)
 }
 
 // ownsRetry reports whether this router is the one that may send a quarantined content again once
 // its quarantine has expired. Only one router does, so that only one upstream is put at risk.
-func (p *Process) ownsRetry(name content.Digest) bool {
+func (p *Process) ownsRetry(digest content.Digest) bool {
 	own := p.current.Load().Name
 	names := []string{own}
 	for member := range p.compiler.View().Members {
@@ -164,13 +165,13 @@
 			names = append(names, member)
 		}
 	}
-	return rendezvous.First("try "+name.String(), names) == own
+	return rendezvous.First("try "+digest.String(), names) == own
 }
 
 // contentCompleted clears a content after a complete answer.
-func (p *Process) contentCompleted(name content.Digest) {
-	if p.suspects.complete(name) {
-		p.publish(quarantine.Report{Content: name, Cleared: true}, sourceLocal)
+func (p *Process) contentCompleted(digest content.Digest) {
+	if p.suspects.complete(digest) {
+		p.publish(quarantine.Report{Content: digest, Cleared: true}, sourceLocal)
 	}
 }
 
@@ -199,24 +200,24 @@
 
 // persistVerdict writes the report on a content to the store, and retries while the store is
 // unreachable.
-func (p *Process) persistVerdict(name content.Digest) {
+func (p *Process) persistVerdict(digest content.Digest) {
 	if p.provider.EncodeSuspect == nil {
 		return
 	}
 	for range maxSuspectWrites {
-		err := p.writeVerdict(name)
+		err := p.writeVerdict(digest)
 		if err == nil || p.draining.Load() {
 			return
 		}
-		p.recorder.verdictNotPersisted(name, err)
+		p.recorder.verdictNotPersisted(digest, err)
 		helpers.Pause(suspectWriteRetryDelay, p.done)
 	}
 }
 
-func (p *Process) writeVerdict(name content.Digest) error {
+func (p *Process) writeVerdict(digest content.Digest) error {
 	ctx, cancel := context.WithTimeout(context.Background(), suspectWriteTimeout)
 	defer cancel()
-	known := p.suspects.report(name)
+	known := p.suspects.report(digest)
 	known.Cleared = len(known.Crashes) == 0
 	value, err := json.Marshal(known)
 	if err != nil {
@@ -226,7 +227,7 @@
 	if err != nil {
 		return err
 	}
-	put := p.provider.EncodeSuspect(name.String(), value)
+	put := p.provider.EncodeSuspect(digest.String(), value)
 	put.Lease = lease
 	_, err = p.provider.Store.Write(ctx, []provider.Put{put})
 	return err
@@ -242,7 +243,7 @@
 	return nil
 }
 
-// newCrashNotifier prepares the notification of other routers about crashes.
+// newCrashNotifier returns the sender of crash reports to other routers.
 func (p *Process) newCrashNotifier(client *http.Client) *broadcast.Sender[quarantine.Report] {
 	return &broadcast.Sender[quarantine.Report]{
 		Client: client, Path: broadcast.SuspectsPath, Peers: p.otherRouters, CatchUpPeer: p.choosePeer, OnFailed: p.recorder.notificationFailed,
@@ -269,7 +270,7 @@
 // addSuspectRoutes adds the routes on which this router serves its reports, receives those of
 // other routers, and lets operators lift a quarantine.
 func (p *Process) addSuspectRoutes(routes *bunrouter.Router) {
-	known := &broadcast.Receiver[quarantine.Report]{
+	receiver := &broadcast.Receiver[quarantine.Report]{
 		All: p.suspects.all, Related: p.suspects.knownFor,
 		Merge: func(reports []quarantine.Report) {
 			for _, report := range reports {
@@ -277,23 +278,23 @@
 			}
 		},
 	}
-	routes.Compat().GET(broadcast.SuspectsPath, known.ServeAll)
-	routes.Compat().POST(broadcast.SuspectsPath, known.ServeNotes)
+	routes.Compat().GET(broadcast.SuspectsPath, receiver.ServeAll)
+	routes.Compat().POST(broadcast.SuspectsPath, receiver.ServeNotes)
 	routes.DELETE(broadcast.SuspectsPath+"/:content", bunrouter.HandlerFunc(p.lift))
 }
 
 // lift clears a content on an operator's request, on all routers.
 func (p *Process) lift(w http.ResponseWriter, r bunrouter.Request) error {
-	var name content.Digest
-	if err := name.UnmarshalText([]byte(r.Param("content"))); err != nil {
+	var digest content.Digest
+	if err := digest.UnmarshalText([]byte(r.Param("content"))); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return nil
 	}
-	if known := p.suspects.report(name); len(known.Crashes) == 0 {
+	if known := p.suspects.report(digest); len(known.Crashes) == 0 {
 		http.Error(w, "no upstream is known to have ended under this content", http.StatusNotFound)
 		return nil
 	}
-	p.publish(quarantine.Report{Content: name, Cleared: true}, sourceLifted)
+	p.publish(quarantine.Report{Content: digest, Cleared: true}, sourceLifted)
 	w.WriteHeader(http.StatusNoContent)
 	return nil
 }
