--- a/daemon/internal/process/balance/balance.go
+++ b/daemon/internal/process/balance/balance.go
@@ -20,7 +20,6 @@
 	"time"
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/helpers"
-
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
@@ -331,7 +330,7 @@
 	return shortest, shortest > 0
 }
 
-// decay decays the counts of failures and outcomes.
+// decay applies the decay since the last call to the counts of failures and outcomes.
 func (s *state) decay(now time.Time) {
 	factor := math.Exp(-float64(now.Sub(s.decayedAt)) / float64(decayTime))
 	s.failures *= factor
--- a/daemon/internal/process/balance/score.go
+++ b/daemon/internal/process/balance/score.go
@@ -93,25 +93,25 @@
 // load estimates the wait for the first byte, in waiting requests. Waiting requests count
 // because an engine reads their prompts first; running ones count only once all places
 // are in use.
-func (s *state) load(candidate *provider.Upstream, reserve int, now time.Time) float64 {
+func (s *state) load(candidate *provider.Upstream, reservedPlaces int, now time.Time) float64 {
 	if now.Sub(s.reportedAt) > reportMaxAge {
 		if candidate.Places == 0 {
 			return float64(s.inFlight)
 		}
 		return float64(s.inFlight) * referencePlaces / float64(candidate.Places)
 	}
-	waiting, excess := s.queue(candidate, reserve, now)
+	waiting, excess := s.queue(candidate, reservedPlaces, now)
 	return float64(waiting) + excessWeight*float64(excess)
 }
 
 // queue returns how many requests wait before the next one and how many must end before
 // it gets a place, by the last load report; 0 if there is no recent one.
-func (s *state) queue(candidate *provider.Upstream, reserve int, now time.Time) (waiting, excess int) {
+func (s *state) queue(candidate *provider.Upstream, reservedPlaces int, now time.Time) (waiting, excess int) {
 	if now.Sub(s.reportedAt) > reportMaxAge {
 		return 0, 0
 	}
 	waiting = s.report.Waiting + s.sentSinceReport
-	return waiting, max(0, s.report.Running+waiting+1+reserve-candidate.Places)
+	return waiting, max(0, s.report.Running+waiting+1+reservedPlaces-candidate.Places)
 }
 
 // running returns the reported number of running requests, 0 if the report is too old,
--- a/daemon/internal/process/members/members_test.go
+++ b/daemon/internal/process/members/members_test.go
@@ -29,11 +29,11 @@
 		one.Merge(records)
 		two.Merge(rapid.Permutation(records).Draw(t, "order"))
 		two.Merge(rapid.Permutation(records).Draw(t, "again"))
-		require.Equal(t, names(&one), names(&two))
+		require.Equal(t, describe(&one), describe(&two))
 	})
 }
 
-func names(t *Table) []string {
+func describe(t *Table) []string {
 	var descriptions []string
 	for _, agent := range t.View().Agents {
 		descriptions = append(descriptions, fmt.Sprint(agent.GetName(), agent.GetIncarnation(), agent.GetSequence(), agent.GetSuspect()))
@@ -114,7 +114,7 @@
 	_, changed = one.ChangesAfter(Position{Instance: "another", Cursor: 99, Buckets: two.Buckets()})
 	assert.Less(t, len(changed), 50, "only records of differing buckets are sent")
 	two.Merge(changed)
-	assert.Equal(t, names(&one), names(&two))
+	assert.Equal(t, describe(&one), describe(&two))
 	_, changed = one.ChangesAfter(Position{})
 	assert.Len(t, changed, 501, "a reader without a table gets all records")
 }
--- a/daemon/internal/process/placement/document.go
+++ b/daemon/internal/process/placement/document.go
@@ -95,8 +95,8 @@
 	return s.Versions[index].Manifest
 }
 
-// indexOf returns the index of a version, which it appends if it is missing.
-func (s *Service) indexOf(version Version) int {
+// addVersion appends a version unless it is present, and returns its index.
+func (s *Service) addVersion(version Version) int {
 	if i := slices.Index(s.Versions, version); i >= 0 {
 		return i
 	}
@@ -120,7 +120,7 @@
 		if index < 0 {
 			return None
 		}
-		return s.indexOf(old[index])
+		return s.addVersion(old[index])
 	}
 	s.Target = renumber(s.Target)
 	s.Previous = renumber(s.Previous)
--- a/daemon/internal/process/placement/plan.go
+++ b/daemon/internal/process/placement/plan.go
@@ -61,10 +61,10 @@
 	slices.SortFunc(targets, func(a, b Target) int { return strings.Compare(a.Service, b.Service) })
 	p.generation = input.Previous.Generation + 1
 	for _, target := range targets {
-		p.keep(target)
+		p.keepAssignments(target)
 	}
 	for i := range p.services {
-		p.fill(&p.services[i], targets[i])
+		p.scale(&p.services[i], targets[i])
 		p.retarget(&p.services[i], targets[i])
 		p.advance(&p.services[i], targets[i])
 		p.services[i].prune()
@@ -99,9 +99,9 @@
 	p.steps = append(p.steps, Step{Service: service, Choice: choice, Reason: reason})
 }
 
-// keep copies a service's assignments from the previous document. Plan calls it for all
+// keepAssignments copies a service's assignments from the previous document. Plan calls it for all
 // services before it assigns further hosts, so that no service gets a host of another one.
-func (p *planner) keep(target Target) {
+func (p *planner) keepAssignments(target Target) {
 	next := Service{Name: target.Service, Target: None, Previous: None}
 	if previous := p.input.Previous.FindService(target.Service); previous != nil {
 		next = previous.clone()
@@ -118,8 +118,8 @@
 	p.services = append(p.services, next)
 }
 
-// fill assigns or removes hosts until a service has its declared number of replicas.
-func (p *planner) fill(service *Service, target Target) {
+// scale assigns or removes hosts until a service has its declared number of replicas.
+func (p *planner) scale(service *Service, target Target) {
 	for len(service.Hosts) > target.Replicas {
 		p.dropOne(service)
 	}
@@ -202,7 +202,7 @@
 	if service.Target != None && service.OpenWave >= service.Waves && service.Halted == "" {
 		service.Previous = service.Target
 	}
-	service.Target = service.indexOf(target.Version)
+	service.Target = service.addVersion(target.Version)
 	size := target.WaveSize
 	if size == 0 {
 		size = max(len(service.Hosts), 1)
--- a/daemon/internal/process/placement/plan_test.go
+++ b/daemon/internal/process/placement/plan_test.go
@@ -205,8 +205,8 @@
 			},
 			"activation fails": func(t *rapid.T) {
 				host := &h.hosts[rapid.IntRange(0, len(h.hosts)-1).Draw(t, "host")]
-				if service, at := h.document.FindHost(host.Name); service != nil {
-					host.FailedManifest, host.Failure = service.Manifest(at.VersionIndex), "failed"
+				if service, assignment := h.document.FindHost(host.Name); service != nil {
+					host.FailedManifest, host.Failure = service.Manifest(assignment.VersionIndex), "failed"
 				}
 			},
 			"plan": func(t *rapid.T) {
@@ -226,8 +226,8 @@
 func checkDocument(t *rapid.T, h *hall, tokens map[string]uint64) {
 	owner := map[string]string{}
 	for _, service := range h.document.Services {
-		at := slices.IndexFunc(h.targets, func(target Target) bool { return target.Service == service.Name })
-		if at < 0 {
+		index := slices.IndexFunc(h.targets, func(target Target) bool { return target.Service == service.Name })
+		if index < 0 {
 			continue // planned before the last declaration
 		}
 		for _, host := range service.Hosts {
--- a/daemon/internal/process/placer/placer.go
+++ b/daemon/internal/process/placer/placer.go
@@ -329,7 +329,7 @@
 	next.WriteID = fmt.Sprintf("%s-%016x", p.Name, rand.Uint64())
 	value, err := json.Marshal(stampedDocument{Document: next, BasedOn: revision})
 	if err != nil {
-		p.Telemetry.Log.WithError(err).Error("encoding the placement failed")
+		p.Telemetry.Log.WithError(err).Error("cannot encode the placement document")
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
@@ -339,7 +339,7 @@
 	p.wroteAt = p.now()
 	writtenRevision, err := writer.Put(ctx, platform.Write{Key: key, Value: value, IfRevision: revision}, next.WriteID)
 	if err != nil {
-		p.Telemetry.Log.WithError(err).Warn("writing the placement failed")
+		p.Telemetry.Log.WithError(err).Warn("cannot write the placement document to the key-value service")
 		return
 	}
 	p.Table.ApplyWrite(platform.Change{Item: platform.Item{Key: key, Value: value, Revision: writtenRevision}})
