--- a/daemon/lab/caller.go
+++ b/daemon/lab/caller.go
@@ -35,7 +35,7 @@
 
 // caller is one caller and its request. Its times are relative to the epoch.
 type caller struct {
-	sim       *simulation
+	sim       *loadSim
 	kind      *Kind
 	arrivedAt time.Duration
 	deadline  time.Duration
@@ -63,7 +63,7 @@
 const hintSpread = 0.7
 
 // newCaller draws the properties of a caller that arrives at the given time.
-func (s *simulation) newCaller(at time.Duration) *caller {
+func (s *loadSim) newCaller(at time.Duration) *caller {
 	kind := &s.Kinds[s.Pattern.kindAt(at, s.Kinds, s.arrivalRand.Float64())]
 	timeLimit := time.Duration((1 - s.DeadlineSpread*s.arrivalRand.Float64()) * float64(kind.Deadline))
 	c := &caller{sim: s, kind: kind, arrivedAt: at, deadline: at + timeLimit, content: s.arrivalRand.Uint64()}
@@ -124,9 +124,9 @@
 	}
 }
 
-// refused schedules the caller's only retry, after the given wait or a third of its remaining
-// time, whichever is shorter. A second refusal ends the request.
-func (c *caller) refused(wait time.Duration) {
+// handleRefusal schedules the caller's only retry, after the given wait or a third of its
+// remaining time, whichever is shorter. A second refusal ends the request.
+func (c *caller) handleRefusal(wait time.Duration) {
 	const waitDivisor = 3
 	if c.refusals++; c.refusals > 1 {
 		c.finished = true
@@ -140,7 +140,7 @@
 func (c *caller) inTime() bool { return c.served && c.firstByte-c.arrivedAt <= c.kind.Objective }
 
 // objective returns the shortest objective of all kinds.
-func (s *simulation) objective() time.Duration {
+func (s *loadSim) objective() time.Duration {
 	shortest := s.Kinds[0].Objective
 	for _, kind := range s.Kinds {
 		shortest = min(shortest, kind.Objective)
@@ -148,16 +148,16 @@
 	return shortest
 }
 
-func (s *simulation) meanAnswer() float64 {
+func (s *loadSim) meanAnswer() float64 {
 	return s.mean(func(k Kind) float64 { return k.Answer })
 }
 
-func (s *simulation) readTime() time.Duration {
+func (s *loadSim) readTime() time.Duration {
 	prompt := s.mean(func(k Kind) float64 { return k.Prompt })
 	return time.Duration(prompt / s.Engine.PrefillRate * float64(time.Second))
 }
 
-func (s *simulation) mean(value func(Kind) float64) float64 {
+func (s *loadSim) mean(value func(Kind) float64) float64 {
 	sum, shares := 0.0, 0.0
 	for _, kind := range s.Kinds {
 		sum += kind.Share * value(kind)
--- a/daemon/lab/engine.go
+++ b/daemon/lab/engine.go
@@ -48,7 +48,7 @@
 
 // engine is an engine and its loader.
 type engine struct {
-	sim      *simulation
+	sim      *loadSim
 	index    int
 	upstream *provider.Upstream
 	ledger   places.Ledger
@@ -67,7 +67,7 @@
 	limitedArrivals []time.Duration
 }
 
-func newEngine(s *simulation, index int) *engine {
+func newEngine(s *loadSim, index int) *engine {
 	e := &engine{sim: s, index: index}
 	e.upstream = &provider.Upstream{
 		ID: fmt.Sprintf("e%d", index), Hall: hallOf(index, s.Halls), Places: s.Engine.Places,
--- a/daemon/lab/fleet.go
+++ b/daemon/lab/fleet.go
@@ -77,7 +77,7 @@
 type FleetStrategy struct {
 	Name string
 	// Decide selects a router's next action.
-	Decide func(own readers.Router, hall []readers.Router, sinceStoreSeen time.Duration) (readers.Action, string)
+	Decide func(own readers.Router, hall []readers.Router, sinceData time.Duration) (readers.Action, string)
 	// AwaitOwnRecord makes a starting router list its hall until it has a router to follow or its
 	// own record is listed. Otherwise it lists all routers once.
 	AwaitOwnRecord bool
@@ -248,7 +248,7 @@
 	for _, hall := range s.halls {
 		switch s.Fault {
 		case FleetReaderCrash:
-			ranked := readers.Rank(hall.all())
+			ranked := readers.Rank(hall.candidates())
 			for _, router := range hall.routers {
 				s.crash(router, router.Name == ranked[0].Name)
 			}
--- a/daemon/lab/fleet_model.go
+++ b/daemon/lab/fleet_model.go
@@ -22,8 +22,8 @@
 	storeDelay             = 4 * time.Millisecond
 	// firstByteTimeout is the wait limit for the first byte of a store answer.
 	firstByteTimeout = 1500 * time.Millisecond
-	// pollHold and snapshotPollHold are the times after which a follower's call is answered without an
-	// update, pollGrace the additional time that the follower waits.
+	// pollHold and snapshotPollHold are the times after which a follower's call is answered
+	// without an update, pollGrace the additional time that the follower waits.
 	pollHold, snapshotPollHold = 500 * time.Millisecond, time.Second
 	pollGrace                  = 400 * time.Millisecond
 	// muteTime is how long an unreachable router is skipped, startingMuteTime how long one
@@ -102,7 +102,8 @@
 	h.byName[router.Name] = router
 }
 
-func (h *fleetHall) all() []readers.Router {
+// candidates returns the hall's routers, all of them usable.
+func (h *fleetHall) candidates() []readers.Router {
 	var all []readers.Router
 	for _, router := range h.routers {
 		all = append(all, router.Router)
--- a/daemon/lab/lab.go
+++ b/daemon/lab/lab.go
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// simulation is the state of one run.
-type simulation struct {
+// loadSim is the state of one run.
+type loadSim struct {
 	Setup
 	policy      Policy
 	isRetry     retryDetector
@@ -79,14 +79,14 @@
 // unset.
 var epoch = time.Unix(1_000_000, 0)
 
-func (s *simulation) now() time.Time { return epoch.Add(s.events.now) }
+func (s *loadSim) now() time.Time { return epoch.Add(s.events.now) }
 
 // Run simulates a setup under a policy.
 func Run(setup Setup, policy Policy) (*Result, error) {
 	if err := setup.validate(); err != nil {
 		return nil, err
 	}
-	s := &simulation{
+	s := &loadSim{
 		Setup: setup, policy: policy, isRetry: policy.newDetector(),
 		arrivalRand: rand.New(rand.NewPCG(setup.Seed, 1)), rng: rand.New(rand.NewPCG(setup.Seed, 2)),
 	}
@@ -104,7 +104,7 @@
 }
 
 // scheduleArrivals draws the arrival of each caller and schedules its first request.
-func (s *simulation) scheduleArrivals() {
+func (s *loadSim) scheduleArrivals() {
 	for at := time.Duration(0); at < s.Duration; {
 		rate := s.Rate * s.Pattern.rate(at)
 		at += time.Duration(s.arrivalRand.ExpFloat64() / max(rate, 1) * float64(time.Second))
@@ -115,13 +115,13 @@
 }
 
 // submit sends a caller's request to a random router.
-func (s *simulation) submit(c *caller) {
+func (s *loadSim) submit(c *caller) {
 	r := s.routers[s.rng.IntN(len(s.routers))]
 	r.handle(c)
 }
 
 // scheduleFaults schedules the pattern's outages and its rollout.
-func (s *simulation) scheduleFaults() {
+func (s *loadSim) scheduleFaults() {
 	for _, outage := range s.Pattern.Outages {
 		for _, e := range s.engines {
 			if outage.affects(e.index, len(s.engines)) {
--- a/daemon/lab/lab_test.go
+++ b/daemon/lab/lab_test.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// TestSharedRefusalsMatchExactDetection checks that a lossless exchange of refusals classifies
-// retries as well as the oracle.
+// TestSharedRefusalsMatchExactDetection checks that a lossless exchange of refusals earns as much
+// worth as a correct classification of each retry.
 func TestSharedRefusalsMatchExactDetection(t *testing.T) {
 	shared, exact := simulate(t, "steady:1.25", "back-sketch"), simulate(t, "steady:1.25", "back-known")
 	assert.InDelta(t, exact.Worth, shared.Worth, 0.01)
--- a/daemon/lab/limit.go
+++ b/daemon/lab/limit.go
@@ -244,8 +244,8 @@
 			if !r.sim.reachable(r.hall, other.hall) {
 				return
 			}
-			for _, named := range other.table.Reports(r.sim.now()) {
-				r.applyLimit(named.Upstream, named.Report)
+			for _, received := range other.table.Reports(r.sim.now()) {
+				r.applyLimit(received.Upstream, received.Report)
 			}
 		})
 	}
--- a/daemon/lab/limit_test.go
+++ b/daemon/lab/limit_test.go
@@ -11,8 +11,8 @@
 )
 
 // TestLimitsAreKeptThroughFaults guards against limits being exceeded while loaders or routers
-// fail, and against limits that stay in force after they end. The flapping fault is left out, because its
-// upstreams announce no limit for half of each second.
+// fail, and against limits that stay in force after they end. The flapping fault is left out,
+// because its upstreams announce no limit for half of each second.
 func TestLimitsAreKeptThroughFaults(t *testing.T) {
 	for _, fault := range lab.LimitFaults() {
 		if fault == lab.LimitFlapping {
--- a/daemon/lab/oracle.go
+++ b/daemon/lab/oracle.go
@@ -23,7 +23,7 @@
 
 // oracleWorth returns the share of the callers' worth that the oracle earns, when it selects by
 // worth and when it serves in order of arrival.
-func (s *simulation) oracleWorth(callers []*caller) (selected, inOrder float64) {
+func (s *loadSim) oracleWorth(callers []*caller) (selected, inOrder float64) {
 	var selectedSum, inOrderSum tally
 	for first := 0; first < len(callers); {
 		begin := callers[first].arrivedAt
@@ -56,7 +56,7 @@
 }
 
 // capacity returns the available engine time in an interval.
-func (s *simulation) capacity(from, to time.Duration) time.Duration {
+func (s *loadSim) capacity(from, to time.Duration) time.Duration {
 	total := time.Duration(len(s.engines)) * (to - from)
 	for _, o := range s.Pattern.Outages {
 		overlap := min(to, o.At+o.Duration) - max(from, o.At)
--- a/daemon/lab/pattern.go
+++ b/daemon/lab/pattern.go
@@ -16,8 +16,8 @@
 	// Amplitude is that of a sinusoidal variation relative to Level, Period its period.
 	Amplitude float64
 	Period    time.Duration
-	// Burst is a period of increased load. BurstFactor multiplies the load of the kind named by
-	// BurstKind, or of all kinds if that is empty.
+	// Burst is a period of increased load. BurstFactor multiplies the load of the kind of
+	// callers named by BurstKind, or of all kinds if that is empty.
 	Burst       Interval
 	BurstFactor float64
 	BurstKind   string
@@ -29,7 +29,7 @@
 // Interval is a half-open interval of time.
 type Interval struct{ From, To time.Duration }
 
-func (s Interval) contains(at time.Duration) bool { return at >= s.From && at < s.To }
+func (i Interval) contains(at time.Duration) bool { return at >= i.From && at < i.To }
 
 // Outage is a temporary failure of several engines.
 type Outage struct {
--- a/daemon/lab/policy.go
+++ b/daemon/lab/policy.go
@@ -40,7 +40,7 @@
 }
 
 // detectRetry classifies a request and records whether the result is correct.
-func (s *simulation) detectRetry(r *router, c *caller) bool {
+func (s *loadSim) detectRetry(r *router, c *caller) bool {
 	detected := s.isRetry(r, c)
 	switch {
 	case detected && c.refusals > 0:
@@ -118,18 +118,18 @@
 // byLongestTime classifies a request as a retry if it has less time than the longest seen on its
 // route, provided that at least half of the route's requests have that time.
 func byLongestTime() retryDetector {
-	type seen struct {
+	type routeStats struct {
 		longest          time.Duration
 		total, atLongest int
 	}
-	routes := map[*router]map[string]*seen{}
+	routes := map[*router]map[string]*routeStats{}
 	return func(r *router, c *caller) bool {
 		if routes[r] == nil {
-			routes[r] = map[string]*seen{}
+			routes[r] = map[string]*routeStats{}
 		}
 		s, remaining := routes[r][c.kind.Name], c.remaining()
 		if s == nil || float64(remaining)*0.98 > float64(s.longest) {
-			s = &seen{longest: remaining}
+			s = &routeStats{longest: remaining}
 			routes[r][c.kind.Name] = s
 		}
 		s.total++
@@ -141,9 +141,9 @@
 	}
 }
 
-// bySharedRefusals models routers that exchange digests of refused requests, visible to all of
-// them after exchangeDelay. It assumes a lossless exchange; a compact sketch would misclassify some
-// first attempts.
+// bySharedRefusals models routers that exchange the digests of refused requests, which all of them
+// have received after exchangeDelay. The exchange is lossless; with a compact sketch, such as a
+// Bloom filter, some first attempts would be classified as retries.
 func bySharedRefusals() retryDetector {
 	const exchangeDelay = 40 * time.Millisecond
 	refused := map[uint64]time.Duration{}
--- a/daemon/lab/result.go
+++ b/daemon/lab/result.go
@@ -72,7 +72,7 @@
 }
 
 // summarize computes the result of a finished run.
-func (s *simulation) summarize() *Result {
+func (s *loadSim) summarize() *Result {
 	r := &Result{Pattern: s.Pattern.Name, Policy: s.policy.Name, Seed: s.Seed, KindWorth: map[string]float64{}}
 	var all tally
 	kinds := make([]tally, len(s.Kinds))
@@ -110,7 +110,7 @@
 const limitWindow = 4 * time.Second
 
 // limitUtilization returns the highest utilization of any engine's limit.
-func (s *simulation) limitUtilization() float64 {
+func (s *loadSim) limitUtilization() float64 {
 	highest := 0
 	for _, e := range s.engines {
 		highest = max(highest, e.maxInWindow(limitWindow))
@@ -121,7 +121,7 @@
 	return float64(highest) / (s.Pattern.Limits.PerSecond * limitWindow.Seconds())
 }
 
-func (s *simulation) kindIndex(c *caller) int {
+func (s *loadSim) kindIndex(c *caller) int {
 	return slices.IndexFunc(s.Kinds, func(k Kind) bool { return k.Name == c.kind.Name })
 }
 
--- a/daemon/lab/router.go
+++ b/daemon/lab/router.go
@@ -14,14 +14,14 @@
 // router runs the decision packages of a router. Its loop over the engines stands in for the one
 // in package dispatch.
 type router struct {
-	sim         *simulation
+	sim         *loadSim
 	pool        balance.Pool
 	loadTracker dispatch.LoadTracker
 	callers     admission.RetryDetector
 	upstreams   []*provider.Upstream
 }
 
-func newRouter(s *simulation, index int) *router {
+func newRouter(s *loadSim, index int) *router {
 	r := &router{sim: s}
 	r.pool.Hall, r.pool.Now, r.pool.Rand = hallOf(index, s.Halls), s.now, s.rng.Float64
 	r.loadTracker.Now, r.callers.Now = s.now, s.now
@@ -33,7 +33,7 @@
 
 // scheduleReports starts the periodic polls of the loaders and the load reports to the routers.
 // They end some time after the last arrival.
-func (s *simulation) scheduleReports() {
+func (s *loadSim) scheduleReports() {
 	for _, e := range s.engines {
 		s.repeat(pollInterval, e.poll)
 		s.repeat(reportInterval, func() { s.reportLoad(e) })
@@ -41,7 +41,7 @@
 }
 
 // repeat schedules a function periodically, at a random phase.
-func (s *simulation) repeat(every time.Duration, fn func()) {
+func (s *loadSim) repeat(every time.Duration, fn func()) {
 	const reportTail = 8 * time.Second
 	var tick func()
 	tick = func() {
@@ -54,7 +54,7 @@
 }
 
 // reportLoad sends an engine's load to all routers.
-func (s *simulation) reportLoad(e *engine) {
+func (s *loadSim) reportLoad(e *engine) {
 	if s.events.now < e.unavailableUntil && !e.loaded {
 		return // an engine in an outage sends no reports
 	}
@@ -150,5 +150,5 @@
 
 // refuse sends a caller the time after which to retry.
 func (r *router) refuse(c *caller) {
-	c.refused(r.sim.policy.retryDelay(r.sim.rng, c))
+	c.handleRefusal(r.sim.policy.retryDelay(r.sim.rng, c))
 }
