--- a/daemon/internal/connection/peering/neighbours.go
+++ b/daemon/internal/connection/peering/neighbours.go
@@ -11,7 +11,7 @@
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/backoff"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/call"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/readers"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/fanout"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
@@ -137,14 +137,14 @@
 }
 
 // State returns the state of a neighbour by the last call to it.
-func (n *Neighbours) State(neighbour netip.AddrPort) readers.State {
+func (n *Neighbours) State(neighbour netip.AddrPort) fanout.State {
 	switch {
 	case !n.failed.Has(neighbour, n.Now):
-		return readers.Usable
+		return fanout.Usable
 	case n.stale.Has(neighbour, n.Now):
-		return readers.Stale
+		return fanout.Stale
 	default:
-		return readers.Unreachable
+		return fanout.Unreachable
 	}
 }
 
--- a/daemon/internal/process/readers/readers.go
+++ b/daemon/internal/process/fanout/fanout.go
@@ -1,4 +1,4 @@
-// Package readers decides which routers of a data hall read the store, and which router
+// Package fanout decides which routers of a data hall read the store, and which router
 // each of the others follows.
 //
 // Every router needs each change of the store, over the narrow link that a hall shares to
@@ -15,7 +15,7 @@
 //
 // Rejected: several readers from the start, which multiplies the load on the store and the
 // link; an election, which needs the store that does not answer.
-package readers
+package fanout
 
 import (
 	"cmp"
@@ -76,11 +76,11 @@
 )
 
 // shards is the number of parts into which a hall's routers are divided. A router that
-// starts lists its shard, and only the first of each shard lists the hall: if all did, the
-// bytes of a simultaneous start would grow with the square of the hall's size.
+// starts lists its shard, and only the first router of each shard lists the hall: if all
+// listed the hall, the bytes of a simultaneous start would grow with the square of its size.
 const shards = 16
 
-// Shard returns the shard of a router, by its name.
+// Shard returns the shard of a router, as one hexadecimal digit.
 func Shard(name string) string {
 	return strconv.FormatUint(xxhash.Sum64String(name)%shards, shards)
 }
--- a/daemon/internal/process/readers/readers_test.go
+++ b/daemon/internal/process/fanout/fanout_test.go
@@ -1,4 +1,4 @@
-package readers_test
+package fanout_test
 
 import (
 	"fmt"
@@ -9,14 +9,14 @@
 	"github.com/stretchr/testify/assert"
 	"pgregory.net/rapid"
 
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/readers"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/fanout"
 )
 
 // hall returns usable routers.
-func hall(count int) []readers.Router {
-	var all []readers.Router
+func hall(count int) []fanout.Router {
+	var all []fanout.Router
 	for i := range count {
-		all = append(all, readers.Router{Name: fmt.Sprint("router-", i)})
+		all = append(all, fanout.Router{Name: fmt.Sprint("router-", i)})
 	}
 	return all
 }
@@ -30,19 +30,19 @@
 
 // decide returns the actions of the reachable routers of a hall, which all see each other
 // in the same state.
-func decide(hall []readers.Router, sinceData time.Duration) outcome {
+func decide(hall []fanout.Router, sinceData time.Duration) outcome {
 	result := outcome{follows: map[string]string{}}
 	for _, own := range hall {
-		if own.State == readers.Unreachable {
+		if own.State == fanout.Unreachable {
 			continue
 		}
-		action, followed := readers.Decide(own, hall, sinceData)
+		action, followed := fanout.Decide(own, hall, sinceData)
 		switch action {
-		case readers.Read:
+		case fanout.Read:
 			result.reads++
-		case readers.Wait:
+		case fanout.Wait:
 			result.waits++
-		case readers.Follow:
+		case fanout.Follow:
 			result.follows[own.Name] = followed
 		}
 	}
@@ -59,14 +59,14 @@
 }
 
 // TestSmallHallHasOneReader checks that, whichever routers of a small hall are
-// unreachable, one of the others reads the store and all others follow it.
+// unreachable, one reachable router reads the store and all others follow it.
 func TestSmallHallHasOneReader(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		routers := hall(rapid.IntRange(1, 20).Draw(t, "routers"))
 		reachable := 0
 		for i := range routers {
 			if rapid.Bool().Draw(t, "gone") {
-				routers[i].State = readers.Unreachable
+				routers[i].State = fanout.Unreachable
 				continue
 			}
 			reachable++
@@ -89,8 +89,8 @@
 		routers := hall(rapid.IntRange(1, 80).Draw(t, "routers"))
 		reachable := 0
 		for i := range routers {
-			routers[i].State = rapid.SampledFrom([]readers.State{readers.Usable, readers.Stale, readers.Unreachable}).Draw(t, "state")
-			if routers[i].State != readers.Unreachable {
+			routers[i].State = rapid.SampledFrom([]fanout.State{fanout.Usable, fanout.Stale, fanout.Unreachable}).Draw(t, "state")
+			if routers[i].State != fanout.Unreachable {
 				reachable++
 			}
 		}
@@ -103,7 +103,7 @@
 func TestReadersAreBoundedWhileAllAreStale(t *testing.T) {
 	routers := hall(30)
 	for i := range routers {
-		routers[i].State = readers.Stale
+		routers[i].State = fanout.Stale
 	}
 	for _, step := range []struct {
 		sinceData  time.Duration
@@ -122,15 +122,15 @@
 	draw := rand.New(rand.NewPCG(1, 2))
 	failed := 0
 	for range halls {
-		var routers []readers.Router
+		var routers []fanout.Router
 		for range 30 {
-			routers = append(routers, readers.Router{Name: fmt.Sprint("router-", draw.Uint32()), State: readers.Stale})
+			routers = append(routers, fanout.Router{Name: fmt.Sprint("router-", draw.Uint32()), State: fanout.Stale})
 		}
 		connected := false
 		for _, own := range routers {
-			action, _ := readers.Decide(own, routers, sinceData)
+			action, _ := fanout.Decide(own, routers, sinceData)
 			rejected := draw.IntN(3) == 0
-			connected = connected || action == readers.Read && !rejected
+			connected = connected || action == fanout.Read && !rejected
 		}
 		if !connected {
 			failed++
@@ -139,13 +139,13 @@
 	assert.LessOrEqual(t, failed, halls*3/100)
 }
 
-// TestUnregisteredRouterFollows checks that a router decides before its record is
-// listed.
+// TestUnregisteredRouterFollows checks that most routers whose record is not listed yet
+// follow a listed router instead of reading the store.
 func TestUnregisteredRouterFollows(t *testing.T) {
 	routers := hall(6)
 	follows := 0
 	for i := range 20 {
-		if action, _ := readers.Decide(readers.Router{Name: fmt.Sprint("new-", i)}, routers, 0); action == readers.Follow {
+		if action, _ := fanout.Decide(fanout.Router{Name: fmt.Sprint("new-", i)}, routers, 0); action == fanout.Follow {
 			follows++
 		}
 	}
@@ -194,15 +194,15 @@
 func TestFollowersReplaceUnreachableRelays(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		routers := hall(117)
-		for _, router := range readers.Rank(routers)[:rapid.IntRange(0, 20).Draw(t, "gone")] {
+		for _, router := range fanout.Rank(routers)[:rapid.IntRange(0, 20).Draw(t, "gone")] {
 			for i := range routers {
 				if routers[i].Name == router.Name {
-					routers[i].State = readers.Unreachable
+					routers[i].State = fanout.Unreachable
 				}
 			}
 		}
 		rank := map[string]int{}
-		for i, router := range readers.Rank(routers) {
+		for i, router := range fanout.Rank(routers) {
 			rank[router.Name] = i
 		}
 		result := decide(routers, 0)
@@ -211,7 +211,7 @@
 		for name, followed := range result.follows {
 			assert.Less(t, rank[followed], rank[name])
 			for _, router := range routers {
-				assert.False(t, router.Name == followed && router.State == readers.Unreachable)
+				assert.False(t, router.Name == followed && router.State == fanout.Unreachable)
 			}
 		}
 	})
@@ -221,7 +221,7 @@
 func TestShardsDivideAHallEvenly(t *testing.T) {
 	counts := map[string]int{}
 	for _, router := range hall(1600) {
-		counts[readers.Shard(router.Name)]++
+		counts[fanout.Shard(router.Name)]++
 	}
 	assert.Len(t, counts, 16)
 	for shard, count := range counts {
--- a/daemon/lab/fleet.go
+++ b/daemon/lab/fleet.go
@@ -7,12 +7,12 @@
 	"slices"
 	"time"
 
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/readers"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/fanout"
 )
 
 // This file simulates how a configuration change reaches every router of a fleet: which routers
 // read the store, which follow another router, and how much the links between halls and those of
-// the hosts carry. Decisions are those of package readers; links, the store and messages are
+// the hosts carry. Decisions are those of package fanout; links, the store and messages are
 // modelled. A link sends one message at a time, so the times include queueing. Processor time is
 // not modelled.
 
@@ -77,7 +77,7 @@
 type FleetStrategy struct {
 	Name string
 	// Decide selects a router's next action.
-	Decide func(own readers.Router, hall []readers.Router, sinceData time.Duration) (readers.Action, string)
+	Decide func(own fanout.Router, hall []fanout.Router, sinceData time.Duration) (fanout.Action, string)
 	// AwaitOwnRecord makes a starting router list its hall until it has a router to follow or its
 	// own record is listed. Otherwise it lists all routers once.
 	AwaitOwnRecord bool
@@ -89,7 +89,7 @@
 
 // The strategies.
 var (
-	StrategyCurrent = FleetStrategy{Name: "now", Decide: readers.Decide, AwaitOwnRecord: true, Compressed: true}
+	StrategyCurrent = FleetStrategy{Name: "now", Decide: fanout.Decide, AwaitOwnRecord: true, Compressed: true}
 	// StrategyFlat selects one reader in each hall by name. All other routers follow it.
 	StrategyFlat = FleetStrategy{Name: "flat", Decide: decideFlat, LoadersReadStore: true}
 )
@@ -248,7 +248,7 @@
 	for _, hall := range s.halls {
 		switch s.Fault {
 		case FleetReaderCrash:
-			ranked := readers.Rank(hall.candidates())
+			ranked := fanout.Rank(hall.candidates())
 			for _, router := range hall.routers {
 				s.crash(router, router.Name == ranked[0].Name)
 			}
--- a/daemon/lab/fleet_model.go
+++ b/daemon/lab/fleet_model.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/readers"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/fanout"
 )
 
 // Message sizes and delays.
@@ -91,7 +91,7 @@
 		rate = h.sim.WideMbps
 	}
 	router := &fleetRouter{
-		Router: readers.Router{Name: fmt.Sprintf("%s-%d", h.name, index), LinkMbps: rate},
+		Router: fanout.Router{Name: fmt.Sprintf("%s-%d", h.name, index), LinkMbps: rate},
 		hall:   h, uplink: fleetLink{rate: mbps(rate)},
 		peers: map[string]bool{}, muted: map[string]mutedRouter{},
 	}
@@ -103,8 +103,8 @@
 }
 
 // candidates returns the hall's routers, all of them usable.
-func (h *fleetHall) candidates() []readers.Router {
-	var all []readers.Router
+func (h *fleetHall) candidates() []fanout.Router {
+	var all []fanout.Router
 	for _, router := range h.routers {
 		all = append(all, router.Router)
 	}
@@ -145,7 +145,7 @@
 	names := h.announcedNames()
 	factor := s.Halls // all halls are listed and have the same size
 	if s.Strategy.AwaitOwnRecord {
-		names, factor = inShard(names, readers.Shard(fmt.Sprint("loader-", s.rng.Uint32()))), 1
+		names, factor = inShard(names, fanout.Shard(fmt.Sprint("loader-", s.rng.Uint32()))), 1
 	}
 	retry := func() { s.events.after(loaderListInterval, h.startLoader) }
 	h.read(callBytes+factor*len(names)*memberBytes, func() {
@@ -162,12 +162,12 @@
 // mutedRouter is a router that is not contacted until a time.
 type mutedRouter struct {
 	until time.Duration
-	state readers.State
+	state fanout.State
 }
 
 // fleetRouter is a router that reads the store or follows another router.
 type fleetRouter struct {
-	readers.Router
+	fanout.Router
 	hall *fleetHall
 	// uplink is the link to the router's followers. The downlink never queues, because a router
 	// makes one call at a time.
@@ -211,7 +211,7 @@
 func inShard(names []string, shard string) []string {
 	var listed []string
 	for _, name := range names {
-		if readers.Shard(name) == shard {
+		if fanout.Shard(name) == shard {
 			listed = append(listed, name)
 		}
 	}
@@ -223,8 +223,8 @@
 func (r *fleetRouter) listRouters() {
 	names := r.hall.announcedNames()
 	if r.hall.sim.Strategy.AwaitOwnRecord {
-		r.listNames(inShard(names, readers.Shard(r.Name)), 1, func() {
-			if action, _ := readers.Decide(r.Router, r.view(), 0); action != readers.Follow {
+		r.listNames(inShard(names, fanout.Shard(r.Name)), 1, func() {
+			if action, _ := fanout.Decide(r.Router, r.view(), 0); action != fanout.Follow {
 				r.listNames(r.hall.announcedNames(), 1, r.decide)
 				return
 			}
@@ -261,9 +261,9 @@
 }
 
 // view returns the other routers of the hall and their state as seen by this one.
-func (r *fleetRouter) view() []readers.Router {
+func (r *fleetRouter) view() []fanout.Router {
 	now := r.hall.sim.events.now
-	var view []readers.Router
+	var view []fanout.Router
 	for name := range r.peers {
 		if name == r.Name {
 			continue
@@ -291,15 +291,15 @@
 	}
 	action, name := s.Strategy.Decide(r.Router, r.view(), s.events.now-r.storeSeen)
 	switch action {
-	case readers.Follow:
+	case fanout.Follow:
 		if len(r.muted) == 0 {
 			r.following = r.hall.byName[name]
 		}
 		r.follow(r.hall.byName[name])
-	case readers.Read:
+	case fanout.Read:
 		r.readsStore = true
 		r.readStore()
-	case readers.Wait:
+	case fanout.Wait:
 		s.events.after(decidePause, r.decide)
 	}
 }
@@ -364,7 +364,7 @@
 		hold = snapshotPollHold
 	}
 	if other.crashed {
-		s.events.after(hold+pollGrace, func() { r.mute(other, muteTime, readers.Unreachable) })
+		s.events.after(hold+pollGrace, func() { r.mute(other, muteTime, fanout.Unreachable) })
 		return
 	}
 	settled := false
@@ -389,12 +389,12 @@
 func (r *fleetRouter) handleAnswer(other *fleetRouter) {
 	s := r.hall.sim
 	if other.crashed {
-		r.mute(other, muteTime, readers.Unreachable)
+		r.mute(other, muteTime, fanout.Unreachable)
 		return
 	}
 	switch {
 	case other.revision == 0:
-		r.mute(other, startingMuteTime, readers.Stale)
+		r.mute(other, startingMuteTime, fanout.Stale)
 	case other.revision > r.revision:
 		bytes, revision, seenAt := s.updateBytes(r.revision == 0), other.revision, other.storeSeen
 		_, end := other.uplink.send(s.events.now, bytes)
@@ -406,7 +406,7 @@
 }
 
 // mute skips another router for a time.
-func (r *fleetRouter) mute(other *fleetRouter, length time.Duration, state readers.State) {
+func (r *fleetRouter) mute(other *fleetRouter, length time.Duration, state fanout.State) {
 	r.muted[other.Name] = mutedRouter{until: r.hall.sim.events.now + length, state: state}
 	r.following = nil
 	r.decide()
@@ -432,24 +432,24 @@
 }
 
 // decideFlat makes the first router of a ranking by name read the store and all others follow it.
-func decideFlat(own readers.Router, hall []readers.Router, _ time.Duration) (readers.Action, string) {
+func decideFlat(own fanout.Router, hall []fanout.Router, _ time.Duration) (fanout.Action, string) {
 	const maxStale = 3
-	routers := append([]readers.Router{own}, hall...)
+	routers := append([]fanout.Router{own}, hall...)
 	for i := range routers {
 		routers[i].LinkMbps = 0
 	}
 	stale := 0
-	for _, router := range readers.Rank(routers) {
+	for _, router := range fanout.Rank(routers) {
 		switch {
 		case router.Name == own.Name && stale < maxStale:
-			return readers.Read, ""
+			return fanout.Read, ""
 		case router.Name == own.Name:
-			return readers.Wait, ""
-		case router.State == readers.Usable:
-			return readers.Follow, router.Name
-		case router.State == readers.Stale:
+			return fanout.Wait, ""
+		case router.State == fanout.Usable:
+			return fanout.Follow, router.Name
+		case router.State == fanout.Stale:
 			stale++
 		}
 	}
-	return readers.Wait, ""
+	return fanout.Wait, ""
 }
--- a/daemon/lab/lab.go
+++ b/daemon/lab/lab.go
@@ -1,5 +1,5 @@
 // Package lab simulates engines, loaders, routers and callers in virtual time and runs the
-// production decision packages (balance, admission, dispatch, places, ratelimit, readers) on
+// production decision packages (balance, admission, dispatch, places, ratelimit, fanout) on
 // them. A policy can be compared in seconds, without starting processes, and against an upper
 // bound computed by an oracle. The bench commands of the CLI call it.
 //
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -28,7 +28,7 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/loadfeed"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/peering"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/places"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/readers"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/fanout"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/server"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/telemetry"
@@ -182,7 +182,7 @@
 	p.routers = follower(p.provider.Prefixes.MembersOfHall(hall, ""))
 	p.routers.PollInterval = p.routersDelay
 	p.routers.QueryPeer = p.newNeighbours().FetchUpdate
-	p.routers.BootstrapPrefixes = []string{p.provider.Prefixes.MembersOfHall(hall, readers.Shard(p.current.Load().Name)), p.routers.Prefix}
+	p.routers.BootstrapPrefixes = []string{p.provider.Prefixes.MembersOfHall(hall, fanout.Shard(p.current.Load().Name)), p.routers.Prefix}
 	p.routers.BootstrapDone = p.knowsRouter
 }
 
--- a/daemon/router/limit_test.go
+++ b/daemon/router/limit_test.go
@@ -17,7 +17,7 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/broadcast"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/loadfeed"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/places"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/readers"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/fanout"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/ratelimit"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 	"github.com/wheelcleat/wheelcleat/daemon/settings"
@@ -134,7 +134,7 @@
 		await(t, "ready, and all routers listed", func() bool {
 			known := replicaOf(cfg)
 			return ready(cfg) && !slices.ContainsFunc(names, func(name string) bool {
-				return !strings.Contains(known, `"`+membersOf("hall", readers.Shard(name))+name+`"`)
+				return !strings.Contains(known, `"`+membersOf("hall", fanout.Shard(name))+name+`"`)
 			})
 		})
 	}
--- a/daemon/router/replication.go
+++ b/daemon/router/replication.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/peering"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/readers"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/fanout"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
@@ -35,7 +35,7 @@
 func (p *Process) neighbourToFollow(func(netip.AddrPort) bool) (netip.AddrPort, bool) {
 	action, name := p.readAction()
 	member := p.compiler.View().Members[name]
-	if action != readers.Follow || member == nil {
+	if action != fanout.Follow || member == nil {
 		return netip.AddrPort{}, false
 	}
 	return member.Peers, true
@@ -44,18 +44,18 @@
 // defersStoreRead reports whether this router leaves the store to other readers for now.
 func (p *Process) defersStoreRead() bool {
 	action, _ := p.readAction()
-	return action == readers.Wait
+	return action == fanout.Wait
 }
 
 // readAction decides whether this router reads the store, waits, or follows the router that it
 // returns.
-func (p *Process) readAction() (readers.Action, string) {
-	var hall []readers.Router
+func (p *Process) readAction() (fanout.Action, string) {
+	var hall []fanout.Router
 	for _, member := range p.hallMembers() {
-		hall = append(hall, readers.Router{Name: member.Name, LinkMbps: member.LinkMbps, State: p.neighbours.State(member.Peers)})
+		hall = append(hall, fanout.Router{Name: member.Name, LinkMbps: member.LinkMbps, State: p.neighbours.State(member.Peers)})
 	}
 	own := p.memberRecord()
-	return readers.Decide(readers.Router{Name: own.Name, LinkMbps: own.LinkMbps}, hall, p.follower.Status().SinceData)
+	return fanout.Decide(fanout.Router{Name: own.Name, LinkMbps: own.LinkMbps}, hall, p.follower.Status().SinceData)
 }
 
 // hallMembers returns the known routers of this hall.
@@ -80,7 +80,7 @@
 // followsPeer reports whether this router follows another one of its hall.
 func (p *Process) followsPeer() bool {
 	action, _ := p.readAction()
-	return action == readers.Follow
+	return action == fanout.Follow
 }
 
 // hasHallPeers reports whether this hall has more than one router, so that some follow others.
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -26,7 +26,7 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/places"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/helpers"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/balance"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/process/readers"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/fanout"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/server"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/telemetry"
@@ -177,7 +177,7 @@
 func (p *Process) memberRecord() provider.Member {
 	s := p.current.Load()
 	return provider.Member{
-		Name: s.Name, Hall: s.Hall, Shard: readers.Shard(s.Name), Peers: s.Listen.Peers, LinkMbps: s.Bounds.LinkMbps,
+		Name: s.Name, Hall: s.Hall, Shard: fanout.Shard(s.Name), Peers: s.Listen.Peers, LinkMbps: s.Bounds.LinkMbps,
 	}
 }
 
