--- a/cli/internal/bench/distribute.go
+++ b/cli/internal/bench/distribute.go
@@ -1,7 +1,7 @@
 // Package bench measures the distribution of versions, the control plane and the request path on
 // a fleet of real entries and agents over loopback, with stand-ins for the engines, the origin,
-// the host list and the key-value store. It also runs the simulations of package lab and prints
-// and plots their results. The bench commands of the CLI call it.
+// the host list and the key-value store. It also runs package simulation, and prints and plots the
+// results. The bench commands of the CLI call it.
 //
 // The fleet benches run in one process, so CPU and memory figures include the stand-ins and the
 // bench itself.
--- a/cli/internal/bench/fleet.go
+++ b/cli/internal/bench/fleet.go
@@ -9,17 +9,17 @@
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
 
-	"github.com/wheelcleat/wheelcleat/daemon/lab"
+	"github.com/wheelcleat/wheelcleat/daemon/simulation"
 )
 
 // RunFleets simulates fleets sequentially. It calls progress after each one, unless that is nil.
-func RunFleets(ctx context.Context, setups []lab.FleetSetup, progress func(done, all int)) ([]*lab.FleetResult, error) {
-	var results []*lab.FleetResult
+func RunFleets(ctx context.Context, setups []simulation.FleetSetup, progress func(done, all int)) ([]*simulation.FleetResult, error) {
+	var results []*simulation.FleetResult
 	for i, setup := range setups {
 		if err := ctx.Err(); err != nil {
 			return nil, fmt.Errorf("canceled: %w", err)
 		}
-		result, err := lab.RunFleet(setup)
+		result, err := simulation.RunFleet(setup)
 		if err != nil {
 			return nil, fmt.Errorf("fault %s, %d routers: %w", setup.Fault, setup.Routers, err)
 		}
@@ -32,7 +32,7 @@
 }
 
 // WriteFleetTable writes one line per result.
-func WriteFleetTable(out io.Writer, results []*lab.FleetResult) error {
+func WriteFleetTable(out io.Writer, results []*simulation.FleetResult) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(table, "fault\tspread\trouters\tloaders\tfirst s\thalf s\t99 in 100 s\tlast s\tstore calls\treaders\tregion KB\tsender KB\twasted KB\t")
 	const kilo = 1000
@@ -49,7 +49,7 @@
 
 // PlotFleets plots the time until the last router had the change against the number of routers,
 // on logarithmic axes, one line per fault and strategy.
-func PlotFleets(path string, results []*lab.FleetResult) error {
+func PlotFleets(path string, results []*simulation.FleetResult) error {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "routers", "seconds to the last router"
 	p.X.Scale, p.Y.Scale = plot.LogScale{}, plot.LogScale{}
--- a/cli/internal/bench/limit.go
+++ b/cli/internal/bench/limit.go
@@ -10,17 +10,17 @@
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
 
-	"github.com/wheelcleat/wheelcleat/daemon/lab"
+	"github.com/wheelcleat/wheelcleat/daemon/simulation"
 )
 
 // RunLimits simulates setups with limited upstreams sequentially.
-func RunLimits(ctx context.Context, setups []lab.LimitSetup) ([]*lab.LimitResult, error) {
-	var results []*lab.LimitResult
+func RunLimits(ctx context.Context, setups []simulation.LimitSetup) ([]*simulation.LimitResult, error) {
+	var results []*simulation.LimitResult
 	for _, setup := range setups {
 		if err := ctx.Err(); err != nil {
 			return nil, fmt.Errorf("canceled: %w", err)
 		}
-		result, err := lab.RunLimit(setup)
+		result, err := simulation.RunLimit(setup)
 		if err != nil {
 			return nil, fmt.Errorf("fault %s, %d routers, limit %g: %w", setup.Fault, setup.Routers, setup.PerSecond, err)
 		}
@@ -30,7 +30,7 @@
 }
 
 // WriteLimitTable writes one line per result.
-func WriteLimitTable(out io.Writer, results []*lab.LimitResult) error {
+func WriteLimitTable(out io.Writer, results []*simulation.LimitResult) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(table, "fault\trouters\tlimit\tseed\tworst\tmean\tfalls after\tback after\tserved\t")
 	for _, r := range results {
@@ -44,7 +44,7 @@
 }
 
 // PlotLimits plots the requests per second to limited upstreams, one line per run.
-func PlotLimits(path string, results []*lab.LimitResult) error {
+func PlotLimits(path string, results []*simulation.LimitResult) error {
 	p := plot.New()
 	p.X.Label.Text = "seconds since the start"
 	p.Y.Label.Text = "requests per second to limited upstreams"
--- a/cli/internal/bench/load.go
+++ b/cli/internal/bench/load.go
@@ -9,14 +9,14 @@
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
 
-	"github.com/wheelcleat/wheelcleat/daemon/lab"
+	"github.com/wheelcleat/wheelcleat/daemon/simulation"
 )
 
 // Load describes simulations of each pattern with each policy and seed.
 type Load struct {
-	Setup    lab.Setup
-	Patterns []lab.Pattern
-	Policies []lab.Policy
+	Setup    simulation.Setup
+	Patterns []simulation.Pattern
+	Policies []simulation.Policy
 	Seeds    []uint64
 	// Progress is called after each simulation; nil disables it.
 	Progress func(done, all int)
@@ -24,7 +24,7 @@
 
 // LoadResult is the mean over all seeds for one pattern and policy.
 type LoadResult struct {
-	lab.Result
+	simulation.Result
 	Seeds int `json:"seeds"`
 }
 
@@ -49,22 +49,22 @@
 }
 
 // runSeeds simulates a pattern under a policy for each seed.
-func (b *Load) runSeeds(ctx context.Context, pattern lab.Pattern, policy lab.Policy, done func(int)) (*LoadResult, error) {
-	var runs []*lab.Result
+func (b *Load) runSeeds(ctx context.Context, pattern simulation.Pattern, policy simulation.Policy, done func(int)) (*LoadResult, error) {
+	var runs []*simulation.Result
 	for _, seed := range b.Seeds {
 		if err := ctx.Err(); err != nil {
 			return nil, fmt.Errorf("canceled: %w", err)
 		}
 		setup := b.Setup
 		setup.Pattern, setup.Seed = pattern, seed
-		result, err := lab.Run(setup, policy)
+		result, err := simulation.Run(setup, policy)
 		if err != nil {
 			return nil, err
 		}
 		runs = append(runs, result)
 		done(len(runs))
 	}
-	return &LoadResult{Result: lab.Mean(runs), Seeds: len(runs)}, nil
+	return &LoadResult{Result: simulation.Mean(runs), Seeds: len(runs)}, nil
 }
 
 // WriteLoadTable writes one line per result.
@@ -92,7 +92,7 @@
 	for _, result := range results {
 		points := make(plotter.XYs, 0, len(result.WindowWorth))
 		for i, worth := range result.WindowWorth {
-			points = append(points, plotter.XY{X: float64(i) * lab.WindowLength.Seconds(), Y: worth})
+			points = append(points, plotter.XY{X: float64(i) * simulation.WindowLength.Seconds(), Y: worth})
 		}
 		lines = append(lines, fmt.Sprintf("%s, %s", result.Pattern, result.Policy), points)
 	}
--- a/cli/internal/bench/load_test.go
+++ b/cli/internal/bench/load_test.go
@@ -12,23 +12,23 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/wheelcleat/wheelcleat/cli/internal/bench"
-	"github.com/wheelcleat/wheelcleat/daemon/lab"
+	"github.com/wheelcleat/wheelcleat/daemon/simulation"
 )
 
 // TestLoadRunsAllPatternsAndPolicies checks the number of results, table lines and progress
 // calls, and that a canceled run stops.
 func TestLoadRunsAllPatternsAndPolicies(t *testing.T) {
-	setup := lab.Default()
+	setup := simulation.Default()
 	setup.Engines, setup.Rate, setup.Duration = 6, 50, 6*time.Second
-	var patterns []lab.Pattern
+	var patterns []simulation.Pattern
 	for _, name := range []string{"steady:0.5", "steady:1.2"} {
-		pattern, err := lab.ParsePattern(name)
+		pattern, err := simulation.ParsePattern(name)
 		require.NoError(t, err)
 		patterns = append(patterns, pattern)
 	}
 	done := 0
 	load := bench.Load{
-		Setup: setup, Patterns: patterns, Policies: lab.Policies()[:2], Seeds: []uint64{1, 2},
+		Setup: setup, Patterns: patterns, Policies: simulation.Policies()[:2], Seeds: []uint64{1, 2},
 		Progress: func(now, all int) { done = now; assert.Equal(t, 8, all) },
 	}
 	results, err := load.Run(context.Background())
--- a/cli/internal/command/fleet.go
+++ b/cli/internal/command/fleet.go
@@ -9,11 +9,11 @@
 	"github.com/urfave/cli/v3"
 
 	"github.com/wheelcleat/wheelcleat/cli/internal/bench"
-	"github.com/wheelcleat/wheelcleat/daemon/lab"
+	"github.com/wheelcleat/wheelcleat/daemon/simulation"
 )
 
 func benchFleetCommand() *cli.Command {
-	setup := lab.DefaultFleet()
+	setup := simulation.DefaultFleet()
 	return &cli.Command{
 		Name: "fleet", Usage: "measure how long starts and changes take to reach all routers, and the load on links and store, in simulated time",
 		Flags: []cli.Flag{
@@ -22,7 +22,7 @@
 			&cli.IntFlag{Name: "data-halls", Value: setup.Halls, Usage: "number `N` of data halls"},
 			&cli.FloatFlag{Name: "wide", Value: setup.WideShare, Usage: "`FRACTION` of routers with wide links"},
 			&cli.StringFlag{Name: "configuration-bytes", Value: strconv.Itoa(setup.ConfigurationBytes) + "B", Usage: "`SIZE` of a configuration"},
-			&cli.StringFlag{Name: "fault", Value: "all", Usage: "comma-separated `FAULTS`, or all: " + strings.Join(lab.FleetFaultNames(), ", ")},
+			&cli.StringFlag{Name: "fault", Value: "all", Usage: "comma-separated `FAULTS`, or all: " + strings.Join(simulation.FleetFaultNames(), ", ")},
 			&cli.StringFlag{Name: "spread", Value: setup.Strategy.Name, Usage: "comma-separated `MODES` of spreading changes: now, flat"},
 			&cli.StringFlag{Name: "seed", Aliases: []string{"seeds"}, Value: "1", Usage: "comma-separated `SEEDS`, one run each"},
 			&cli.BoolFlag{Name: "json", Usage: "print only JSON, one line per run"},
@@ -45,16 +45,16 @@
 }
 
 // fleetSetups returns a setup for each combination of the values of the flags.
-func fleetSetups(command *cli.Command) ([]lab.FleetSetup, error) {
+func fleetSetups(command *cli.Command) ([]simulation.FleetSetup, error) {
 	routers, err := parseList(command.String("routers"), nil, strconv.Atoi)
 	if err != nil {
 		return nil, fmt.Errorf("--routers: %w", err)
 	}
-	faults, err := parseList(command.String("fault"), lab.FleetFaultNames(), lab.FindFleetFault)
+	faults, err := parseList(command.String("fault"), simulation.FleetFaultNames(), simulation.FindFleetFault)
 	if err != nil {
 		return nil, fmt.Errorf("--fault: %w", err)
 	}
-	strategies, err := parseList(command.String("spread"), nil, lab.FindFleetStrategy)
+	strategies, err := parseList(command.String("spread"), nil, simulation.FindFleetStrategy)
 	if err != nil {
 		return nil, fmt.Errorf("--spread: %w", err)
 	}
@@ -66,12 +66,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("--configuration-bytes: %w", err)
 	}
-	var setups []lab.FleetSetup
+	var setups []simulation.FleetSetup
 	for _, fault := range faults {
 		for _, strategy := range strategies {
 			for _, count := range routers {
 				for _, seed := range seeds {
-					setup := lab.DefaultFleet()
+					setup := simulation.DefaultFleet()
 					setup.Routers, setup.Loaders = count, int(float64(count)*command.Float("loaders"))
 					setup.Halls, setup.WideShare = command.Int("data-halls"), command.Float("wide")
 					setup.ConfigurationBytes = int(bytes)
--- a/cli/internal/command/fleet_test.go
+++ b/cli/internal/command/fleet_test.go
@@ -6,13 +6,13 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"github.com/wheelcleat/wheelcleat/daemon/lab"
+	"github.com/wheelcleat/wheelcleat/daemon/simulation"
 )
 
 // TestBenchFleetPrintsResultOfEachRun also checks that errors name the invalid flag.
 func TestBenchFleetPrintsResultOfEachRun(t *testing.T) {
 	args := []string{"bench", "fleet", "--routers", "10,20", "--data-halls", "2", "--fault", "start,change", "--spread", "now,flat"}
-	for _, result := range runTableAndJSON[lab.FleetResult](t, args, 2*2*2) {
+	for _, result := range runTableAndJSON[simulation.FleetResult](t, args, 2*2*2) {
 		assert.Positive(t, result.LastSeconds, "the configuration must reach all routers in each mode")
 	}
 	checkFlagErrors(t, "fleet", map[string]string{
--- a/cli/internal/command/limit.go
+++ b/cli/internal/command/limit.go
@@ -9,11 +9,11 @@
 	"github.com/urfave/cli/v3"
 
 	"github.com/wheelcleat/wheelcleat/cli/internal/bench"
-	"github.com/wheelcleat/wheelcleat/daemon/lab"
+	"github.com/wheelcleat/wheelcleat/daemon/simulation"
 )
 
 func benchLimitCommand() *cli.Command {
-	setup := lab.DefaultLimit()
+	setup := simulation.DefaultLimit()
 	return &cli.Command{
 		Name: "limit", Usage: "measure the request rate at upstreams with rate limits while parts of the fleet fail, in simulated time",
 		Flags: []cli.Flag{
@@ -22,7 +22,7 @@
 			&cli.IntFlag{Name: "upstreams", Value: setup.Upstreams, Usage: "number `N` of upstreams, one in three of them with a rate limit"},
 			&cli.FloatFlag{Name: "rate", Value: setup.Rate, Usage: "`N` requests per second of all callers together"},
 			&cli.StringFlag{Name: "limit", Value: "2", Usage: "comma-separated `LIMITS` in requests per second, such as 0.2,1,5,50"},
-			&cli.StringFlag{Name: "fault", Value: "none", Usage: "comma-separated `FAULTS`, or all: " + strings.Join(lab.LimitFaultNames(), ", ")},
+			&cli.StringFlag{Name: "fault", Value: "none", Usage: "comma-separated `FAULTS`, or all: " + strings.Join(simulation.LimitFaultNames(), ", ")},
 			&cli.StringFlag{Name: "seed", Aliases: []string{"seeds"}, Value: "1", Usage: "comma-separated `SEEDS`, one run each"},
 			&cli.BoolFlag{Name: "json", Usage: "print only JSON, one line per run"},
 			&cli.StringFlag{Name: "plot", Usage: "plot the request rate at the limited upstreams over time to `FILE.png`"},
@@ -44,7 +44,7 @@
 }
 
 // limitSetups returns a setup for each combination of the values of the flags.
-func limitSetups(command *cli.Command) ([]lab.LimitSetup, error) {
+func limitSetups(command *cli.Command) ([]simulation.LimitSetup, error) {
 	routers, err := parseList(command.String("routers"), nil, strconv.Atoi)
 	if err != nil {
 		return nil, fmt.Errorf("--routers: %w", err)
@@ -53,7 +53,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("--limit: %w", err)
 	}
-	faults, err := parseList(command.String("fault"), lab.LimitFaultNames(), lab.FindLimitFault)
+	faults, err := parseList(command.String("fault"), simulation.LimitFaultNames(), simulation.FindLimitFault)
 	if err != nil {
 		return nil, fmt.Errorf("--fault: %w", err)
 	}
@@ -61,12 +61,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("--seed: %w", err)
 	}
-	var setups []lab.LimitSetup
+	var setups []simulation.LimitSetup
 	for _, count := range routers {
 		for _, perSecond := range limits {
 			for _, fault := range faults {
 				for _, seed := range seeds {
-					setups = append(setups, lab.LimitSetup{
+					setups = append(setups, simulation.LimitSetup{
 						Routers: count, Halls: command.Int("data-halls"), Upstreams: command.Int("upstreams"),
 						PerSecond: perSecond, Rate: command.Float("rate"), Fault: fault, Seed: seed,
 					})
--- a/cli/internal/command/load.go
+++ b/cli/internal/command/load.go
@@ -12,14 +12,14 @@
 	"github.com/urfave/cli/v3"
 
 	"github.com/wheelcleat/wheelcleat/cli/internal/bench"
-	"github.com/wheelcleat/wheelcleat/daemon/lab"
+	"github.com/wheelcleat/wheelcleat/daemon/simulation"
 )
 
 // progressInterval is the minimum interval between progress messages.
 const progressInterval = 2 * time.Second
 
 func benchLoadCommand() *cli.Command {
-	setup := lab.Default()
+	setup := simulation.Default()
 	return &cli.Command{
 		Name: "load", Usage: "compare routing policies under load with the theoretical optimum, in simulated time",
 		Flags: []cli.Flag{
@@ -29,8 +29,8 @@
 			&cli.FloatFlag{Name: "rate", Value: setup.Rate, Usage: "`N` callers per second at level 1 of a pattern"},
 			&cli.DurationFlag{Name: "length", Value: setup.Duration, Usage: "`DURATION` of the arrivals"},
 			&cli.FloatFlag{Name: "patience", Value: setup.DeadlineSpread, Usage: "`FRACTION` by which the deadlines of callers vary"},
-			&cli.StringFlag{Name: "pattern", Value: "steady:1,steady:1.25,burst", Usage: "comma-separated `PATTERNS`, with a level as in steady:1.25, or all: " + strings.Join(lab.PatternNames(), ", ")},
-			&cli.StringFlag{Name: "policy", Value: "now", Usage: "comma-separated `POLICIES`, or all: " + strings.Join(lab.PolicyNames(), ", ")},
+			&cli.StringFlag{Name: "pattern", Value: "steady:1,steady:1.25,burst", Usage: "comma-separated `PATTERNS`, with a level as in steady:1.25, or all: " + strings.Join(simulation.PatternNames(), ", ")},
+			&cli.StringFlag{Name: "policy", Value: "now", Usage: "comma-separated `POLICIES`, or all: " + strings.Join(simulation.PolicyNames(), ", ")},
 			&cli.StringFlag{Name: "seed", Aliases: []string{"seeds"}, Value: "1", Usage: "comma-separated `SEEDS`; results are averaged over them"},
 			&cli.BoolFlag{Name: "json", Usage: "print only JSON, one line per pattern and policy"},
 			&cli.StringFlag{Name: "plot", Usage: "plot the value served over time to `FILE.png`"},
@@ -85,14 +85,14 @@
 
 // loadConfig returns the benchmark that the flags configure.
 func loadConfig(command *cli.Command) (*bench.Load, error) {
-	load := &bench.Load{Setup: lab.Default()}
+	load := &bench.Load{Setup: simulation.Default()}
 	load.Setup.Engines, load.Setup.Routers, load.Setup.Halls = command.Int("engines"), command.Int("routers"), command.Int("data-halls")
 	load.Setup.Rate, load.Setup.Duration, load.Setup.DeadlineSpread = command.Float("rate"), command.Duration("length"), command.Float("patience")
 	var err error
-	if load.Patterns, err = parseList(command.String("pattern"), lab.PatternNames(), lab.ParsePattern); err != nil {
+	if load.Patterns, err = parseList(command.String("pattern"), simulation.PatternNames(), simulation.ParsePattern); err != nil {
 		return nil, fmt.Errorf("--pattern: %w", err)
 	}
-	if load.Policies, err = parseList(command.String("policy"), lab.PolicyNames(), lab.FindPolicy); err != nil {
+	if load.Policies, err = parseList(command.String("policy"), simulation.PolicyNames(), simulation.FindPolicy); err != nil {
 		return nil, fmt.Errorf("--policy: %w", err)
 	}
 	if load.Seeds, err = parseList(command.String("seed"), nil, parseSeed); err != nil {
--- a/cli/internal/command/load_test.go
+++ b/cli/internal/command/load_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/wheelcleat/wheelcleat/cli/internal/bench"
-	"github.com/wheelcleat/wheelcleat/daemon/lab"
+	"github.com/wheelcleat/wheelcleat/daemon/simulation"
 )
 
 // runTableAndJSON runs a benchmark twice: once with table output, and once with JSON output and a
@@ -63,7 +63,7 @@
 // TestBenchLimitPrintsResultOfEachRun also checks that errors name the invalid flag.
 func TestBenchLimitPrintsResultOfEachRun(t *testing.T) {
 	args := []string{"bench", "limit", "--routers", "3,5", "--limit", "1,2", "--fault", "none,plain", "--rate", "30"}
-	for _, result := range runTableAndJSON[lab.LimitResult](t, args, 2*2*2) {
+	for _, result := range runTableAndJSON[simulation.LimitResult](t, args, 2*2*2) {
 		assert.Positive(t, result.ServedShare)
 	}
 	checkFlagErrors(t, "limit", map[string]string{"--routers": "x", "--limit": "-1", "--fault": "flood", "--seed": "one"})
--- a/daemon/lab/limit.go
+++ b/daemon/simulation/limit.go
@@ -1,4 +1,4 @@
-package lab
+package simulation
 
 import (
 	"fmt"
--- a/daemon/lab/lab.go
+++ b/daemon/simulation/simulation.go
@@ -1,16 +1,17 @@
-// Package lab simulates engines, loaders, routers and callers in virtual time and runs the
-// production decision packages (balance, admission, dispatch, places, ratelimit, fanout) on
-// them. A policy can be compared in seconds, without starting processes, and against an upper
-// bound computed by an oracle. The bench commands of the CLI call it.
+// Package simulation runs the production decision packages (balance, admission, dispatch, places,
+// ratelimit, fanout) in virtual time on simulated engines, loaders, routers and callers. A policy
+// can be compared in seconds, without starting processes, and against an upper bound computed by
+// an oracle. The bench commands of the CLI call it.
 //
-// The simulation covers batching engines, loaders that grant places and report load with a delay,
-// routers that request places, and callers with varying arrival rates and deadlines that retry
-// once after a refusal. A place is one execution slot of an engine. Networks, stores, processor
-// time and plain upstreams are not modelled.
+// Run simulates batching engines, loaders that grant places and report load with a delay, routers
+// that request places, and callers with varying arrival rates and deadlines that retry once after
+// a refusal. A place is one execution slot of an engine. RunLimit simulates upstreams that announce
+// rate limits, and RunFleet the propagation of a configuration to all routers. Only RunFleet models
+// the store and the rates of links. Processor time is not modelled.
 //
 // A run is deterministic for a given seed. The daemons' HTTP handlers are not run under the
 // virtual clock, because they block in goroutines whose order it cannot control.
-package lab
+package simulation
 
 import (
 	"errors"
--- a/daemon/lab/lab_test.go
+++ b/daemon/simulation/simulation_test.go
@@ -1,4 +1,4 @@
-package lab_test
+package simulation_test
 
 import (
 	"testing"
@@ -7,29 +7,29 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"github.com/wheelcleat/wheelcleat/daemon/lab"
+	"github.com/wheelcleat/wheelcleat/daemon/simulation"
 )
 
 // simulate runs a third of the default fleet and returns the mean of two seeds.
-func simulate(t *testing.T, pattern, policy string) lab.Result {
+func simulate(t *testing.T, pattern, policy string) simulation.Result {
 	t.Helper()
 	const seeds = 2
-	var runs []*lab.Result
+	var runs []*simulation.Result
 	for seed := range uint64(seeds) {
-		setup := lab.Default()
+		setup := simulation.Default()
 		setup.Engines, setup.Routers, setup.Rate = setup.Engines/3, setup.Routers/3, setup.Rate/3
 		setup.Duration = 20 * time.Second
 		var err error
-		setup.Pattern, err = lab.ParsePattern(pattern)
+		setup.Pattern, err = simulation.ParsePattern(pattern)
 		require.NoError(t, err)
 		setup.Seed = seed + 1
-		chosen, err := lab.FindPolicy(policy)
+		chosen, err := simulation.FindPolicy(policy)
 		require.NoError(t, err)
-		result, err := lab.Run(setup, chosen)
+		result, err := simulation.Run(setup, chosen)
 		require.NoError(t, err)
 		runs = append(runs, result)
 	}
-	mean := lab.Mean(runs)
+	mean := simulation.Mean(runs)
 	t.Logf("%s, %s: worth %.3f (best %.3f), in time %.3f, late %.3f, refused %.3f, refused twice %.3f",
 		pattern, policy, mean.Worth, mean.OracleWorth, mean.InTime, mean.Late, mean.Refused, mean.RefusedTwice)
 	return mean
@@ -75,7 +75,7 @@
 // TestWorthStaysBelowOracle checks that no run exceeds the upper bound, that shares add up, and
 // that half load is served in full.
 func TestWorthStaysBelowOracle(t *testing.T) {
-	for _, pattern := range lab.PatternNames() {
+	for _, pattern := range simulation.PatternNames() {
 		r := simulate(t, pattern, "now")
 		assert.LessOrEqual(t, r.Worth, r.OracleWorth, pattern)
 		assert.LessOrEqual(t, r.OracleInOrderWorth, r.OracleWorth+1e-9, pattern)
@@ -87,23 +87,23 @@
 
 // TestInvalidSetupsAreRejected covers setups, patterns and policy names.
 func TestInvalidSetupsAreRejected(t *testing.T) {
-	changes := map[string]func(*lab.Setup){
-		"no engines":           func(s *lab.Setup) { s.Engines = 0 },
-		"no places":            func(s *lab.Setup) { s.Engine.Places = 0 },
-		"no callers":           func(s *lab.Setup) { s.Rate = 0 },
-		"only warm-up":         func(s *lab.Setup) { s.Duration = time.Second },
-		"deadline spread of 1": func(s *lab.Setup) { s.DeadlineSpread = 1 },
+	changes := map[string]func(*simulation.Setup){
+		"no engines":           func(s *simulation.Setup) { s.Engines = 0 },
+		"no places":            func(s *simulation.Setup) { s.Engine.Places = 0 },
+		"no callers":           func(s *simulation.Setup) { s.Rate = 0 },
+		"only warm-up":         func(s *simulation.Setup) { s.Duration = time.Second },
+		"deadline spread of 1": func(s *simulation.Setup) { s.DeadlineSpread = 1 },
 	}
 	for name, change := range changes {
-		setup := lab.Default()
+		setup := simulation.Default()
 		change(&setup)
-		_, err := lab.Run(setup, lab.Policy{})
-		require.ErrorIs(t, err, lab.ErrSetup, name)
+		_, err := simulation.Run(setup, simulation.Policy{})
+		require.ErrorIs(t, err, simulation.ErrSetup, name)
 	}
 	for _, text := range []string{"", "flat", "steady:", "steady:0", "steady:x", "steady:1000", "steady:NaN"} {
-		_, err := lab.ParsePattern(text)
+		_, err := simulation.ParsePattern(text)
 		require.Error(t, err, text)
 	}
-	_, err := lab.FindPolicy("best")
+	_, err := simulation.FindPolicy("best")
 	require.Error(t, err)
 }
