--- a/daemon/internal/process/fanout/fanout_test.go
+++ b/daemon/internal/process/fanout/fanout_test.go
@@ -65,7 +65,7 @@
 		routers := hall(rapid.IntRange(1, 20).Draw(t, "routers"))
 		reachable := 0
 		for i := range routers {
-			if rapid.Bool().Draw(t, "gone") {
+			if rapid.Bool().Draw(t, "unreachable") {
 				routers[i].State = fanout.Unreachable
 				continue
 			}
@@ -194,7 +194,7 @@
 func TestFollowersReplaceUnreachableRelays(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		routers := hall(117)
-		for _, router := range fanout.Rank(routers)[:rapid.IntRange(0, 20).Draw(t, "gone")] {
+		for _, router := range fanout.Rank(routers)[:rapid.IntRange(0, 20).Draw(t, "unreachable")] {
 			for i := range routers {
 				if routers[i].Name == router.Name {
 					routers[i].State = fanout.Unreachable
--- a/daemon/internal/process/members/members.go
+++ b/daemon/internal/process/members/members.go
@@ -38,7 +38,7 @@
 
 // Table holds one record per agent. The zero value is empty and ready to use.
 //
-// Lock order: mu is the only lock, and no callback is called under it.
+// Lock order: mu is the only lock. Now is called under it.
 type Table struct {
 	// Now is the clock; nil means clock.Now.
 	Now func() time.Time
--- a/daemon/internal/process/placement/plan_test.go
+++ b/daemon/internal/process/placement/plan_test.go
@@ -59,14 +59,14 @@
 	require.Fail(t, "the plan does not converge")
 }
 
-// serving returns the manifest of each host of service "s".
-func (h *hall) serving() map[string]string {
-	serving := map[string]string{}
+// assignedManifests returns the manifest that each host of service "s" is to serve, by host.
+func (h *hall) assignedManifests() map[string]string {
+	manifests := map[string]string{}
 	placed := h.document.FindService("s")
 	for _, host := range placed.Hosts {
-		serving[host.Name] = placed.Manifest(host.VersionIndex)
+		manifests[host.Name] = placed.Manifest(host.VersionIndex)
 	}
-	return serving
+	return manifests
 }
 
 func TestFirstPlacement(t *testing.T) {
@@ -101,7 +101,7 @@
 	h.targets[0].Version = version("v2")
 	h.plan()
 	updated := 0
-	for _, manifest := range h.serving() {
+	for _, manifest := range h.assignedManifests() {
 		if manifest == version("v2").Manifest {
 			updated++
 		}
@@ -110,7 +110,7 @@
 	h.applyAssignments("a", "b", "c", "d")
 	assert.Empty(t, h.plan(), "the second wave opens only after the first is ready")
 	h.settle(t)
-	for host, manifest := range h.serving() {
+	for host, manifest := range h.assignedManifests() {
 		assert.Equal(t, version("v2").Manifest, manifest, host)
 	}
 	assert.Len(t, h.document.FindService("s").Versions, 2, "the previous version is kept for a rollback")
@@ -138,16 +138,16 @@
 	placed := h.document.FindService("s")
 	assert.Equal(t, "a: out of memory", placed.Halted)
 	assert.Equal(t, 1, placed.OpenWave)
-	assert.Equal(t, version("v1").Manifest, h.serving()["d"], "later waves keep the previous version")
+	assert.Equal(t, version("v1").Manifest, h.assignedManifests()["d"], "later waves keep the previous version")
 
 	h.hosts[3].KeepAssignment = false
 	h.hosts = append(h.hosts, liveHosts("e")...)
 	h.settle(t, "a")
-	assert.Equal(t, version("v1").Manifest, h.serving()["e"], "a replacement must not get the target of a halted rollout")
+	assert.Equal(t, version("v1").Manifest, h.assignedManifests()["e"], "a replacement must not get the target of a halted rollout")
 
 	h.targets[0].Version = version("v1")
 	h.settle(t)
-	for host, manifest := range h.serving() {
+	for host, manifest := range h.assignedManifests() {
 		assert.Equal(t, version("v1").Manifest, manifest, host)
 	}
 	assert.Empty(t, h.document.FindService("s").Halted)
@@ -192,13 +192,13 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"declare": declare,
-			"obey": func(t *rapid.T) {
-				h.applyAssignments(rapid.SampledFrom([]string{"h0", "h3", ""}).Draw(t, "but"))
+			"hosts apply assignments": func(t *rapid.T) {
+				h.applyAssignments(rapid.SampledFrom([]string{"h0", "h3", ""}).Draw(t, "except"))
 			},
 			"host changes": func(t *rapid.T) {
 				host := &h.hosts[rapid.IntRange(0, len(h.hosts)-1).Draw(t, "host")]
 				host.KeepAssignment = rapid.Bool().Draw(t, "keep")
-				host.Assignable = host.KeepAssignment && rapid.Bool().Draw(t, "take")
+				host.Assignable = host.KeepAssignment && rapid.Bool().Draw(t, "assignable")
 				if !host.KeepAssignment {
 					host.ReadyManifest, host.ReadyService, host.FailedManifest = "", "", ""
 				}
--- a/daemon/router/crash_test.go
+++ b/daemon/router/crash_test.go
@@ -34,7 +34,7 @@
 }
 
 // crashingBody is the body of the request that crashes upstreams.
-const crashingBody = "deadly"
+const crashingBody = "crash"
 
 func startCrashingUpstream(t *testing.T, id string) *crashingUpstream {
 	t.Helper()
@@ -192,7 +192,7 @@
 	t.Helper()
 	f.attempts++
 	crashed := f.crashes()
-	got := call(t, cfg, fmt.Sprint("deadly-", f.attempts), "POST", target, crashingBody)
+	got := call(t, cfg, fmt.Sprint("crashing-", f.attempts), "POST", target, crashingBody)
 	assert.False(t, got.err == nil && got.status == http.StatusOK, "%+v", got)
 	if crashed >= 3 {
 		assert.Equal(t, http.StatusServiceUnavailable, got.status, "not run")
@@ -204,12 +204,12 @@
 	for _, u := range f.upstreams {
 		u.restart(t)
 	}
-	innocent := call(t, cfg, fmt.Sprint("innocent-", f.attempts), "POST", "/safe/x", "innocent")
-	assert.Equal(t, http.StatusOK, innocent.status)
+	unrelated := call(t, cfg, fmt.Sprint("unrelated-", f.attempts), "POST", "/safe/x", "unrelated")
+	assert.Equal(t, http.StatusOK, unrelated.status)
 }
 
-// TestNewRoutersReceiveQuarantine starts a router that has only the record in the store, and one
-// that has only its peers.
+// TestNewRoutersReceiveQuarantine starts a router that can read the record only from the store,
+// and one that can receive it only from a peer.
 func TestNewRoutersReceiveQuarantine(t *testing.T) {
 	f := startCrashFleet(t)
 	for _, cfg := range f.routers {
@@ -221,12 +221,12 @@
 	another := &testStore{}
 	another.configure(baseConfiguration(1))
 	another.put("q/x", f.storedSuspect())
-	alone := startRouterIn(t, another, "third", "r4")
+	fromStore := startRouterIn(t, another, "third", "r4")
 	f.store.unreachable.Store("r5", true)
-	seeded := startRouterIn(t, f.store, "third", "r5", f.routers[2].Listen.Peers)
-	for _, cfg := range []settings.Router{alone, seeded} {
+	fromPeer := startRouterIn(t, f.store, "third", "r5", f.routers[2].Listen.Peers)
+	for _, cfg := range []settings.Router{fromStore, fromPeer} {
 		await(t, "ready, with all crashes received", func() bool { return ready(cfg) && crashesListedBy(cfg) == 3 })
-		got := call(t, cfg, "deadly", "POST", "/safe/x", crashingBody)
+		got := call(t, cfg, "crashing", "POST", "/safe/x", crashingBody)
 		assert.Equal(t, http.StatusServiceUnavailable, got.status)
 		assert.Empty(t, got.header.Get("Retry-After"))
 	}
@@ -264,7 +264,7 @@
 		return answer.StatusCode
 	}
 	name := known.Notes[0].Content.String()
-	assert.Equal(t, http.StatusBadRequest, lift("odd"))
+	assert.Equal(t, http.StatusBadRequest, lift("not-a-digest"))
 	assert.Equal(t, http.StatusNoContent, lift(name))
 	assert.Equal(t, http.StatusNotFound, lift(name), "already lifted")
 	for _, cfg := range f.routers {
--- a/daemon/router/fixture_test.go
+++ b/daemon/router/fixture_test.go
@@ -54,8 +54,8 @@
 		EncodeMember: func(member provider.Member) provider.Put {
 			return provider.Put{Key: membersOf(member.Hall, member.Shard) + member.Name, Value: encodeRecord(provider.Record{Member: &member})}
 		},
-		EncodeSuspect: func(content string, note []byte) provider.Put {
-			return provider.Put{Key: "q/" + content, Value: encodeRecord(provider.Record{Suspect: note})}
+		EncodeSuspect: func(content string, report []byte) provider.Put {
+			return provider.Put{Key: "q/" + content, Value: encodeRecord(provider.Record{Suspect: report})}
 		},
 	}
 }
@@ -89,8 +89,8 @@
 		return nil
 	}
 	list := func(_ context.Context, prefix string) (provider.Listing, error) {
-		items, at := s.kv.List(prefix)
-		listing := provider.Listing{Revision: provider.Revision(at)}
+		items, revision := s.kv.List(prefix)
+		listing := provider.Listing{Revision: provider.Revision(revision)}
 		for _, item := range items {
 			listing.Entries = append(listing.Entries, provider.Entry{Key: item.Key, Value: item.Value, Revision: provider.Revision(item.Revision)})
 		}
@@ -133,12 +133,12 @@
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
 	for {
-		events, at, changed, kept := s.kv.EventsAfter(prefix, uint64(after))
+		events, revision, changed, kept := s.kv.EventsAfter(prefix, uint64(after))
 		if !kept {
 			return provider.Listing{}, provider.ErrCompacted
 		}
 		if len(events) > 0 {
-			listing := provider.Listing{Revision: provider.Revision(at)}
+			listing := provider.Listing{Revision: provider.Revision(revision)}
 			for _, event := range events {
 				listing.Entries = append(listing.Entries, provider.Entry{
 					Key: event.Key, Value: event.Value, Revision: provider.Revision(event.Revision), Deleted: event.Deleted,
@@ -149,7 +149,7 @@
 		select {
 		case <-changed:
 		case <-timeout.C:
-			return provider.Listing{Revision: provider.Revision(at)}, nil
+			return provider.Listing{Revision: provider.Revision(revision)}, nil
 		case <-ctx.Done():
 			return provider.Listing{}, ctx.Err()
 		}
--- a/daemon/router/limit_test.go
+++ b/daemon/router/limit_test.go
@@ -132,9 +132,9 @@
 	}
 	for _, cfg := range f.routers {
 		await(t, "ready, and all routers listed", func() bool {
-			known := replicaOf(cfg)
+			replica := replicaOf(cfg)
 			return ready(cfg) && !slices.ContainsFunc(names, func(name string) bool {
-				return !strings.Contains(known, `"`+membersOf("hall", fanout.Shard(name))+name+`"`)
+				return !strings.Contains(replica, `"`+membersOf("hall", fanout.Shard(name))+name+`"`)
 			})
 		})
 	}
--- a/daemon/router/recorder.go
+++ b/daemon/router/recorder.go
@@ -124,8 +124,8 @@
 func (r *recorder) verdict(c verdictChange, from source, peer netip.AddrPort) {
 	r.scope.Tagged(map[string]string{"verdict": c.after.String()}).Counter("content_verdicts").Inc(1)
 	fields := log.Fields{
-		fieldDecision: "quarantine", "content": c.known.Content, "verdict": c.after.String(), "before": c.before.String(),
-		"ends": c.known.Crashes, "from": from,
+		fieldDecision: "quarantine", "content": c.merged.Content, "verdict": c.after.String(), "before": c.before.String(),
+		"ends": c.merged.Crashes, "from": from,
 	}
 	if peer.IsValid() {
 		fields["peer"] = peer
--- a/daemon/router/stop_test.go
+++ b/daemon/router/stop_test.go
@@ -35,13 +35,13 @@
 	require.NoError(t, p.Start())
 	await(t, "ready", func() bool { return ready(cfg) })
 
-	ended := make(chan struct{})
-	changing := make(chan struct{})
+	stopped := make(chan struct{})
+	changesEnded := make(chan struct{})
 	go func() {
-		defer close(changing)
+		defer close(changesEnded)
 		for i := 0; ; i++ {
 			select {
-			case <-ended:
+			case <-stopped:
 				return
 			default:
 			}
@@ -51,20 +51,20 @@
 		}
 	}()
 	go func() {
-		defer close(ended)
+		defer close(stopped)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		_ = p.Stop(ctx)
 	}()
 	await(t, "the stop ends", func() bool {
 		select {
-		case <-ended:
+		case <-stopped:
 			return true
 		default:
 			return false
 		}
 	})
-	<-changing
+	<-changesEnded
 }
 
 // TestStopAnswersHangingRequests guards against cutting a caller whose upstream hangs: the caller
--- a/daemon/router/suspects.go
+++ b/daemon/router/suspects.go
@@ -32,16 +32,15 @@
 	suspectWriteRetryDelay = 3 * time.Second
 )
 
-// source is the origin of an update of a content or of a limit.
+// source is the origin of a crash report or of a limit.
 type source string
 
-// The sources.
 const (
 	sourceLocal  source = "own"    // a broken connection or an answer that this router received
 	sourceRouter source = "router" // a notification from another router
 	sourceAnswer source = "answer" // another router's answer to a notification
 	sourceStore  source = "store"
-	sourceLifted source = "lifted" // an operator lifted the quarantine
+	sourceLifted source = "lifted" // an operator who lifted the quarantine
 	sourceLoader source = "loader" // the answer of the loader beside the engine
 )
 
@@ -74,9 +73,10 @@
 
 // verdictChange is the effect of a crash report on the verdict on its content.
 type verdictChange struct {
-	// before and after are the verdicts, and known is the resulting report.
+	// before and after are the verdicts, and merged is the report after the
+	// merge.
 	before, after quarantine.Verdict
-	known         quarantine.Report
+	merged        quarantine.Report
 	// wasQuarantined is set if the content had been quarantined before the report.
 	wasQuarantined bool
 }
@@ -88,7 +88,7 @@
 	now := clock.Now()
 	c := verdictChange{before: s.table.Verdict(report.Content, now), wasQuarantined: s.table.Report(report.Content).ReachesQuarantine()}
 	updated := s.table.Merge(report, now)
-	c.after, c.known = s.table.Verdict(report.Content, now), s.table.Report(report.Content)
+	c.after, c.merged = s.table.Verdict(report.Content, now), s.table.Report(report.Content)
 	return c, updated && c.before != c.after
 }
 
--- a/daemon/simulation/fleet.go
+++ b/daemon/simulation/fleet.go
@@ -152,7 +152,7 @@
 		return nil, err
 	}
 	s := newFleetSim(setup)
-	s.begin()
+	s.scheduleFault()
 	s.events.runUntil(s.faultAt+maxFleetRun, s.done)
 	return s.result(), nil
 }
@@ -196,9 +196,9 @@
 	return s
 }
 
-// begin schedules the fault. Unless the fault is a start, the fleet starts first, and the fault
-// follows once it has settled.
-func (s *fleetSim) begin() {
+// scheduleFault schedules the fault. Unless that is a start, the fleet starts first, and the fault
+// follows once the fleet has settled.
+func (s *fleetSim) scheduleFault() {
 	const settleTime = 6 * time.Second
 	s.store.revision = 1
 	listed := s.Fault == FleetPowerCycle
@@ -218,7 +218,8 @@
 	})
 }
 
-// startAll starts all processes at random times within a short interval.
+// startAll starts all processes at random times within a short interval. If listed is set, the
+// store already lists the routers.
 func (s *fleetSim) startAll(listed bool) {
 	const startSpread = 300 * time.Millisecond
 	for index, hall := range s.halls {
--- a/daemon/simulation/fleet_model.go
+++ b/daemon/simulation/fleet_model.go
@@ -367,12 +367,12 @@
 		s.events.after(hold+pollGrace, func() { r.mute(other, muteTime, fanout.Unreachable) })
 		return
 	}
-	settled := false
+	answered := false
 	answer := func() {
-		if settled || r.crashed {
+		if answered || r.crashed {
 			return
 		}
-		settled = true
+		answered = true
 		r.handleAnswer(other)
 	}
 	s.events.after(hallDelay, func() {
