--- a/daemon/router/suspects.go
+++ b/daemon/router/suspects.go
@@ -73,8 +73,7 @@
 
 // verdictChange is the effect of a crash report on the verdict on its content.
 type verdictChange struct {
-	// before and after are the verdicts, and merged is the report after the
-	// merge.
+	// before and after are the verdicts, and merged is the report after the merge.
 	before, after quarantine.Verdict
 	merged        quarantine.Report
 	// wasQuarantined is set if the content had been quarantined before the report.
