--- a/daemon/router/stop_test.go
+++ b/daemon/router/stop_test.go
@@ -19,7 +19,7 @@
 // TestStopCompletesWhileEnginesChange guards against a stop that hangs: an update of the store
 // during the stop must not start load feeds that nothing stops.
 func TestStopCompletesWhileEnginesChange(t *testing.T) {
-	s := &environment{}
+	s := &testStore{}
 	configuration := baseConfiguration(1)
 	configuration.Services = []provider.Service{{Name: "s", Engine: &provider.EngineSpec{Model: "m", Places: 4}}}
 	s.configure(configuration)
@@ -35,13 +35,13 @@
 	require.NoError(t, p.Start())
 	await(t, "ready", func() bool { return ready(cfg) })
 
-	ended := make(chan struct{})
-	changing := make(chan struct{})
+	stopped := make(chan struct{})
+	changesEnded := make(chan struct{})
 	go func() {
-		defer close(changing)
+		defer close(changesEnded)
 		for i := 0; ; i++ {
 			select {
-			case <-ended:
+			case <-stopped:
 				return
 			default:
 			}
@@ -51,20 +51,20 @@
 		}
 	}()
 	go func() {
-		defer close(ended)
+		defer close(stopped)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		_ = p.Stop(ctx)
 	}()
 	await(t, "the stop ends", func() bool {
 		select {
-		case <-ended:
+		case <-stopped:
 			return true
 		default:
 			return false
 		}
 	})
-	<-changing
+	<-changesEnded
 }
 
 // TestStopAnswersHangingRequests guards against cutting a caller whose upstream hangs: the caller
@@ -78,7 +78,7 @@
 	for name, target := range map[string]string{"may run once": "/unsafe/x", "may run again": "/safe/x", "a stream": "/stream/x"} {
 		t.Run(name, func(t *testing.T) {
 			reached = make(chan struct{})
-			s := &environment{}
+			s := &testStore{}
 			s.configure(baseConfiguration(1))
 			u := startUpstream(t, "u1", hang)
 			s.list(u.record())
--- a/daemon/lab/lab.go
+++ b/daemon/simulation/simulation.go
@@ -1,16 +1,17 @@
-// Package lab simulates engines, loaders, routers and callers in virtual time and runs the
-// production decision packages (balance, admission, dispatch, places, ratelimit, readers) on
-// them. A policy can be compared in seconds, without starting processes, and against an upper
-// bound computed by an oracle. The bench commands of the CLI call it.
+// Package simulation runs the production decision packages (balance, admission, dispatch, places,
+// ratelimit, fanout) in virtual time on simulated engines, loaders, routers and callers. A policy
+// can be compared in seconds, without starting processes, and against an upper bound computed by
+// an oracle. The bench commands of the CLI call it.
 //
-// The simulation covers batching engines, loaders that grant places and report load with a delay,
-// routers that request places, and callers with varying arrival rates and deadlines that retry
-// once after a refusal. A place is one execution slot of an engine. Networks, stores, processor
-// time and plain upstreams are not modelled.
+// Run simulates batching engines, loaders that grant places and report load with a delay, routers
+// that request places, and callers with varying arrival rates and deadlines that retry once after
+// a refusal. A place is one execution slot of an engine. RunLimit simulates upstreams that announce
+// rate limits, and RunFleet the propagation of a configuration to all routers. Only RunFleet models
+// the store and the rates of links. Processor time is not modelled.
 //
 // A run is deterministic for a given seed. The daemons' HTTP handlers are not run under the
 // virtual clock, because they block in goroutines whose order it cannot control.
-package lab
+package simulation
 
 import (
 	"errors"
@@ -62,8 +63,8 @@
 	return nil
 }
 
-// simulation is the state of one run.
-type simulation struct {
+// loadSim is the state of one run.
+type loadSim struct {
 	Setup
 	policy      Policy
 	isRetry     retryDetector
@@ -79,14 +80,14 @@
 // unset.
 var epoch = time.Unix(1_000_000, 0)
 
-func (s *simulation) now() time.Time { return epoch.Add(s.events.now) }
+func (s *loadSim) now() time.Time { return epoch.Add(s.events.now) }
 
 // Run simulates a setup under a policy.
 func Run(setup Setup, policy Policy) (*Result, error) {
 	if err := setup.validate(); err != nil {
 		return nil, err
 	}
-	s := &simulation{
+	s := &loadSim{
 		Setup: setup, policy: policy, isRetry: policy.newDetector(),
 		arrivalRand: rand.New(rand.NewPCG(setup.Seed, 1)), rng: rand.New(rand.NewPCG(setup.Seed, 2)),
 	}
@@ -104,7 +105,7 @@
 }
 
 // scheduleArrivals draws the arrival of each caller and schedules its first request.
-func (s *simulation) scheduleArrivals() {
+func (s *loadSim) scheduleArrivals() {
 	for at := time.Duration(0); at < s.Duration; {
 		rate := s.Rate * s.Pattern.rate(at)
 		at += time.Duration(s.arrivalRand.ExpFloat64() / max(rate, 1) * float64(time.Second))
@@ -115,13 +116,13 @@
 }
 
 // submit sends a caller's request to a random router.
-func (s *simulation) submit(c *caller) {
+func (s *loadSim) submit(c *caller) {
 	r := s.routers[s.rng.IntN(len(s.routers))]
 	r.handle(c)
 }
 
 // scheduleFaults schedules the pattern's outages and its rollout.
-func (s *simulation) scheduleFaults() {
+func (s *loadSim) scheduleFaults() {
 	for _, outage := range s.Pattern.Outages {
 		for _, e := range s.engines {
 			if outage.affects(e.index, len(s.engines)) {
