--- a/daemon/internal/connection/peering/neighbours.go
+++ b/daemon/internal/connection/peering/neighbours.go
@@ -42,9 +42,9 @@
 	Client *http.Client
 	// Choose returns the usable daemon to call, or false if the store is to be read.
 	Choose func(usable func(netip.AddrPort) bool) (netip.AddrPort, bool)
-	// Hold reports whether to postpone the read of the store after Choose has returned
+	// DeferStoreRead reports whether not to read the store yet after Choose has returned
 	// false. Nil means never.
-	Hold func() bool
+	DeferStoreRead func() bool
 	// OnBackoff is called when a neighbour enters backoff. It may be nil.
 	OnBackoff func(neighbour netip.AddrPort, reason error)
 	// Now is the clock; nil means clock.Now.
@@ -67,7 +67,7 @@
 	neighbour, ok := n.Choose(n.usable)
 	switch {
 	case ok:
-	case n.Hold != nil && n.Hold():
+	case n.DeferStoreRead != nil && n.DeferStoreRead():
 		return replica.Update{}, replica.ErrWait
 	default:
 		return replica.Update{}, replica.ErrNoPeer
--- a/daemon/internal/process/telemetry/telemetry.go
+++ b/daemon/internal/process/telemetry/telemetry.go
@@ -108,12 +108,12 @@
 	t.Log.WithFields(fields).Info("dependency regained")
 }
 
-// LogPeerPaused logs that a peer of the hall, which the process queries in place of the store,
-// is not queried for a while after an error.
-func (t *Telemetry) LogPeerPaused(peer netip.AddrPort, reason error) {
+// LogNeighbourBackoff logs that a daemon of the same hall, which the process queries in place of
+// the store, is in backoff after an error.
+func (t *Telemetry) LogNeighbourBackoff(neighbour netip.AddrPort, reason error) {
 	t.Scope.Counter("neighbours_muted").Inc(1)
 	t.Log.WithFields(log.Fields{
-		"decision": "follow", "dependency": "neighbour", "peer": peer, "reason": reason.Error(),
+		"decision": "follow", "dependency": "neighbour", "peer": neighbour, "reason": reason.Error(),
 	}).Warn("neighbour not asked for a while")
 }
 
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -149,7 +149,7 @@
 	p.compiler = &replica.Compiler{Decode: p.provider.Decode, OnEntryChange: p.logDeclaration}
 	p.table.OnChange = p.compiler.Apply
 	p.neighbours = p.newNeighbours()
-	p.neighbours.Hold = p.starting
+	p.neighbours.DeferStoreRead = p.starting
 	p.addFollowers()
 	p.reconciler = &reconcile.Reconciler{
 		Engine: p.provider.Engine, Origin: p.provider.Origin, Address: s.Engine, Copies: p.copies,
@@ -194,7 +194,7 @@
 
 // newNeighbours returns a client of this hall's routers for one follower.
 func (p *Process) newNeighbours() *peering.Neighbours {
-	return &peering.Neighbours{Client: p.client, Choose: p.chooseRouter, OnBackoff: p.telemetry.LogPeerPaused}
+	return &peering.Neighbours{Client: p.client, Choose: p.chooseRouter, OnBackoff: p.telemetry.LogNeighbourBackoff}
 }
 
 // routersDelay returns the delay before the hall's routers are listed again, which is short
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -159,7 +159,7 @@
 // initReplication prepares the store follower, the fallback to peers and the announcement of this
 // router.
 func (p *Process) initReplication(client *http.Client) {
-	p.neighbours = &peering.Neighbours{Client: client, Choose: p.neighbourToFollow, Hold: p.defersStoreRead, OnBackoff: p.telemetry.LogPeerPaused}
+	p.neighbours = &peering.Neighbours{Client: client, Choose: p.neighbourToFollow, DeferStoreRead: p.defersStoreRead, OnBackoff: p.telemetry.LogNeighbourBackoff}
 	own := p.memberRecord()
 	shardPrefix, hallPrefix := p.provider.Prefixes.MembersOfHall(own.Hall, own.Shard), p.provider.Prefixes.MembersOfHall(own.Hall, "")
 	p.follower = &replica.Follower{
