--- a/daemon/internal/connection/broadcast/bench_test.go
+++ b/daemon/internal/connection/broadcast/bench_test.go
@@ -16,7 +16,7 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/quarantine"
 )
 
-// BenchmarkBroadcast measures the time until all of 400 routers have received a note, over
+// BenchmarkBroadcast measures the time until all of 400 routers have received a report, over
 // idle connections.
 func BenchmarkBroadcast(b *testing.B) {
 	const routers = 400
@@ -32,19 +32,19 @@
 	}
 	var peers []netip.AddrPort
 	for range routers {
-		server := httptest.NewServer(http.HandlerFunc(receiver.ServeNotes))
+		server := httptest.NewServer(http.HandlerFunc(receiver.ServeReports))
 		b.Cleanup(server.Close)
 		peers = append(peers, netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://")))
 	}
 	sender := &broadcast.Sender[quarantine.Report]{
 		Path:   broadcast.SuspectsPath,
 		Client: &http.Client{Transport: dial.NewHostTransport(dial.Direct, time.Minute)},
-		Peers:  func() []netip.AddrPort { return peers }, OnNotes: func([]quarantine.Report, netip.AddrPort) {},
+		Peers:  func() []netip.AddrPort { return peers }, OnReports: func([]quarantine.Report, netip.AddrPort) {},
 	}
 	sender.Start()
 	b.Cleanup(sender.Stop)
 	for b.Loop() {
-		require.True(b, sender.Send(noteOf("a")))
+		require.True(b, sender.Send(reportOf("a")))
 		<-all
 	}
 }
--- a/daemon/internal/connection/broadcast/broadcast_test.go
+++ b/daemon/internal/connection/broadcast/broadcast_test.go
@@ -20,19 +20,19 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/quarantine"
 )
 
-var crashing = content.Request{Body: []byte("deadly")}.Digest()
+var crashingContent = content.Request{Body: []byte("deadly")}.Digest()
 
-// noteOf returns a note that the content crashed some upstreams.
-func noteOf(upstreams ...string) quarantine.Report {
-	note := quarantine.Report{Content: crashing}
+// reportOf returns a report that crashingContent crashed some upstreams.
+func reportOf(upstreams ...string) quarantine.Report {
+	report := quarantine.Report{Content: crashingContent}
 	for _, upstream := range upstreams {
 		depth := map[string]int{"a": 1, "b": 2, "c": 3}[upstream]
-		note.Crashes = append(note.Crashes, quarantine.Crash{Upstream: upstream, Depth: depth})
+		report.Crashes = append(report.Crashes, quarantine.Crash{Upstream: upstream, Depth: depth})
 	}
-	return note
+	return report
 }
 
-// peer is a router that stores the notes that it receives.
+// peer is a router that stores the reports that it receives.
 type peer struct {
 	address netip.AddrPort
 	mu      sync.Mutex
@@ -45,8 +45,8 @@
 	t.Helper()
 	p := &peer{}
 	receiver := &broadcast.Receiver[quarantine.Report]{
-		All:     p.notes,
-		Related: func([]quarantine.Report) []quarantine.Report { return p.notes() },
+		All:     p.reports,
+		Related: func([]quarantine.Report) []quarantine.Report { return p.reports() },
 		Merge:   p.merge,
 	}
 	routes := bunrouter.New()
@@ -56,7 +56,7 @@
 			http.Error(w, "injected failure", http.StatusServiceUnavailable)
 			return
 		}
-		receiver.ServeNotes(w, r)
+		receiver.ServeReports(w, r)
 	})
 	server := httptest.NewServer(routes)
 	t.Cleanup(server.Close)
@@ -71,24 +71,24 @@
 	return p.failures >= 0
 }
 
-func (p *peer) notes() []quarantine.Report {
+func (p *peer) reports() []quarantine.Report {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.table.Reports()
 }
 
-func (p *peer) merge(notes []quarantine.Report) {
+func (p *peer) merge(reports []quarantine.Report) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, note := range notes {
-		p.table.Merge(note, time.Now())
+	for _, report := range reports {
+		p.table.Merge(report, time.Now())
 	}
 }
 
-func (p *peer) judge() quarantine.Verdict {
+func (p *peer) verdict() quarantine.Verdict {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.table.Verdict(crashing, time.Now())
+	return p.table.Verdict(crashingContent, time.Now())
 }
 
 func startSender(t *testing.T, own *peer, others ...netip.AddrPort) *broadcast.Sender[quarantine.Report] {
@@ -96,7 +96,7 @@
 	sender := &broadcast.Sender[quarantine.Report]{
 		Path:   broadcast.SuspectsPath,
 		Client: http.DefaultClient, Peers: func() []netip.AddrPort { return others },
-		OnNotes: func(notes []quarantine.Report, _ netip.AddrPort) { own.merge(notes) },
+		OnReports: func(reports []quarantine.Report, _ netip.AddrPort) { own.merge(reports) },
 	}
 	sender.Start()
 	t.Cleanup(sender.Stop)
@@ -108,49 +108,49 @@
 	require.Eventually(t, condition, 10*time.Second, time.Millisecond, what)
 }
 
-// TestNotesReachAllRouters guards against a note that is lost at a router whose first
+// TestReportsReachAllRouters guards against a report that is lost at a router whose first
 // responses are errors, or because another router is unreachable.
-func TestNotesReachAllRouters(t *testing.T) {
+func TestReportsReachAllRouters(t *testing.T) {
 	own, second, third := &peer{}, startPeer(t), startPeer(t)
 	third.failures = 2
 	unreachable := startPeer(t).address
 	unreachable = netip.AddrPortFrom(unreachable.Addr(), 1)
 	sender := startSender(t, own, unreachable, second.address, third.address)
-	require.True(t, sender.Send(noteOf("a")))
-	require.True(t, sender.Send(noteOf("b", "c")))
+	require.True(t, sender.Send(reportOf("a")))
+	require.True(t, sender.Send(reportOf("b", "c")))
 	for _, p := range []*peer{second, third} {
-		waitFor(t, "the content is quarantined", func() bool { return p.judge() == quarantine.Quarantined })
+		waitFor(t, "the content is quarantined", func() bool { return p.verdict() == quarantine.Quarantined })
 	}
 }
 
-// TestMissedNotesArriveInResponse checks that a router which missed notes receives them in the
-// response to its own note about the same content.
-func TestMissedNotesArriveInResponse(t *testing.T) {
+// TestMissedReportsArriveInResponse checks that a router which missed reports receives them in the
+// response to its own report about the same content.
+func TestMissedReportsArriveInResponse(t *testing.T) {
 	own, other := &peer{}, startPeer(t)
-	other.merge([]quarantine.Report{noteOf("b", "c")})
+	other.merge([]quarantine.Report{reportOf("b", "c")})
 	sender := startSender(t, own, other.address)
-	own.merge([]quarantine.Report{noteOf("a")})
-	require.True(t, sender.Send(noteOf("a")))
-	waitFor(t, "the content is quarantined", func() bool { return own.judge() == quarantine.Quarantined })
+	own.merge([]quarantine.Report{reportOf("a")})
+	require.True(t, sender.Send(reportOf("a")))
+	waitFor(t, "the content is quarantined", func() bool { return own.verdict() == quarantine.Quarantined })
 }
 
-// TestStartingRouterFetchesNotes checks that a starting router has the notes of another one,
+// TestStartingRouterFetchesReports checks that a starting router has the reports of another one,
 // although no router sends it any.
-func TestStartingRouterFetchesNotes(t *testing.T) {
+func TestStartingRouterFetchesReports(t *testing.T) {
 	own, other := &peer{}, startPeer(t)
-	other.merge([]quarantine.Report{noteOf("a", "b", "c")})
+	other.merge([]quarantine.Report{reportOf("a", "b", "c")})
 	sender := &broadcast.Sender[quarantine.Report]{
 		Path:   broadcast.SuspectsPath,
 		Client: http.DefaultClient, Peers: func() []netip.AddrPort { return nil },
 		CatchUpPeer: func() (netip.AddrPort, bool) { return other.address, true },
-		OnNotes:     func(notes []quarantine.Report, _ netip.AddrPort) { own.merge(notes) },
+		OnReports:   func(reports []quarantine.Report, _ netip.AddrPort) { own.merge(reports) },
 	}
 	sender.Start()
 	t.Cleanup(sender.Stop)
-	waitFor(t, "the content is quarantined", func() bool { return own.judge() == quarantine.Quarantined })
+	waitFor(t, "the content is quarantined", func() bool { return own.verdict() == quarantine.Quarantined })
 }
 
-// TestStopDoesNotWaitForUnresponsiveRouter also checks that a full queue drops notes instead
+// TestStopDoesNotWaitForUnresponsiveRouter also checks that a full queue drops reports instead
 // of blocking.
 func TestStopDoesNotWaitForUnresponsiveRouter(t *testing.T) {
 	requested := make(chan struct{}, 1)
@@ -159,11 +159,11 @@
 	sender := &broadcast.Sender[quarantine.Report]{
 		Path:   broadcast.SuspectsPath,
 		Client: client, Peers: func() []netip.AddrPort { return []netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:1")} },
-		OnNotes: func([]quarantine.Report, netip.AddrPort) {}, OnFailed: func(_ netip.AddrPort, err error) { failed <- err },
+		OnReports: func([]quarantine.Report, netip.AddrPort) {}, OnFailed: func(_ netip.AddrPort, err error) { failed <- err },
 	}
-	assert.False(t, sender.Send(noteOf("a")), "the sender is not started")
+	assert.False(t, sender.Send(reportOf("a")), "the sender is not started")
 	sender.Start()
-	require.True(t, sender.Send(noteOf("a")))
+	require.True(t, sender.Send(reportOf("a")))
 	<-requested
 	sender.Stop()
 	select {
@@ -172,7 +172,7 @@
 	default:
 	}
 	queued := 0
-	for sender.Send(noteOf("a")) {
+	for sender.Send(reportOf("a")) {
 		queued++
 	}
 	assert.Positive(t, queued)
--- a/daemon/router/crash_test.go
+++ b/daemon/router/crash_test.go
@@ -253,7 +253,7 @@
 	var known broadcast.Message[quarantine.Report]
 	require.NoError(t, json.NewDecoder(resp.Body).Decode(&known))
 	require.NoError(t, resp.Body.Close())
-	require.Len(t, known.Notes, 1)
+	require.Len(t, known.Reports, 1)
 	lift := func(name string) int {
 		req, err := http.NewRequest(http.MethodDelete, "http://"+f.routers[1].Listen.Peers.String()+"/suspects/"+name, nil)
 		require.NoError(t, err)
@@ -262,7 +262,7 @@
 		require.NoError(t, answer.Body.Close())
 		return answer.StatusCode
 	}
-	name := known.Notes[0].Content.String()
+	name := known.Reports[0].Content.String()
 	assert.Equal(t, http.StatusBadRequest, lift("odd"))
 	assert.Equal(t, http.StatusNoContent, lift(name))
 	assert.Equal(t, http.StatusNotFound, lift(name), "already lifted")
--- a/daemon/router/limits.go
+++ b/daemon/router/limits.go
@@ -153,7 +153,7 @@
 func (p *Process) newLimitNotifier(client *http.Client) *broadcast.Sender[ratelimit.UpstreamReport] {
 	return &broadcast.Sender[ratelimit.UpstreamReport]{
 		Client: client, Path: broadcast.LimitsPath, Peers: p.otherRouters, CatchUpPeer: p.choosePeer, OnFailed: p.recorder.notificationFailed,
-		OnNotes: func(all []ratelimit.UpstreamReport, peer netip.AddrPort) { p.applyLimits(all, sourceAnswer, peer) },
+		OnReports: func(all []ratelimit.UpstreamReport, peer netip.AddrPort) { p.applyLimits(all, sourceAnswer, peer) },
 	}
 }
 
@@ -171,7 +171,7 @@
 		Merge: func(all []ratelimit.UpstreamReport) { p.applyLimits(all, sourceRouter, netip.AddrPort{}) },
 	}
 	routes.Compat().GET(broadcast.LimitsPath, known.ServeAll)
-	routes.Compat().POST(broadcast.LimitsPath, known.ServeNotes)
+	routes.Compat().POST(broadcast.LimitsPath, known.ServeReports)
 }
 
 func (p *Process) allLimits() (all []ratelimit.UpstreamReport) {
--- a/daemon/router/suspects.go
+++ b/daemon/router/suspects.go
@@ -246,7 +246,7 @@
 func (p *Process) newCrashNotifier(client *http.Client) *broadcast.Sender[quarantine.Report] {
 	return &broadcast.Sender[quarantine.Report]{
 		Client: client, Path: broadcast.SuspectsPath, Peers: p.otherRouters, CatchUpPeer: p.choosePeer, OnFailed: p.recorder.notificationFailed,
-		OnNotes: func(reports []quarantine.Report, peer netip.AddrPort) {
+		OnReports: func(reports []quarantine.Report, peer netip.AddrPort) {
 			for _, report := range reports {
 				p.applyReport(report, sourceAnswer, peer)
 			}
@@ -278,7 +278,7 @@
 		},
 	}
 	routes.Compat().GET(broadcast.SuspectsPath, known.ServeAll)
-	routes.Compat().POST(broadcast.SuspectsPath, known.ServeNotes)
+	routes.Compat().POST(broadcast.SuspectsPath, known.ServeReports)
 	routes.DELETE(broadcast.SuspectsPath+"/:content", bunrouter.HandlerFunc(p.lift))
 }
 
