--- a/daemon/internal/connection/lines/lines.go
+++ b/daemon/internal/connection/linestream/linestream.go
@@ -1,9 +1,9 @@
-// Package lines streams a state from one daemon to another: one line for each
+// Package linestream streams a state from one daemon to another: one line for each
 // change, in the body of an HTTP response that does not end.
 //
 // Polling was rejected, because the headers of frequent requests to many hosts
 // use a large share of a narrow link.
-package lines
+package linestream
 
 import (
 	"bufio"
@@ -28,9 +28,9 @@
 var ErrNotServed = errors.New("stream not served by peer")
 
 // Serve streams states until the client disconnects. State returns the current
-// line, nil for none, and a channel that is closed at the next change. Changes
-// within the time that pause returns are sent as one line.
-func Serve(w http.ResponseWriter, r *http.Request, pause func() time.Duration, state func() ([]byte, <-chan struct{})) {
+// state as a line, nil for none, and a channel that is closed at the next change.
+// Changes within the time that batchDelay returns are sent as one line.
+func Serve(w http.ResponseWriter, r *http.Request, batchDelay func() time.Duration, state func() ([]byte, <-chan struct{})) {
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	controller := http.NewResponseController(w)
 	timer := time.NewTimer(keepAlive)
@@ -46,7 +46,7 @@
 		timer.Reset(keepAlive)
 		select {
 		case <-changed:
-			helpers.Pause(pause(), r.Context().Done())
+			helpers.Pause(batchDelay(), r.Context().Done())
 		case <-timer.C:
 		case <-r.Context().Done():
 			return
@@ -63,21 +63,21 @@
 	defer idle.Stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, http.NoBody)
 	if err != nil {
-		return fmt.Errorf("follow %s: %w", url, err)
+		return fmt.Errorf("read stream %s: %w", url, err)
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return fmt.Errorf("follow %s: %w", url, err)
+		return fmt.Errorf("read stream %s: %w", url, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("follow %s: status %d: %w", url, resp.StatusCode, ErrNotServed)
+		return fmt.Errorf("read stream %s: status %d: %w", url, resp.StatusCode, ErrNotServed)
 	}
 	scanner := bufio.NewScanner(resp.Body)
 	for scanner.Scan() {
 		idle.Reset(readTimeout)
 		if err := onLine(scanner.Bytes()); err != nil {
-			return fmt.Errorf("follow %s: %w", url, err)
+			return fmt.Errorf("read stream %s: %w", url, err)
 		}
 	}
 	return scanner.Err()
--- a/daemon/internal/connection/loadfeed/closes_test.go
+++ b/daemon/internal/connection/loadfeed/closes_test.go
@@ -9,7 +9,7 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/loadfeed"
 )
 
-// TestClosesInIsRoundedUpToSteps guards against a line that changes at each reading of the
+// TestClosesInIsRoundedUpToSteps guards against a state that changes at each reading of the
 // engine, and is then sent to every reader.
 func TestClosesInIsRoundedUpToSteps(t *testing.T) {
 	now := time.Unix(1000, 0)
--- a/daemon/internal/connection/loadfeed/loadfeed.go
+++ b/daemon/internal/connection/loadfeed/loadfeed.go
@@ -17,7 +17,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/lines"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/linestream"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/helpers"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
@@ -27,20 +27,20 @@
 
 const (
 	// linesPerSecond bounds the rate of lines of a feed over all its readers, and
-	// minPause the pause between two lines to one reader, so that the cost of a
+	// minBatchDelay the time between two lines to one reader, so that the cost of a
 	// feed does not grow with the number of readers.
 	linesPerSecond = 800
-	minPause       = 8 * time.Millisecond
-	// maxReconnectPause bounds the random pause before a feed is reopened.
-	maxReconnectPause = 500 * time.Millisecond
+	minBatchDelay  = 8 * time.Millisecond
+	// maxReconnectDelay bounds the random delay before a feed is reopened.
+	maxReconnectDelay = 500 * time.Millisecond
 )
 
-// ClosesStep is the resolution of Line.ClosesIn, so that the countdown does not change the
-// line at each reading of the engine.
+// ClosesStep is the resolution of State.ClosesIn, so that the countdown does not change the
+// state at each reading of the engine.
 const ClosesStep = 250 * time.Millisecond
 
-// Line is the state of an engine at one time.
-type Line struct {
+// State is the state of an engine at one time. It is sent as one JSON line.
+type State struct {
 	Running int  `json:"running"`
 	Waiting int  `json:"waiting"`
 	Loading bool `json:"loading,omitempty"`
@@ -50,8 +50,8 @@
 	Models   []provider.LoadedModel `json:"models,omitempty"`
 }
 
-// ClosesIn returns the value of Line.ClosesIn for a scheduled load time, which is zero if
-// no load is scheduled.
+// ClosesIn returns the value of State.ClosesIn for the time at which the engine is ordered to
+// load a version, which is zero if no load is scheduled.
 func ClosesIn(at, now time.Time) int64 {
 	if !at.After(now) {
 		return 0
@@ -60,8 +60,7 @@
 	return (steps * ClosesStep).Milliseconds()
 }
 
-// Feed holds the newest state and streams it to its readers. The zero value is not
-// ready; use NewFeed.
+// Feed holds the newest state and streams it to its readers. It must be created by NewFeed.
 type Feed struct {
 	// readers is the number of open streams.
 	readers atomic.Int64
@@ -75,8 +74,8 @@
 func NewFeed() *Feed { return &Feed{changed: make(chan struct{})} }
 
 // Publish sets the state and sends it to the readers if it changed.
-func (f *Feed) Publish(line Line) {
-	data, err := json.Marshal(line)
+func (f *Feed) Publish(state State) {
+	data, err := json.Marshal(state)
 	if err != nil {
 		return
 	}
@@ -100,19 +99,19 @@
 func (f *Feed) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.readers.Add(1)
 	defer f.readers.Add(-1)
-	lines.Serve(w, r, f.pause, f.state)
+	linestream.Serve(w, r, f.batchDelay, f.state)
 }
 
-// pause returns the time within which changes are batched into one line.
-func (f *Feed) pause() time.Duration {
-	return max(minPause, time.Duration(f.readers.Load())*time.Second/linesPerSecond)
+// batchDelay returns the time within which changes are batched into one line.
+func (f *Feed) batchDelay() time.Duration {
+	return max(minBatchDelay, time.Duration(f.readers.Load())*time.Second/linesPerSecond)
 }
 
 // Reader reads the feeds of many hosts. The exported fields must be set.
 type Reader struct {
 	Client *http.Client
-	// OnLine is called with each line of a host.
-	OnLine func(host netip.AddrPort, line Line)
+	// OnState is called with each state of a host.
+	OnState func(host netip.AddrPort, state State)
 
 	mu sync.Mutex
 	// following holds the function that cancels the goroutine of each host.
@@ -167,17 +166,17 @@
 func (r *Reader) read(ctx context.Context, host netip.AddrPort) {
 	url := fmt.Sprintf("http://%s%s", host, Path)
 	for ctx.Err() == nil {
-		_ = lines.Read(ctx, r.Client, url, func(data []byte) error { return r.deliver(host, data) })
-		helpers.Pause(rand.N(maxReconnectPause), ctx.Done())
+		_ = linestream.Read(ctx, r.Client, url, func(data []byte) error { return r.deliver(host, data) })
+		helpers.Pause(rand.N(maxReconnectDelay), ctx.Done())
 	}
 }
 
-// deliver decodes a line and passes it to OnLine.
+// deliver decodes a line and passes the state to OnState.
 func (r *Reader) deliver(host netip.AddrPort, data []byte) error {
-	var line Line
-	if err := json.Unmarshal(data, &line); err != nil {
-		return fmt.Errorf("decode load line of %s: %w", host, err)
+	var state State
+	if err := json.Unmarshal(data, &state); err != nil {
+		return fmt.Errorf("decode engine state of %s: %w", host, err)
 	}
-	r.OnLine(host, line)
+	r.OnState(host, state)
 	return nil
 }
--- a/daemon/internal/connection/loadfeed/loadfeed_test.go
+++ b/daemon/internal/connection/loadfeed/loadfeed_test.go
@@ -23,18 +23,18 @@
 	server := httptest.NewServer(mux)
 	t.Cleanup(server.Close)
 	host := netip.MustParseAddrPort(server.Listener.Addr().String())
-	received := make(chan Line, 64)
-	reader := &Reader{Client: server.Client(), OnLine: func(from netip.AddrPort, line Line) {
+	received := make(chan State, 64)
+	reader := &Reader{Client: server.Client(), OnState: func(from netip.AddrPort, state State) {
 		assert.Equal(t, host, from)
-		received <- line
+		received <- state
 	}}
 	reader.Follow([]netip.AddrPort{host})
-	want := Line{Running: 3, Waiting: 1, Models: []provider.LoadedModel{{Model: "m", Version: 2}}}
+	want := State{Running: 3, Waiting: 1, Models: []provider.LoadedModel{{Model: "m", Version: 2}}}
 	feed.Publish(want)
 	assert.Equal(t, want, <-received)
-	feed.Publish(Line{Running: 4})
-	for line := range received { // the first line may be repeated as a keep-alive
-		if line.Running == 4 {
+	feed.Publish(State{Running: 4})
+	for state := range received { // the first state may be repeated as a keep-alive
+		if state.Running == 4 {
 			break
 		}
 	}
@@ -45,11 +45,11 @@
 	assert.Zero(t, feed.readers.Load())
 }
 
-// TestFeedPauseGrowsWithReaders guards against a cost of a feed that grows with its readers.
-func TestFeedPauseGrowsWithReaders(t *testing.T) {
+// TestBatchDelayGrowsWithReaders guards against a cost of a feed that grows with its readers.
+func TestBatchDelayGrowsWithReaders(t *testing.T) {
 	feed := NewFeed()
 	feed.readers.Store(2)
-	assert.Equal(t, minPause, feed.pause())
+	assert.Equal(t, minBatchDelay, feed.batchDelay())
 	feed.readers.Store(400)
-	assert.Equal(t, 500*time.Millisecond, feed.pause())
+	assert.Equal(t, 500*time.Millisecond, feed.batchDelay())
 }
--- a/daemon/internal/connection/loadfeed/stop_test.go
+++ b/daemon/internal/connection/loadfeed/stop_test.go
@@ -17,7 +17,7 @@
 	server := httptest.NewServer(http.NotFoundHandler())
 	t.Cleanup(server.Close)
 	host := netip.MustParseAddrPort(server.Listener.Addr().String())
-	reader := &loadfeed.Reader{Client: server.Client(), OnLine: func(netip.AddrPort, loadfeed.Line) {}}
+	reader := &loadfeed.Reader{Client: server.Client(), OnState: func(netip.AddrPort, loadfeed.State) {}}
 	reader.Follow([]netip.AddrPort{host})
 	reader.Stop()
 	reader.Follow([]netip.AddrPort{host})
--- a/daemon/internal/version/swarm/fetch.go
+++ b/daemon/internal/version/swarm/fetch.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/clock"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/lines"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/linestream"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/helpers"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/version/pace"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
@@ -245,7 +245,7 @@
 	for ctx.Err() == nil {
 		err := peer.Follow(ctx, f.Copy.Manifest.Version, far, func(have Bitmap) { f.recordReport(host, have, false) })
 		pause := peerRetryDelay + rand.N(peerRetryDelay)
-		if errors.Is(err, lines.ErrNotServed) {
+		if errors.Is(err, linestream.ErrNotServed) {
 			f.recordReport(host, "", true)
 			pause = unknownVersionDelay // it is about to look up the manifest
 		}
--- a/daemon/internal/version/swarm/peer.go
+++ b/daemon/internal/version/swarm/peer.go
@@ -9,7 +9,7 @@
 	"net/netip"
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/call"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/lines"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/linestream"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
@@ -31,13 +31,13 @@
 }
 
 // Follow calls onHave with the peer's chunks, at first and at each change, until the peer is
-// unresponsive, leaves, or does not have the version's manifest, which is lines.ErrNotServed.
+// unresponsive, leaves, or does not have the version's manifest, which is linestream.ErrNotServed.
 func (p Peer) Follow(ctx context.Context, version int, far bool, onHave func(Bitmap)) error {
 	url := fmt.Sprintf("http://%s%s?version=%d", p.Address, havePath, version)
 	if far {
 		url += "&far"
 	}
-	return lines.Read(ctx, p.Client, url, func(line []byte) error {
+	return linestream.Read(ctx, p.Client, url, func(line []byte) error {
 		onHave(Bitmap(line))
 		return nil
 	})
--- a/daemon/internal/version/swarm/serve.go
+++ b/daemon/internal/version/swarm/serve.go
@@ -9,7 +9,7 @@
 
 	"github.com/uptrace/bunrouter"
 
-	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/lines"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/linestream"
 )
 
 // The paths of the calls between loaders.
@@ -98,7 +98,7 @@
 	if r.URL.Query().Has("far") {
 		interval = farReportInterval
 	}
-	lines.Serve(w, r, func() time.Duration { return interval }, func() ([]byte, <-chan struct{}) {
+	linestream.Serve(w, r, func() time.Duration { return interval }, func() ([]byte, <-chan struct{}) {
 		_, changed := c.Count()
 		return []byte(NewBitmap(c.Present())), changed
 	})
--- a/daemon/internal/version/swarm/serve_test.go
+++ b/daemon/internal/version/swarm/serve_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 	"github.com/uptrace/bunrouter"
 
-	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/lines"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/linestream"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/version/swarm"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
@@ -82,7 +82,7 @@
 
 	_, err = peer.Chunk(context.Background(), 2, 5)
 	require.ErrorIs(t, err, provider.ErrNotFound)
-	require.ErrorIs(t, peer.Follow(context.Background(), 3, false, nil), lines.ErrNotServed)
+	require.ErrorIs(t, peer.Follow(context.Background(), 3, false, nil), linestream.ErrNotServed)
 }
 
 func TestCopyRejectsChunksThatDoNotMatch(t *testing.T) {
--- a/daemon/loader/events.go
+++ b/daemon/loader/events.go
@@ -35,7 +35,7 @@
 // publishReport publishes the engine's report to the routers and to the ledger of places.
 func (p *Process) publishReport(report provider.EngineReport, err error) {
 	if err != nil {
-		p.feed.Publish(loadfeed.Line{Loading: true})
+		p.feed.Publish(loadfeed.State{Loading: true})
 		p.ledger.Observe(places.Load{}, false)
 		p.telemetry.SetNotReady("the engine does not answer")
 		return
@@ -43,7 +43,7 @@
 	p.telemetry.SetReady()
 	// An engine without a loaded version refuses every request, so it grants no place either.
 	loading, closesAt := report.Loading || p.reconciler.Draining() || len(report.Models) == 0, p.reconciler.ClosesAt()
-	p.feed.Publish(loadfeed.Line{
+	p.feed.Publish(loadfeed.State{
 		Running: report.Running, Waiting: report.Waiting, Loading: loading, ClosesIn: loadfeed.ClosesIn(closesAt, clock.Now()), Models: report.Models,
 	})
 	p.ledger.CloseAt(closesAt)
--- a/daemon/router/limit_test.go
+++ b/daemon/router/limit_test.go
@@ -263,7 +263,7 @@
 	ledger.Observe(places.Load{}, true)
 	pages := http.NewServeMux()
 	feed := loadfeed.NewFeed()
-	feed.Publish(loadfeed.Line{Models: []provider.LoadedModel{{Model: "m", Version: 1}}})
+	feed.Publish(loadfeed.State{Models: []provider.LoadedModel{{Model: "m", Version: 1}}})
 	pages.Handle(loadfeed.Path, feed)
 	answer := places.Handler(ledger, func(places.Response) {})
 	pages.HandleFunc(places.Path, func(w http.ResponseWriter, r *http.Request) {
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -149,7 +149,7 @@
 	p.provider = options.Provider(s.Store, client, client)
 	p.compiler = &replica.Compiler{Decode: p.provider.Decode, OnEntryChange: p.recorder.entryApplied, MayHaveExpired: p.expiryUnreliable, OnSuspect: p.applyStoredSuspect}
 	p.table.OnChange = p.applyChanges
-	p.loadReader = &loadfeed.Reader{Client: client, OnLine: p.applyLoad}
+	p.loadReader = &loadfeed.Reader{Client: client, OnState: p.applyLoad}
 	p.placeClient = &places.Client{Client: client}
 	p.crashNotifier, p.limitNotifier = p.newCrashNotifier(client), p.newLimitNotifier(client)
 	p.initReplication(client)
--- a/daemon/router/upstreams.go
+++ b/daemon/router/upstreams.go
@@ -66,10 +66,10 @@
 }
 
 // applyLoad passes a load report of a loader on to the engines of its host.
-func (p *Process) applyLoad(host netip.AddrPort, line loadfeed.Line) {
+func (p *Process) applyLoad(host netip.AddrPort, state loadfeed.State) {
 	load := balance.LoadReport{
-		Running: line.Running, Waiting: line.Waiting, Loading: line.Loading,
-		ClosesIn: time.Duration(line.ClosesIn) * time.Millisecond, Models: line.Models,
+		Running: state.Running, Waiting: state.Waiting, Loading: state.Loading,
+		ClosesIn: time.Duration(state.ClosesIn) * time.Millisecond, Models: state.Models,
 	}
 	for _, id := range (*p.engineIDsByHost.Load())[host.Addr()] {
 		p.pool.Report(id, load)
