--- a/daemon/internal/connection/places/client.go
+++ b/daemon/internal/connection/places/client.go
@@ -45,11 +45,11 @@
 
 // Response is the response of a loader.
 type Response struct {
-	// Load is the load of the engine on which the decision was based.
-	Load
+	// EngineLoad is the load of the engine on which the decision was based.
+	EngineLoad
 	// Granted reports whether the router has the place.
 	Granted bool
-	// RateLimit is the rate limit of the engine, as the loader holds it; nil if there is none.
+	// RateLimit is the rate limit of the engine as known to the loader; nil if there is none.
 	RateLimit *ratelimit.Report
 }
 
@@ -63,7 +63,7 @@
 			return
 		}
 		load, granted := ledger.Reserve(req)
-		onResponse(Response{Load: load, Granted: granted})
+		onResponse(Response{EngineLoad: load, Granted: granted})
 		w.Header()["Date"] = nil
 		w.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(w).Encode(wireResponse{
@@ -118,7 +118,7 @@
 	return &ratelimit.Warmup{PerSecond: perSecond, Remaining: time.Duration(remaining) * time.Millisecond}, nil
 }
 
-// parseRateLimit parses the engine's rate limit as the router holds it; nil if there is none.
+// parseRateLimit parses the engine's rate limit as known to the router; nil if there is none.
 func parseRateLimit(query url.Values) (*ratelimit.Report, error) {
 	text := query.Get(limitParam)
 	if text == "" {
@@ -128,17 +128,17 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", ageParam, err)
 	}
-	note := &ratelimit.Report{Age: time.Duration(age) * time.Millisecond}
+	report := &ratelimit.Report{Age: time.Duration(age) * time.Millisecond}
 	if text == endedValue {
-		note.Lifted = true
-		return note, nil
+		report.Lifted = true
+		return report, nil
 	}
 	parsed := ratelimit.Parse([]string{text})
 	if parsed.Kind != ratelimit.Limited {
 		return nil, fmt.Errorf("%s: %w: %s", limitParam, errInvalidRate, parsed)
 	}
-	note.PerSecond = parsed.PerSecond
-	return note, nil
+	report.PerSecond = parsed.PerSecond
+	return report, nil
 }
 
 var errInvalidRate = errors.New("not a number of requests a second")
@@ -217,6 +217,6 @@
 	if err := call.GetJSON(ctx, c.Client, target, maxResponse, &resp); err != nil {
 		return Response{}, fmt.Errorf("request place from loader %s: %w", loader, err)
 	}
-	load := Load{Running: resp.Running, Waiting: resp.Waiting, Loading: resp.Loading, RetryAfter: time.Duration(resp.RetryAfterMs) * time.Millisecond}
-	return Response{Load: load, Granted: resp.Granted, RateLimit: resp.RateLimit}, nil
+	load := EngineLoad{Running: resp.Running, Waiting: resp.Waiting, Loading: resp.Loading, RetryAfter: time.Duration(resp.RetryAfterMs) * time.Millisecond}
+	return Response{EngineLoad: load, Granted: resp.Granted, RateLimit: resp.RateLimit}, nil
 }
--- a/daemon/internal/connection/places/ledger.go
+++ b/daemon/internal/connection/places/ledger.go
@@ -23,11 +23,12 @@
 // the response, the request and a connection between data halls.
 const reportDelay = 25 * time.Millisecond
 
-// Load is the load of an engine.
-type Load struct {
+// EngineLoad is the load of an engine.
+type EngineLoad struct {
 	// Running is the number of requests in execution, Waiting the number queued.
 	Running, Waiting int
-	// Loading reports that the engine serves no requests, or is about to stop serving.
+	// Loading reports that the engine admits no requests, because it loads a version, is about
+	// to, or has none loaded.
 	Loading bool
 	// RetryAfter is the time after which to retry if the engine's rate limit is used up, else 0.
 	RetryAfter time.Duration
@@ -40,53 +41,54 @@
 	// InUse is the highest number of queued and running requests.
 	InUse int
 	// Duration is the expected duration of the request. 0 admits the request even if the engine
-	// is scheduled to load a version soon.
+	// closes soon.
 	Duration time.Duration
 }
 
 // Request is a router's request for a place.
 type Request struct {
 	Limit
-	// Engine identifies the engine and its start, and RateLimit is its rate limit as the
-	// router holds it; nil if there is none.
+	// Engine identifies the engine and its start, and RateLimit is its rate limit as known to
+	// the router; nil if there is none.
 	Engine    ratelimit.Upstream
 	RateLimit *ratelimit.Report
-	// Cold is the warm-up state of the engine as the router holds it; nil if it is warm.
+	// Cold is the warm-up state of the engine as known to the router; nil if it is warm.
 	Cold *ratelimit.Warmup
 }
 
-// Ledger counts the places of one engine. The zero value gives no place until a load was
+// Ledger counts the places of one engine. The zero value grants no place until a load was
 // observed.
 type Ledger struct {
 	// Now is the clock; nil means clock.Now.
 	Now func() time.Time
-	// OnLimit is called when the engine's rate limit changes. It may be nil.
-	OnLimit func(engine ratelimit.Upstream, change ratelimit.Change)
+	// OnRateLimitChange is called when the engine's rate limit changes. It may be nil.
+	OnRateLimitChange func(engine ratelimit.Upstream, change ratelimit.Change)
 
 	mu       sync.Mutex
-	load     Load
+	load     EngineLoad
 	observed bool
-	// closesAt is the scheduled load time of the engine, zero if no load is scheduled soon.
+	// closesAt is when the engine closes to requests in order to load a version, zero if it does
+	// not close soon.
 	closesAt time.Time
 	// pending holds the times of the reservations that the load does not reflect yet, oldest
 	// first.
 	pending []time.Time
-	// limits holds the rate limit of each start of the engine.
-	limits ratelimit.Table
+	// rateLimits holds the rate limit of each start of the engine.
+	rateLimits ratelimit.Table
 	// warmup limits the rate of requests while the engine is cold.
 	warmup ratelimit.WarmupTable
 }
 
 // Observe sets the current load of the engine. Ok is false if the engine did not respond.
-func (l *Ledger) Observe(load Load, ok bool) {
+func (l *Ledger) Observe(load EngineLoad, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.load, l.observed = load, ok
 	l.prune()
 }
 
-// CloseAt sets the scheduled load time of the engine, zero if no load is scheduled soon.
-// Requests that are expected to run at that time get no place.
+// CloseAt sets when the engine closes to requests in order to load a version, zero if it does not
+// close soon. Requests that are expected to run at that time get no place.
 func (l *Ledger) CloseAt(at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -112,10 +114,10 @@
 // Reserve reserves a place if the engine's load is within the limit and its rate limit over all
 // routers is not used up. It returns the load on which the decision was based, in which pending
 // reservations count as waiting.
-func (l *Ledger) Reserve(req Request) (Load, bool) {
+func (l *Ledger) Reserve(req Request) (EngineLoad, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.update(req)
+	l.mergeLimits(req)
 	load, fits := l.fits(req.Limit)
 	if !fits {
 		return load, false
@@ -123,7 +125,7 @@
 	now := helpers.Now(l.Now)
 	wait, ok := l.warmup.Allow(req.Engine, ratelimit.FullShare, now)
 	if ok {
-		wait, ok = l.limits.Allow(req.Engine, ratelimit.FullShare, now)
+		wait, ok = l.rateLimits.Allow(req.Engine, ratelimit.FullShare, now)
 	}
 	if !ok {
 		load.RetryAfter = max(wait, time.Millisecond)
@@ -133,17 +135,17 @@
 	return load, true
 }
 
-// update merges the router's view of the engine's limits. The caller holds mu.
-func (l *Ledger) update(req Request) {
+// mergeLimits merges the engine's limits as known to the router. The caller holds mu.
+func (l *Ledger) mergeLimits(req Request) {
 	if req.Cold != nil {
 		l.warmup.Merge(req.Engine, *req.Cold, helpers.Now(l.Now))
 	}
 	if req.RateLimit == nil {
 		return
 	}
-	change := l.limits.Merge(req.Engine, *req.RateLimit, helpers.Now(l.Now))
-	if change.Changed && l.OnLimit != nil {
-		l.OnLimit(req.Engine, change)
+	change := l.rateLimits.Merge(req.Engine, *req.RateLimit, helpers.Now(l.Now))
+	if change.Changed && l.OnRateLimitChange != nil {
+		l.OnRateLimitChange(req.Engine, change)
 	}
 }
 
@@ -151,15 +153,15 @@
 func (l *Ledger) RateLimit(engine ratelimit.Upstream) *ratelimit.Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	note, ok := l.limits.Report(engine, helpers.Now(l.Now))
+	report, ok := l.rateLimits.Report(engine, helpers.Now(l.Now))
 	if !ok {
 		return nil
 	}
-	return &note
+	return &report
 }
 
 // fits reports whether the engine's load is within the limit. The caller holds mu.
-func (l *Ledger) fits(limit Limit) (Load, bool) {
+func (l *Ledger) fits(limit Limit) (EngineLoad, bool) {
 	load := l.load
 	load.Waiting += len(l.pending)
 	closed := !l.observed || load.Loading || l.runsWhenClosed(limit)
--- a/daemon/internal/connection/places/places_test.go
+++ b/daemon/internal/connection/places/places_test.go
@@ -40,7 +40,7 @@
 		observe := func() {
 			running += reserved
 			reserved = 0
-			ledger.Observe(places.Load{Running: running}, true)
+			ledger.Observe(places.EngineLoad{Running: running}, true)
 		}
 		observe()
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -74,22 +74,22 @@
 	_, granted := ledger.Reserve(request(places.Limit{Waiting: 9, InUse: 99}))
 	assert.False(t, granted, "no load was observed yet")
 
-	ledger.Observe(places.Load{Running: 3, Waiting: 1}, true)
+	ledger.Observe(places.EngineLoad{Running: 3, Waiting: 1}, true)
 	_, granted = ledger.Reserve(request(places.Limit{Waiting: 0, InUse: 99}))
 	assert.False(t, granted, "one request waits")
 	_, granted = ledger.Reserve(request(places.Limit{Waiting: 1, InUse: 3}))
 	assert.False(t, granted, "four places are in use")
 	load, granted := ledger.Reserve(request(places.Limit{Waiting: 1, InUse: 4}))
 	assert.True(t, granted)
-	assert.Equal(t, places.Load{Running: 3, Waiting: 1}, load)
+	assert.Equal(t, places.EngineLoad{Running: 3, Waiting: 1}, load)
 	load, granted = ledger.Reserve(request(places.Limit{Waiting: 1, InUse: 99}))
 	assert.False(t, granted, "the previous reservation counts as waiting")
 	assert.Equal(t, 2, load.Waiting)
 
-	ledger.Observe(places.Load{Loading: true}, true)
+	ledger.Observe(places.EngineLoad{Loading: true}, true)
 	_, granted = ledger.Reserve(request(places.Limit{Waiting: 99, InUse: 99}))
 	assert.False(t, granted, "the engine loads a version")
-	ledger.Observe(places.Load{}, false)
+	ledger.Observe(places.EngineLoad{}, false)
 	_, granted = ledger.Reserve(request(places.Limit{Waiting: 99, InUse: 99}))
 	assert.False(t, granted, "the engine does not respond")
 }
@@ -105,14 +105,14 @@
 // rejected.
 func TestReserveOverHTTP(t *testing.T) {
 	ledger := &places.Ledger{}
-	ledger.Observe(places.Load{Running: 2, Waiting: 1}, true)
+	ledger.Observe(places.EngineLoad{Running: 2, Waiting: 1}, true)
 	var granted []bool
 	address := serve(t, places.Handler(ledger, func(resp places.Response) { granted = append(granted, resp.Granted) }))
 	client := &places.Client{Client: http.DefaultClient}
 
 	resp, err := client.Reserve(context.Background(), address, request(places.Limit{Waiting: 1, InUse: 3}))
 	require.NoError(t, err)
-	assert.Equal(t, places.Response{Load: places.Load{Running: 2, Waiting: 1}, Granted: true}, resp)
+	assert.Equal(t, places.Response{EngineLoad: places.EngineLoad{Running: 2, Waiting: 1}, Granted: true}, resp)
 	resp, err = client.Reserve(context.Background(), address, request(places.Limit{Waiting: 1, InUse: 3}))
 	require.NoError(t, err)
 	assert.False(t, resp.Granted)
@@ -153,16 +153,16 @@
 }
 
 // TestClosingEngineAdmitsRequestsThatEndBefore checks that a request which is expected to run
-// at the scheduled load time gets no place, unless its duration is 0.
+// when the engine closes gets no place, unless its duration is 0.
 func TestClosingEngineAdmitsRequestsThatEndBefore(t *testing.T) {
 	now := time.Unix(1000, 0)
 	ledger := &places.Ledger{Now: func() time.Time { return now }}
-	ledger.Observe(places.Load{}, true)
+	ledger.Observe(places.EngineLoad{}, true)
 	reserve := func(duration time.Duration) bool {
 		_, granted := ledger.Reserve(request(places.Limit{Waiting: 99, InUse: 99, Duration: duration}))
 		return granted
 	}
-	assert.True(t, reserve(time.Hour), "no load is scheduled")
+	assert.True(t, reserve(time.Hour), "the engine does not close")
 	ledger.CloseAt(now.Add(time.Second))
 	assert.True(t, reserve(time.Second))
 	assert.False(t, reserve(1001*time.Millisecond))
@@ -179,12 +179,12 @@
 func TestRateLimitAppliesToAllRouters(t *testing.T) {
 	c := &clock{now: time.Unix(1000, 0)}
 	ledger := &places.Ledger{Now: c.read}
-	ledger.Observe(places.Load{}, true)
+	ledger.Observe(places.EngineLoad{}, true)
 	address := serve(t, places.Handler(ledger, func(places.Response) {}))
 	client := &places.Client{Client: http.DefaultClient}
 	reserve := func(engine ratelimit.Upstream, limit *ratelimit.Report) places.Response {
 		c.now = c.now.Add(settled)
-		ledger.Observe(places.Load{}, true)
+		ledger.Observe(places.EngineLoad{}, true)
 		resp, err := client.Reserve(context.Background(), address, places.Request{Limit: places.Limit{InUse: 3}, Engine: engine, RateLimit: limit})
 		require.NoError(t, err)
 		return resp
@@ -214,30 +214,30 @@
 }
 
 // TestWarmupRateAppliesToAllRouters checks that the rate of a cold engine also bounds routers
-// that do not hold it for cold.
+// that take it for warm.
 func TestWarmupRateAppliesToAllRouters(t *testing.T) {
 	c := &clock{now: time.Unix(1000, 0)}
 	ledger := &places.Ledger{Now: c.read}
 	granted := 0
 	for step := range 100 {
-		ledger.Observe(places.Load{}, true)
-		q := request(places.Limit{Waiting: 100, InUse: 100})
-		q.Engine = ratelimit.Upstream{ID: "e"}
+		ledger.Observe(places.EngineLoad{}, true)
+		req := request(places.Limit{Waiting: 100, InUse: 100})
+		req.Engine = ratelimit.Upstream{ID: "e"}
 		if step%2 == 0 {
-			q.Cold = &ratelimit.Warmup{PerSecond: 10, Remaining: time.Second - time.Duration(step)*10*time.Millisecond}
+			req.Cold = &ratelimit.Warmup{PerSecond: 10, Remaining: time.Second - time.Duration(step)*10*time.Millisecond}
 		}
-		if _, ok := ledger.Reserve(q); ok {
+		if _, ok := ledger.Reserve(req); ok {
 			granted++
 		}
 		c.now = c.now.Add(10 * time.Millisecond)
 	}
 	assert.InDelta(t, 10, granted, 2)
 	c.now = c.now.Add(settled)
-	ledger.Observe(places.Load{}, true)
+	ledger.Observe(places.EngineLoad{}, true)
 	for range 20 {
-		q := request(places.Limit{Waiting: 100, InUse: 100})
-		q.Engine = ratelimit.Upstream{ID: "e"}
-		_, ok := ledger.Reserve(q)
+		req := request(places.Limit{Waiting: 100, InUse: 100})
+		req.Engine = ratelimit.Upstream{ID: "e"}
+		_, ok := ledger.Reserve(req)
 		assert.True(t, ok, "the engine is warm")
 	}
 }
--- a/daemon/internal/request/admission/admission.go
+++ b/daemon/internal/request/admission/admission.go
@@ -167,7 +167,7 @@
 
 // Overloaded reports whether a request would probably miss its objective at an engine whose load
 // is known only from a report.
-func Overloaded(s Service, r Request, load places.Load) bool {
+func Overloaded(s Service, r Request, load places.EngineLoad) bool {
 	if r.Sent || s.Objective <= 0 || s.Places == 0 {
 		return false
 	}
--- a/daemon/internal/request/admission/admission_test.go
+++ b/daemon/internal/request/admission/admission_test.go
@@ -96,7 +96,7 @@
 // after engines have been full for some time.
 func TestLongerWaitIsAllowedInShortPeaks(t *testing.T) {
 	s := admission.Service{Places: 16, PlaceInterval: 100 * time.Millisecond, Objective: 400 * time.Millisecond}
-	load := places.Load{Running: 15}
+	load := places.EngineLoad{Running: 15}
 	assert.False(t, admission.Overloaded(s, admission.Request{}, load))
 	s.Saturation = 1
 	assert.True(t, admission.Overloaded(s, admission.Request{}, load))
--- a/daemon/internal/request/admission/search.go
+++ b/daemon/internal/request/admission/search.go
@@ -51,7 +51,7 @@
 }
 
 // AddDenied records that an engine with the given load denied a place.
-func (s *Search) AddDenied(load places.Load) {
+func (s *Search) AddDenied(load places.EngineLoad) {
 	s.denied++
 	s.sawFree = s.sawFree || load.Running+load.Waiting < s.Service.Places
 }
--- a/daemon/internal/request/admission/simulation_test.go
+++ b/daemon/internal/request/admission/simulation_test.go
@@ -122,8 +122,8 @@
 	e.pass(now)
 }
 
-func (e *engine) load() places.Load {
-	return places.Load{Running: len(e.running), Waiting: len(e.waiting) + len(e.reading)}
+func (e *engine) load() places.EngineLoad {
+	return places.EngineLoad{Running: len(e.running), Waiting: len(e.waiting) + len(e.reading)}
 }
 
 // policy sets the number of queries and the load limit of each.
--- a/daemon/internal/request/dispatch/dispatch.go
+++ b/daemon/internal/request/dispatch/dispatch.go
@@ -56,7 +56,7 @@
 	Demand func(declared *replica.Declaration) replica.VersionPolicy
 	// RequestPlace requests a place from an engine's loader. An error means that the loader
 	// did not answer. Nil means that there are no loaders.
-	RequestPlace func(ctx context.Context, engine *provider.Upstream, limit places.Limit) (places.Load, bool, error)
+	RequestPlace func(ctx context.Context, engine *provider.Upstream, limit places.Limit) (places.EngineLoad, bool, error)
 	// OnLimit is called with what each response states about its upstream's rate limit. It may
 	// be nil.
 	OnLimit func(LimitReport)
--- a/daemon/internal/request/dispatch/limit_test.go
+++ b/daemon/internal/request/dispatch/limit_test.go
@@ -20,11 +20,11 @@
 
 // limitAllBut makes all loaders but one answer that the engine's limit is used up.
 func (f *fleet) limitAllBut(q *request, free string) {
-	q.RequestPlace = func(_ context.Context, engine *provider.Upstream, _ places.Limit) (places.Load, bool, error) {
+	q.RequestPlace = func(_ context.Context, engine *provider.Upstream, _ places.Limit) (places.EngineLoad, bool, error) {
 		if engine.ID == free {
-			return places.Load{}, true, nil
+			return places.EngineLoad{}, true, nil
 		}
-		return places.Load{RetryAfter: retryWait}, false, nil
+		return places.EngineLoad{RetryAfter: retryWait}, false, nil
 	}
 }
 
@@ -83,15 +83,15 @@
 	q := f.request("hasty", 0)
 	queried := map[string]int{}
 	first := ""
-	q.RequestPlace = func(_ context.Context, engine *provider.Upstream, limit places.Limit) (places.Load, bool, error) {
+	q.RequestPlace = func(_ context.Context, engine *provider.Upstream, limit places.Limit) (places.EngineLoad, bool, error) {
 		if first == "" {
 			first = engine.ID
 		}
 		queried[engine.ID]++
 		if engine.ID == first {
-			return places.Load{Waiting: 1}, limit.Waiting > 0, nil
+			return places.EngineLoad{Waiting: 1}, limit.Waiting > 0, nil
 		}
-		return places.Load{RetryAfter: retryWait}, false, nil
+		return places.EngineLoad{RetryAfter: retryWait}, false, nil
 	}
 	choice, err := q.choosePlace(context.Background())
 	require.NoError(t, err)
--- a/daemon/internal/request/dispatch/place.go
+++ b/daemon/internal/request/dispatch/place.go
@@ -176,11 +176,11 @@
 	}
 	state := q.serviceState(choice, q.route.Objective)
 	state.Saturation = q.LoadTracker.RecordFull(q.service.Name, choice.Running+choice.Waiting+1 > choice.Upstream.Places)
-	return admission.Overloaded(state, q.admissionRequest(), places.Load{Running: choice.Running, Waiting: choice.Waiting})
+	return admission.Overloaded(state, q.admissionRequest(), places.EngineLoad{Running: choice.Running, Waiting: choice.Waiting})
 }
 
 // queryLoader requests a place and records the result.
-func (q *request) queryLoader(ctx context.Context, choice balance.Choice, limit places.Limit) (places.Load, bool, error) {
+func (q *request) queryLoader(ctx context.Context, choice balance.Choice, limit places.Limit) (places.EngineLoad, bool, error) {
 	started := clock.Now()
 	load, granted, err := q.RequestPlace(ctx, choice.Upstream, limit)
 	result := PlaceRequest{
--- a/daemon/internal/request/dispatch/place_test.go
+++ b/daemon/internal/request/dispatch/place_test.go
@@ -57,10 +57,10 @@
 	return f
 }
 
-func (f *fleet) answer(_ context.Context, _ *provider.Upstream, limit places.Limit) (places.Load, bool, error) {
+func (f *fleet) answer(_ context.Context, _ *provider.Upstream, limit places.Limit) (places.EngineLoad, bool, error) {
 	f.queries = append(f.queries, limit)
 	granted, err := f.grant(len(f.queries))
-	return places.Load{Running: 10, Waiting: 1}, granted, err
+	return places.EngineLoad{Running: 10, Waiting: 1}, granted, err
 }
 
 func (f *fleet) request(route string, sent int) *request {
--- a/daemon/lab/engine.go
+++ b/daemon/lab/engine.go
@@ -82,8 +82,8 @@
 func hallOf(index, halls int) string { return fmt.Sprintf("hall-%d", index%halls) }
 
 // load returns the load that the engine reports.
-func (e *engine) load() places.Load {
-	return places.Load{Running: len(e.running), Waiting: len(e.waiting) + len(e.reading), Loading: e.unavailable()}
+func (e *engine) load() places.EngineLoad {
+	return places.EngineLoad{Running: len(e.running), Waiting: len(e.waiting) + len(e.reading), Loading: e.unavailable()}
 }
 
 func (e *engine) unavailable() bool { return e.sim.events.now < e.unavailableUntil || e.draining }
--- a/daemon/loader/events.go
+++ b/daemon/loader/events.go
@@ -36,7 +36,7 @@
 func (p *Process) publishReport(report provider.EngineReport, err error) {
 	if err != nil {
 		p.feed.Publish(loadfeed.State{Loading: true})
-		p.ledger.Observe(places.Load{}, false)
+		p.ledger.Observe(places.EngineLoad{}, false)
 		p.telemetry.SetNotReady("the engine does not answer")
 		return
 	}
@@ -47,7 +47,7 @@
 		Running: report.Running, Waiting: report.Waiting, Loading: loading, ClosesIn: loadfeed.ClosesIn(closesAt, clock.Now()), Models: report.Models,
 	})
 	p.ledger.CloseAt(closesAt)
-	p.ledger.Observe(places.Load{Running: report.Running, Waiting: report.Waiting, Loading: loading}, true)
+	p.ledger.Observe(places.EngineLoad{Running: report.Running, Waiting: report.Waiting, Loading: loading}, true)
 }
 
 // countAnswer counts an answer to a router's place query.
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -143,7 +143,7 @@
 		createdAt: clock.Now(),
 	}
 	p.current.Store(&s)
-	p.ledger.OnLimit = p.logLimit
+	p.ledger.OnRateLimitChange = p.logLimit
 	calls := &http.Client{Transport: dial.NewHostTransport(options.Dial, originIdleTimeout)}
 	p.provider = options.Provider(s.Store, p.client, calls)
 	p.compiler = &replica.Compiler{Decode: p.provider.Decode, OnEntryChange: p.logDeclaration}
--- a/daemon/router/limit_test.go
+++ b/daemon/router/limit_test.go
@@ -260,14 +260,14 @@
 func startLoader(t *testing.T) uint16 {
 	t.Helper()
 	ledger := &places.Ledger{}
-	ledger.Observe(places.Load{}, true)
+	ledger.Observe(places.EngineLoad{}, true)
 	pages := http.NewServeMux()
 	feed := loadfeed.NewFeed()
 	feed.Publish(loadfeed.State{Models: []provider.LoadedModel{{Model: "m", Version: 1}}})
 	pages.Handle(loadfeed.Path, feed)
 	answer := places.Handler(ledger, func(places.Response) {})
 	pages.HandleFunc(places.Path, func(w http.ResponseWriter, r *http.Request) {
-		ledger.Observe(places.Load{}, true)
+		ledger.Observe(places.EngineLoad{}, true)
 		answer(w, r)
 	})
 	return serveAt(t, freePorts(t, 1)[0], pages)
--- a/daemon/router/limits.go
+++ b/daemon/router/limits.go
@@ -124,7 +124,7 @@
 
 // requestPlace requests a place at an engine from the loader beside it. The query carries the
 // limit that this router holds for the engine, and the answer the limit that the loader holds.
-func (p *Process) requestPlace(ctx context.Context, engine *provider.Upstream, limit places.Limit) (places.Load, bool, error) {
+func (p *Process) requestPlace(ctx context.Context, engine *provider.Upstream, limit places.Limit) (places.EngineLoad, bool, error) {
 	upstream := instanceOf(engine)
 	query := places.Request{Limit: limit, Engine: ratelimit.Upstream{ID: upstream.ID, Started: upstream.Started}}
 	p.limits.withTable(func(table *ratelimit.Table, now time.Time) {
@@ -137,16 +137,16 @@
 	answer, err := p.placeClient.Reserve(ctx, loader, query)
 	switch {
 	case err != nil:
-		return answer.Load, false, err
+		return answer.EngineLoad, false, err
 	case answer.RateLimit != nil:
 		p.applyLimit(ratelimit.UpstreamReport{Upstream: upstream, Report: *answer.RateLimit}, sourceLoader, loader)
 	case query.RateLimit != nil && !query.RateLimit.Lifted:
-		return answer.Load, false, errLimitNotEnforced
+		return answer.EngineLoad, false, errLimitNotEnforced
 	}
 	if answer.RetryAfter > 0 {
 		p.recorder.limitDenied(dispatch.PathLoader)
 	}
-	return answer.Load, answer.Granted, nil
+	return answer.EngineLoad, answer.Granted, nil
 }
 
 // newLimitNotifier prepares the notification of other routers about limits.
