--- a/daemon/agent/agent.go
+++ b/daemon/agent/agent.go
@@ -85,7 +85,7 @@
 	gate      *gate.Gate
 	stage     *stage.Stage
 	installer *install.Installer // nil for a plain service
-	hosts     *hosts.Follower
+	hosts     *hosts.Poller
 	follower  *follow.Follower
 	reporter  *report.Reporter
 	server    *server.Server
@@ -124,7 +124,7 @@
 		return err
 	}
 	client := &http.Client{Transport: p.control}
-	p.hosts = &hosts.Follower{List: platform.NewHostList(p.settings.Platform.HostList, client), Hall: p.settings.Hall, Interval: p.options.HostsInterval}
+	p.hosts = &hosts.Poller{List: platform.NewHostList(p.settings.Platform.HostList, client), Hall: p.settings.Hall, Interval: p.options.HostsInterval}
 	entries := func() []platform.Host { return p.hosts.Select(platform.RoleEntry, "") }
 	p.reporter = &report.Reporter{
 		Host: p.settings.Name, Entries: entries, Client: client,
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -75,7 +75,7 @@
 
 	table   *tables.Table
 	members *members.Table
-	hosts   *hosts.Follower
+	hosts   *hosts.Poller
 	watcher *kvwatch.Watcher
 	puller  *gossip.Puller
 	placer  *placer.Placer
@@ -119,7 +119,7 @@
 func (p *Process) Start() error {
 	client := &http.Client{Transport: p.control}
 	kv := platform.NewKV(p.settings.Platform.KeyValue, client)
-	p.hosts = &hosts.Follower{List: platform.NewHostList(p.settings.Platform.HostList, client), Interval: p.options.HostsInterval}
+	p.hosts = &hosts.Poller{List: platform.NewHostList(p.settings.Platform.HostList, client), Interval: p.options.HostsInterval}
 	p.addFollowers(kv, client)
 	if err := p.listen(kv); err != nil {
 		p.killServers()
--- a/daemon/internal/process/hosts/hosts.go
+++ b/daemon/internal/process/hosts/hosts.go
@@ -18,8 +18,9 @@
 // list is not transferred again.
 const DefaultInterval = time.Second
 
-// Follower holds the last fetched list. Its fields must be set before Start.
-type Follower struct {
+// Poller fetches the list periodically and holds the last one. Its fields must be set before
+// Start.
+type Poller struct {
 	List *platform.HostList
 	// Hall limits the list; empty means all halls.
 	Hall string
@@ -39,27 +40,27 @@
 }
 
 // Start starts polling in a goroutine.
-func (f *Follower) Start() { f.tomb.Go(f.run) }
+func (p *Poller) Start() { p.tomb.Go(p.run) }
 
 // Stop stops polling and waits until the goroutine has ended.
-func (f *Follower) Stop() {
-	f.tomb.Kill(nil)
-	_ = f.tomb.Wait()
+func (p *Poller) Stop() {
+	p.tomb.Kill(nil)
+	_ = p.tomb.Wait()
 }
 
-// Done returns a channel that is closed when the follower has ended.
-func (f *Follower) Done() <-chan struct{} { return f.tomb.Dead() }
+// Done returns a channel that is closed when the poller has ended.
+func (p *Poller) Done() <-chan struct{} { return p.tomb.Dead() }
 
 // Hosts returns the last fetched list, and false if none has been fetched yet.
-func (f *Follower) Hosts() ([]platform.Host, bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.hosts, f.fetched
+func (p *Poller) Hosts() ([]platform.Host, bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.hosts, p.fetched
 }
 
 // Select returns the hosts of a role and a hall; an empty hall means all halls.
-func (f *Follower) Select(role, hall string) []platform.Host {
-	all, _ := f.Hosts()
+func (p *Poller) Select(role, hall string) []platform.Host {
+	all, _ := p.Hosts()
 	var selected []platform.Host
 	for _, host := range all {
 		if host.Role == role && (hall == "" || host.Hall == hall) {
@@ -69,28 +70,28 @@
 	return selected
 }
 
-func (f *Follower) run() error {
-	ctx := f.tomb.Context(nil) //nolint:staticcheck // tomb takes nil for "no parent"
-	interval := helpers.OrDefault(f.Interval, DefaultInterval)
-	f.fetch(ctx)
-	for helpers.Pause(interval/2+rand.N(interval), f.tomb.Dying()) {
-		f.fetch(ctx)
+func (p *Poller) run() error {
+	ctx := p.tomb.Context(nil) //nolint:staticcheck // tomb takes nil for "no parent"
+	interval := helpers.OrDefault(p.Interval, DefaultInterval)
+	p.fetch(ctx)
+	for helpers.Pause(interval/2+rand.N(interval), p.tomb.Dying()) {
+		p.fetch(ctx)
 	}
 	return nil
 }
 
-func (f *Follower) fetch(ctx context.Context) {
-	f.mu.Lock()
-	tag := f.tag
-	f.mu.Unlock()
-	list, changed, err := f.List.Fetch(ctx, f.Hall, tag)
+func (p *Poller) fetch(ctx context.Context) {
+	p.mu.Lock()
+	tag := p.tag
+	p.mu.Unlock()
+	listing, changed, err := p.List.Fetch(ctx, p.Hall, tag)
 	if err != nil || !changed {
 		return
 	}
-	f.mu.Lock()
-	f.hosts, f.tag, f.fetched = list.Hosts, list.Tag, true
-	f.mu.Unlock()
-	if f.OnChange != nil {
-		f.OnChange(list.Hosts)
+	p.mu.Lock()
+	p.hosts, p.tag, p.fetched = listing.Hosts, listing.Tag, true
+	p.mu.Unlock()
+	if p.OnChange != nil {
+		p.OnChange(listing.Hosts)
 	}
 }
--- a/daemon/internal/process/platform/hosts.go
+++ b/daemon/internal/process/platform/hosts.go
@@ -26,8 +26,8 @@
 	Address netip.AddrPort `json:"address"`
 }
 
-// Hosts is a fetched host list.
-type Hosts struct {
+// HostListing is the response to a fetch of the host list.
+type HostListing struct {
 	// Tag is the entity tag of the list, for conditional fetches.
 	Tag   string
 	Hosts []Host
@@ -37,21 +37,21 @@
 type HostList struct {
 	// Fetch returns the hosts of a hall, or of all halls if hall is empty. It returns false
 	// if the list still has the given tag.
-	Fetch func(ctx context.Context, hall, tag string) (Hosts, bool, error)
+	Fetch func(ctx context.Context, hall, tag string) (HostListing, bool, error)
 }
 
 // NewHostList returns the client of the host list at an address.
 func NewHostList(addr netip.AddrPort, client *http.Client) *HostList {
-	return &HostList{Fetch: func(ctx context.Context, hall, tag string) (Hosts, bool, error) {
-		hosts, changed, err := fetchHosts(ctx, client, addr, hall, tag)
+	return &HostList{Fetch: func(ctx context.Context, hall, tag string) (HostListing, bool, error) {
+		listing, changed, err := fetchHosts(ctx, client, addr, hall, tag)
 		if err != nil {
-			return hosts, changed, fmt.Errorf("host list at %s: %w", addr, err)
+			return listing, changed, fmt.Errorf("fetch host list from %s: %w", addr, err)
 		}
-		return hosts, changed, nil
+		return listing, changed, nil
 	}}
 }
 
-func fetchHosts(ctx context.Context, client *http.Client, addr netip.AddrPort, hall, tag string) (Hosts, bool, error) {
+func fetchHosts(ctx context.Context, client *http.Client, addr netip.AddrPort, hall, tag string) (HostListing, bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	query := url.Values{}
@@ -60,28 +60,28 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr.String()+"/hosts?"+query.Encode(), nil)
 	if err != nil {
-		return Hosts{}, false, err
+		return HostListing{}, false, err
 	}
 	req.Header.Set("If-None-Match", tag)
 	resp, err := client.Do(req)
 	if err != nil {
-		return Hosts{}, false, err
+		return HostListing{}, false, err
 	}
 	defer func() { _ = resp.Body.Close() }()
 	switch resp.StatusCode {
 	case http.StatusNotModified:
-		return Hosts{Tag: tag}, false, nil
+		return HostListing{Tag: tag}, false, nil
 	case http.StatusOK:
 	default:
-		return Hosts{}, false, fmt.Errorf("status %s", resp.Status)
+		return HostListing{}, false, fmt.Errorf("status %s", resp.Status)
 	}
-	hosts := Hosts{Tag: resp.Header.Get("ETag")}
-	var list struct {
+	listing := HostListing{Tag: resp.Header.Get("ETag")}
+	var body struct {
 		Hosts []Host `json:"hosts"`
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(&list); err != nil {
-		return Hosts{}, false, err
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(&body); err != nil {
+		return HostListing{}, false, err
 	}
-	hosts.Hosts = list.Hosts
-	return hosts, true, nil
+	listing.Hosts = body.Hosts
+	return listing, true, nil
 }
