--- a/daemon/internal/process/replica/breaker_test.go
+++ b/daemon/internal/process/replica/breaker_test.go
@@ -26,7 +26,7 @@
 			list := func(context.Context, string) (provider.Listing, error) {
 				if time.Since(started) < outage {
 					failed.Add(1)
-					return provider.Listing{}, errors.New("gone")
+					return provider.Listing{}, errors.New("store is down")
 				}
 				answered.Add(1)
 				return provider.Listing{Revision: 1}, nil
--- a/daemon/internal/process/replica/expiry_test.go
+++ b/daemon/internal/process/replica/expiry_test.go
@@ -12,10 +12,10 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// TestExpiredUpstreamsStayInUseForAGrace checks that an upstream whose entry is removed
+// TestExpiredUpstreamsStayInUseForGracePeriod checks that an upstream whose entry is removed
 // while the store is unreachable stays in use for a while. One that was leaving, or whose
 // entry is removed while the store answers, is dropped at once.
-func TestExpiredUpstreamsStayInUseForAGrace(t *testing.T) {
+func TestExpiredUpstreamsStayInUseForGracePeriod(t *testing.T) {
 	now := time.Unix(1000, 0)
 	unreachable, leaving := true, false
 	table := &replica.Table{}
@@ -45,7 +45,7 @@
 	apply("a", true)
 	now = now.Add(time.Minute)
 	table.Recompile()
-	assert.Zero(t, inUse(), "the grace is over")
+	assert.Zero(t, inUse(), "the grace period is over")
 	assert.False(t, compiler.HasExpired())
 
 	leaving = true
--- a/daemon/internal/process/replica/follower.go
+++ b/daemon/internal/process/replica/follower.go
@@ -173,16 +173,16 @@
 
 func (f *Follower) run() error {
 	ctx := f.tomb.Context(nil) //nolint:staticcheck // tomb takes nil for "no parent"
-	calls := provider.WithProgress(ctx, f.recordProgress)
+	callCtx := provider.WithProgress(ctx, f.recordProgress)
 	for _, prefix := range f.BootstrapPrefixes {
-		if f.bootstrap(calls, prefix); f.BootstrapDone != nil && f.BootstrapDone() {
+		if f.bootstrap(callCtx, prefix); f.BootstrapDone != nil && f.BootstrapDone() {
 			break
 		}
 	}
 	backoff := minBackoff
 	if f.QueryPeer != nil && f.RecheckInterval > 0 {
 		f.tomb.Go(func() error {
-			f.recheckBesidePeers(calls)
+			f.recheckBesidePeers(callCtx)
 			return nil
 		})
 	}
@@ -192,7 +192,7 @@
 			continue
 		}
 		f.Breaker.wait(f)
-		err := f.step(calls)
+		err := f.step(callCtx)
 		f.currentData.Store(0)
 		f.recordResult(err)
 		if err == nil || errors.Is(err, provider.ErrCompacted) {
--- a/daemon/internal/process/replica/follower_test.go
+++ b/daemon/internal/process/replica/follower_test.go
@@ -62,12 +62,12 @@
 		const (
 			interval = 250 * time.Millisecond
 			transfer = 300 * time.Millisecond
-			settle   = 500 * time.Millisecond
-			bound    = settle + 2*transfer + interval
+			debounce = 500 * time.Millisecond
+			bound    = debounce + 2*transfer + interval
 		)
 		s := &changingStore{started: time.Now(), interval: interval, transfer: transfer}
 		table := &replica.Table{}
-		follower := replica.Follower{Store: s.store(), Table: table, Debounce: func() time.Duration { return settle }}
+		follower := replica.Follower{Store: s.store(), Table: table, Debounce: func() time.Duration { return debounce }}
 		follower.Start()
 		helpers.Pause(5*time.Second, nil)
 		for range 40 {
--- a/daemon/internal/process/replica/peer_test.go
+++ b/daemon/internal/process/replica/peer_test.go
@@ -286,7 +286,7 @@
 func TestBootstrapRepeatsUntilTheListIsRecent(t *testing.T) {
 	for name, test := range map[string]struct {
 		listsUntilRecent int
-		enough           bool
+		done             bool
 		listed           map[string]int
 	}{
 		"first list is recent, rest skipped": {1, true, map[string]int{"shard/": 1}},
@@ -304,7 +304,7 @@
 				}
 				follower := &replica.Follower{
 					Store: store, Table: &replica.Table{}, QueryPeer: p.query, BootstrapPrefixes: []string{"shard/", "hall/"},
-					BootstrapRecent: func() bool { return listed["shard/"] >= test.listsUntilRecent }, BootstrapDone: func() bool { return test.enough },
+					BootstrapRecent: func() bool { return listed["shard/"] >= test.listsUntilRecent }, BootstrapDone: func() bool { return test.done },
 				}
 				follower.Start()
 				helpers.Pause(5*time.Second, nil)
--- a/daemon/internal/process/replica/priority_test.go
+++ b/daemon/internal/process/replica/priority_test.go
@@ -24,7 +24,7 @@
 		compiler.Apply([]provider.Entry{{Key: "configuration", Revision: 1}})
 		return compiler.View()
 	}
-	plain, prioritized := provider.Account{Name: "plain"}, provider.Account{Name: "hasty", Priority: &urgent}
+	plain, prioritized := provider.Account{Name: "plain"}, provider.Account{Name: "prioritized", Priority: &urgent}
 	tests := []struct {
 		name        string
 		view        *replica.View
--- a/daemon/internal/process/replica/probe.go
+++ b/daemon/internal/process/replica/probe.go
@@ -16,7 +16,7 @@
 // A pending watch shows neither that the store is reachable, nor that the connection is
 // intact, nor that the store still delivers changes to it. Short watches would show all
 // of that, but cost a full call a second for each reader. So watches wait longer, and
-// stale lists of a small prefix, at a tenth of the price, probe the store beside them.
+// stale lists of a small prefix, at a tenth of the cost, probe the store beside them.
 //
 // Rejected: watches of 15 s that rely on the revision of the probe's answer to reveal
 // missed changes. After a compaction the store withholds the earlier changes from a
--- a/daemon/internal/process/replica/replica_test.go
+++ b/daemon/internal/process/replica/replica_test.go
@@ -30,7 +30,7 @@
 			revision++
 			entry := provider.Entry{
 				Key: rapid.SampledFrom([]string{"a/1", "a/2", "b/1"}).Draw(t, "key"), Revision: revision,
-				Deleted: rapid.Bool().Draw(t, "gone"),
+				Deleted: rapid.Bool().Draw(t, "deleted"),
 			}
 			if !entry.Deleted {
 				entry.Value = []byte(fmt.Sprint(revision))
@@ -44,11 +44,11 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"write": write,
-			"news": func(t *rapid.T) {
+			"update": func(t *rapid.T) {
 				if len(history) == 0 {
 					t.Skip()
 				}
-				update := rapid.SliceOfN(rapid.SampledFrom(history), 1, 5).Draw(t, "news")
+				update := rapid.SliceOfN(rapid.SampledFrom(history), 1, 5).Draw(t, "update")
 				table.Apply(update)
 				for _, entry := range update {
 					receive(entry)
@@ -139,38 +139,38 @@
 
 func TestFollowerReportsConnectionLossAndRecoveryOnce(t *testing.T) {
 	s := &scriptedStore{watches: make(chan func() (provider.Listing, error))}
-	contacts := make(chan error, 8)
+	connectionChanges := make(chan error, 8)
 	follower := &replica.Follower{
 		Table: &replica.Table{}, Store: s.store(func() provider.Listing { return provider.Listing{Revision: 1} }),
-		OnConnectionChange: func(_ string, err error) { contacts <- err },
+		OnConnectionChange: func(_ string, err error) { connectionChanges <- err },
 	}
 	follower.Start()
 	defer follower.Stop()
 	down := errors.New("down")
 	s.watches <- func() (provider.Listing, error) { return provider.Listing{}, down }
-	require.ErrorIs(t, <-contacts, down)
+	require.ErrorIs(t, <-connectionChanges, down)
 	s.watches <- func() (provider.Listing, error) { return provider.Listing{}, down }
 	s.watches <- func() (provider.Listing, error) { return provider.Listing{Revision: 1}, nil }
-	require.NoError(t, <-contacts, "one call for the loss, one for the recovery")
+	require.NoError(t, <-connectionChanges, "one call for the loss, one for the recovery")
 }
 
 // TestHangingWatchTimesOut checks that a store that does not answer counts as
 // disconnected, and that its next answer is applied.
 func TestHangingWatchTimesOut(t *testing.T) {
 	s := &scriptedStore{watches: make(chan func() (provider.Listing, error))}
-	contacts := make(chan error, 8)
+	connectionChanges := make(chan error, 8)
 	table := &replica.Table{}
 	follower := &replica.Follower{
 		Table: table, WatchWait: func() time.Duration { return time.Millisecond }, Store: s.store(func() provider.Listing { return provider.Listing{Revision: 1} }),
-		OnConnectionChange: func(_ string, err error) { contacts <- err },
+		OnConnectionChange: func(_ string, err error) { connectionChanges <- err },
 	}
 	follower.Start()
 	defer follower.Stop()
-	require.ErrorIs(t, <-contacts, context.DeadlineExceeded)
+	require.ErrorIs(t, <-connectionChanges, context.DeadlineExceeded)
 	s.watches <- func() (provider.Listing, error) {
 		return provider.Listing{Revision: 2, Entries: []provider.Entry{{Key: "a", Revision: 2}}}, nil
 	}
-	require.NoError(t, <-contacts)
+	require.NoError(t, <-connectionChanges)
 	assert.Len(t, table.EntriesAfter(0).Entries, 1)
 }
 
@@ -214,7 +214,7 @@
 
 func TestInvalidConfigurationLeavesTheLastValidOne(t *testing.T) {
 	var changes []replica.EntryChange
-	compiler := &replica.Compiler{Decode: decode, OnEntryChange: func(b replica.EntryChange) { changes = append(changes, b) }}
+	compiler := &replica.Compiler{Decode: decode, OnEntryChange: func(change replica.EntryChange) { changes = append(changes, change) }}
 	valid := entry(t, "c", 1, provider.Record{Configuration: &provider.Configuration{
 		Version: 7, Routes: []provider.Route{{Name: "short", Host: "h", Prefix: "/a/"}, {Name: "long", Host: "h", Prefix: "/a/b/"}},
 		Accounts: []provider.Account{{Name: "x", Keys: []string{"k"}}},
@@ -236,15 +236,15 @@
 func TestInvalidEntryDropsItsUpstream(t *testing.T) {
 	var last replica.EntryChange
 	compiler := &replica.Compiler{
-		Decode: decode, MayHaveExpired: func() bool { return true }, OnEntryChange: func(b replica.EntryChange) { last = b },
+		Decode: decode, MayHaveExpired: func() bool { return true }, OnEntryChange: func(change replica.EntryChange) { last = change },
 	}
 	inUse := func() int { return len(compiler.View().Upstreams["s"]) }
-	list := func(key, address string, revision provider.Revision) {
+	register := func(key, address string, revision provider.Revision) {
 		record := provider.Record{Upstream: &provider.Upstream{ID: key, Service: "s", Address: netip.MustParseAddrPort(address)}}
 		compiler.Apply([]provider.Entry{entry(t, key, revision, record)})
 	}
-	list("a", "10.0.0.1:80", 1)
-	list("b", "10.0.0.2:80", 2)
+	register("a", "10.0.0.1:80", 1)
+	register("b", "10.0.0.2:80", 2)
 	require.Equal(t, 2, inUse())
 
 	compiler.Apply([]provider.Entry{{Key: "a", Value: []byte{0xff, 0}, Revision: 3}})
@@ -253,7 +253,7 @@
 	require.Error(t, last.Err)
 	assert.False(t, compiler.HasExpired())
 
-	list("a", "10.0.0.1:80", 4)
+	register("a", "10.0.0.1:80", 4)
 	assert.Equal(t, 2, inUse())
 
 	compiler.Apply([]provider.Entry{{Key: "c", Value: []byte("{"), Revision: 5}})
--- a/daemon/internal/process/replica/sharedlink_test.go
+++ b/daemon/internal/process/replica/sharedlink_test.go
@@ -35,14 +35,14 @@
 	return nil
 }
 
-// linkedStore has one large entry behind a shared link.
-type linkedStore struct {
+// sharedLinkStore has one large entry behind a shared link.
+type sharedLinkStore struct {
 	link sharedLink
 	// changes holds the times of the entry's states, revisions 1 and up.
 	changes []time.Time
 }
 
-func (s *linkedStore) newest() provider.Revision {
+func (s *sharedLinkStore) newest() provider.Revision {
 	at := provider.Revision(0)
 	for _, change := range s.changes {
 		if !time.Now().Before(change) {
@@ -52,17 +52,17 @@
 	return at
 }
 
-func (s *linkedStore) state(revision provider.Revision) provider.Entry {
+func (s *sharedLinkStore) state(revision provider.Revision) provider.Entry {
 	return provider.Entry{Key: "large", Value: []byte("state"), Revision: revision}
 }
 
-func (s *linkedStore) list(ctx context.Context, _ string) (provider.Listing, error) {
+func (s *sharedLinkStore) list(ctx context.Context, _ string) (provider.Listing, error) {
 	at := s.newest()
 	err := s.link.send(ctx, 1)
 	return provider.Listing{Entries: []provider.Entry{s.state(at)}, Revision: at}, err
 }
 
-func (s *linkedStore) watch(ctx context.Context, _ string, after provider.Revision, wait time.Duration) (provider.Listing, error) {
+func (s *sharedLinkStore) watch(ctx context.Context, _ string, after provider.Revision, wait time.Duration) (provider.Listing, error) {
 	until := time.Now().Add(wait)
 	for s.newest() <= after && time.Now().Before(until) {
 		if !helpers.Pause(10*time.Millisecond, ctx.Done()) {
@@ -83,7 +83,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		const routers = 13
 		started := time.Now()
-		store := &linkedStore{
+		store := &sharedLinkStore{
 			link:    sharedLink{transfer: 135 * time.Millisecond},
 			changes: []time.Time{started, started.Add(5 * time.Second), started.Add(5500 * time.Millisecond), started.Add(6 * time.Second)},
 		}
--- a/daemon/internal/process/replica/suspension_test.go
+++ b/daemon/internal/process/replica/suspension_test.go
@@ -14,24 +14,24 @@
 )
 
 // host is a host that can be suspended, which stops its monotonic clock.
-type host struct{ steady, boot time.Duration }
+type host struct{ monotonic, boot time.Duration }
 
 func (h *host) now() func() time.Time {
-	c := &clock.Clock{Monotonic: func() time.Duration { return h.steady }, Boot: func() time.Duration { return h.boot }}
+	c := &clock.Clock{Monotonic: func() time.Duration { return h.monotonic }, Boot: func() time.Duration { return h.boot }}
 	c.Now()
 	return c.Now
 }
 
 func (h *host) suspend(d time.Duration) {
 	h.boot += d
-	h.steady += time.Second // the host runs on before the clock is read
+	h.monotonic += time.Second // the host runs on before the clock is read
 	h.boot += time.Second
 }
 
 // TestReplicaAgesDuringSuspension guards against a replica that counts as current after
 // its host was suspended, because the monotonic clock stood still meanwhile.
 func TestReplicaAgesDuringSuspension(t *testing.T) {
-	h := &host{steady: time.Second}
+	h := &host{monotonic: time.Second}
 	answered := make(chan struct{})
 	follower := &replica.Follower{
 		Table: &replica.Table{}, Now: h.now(),
@@ -59,7 +59,7 @@
 // TestVersionDeadlinesPassDuringSuspension guards against a suspension that extends the
 // use of engines with an old version.
 func TestVersionDeadlinesPassDuringSuspension(t *testing.T) {
-	h := &host{steady: time.Second}
+	h := &host{monotonic: time.Second}
 	now := h.now()
 	compiler := &replica.Compiler{Decode: decode, Now: now}
 	declare := func(version int, revision provider.Revision) {
@@ -67,7 +67,7 @@
 		compiler.Apply([]provider.Entry{entry(t, "v", revision, record)})
 	}
 	declare(1, 1)
-	h.steady, h.boot = h.steady+time.Minute, h.boot+time.Minute
+	h.monotonic, h.boot = h.monotonic+time.Minute, h.boot+time.Minute
 	declare(2, 2)
 	const apply, grace = 8 * time.Second, 7 * time.Second
 	declared := compiler.View().Targets["m"]
--- a/daemon/internal/process/replica/versionpolicy.go
+++ b/daemon/internal/process/replica/versionpolicy.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	// penaltyStart and penaltyFull are the times remaining before a version's deadline at
+	// avoidStart and avoidFull are the times remaining before a version's deadline at
 	// which upstreams that lack it begin to be avoided, and are avoided fully. The
 	// gradual shift drains hosts whose link or loader has failed before the deadline.
-	penaltyStart = 2240 * time.Millisecond
-	penaltyFull  = 1200 * time.Millisecond
+	avoidStart = 2240 * time.Millisecond
+	avoidFull  = 1200 * time.Millisecond
 	// cutoff is the time remaining before the deadline from which such upstreams get no
 	// requests: those queued or in flight there need it to finish.
 	cutoff = 960 * time.Millisecond
@@ -38,7 +38,7 @@
 // before it, each of which is to be applied within applyTimeout.
 func (d *Declaration) VersionPolicy(now time.Time, applyTimeout time.Duration) VersionPolicy {
 	policy := VersionPolicy{MinVersion: d.MinVersion(now, elapsedAt(cutoff, applyTimeout), applyTimeout)}
-	start, full := elapsedAt(penaltyStart, applyTimeout), elapsedAt(penaltyFull, applyTimeout)
+	start, full := elapsedAt(avoidStart, applyTimeout), elapsedAt(avoidFull, applyTimeout)
 	if declared := d.olderThan(start, now, applyTimeout); declared != nil {
 		elapsed := now.Sub(declared.DeclaredAt(applyTimeout))
 		policy.PreferredVersion = declared.Version
--- a/daemon/internal/process/replica/view.go
+++ b/daemon/internal/process/replica/view.go
@@ -108,8 +108,9 @@
 	Decode func(provider.Entry) (provider.Record, error)
 	// OnEntryChange is called for each changed entry. It may be nil.
 	OnEntryChange func(EntryChange)
-	// OnSuspect receives the routers' notes on quarantined contents. It may be nil.
-	OnSuspect func(note []byte) error
+	// OnSuspect receives the routers' encoded reports about quarantined contents. It may be
+	// nil.
+	OnSuspect func(report []byte) error
 	// MayHaveExpired reports whether an entry that is removed now may have expired only
 	// because its upstream could not reach the store. Nil means never. Such an upstream stays
 	// in use for expiryGrace, after which the owner of the compiler must call Apply.
@@ -206,7 +207,8 @@
 
 func (c *Compiler) isNotMember(entry provider.Entry) bool { return c.members[entry.Key] == nil }
 
-// pruneExpired drops the expired upstreams that registered again or whose grace is over.
+// pruneExpired drops the expired upstreams that registered again or whose grace period is
+// over.
 func (c *Compiler) pruneExpired() {
 	for key, upstream := range c.expired {
 		if _, registered := c.upstreams[key]; registered || !c.now().Before(upstream.until) {
