--- a/daemon/internal/connection/peering/listings.go
+++ b/daemon/internal/connection/peering/listings.go
@@ -30,8 +30,8 @@
 	entries []provider.Entry
 
 	pack sync.Once
-	// all holds the entries packed together, valid once pack has run.
-	all []byte
+	// packedAll holds the entries packed together, valid once pack has run.
+	packedAll []byte
 }
 
 // list returns a listing of the table's current state, from the cache if possible.
@@ -55,6 +55,6 @@
 
 // packed returns the entries packed together.
 func (l *listing) packed(p *packer) []byte {
-	l.pack.Do(func() { l.all = packAll(p.pack(l.entries)) })
-	return l.all
+	l.pack.Do(func() { l.packedAll = packAll(p.pack(l.entries)) })
+	return l.packedAll
 }
--- a/daemon/internal/connection/peering/neighbours.go
+++ b/daemon/internal/connection/peering/neighbours.go
@@ -92,10 +92,11 @@
 	}
 	update, err := fetch(ctx, n.Client, neighbour, req)
 	if err == nil && update.Revision == 0 {
-		return update, fmt.Errorf("neighbour %s: %w", neighbour, errStarting)
+		return update, fmt.Errorf("fetch update from neighbour %s: %w", neighbour, errStarting)
 	}
 	if err == nil && update.Stale() {
-		err = fmt.Errorf("neighbour %s, last data from the store %s ago: %w", neighbour, update.SinceData.Round(time.Millisecond), replica.ErrStale)
+		err = fmt.Errorf("fetch update from neighbour %s: last data from the store %s ago, disconnected %t: %w",
+			neighbour, update.SinceData.Round(time.Millisecond), update.Disconnected, replica.ErrStale)
 	}
 	return update, err
 }
--- a/daemon/internal/connection/peering/peering.go
+++ b/daemon/internal/connection/peering/peering.go
@@ -123,7 +123,7 @@
 	w.Header().Set("Content-Type", "application/json")
 	reply := packedMessage{message: resp}
 	if req.packed && len(resp.Entries) > 0 {
-		// The table may be newer by now. It then still has all entries up to resp.At.
+		// The table may be newer by now. It then still has all entries up to resp.Revision.
 		reply.Packed = s.listings.list(s.Table, req.prefix, req.after).packed(&s.packer)
 	} else {
 		reply.Entries = s.packer.pack(resp.Entries)
--- a/daemon/internal/connection/peering/peering_test.go
+++ b/daemon/internal/connection/peering/peering_test.go
@@ -50,8 +50,8 @@
 	d.status = status
 }
 
-// only chooses one daemon as long as it is usable.
-func (d *daemon) only(usable func(netip.AddrPort) bool) (netip.AddrPort, bool) {
+// choose chooses the daemon as long as it is usable.
+func (d *daemon) choose(usable func(netip.AddrPort) bool) (netip.AddrPort, bool) {
 	return d.address, usable(d.address)
 }
 
@@ -138,7 +138,7 @@
 func TestNewGenerationIsFetchedCompletely(t *testing.T) {
 	d := startDaemon(t, replica.Status{Revision: 6, Generation: 1})
 	d.table.Apply(entries(3, 6))
-	neighbours := &Neighbours{Client: d.client, Choose: d.only}
+	neighbours := &Neighbours{Client: d.client, Choose: d.choose}
 	update, err := neighbours.FetchUpdate(t.Context(), "", 5)
 	require.NoError(t, err)
 	assert.Equal(t, provider.Revision(0), update.After, "the first call to a neighbour fetches all entries")
@@ -161,7 +161,7 @@
 func TestUpdateHasOnlyEntriesUnderPrefix(t *testing.T) {
 	d := startDaemon(t, replica.Status{Revision: 9})
 	d.table.Apply([]provider.Entry{{Key: "c", Value: make([]byte, 1000), Revision: 8}, {Key: "u/1", Revision: 9}})
-	update, err := (&Neighbours{Client: d.client, Choose: d.only}).FetchUpdate(t.Context(), "u/", 0)
+	update, err := (&Neighbours{Client: d.client, Choose: d.choose}).FetchUpdate(t.Context(), "u/", 0)
 	require.NoError(t, err)
 	assert.Equal(t, []provider.Entry{{Key: "u/1", Revision: 9}}, update.Entries)
 }
@@ -205,15 +205,15 @@
 				d.address = netip.MustParseAddrPort("127.0.0.1:1")
 			}
 			now := time.Unix(1000, 0)
-			var muted []netip.AddrPort
+			var inBackoff []netip.AddrPort
 			neighbours := &Neighbours{
-				Client: d.client, Choose: d.only, Now: func() time.Time { return now },
-				OnBackoff: func(neighbour netip.AddrPort, _ error) { muted = append(muted, neighbour) },
+				Client: d.client, Choose: d.choose, Now: func() time.Time { return now },
+				OnBackoff: func(neighbour netip.AddrPort, _ error) { inBackoff = append(inBackoff, neighbour) },
 			}
 			_, err := neighbours.FetchUpdate(t.Context(), "", 3)
 			require.Error(t, err)
 			require.NotErrorIs(t, err, replica.ErrNoPeer)
-			assert.Equal(t, []netip.AddrPort{d.address}, muted)
+			assert.Equal(t, []netip.AddrPort{d.address}, inBackoff)
 			_, err = neighbours.FetchUpdate(t.Context(), "", 3)
 			require.ErrorIs(t, err, replica.ErrNoPeer, "the neighbour is in backoff")
 			now = now.Add(test.backoff - time.Millisecond)
@@ -231,14 +231,14 @@
 func TestNeighbourIsUsableDuringLongResponseOfStore(t *testing.T) {
 	d := startDaemon(t, replica.Status{Revision: 4, SinceAnswer: 5 * time.Second, SinceData: 10 * time.Millisecond})
 	d.table.Apply(entries(3, 4))
-	update, err := (&Neighbours{Client: d.client, Choose: d.only}).FetchUpdate(t.Context(), "", 3)
+	update, err := (&Neighbours{Client: d.client, Choose: d.choose}).FetchUpdate(t.Context(), "", 3)
 	require.NoError(t, err)
 	assert.Equal(t, 5*time.Second, update.SinceAnswer, "the update includes the age of its data")
 }
 
 func TestCanceledCallCausesNoBackoff(t *testing.T) {
 	d := startDaemon(t, replica.Status{Revision: 4})
-	neighbours := &Neighbours{Client: d.client, Choose: d.only}
+	neighbours := &Neighbours{Client: d.client, Choose: d.choose}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	_, err := neighbours.FetchUpdate(ctx, "", 4)
@@ -288,7 +288,7 @@
 }
 
 // TestPullerFetchesHallBeforeReplica checks that a router without a replica fetches only the
-// records of its hall from a seed first, and that they do not count as a complete replica.
+// records of its hall from a peer first, and that they do not count as a complete replica.
 func TestPullerFetchesHallBeforeReplica(t *testing.T) {
 	d := startDaemon(t, replica.Status{Revision: 9})
 	d.table.Apply([]provider.Entry{{Key: "c", Value: make([]byte, 1000), Revision: 8}, {Key: "m/hall/1", Value: []byte("v"), Revision: 9}})
