--- a/daemon/internal/connection/peering/puller.go
+++ b/daemon/internal/connection/peering/puller.go
@@ -35,8 +35,8 @@
 	FirstPrefix string
 	// Needed reports whether the store has been unreachable for too long.
 	Needed func() bool
-	// OnPull is called after each call. It may be nil.
-	OnPull func(peer netip.AddrPort, fresh int, err error)
+	// OnPull is called after each call with the number of new entries. It may be nil.
+	OnPull func(peer netip.AddrPort, newEntries int, err error)
 
 	// hasFirst is set once the entries under FirstPrefix were fetched.
 	hasFirst bool
@@ -84,12 +84,12 @@
 // as it is, because the replica is not complete.
 func (p *Puller) pullFirst(ctx context.Context, peer netip.AddrPort) error {
 	update, err := fetch(ctx, p.Client, peer, request{prefix: p.FirstPrefix, packed: true})
-	fresh := 0
+	newEntries := 0
 	if err == nil {
-		fresh = p.Follower.Table.Apply(update.Entries)
+		newEntries = p.Follower.Table.Apply(update.Entries)
 		p.hasFirst = update.Revision > 0
 	}
-	p.notify(peer, fresh, err)
+	p.notify(peer, newEntries, err)
 	return err
 }
 
@@ -98,17 +98,17 @@
 // it.
 func (p *Puller) pull(ctx context.Context, peer netip.AddrPort) error {
 	update, err := fetch(ctx, p.Client, peer, request{prefix: p.Follower.Prefix, after: p.Follower.Revision(), packed: true})
-	fresh := 0
+	newEntries := 0
 	if err == nil {
-		fresh = p.Follower.ApplyUpdate(update)
+		newEntries = p.Follower.ApplyUpdate(update)
 	}
-	p.notify(peer, fresh, err)
+	p.notify(peer, newEntries, err)
 	return err
 }
 
-func (p *Puller) notify(peer netip.AddrPort, fresh int, err error) {
+func (p *Puller) notify(peer netip.AddrPort, newEntries int, err error) {
 	if p.OnPull != nil {
-		p.OnPull(peer, fresh, err)
+		p.OnPull(peer, newEntries, err)
 	}
 }
 
--- a/daemon/internal/connection/upstream/transport.go
+++ b/daemon/internal/connection/upstream/transport.go
@@ -21,7 +21,7 @@
 const (
 	idleTimeout     = 90 * time.Second
 	idlePerHost     = 128
-	continueTimeout = time.Hour // the agent always responds; see ExpectContinue
+	continueTimeout = time.Hour // the agent always responds; see relay.Hop.ExpectContinue
 )
 
 // NewTransport returns a transport for requests. It speaks HTTP/1.1 only, so
--- a/daemon/internal/process/kvwrite/kvwrite_test.go
+++ b/daemon/internal/process/kvwrite/kvwrite_test.go
@@ -58,14 +58,14 @@
 		writer := &Writer{KV: platform.NewKV(server.Address, client), StampOf: stampOf, MinBackoff: time.Millisecond, MaxBackoff: 2 * time.Millisecond}
 
 		// Another writer may write before this writer or between two of its attempts.
-		otherWriteAt := int64(rapid.IntRange(-1, 4).Draw(t, "rival"))
+		otherWriteAt := int64(rapid.IntRange(-1, 4).Draw(t, "other write"))
 		otherWrites := 0
 		put := writer.KV.Put
 		writer.KV.Put = func(ctx context.Context, write platform.Write) (uint64, error) {
 			if call.Load() >= otherWriteAt && otherWriteAt >= 0 && otherWrites < 2 {
 				otherWrites++
 				present, _ := service.Store.Get("k")
-				service.Store.Put("k", encode(fmt.Sprint("rival", otherWrites), present.Revision), present.Revision, 0)
+				service.Store.Put("k", encode(fmt.Sprint("other", otherWrites), present.Revision), present.Revision, 0)
 			}
 			return put(ctx, write)
 		}
--- a/daemon/internal/process/resource/rollout.go
+++ b/daemon/internal/process/resource/rollout.go
@@ -36,8 +36,8 @@
 	for _, hall := range hallsOf(view, service, agents) {
 		c := hostCounter{service: service, manifest: target.Manifest, agents: agents}
 		hallStatus := c.count(view, hall)
-		if lastHeard := membership.LastReceivedAt(hall); !lastHeard.IsZero() {
-			hallStatus.SecondsSinceSeen = now.Sub(lastHeard).Seconds()
+		if receivedAt := membership.LastReceivedAt(hall); !receivedAt.IsZero() {
+			hallStatus.SecondsSinceSeen = now.Sub(receivedAt).Seconds()
 		}
 		status.Halls = append(status.Halls, hallStatus)
 	}
--- a/daemon/internal/process/server/connections.go
+++ b/daemon/internal/process/server/connections.go
@@ -76,9 +76,9 @@
 	return drained
 }
 
-// closeIdle closes each connection once it has been idle for idleTimeout, because a caller
-// may be about to send a request on it. It returns when no connection remains or ctx is
-// done.
+// closeIdle closes each connection, but not before it has been idle for idleTimeout, because
+// a caller may be about to send a request on it. It returns when no connection remains or
+// ctx is done.
 func (c *connections) closeIdle(ctx context.Context, idleTimeout time.Duration) {
 	drained := c.drainedChan()
 	ticker := time.NewTicker(max(idleTimeout/idleChecks, 1))
