--- a/daemon/internal/process/replica/peer.go
+++ b/daemon/internal/process/replica/peer.go
@@ -53,8 +53,8 @@
 	// the store.
 	Hops int
 	// Generation changes when the replica was rebuilt because changes may have been
-	// missed. It may then have entries below a revision up to which daemons that
-	// followed it take their replicas for complete.
+	// missed. The daemons that followed it may then lack entries below the revision up
+	// to which they consider their replicas complete.
 	Generation uint64
 }
 
