--- a/daemon/agent/agent.go
+++ b/daemon/agent/agent.go
@@ -136,7 +136,7 @@
 	} else {
 		p.gate.Open(gate.Serving{Services: p.settings.Upstream.Services})
 	}
-	p.hosts.OnChange = func([]platform.Host) { p.checkLeaving(); p.reporter.Changed() }
+	p.hosts.OnChange = func([]platform.Host) { p.checkLeaving(); p.reporter.NotifyChange() }
 	p.reporter.Start()
 	p.hosts.Start()
 	if p.installer != nil {
@@ -182,7 +182,7 @@
 	}
 	p.installer = &install.Installer{
 		Stage: p.stage, Fetcher: p.fetcher(client), Fence: fence, Gate: p.gate, Telemetry: p.telemetry,
-		Weights: localAddress(p.server.Address), OnChange: p.reporter.Changed,
+		Weights: localAddress(p.server.Address), OnChange: p.reporter.NotifyChange,
 	}
 	p.follower = &follow.Follower{
 		Host: p.settings.Name, Hall: p.settings.Hall, Entries: entries, Client: client,
--- a/daemon/internal/connection/report/report.go
+++ b/daemon/internal/connection/report/report.go
@@ -46,7 +46,7 @@
 	Interval time.Duration
 
 	tomb tomb.Tomb
-	// setUp creates changes, so that Changed may be called before Start.
+	// setUp creates changes, so that NotifyChange may be called before Start.
 	setUp   sync.Once
 	changes chan struct{}
 
@@ -74,15 +74,15 @@
 // Done returns a channel that is closed when the reporter has stopped.
 func (r *Reporter) Done() <-chan struct{} { return r.tomb.Dead() }
 
-// Changed requests a report soon, because the record changed.
-func (r *Reporter) Changed() {
+// NotifyChange requests a report soon, because the record changed.
+func (r *Reporter) NotifyChange() {
 	select {
 	case r.signal() <- struct{}{}:
 	default:
 	}
 }
 
-// signal returns the channel that Changed writes to.
+// signal returns the channel that NotifyChange writes to.
 func (r *Reporter) signal() chan struct{} {
 	r.setUp.Do(func() { r.changes = make(chan struct{}, 1) })
 	return r.changes
@@ -160,14 +160,14 @@
 	r.acked[entry.Name] = member.GetSequence()
 	if resp.GetWantMember() {
 		delete(r.acked, entry.Name)
-		r.Changed()
+		r.NotifyChange()
 	}
 	if suspected := resp.GetSuspectSequence(); suspected >= r.sequence && suspected != 0 {
 		// The next report has a higher sequence, which clears the suspicion at
 		// every entry.
 		r.sequence = suspected
 		r.last = nil
-		r.Changed()
+		r.NotifyChange()
 	}
 }
 
--- a/daemon/internal/connection/report/report_test.go
+++ b/daemon/internal/connection/report/report_test.go
@@ -8,16 +8,17 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/platform"
 )
 
-// TestChangedDuringStart guards against a data race between Start and Changed,
-// and against a change that is lost in it. Updates of the host list cause it.
-func TestChangedDuringStart(*testing.T) {
+// TestNotifyChangeDuringStart guards against a data race between Start and
+// NotifyChange, and against a change that is lost in it. Updates of the host list
+// cause it.
+func TestNotifyChangeDuringStart(*testing.T) {
 	reported := make(chan struct{}, 8)
 	reporter := &Reporter{
 		Entries: func() []platform.Host { reported <- struct{}{}; return nil },
 		Member:  func() *wire.Member { return &wire.Member{} },
 	}
 	var group sync.WaitGroup
-	group.Go(reporter.Changed)
+	group.Go(reporter.NotifyChange)
 	reporter.Start()
 	group.Wait()
 	<-reported // the first report
