--- a/daemon/agent/agent.go
+++ b/daemon/agent/agent.go
@@ -85,7 +85,7 @@
 	gate      *gate.Gate
 	stage     *stage.Stage
 	installer *install.Installer // nil for a plain service
-	hosts     *hosts.Follower
+	hosts     *hosts.Poller
 	follower  *follow.Follower
 	reporter  *report.Reporter
 	server    *server.Server
@@ -124,7 +124,7 @@
 		return err
 	}
 	client := &http.Client{Transport: p.control}
-	p.hosts = &hosts.Follower{List: platform.NewHostList(p.settings.Platform.HostList, client), Hall: p.settings.Hall, Interval: p.options.HostsInterval}
+	p.hosts = &hosts.Poller{List: platform.NewHostList(p.settings.Platform.HostList, client), Hall: p.settings.Hall, Interval: p.options.HostsInterval}
 	entries := func() []platform.Host { return p.hosts.Select(platform.RoleEntry, "") }
 	p.reporter = &report.Reporter{
 		Host: p.settings.Name, Entries: entries, Client: client,
@@ -136,7 +136,7 @@
 	} else {
 		p.gate.Open(gate.Serving{Services: p.settings.Upstream.Services})
 	}
-	p.hosts.OnChange = func([]platform.Host) { p.checkLeaving(); p.reporter.Changed() }
+	p.hosts.OnChange = func([]platform.Host) { p.checkLeaving(); p.reporter.NotifyChange() }
 	p.reporter.Start()
 	p.hosts.Start()
 	if p.installer != nil {
@@ -182,7 +182,7 @@
 	}
 	p.installer = &install.Installer{
 		Stage: p.stage, Fetcher: p.fetcher(client), Fence: fence, Gate: p.gate, Telemetry: p.telemetry,
-		Weights: localAddress(p.server.Address), OnChange: p.reporter.Changed,
+		Weights: localAddress(p.server.Address), OnChange: p.reporter.NotifyChange,
 	}
 	p.follower = &follow.Follower{
 		Host: p.settings.Name, Hall: p.settings.Hall, Entries: entries, Client: client,
--- a/daemon/router/limits.go
+++ b/daemon/router/limits.go
@@ -124,7 +124,7 @@
 
 // requestPlace requests a place at an engine from the loader beside it. The query carries the
 // limit that this router holds for the engine, and the answer the limit that the loader holds.
-func (p *Process) requestPlace(ctx context.Context, engine *provider.Upstream, limit places.Limit) (places.Load, bool, error) {
+func (p *Process) requestPlace(ctx context.Context, engine *provider.Upstream, limit places.Limit) (places.EngineLoad, bool, error) {
 	upstream := instanceOf(engine)
 	query := places.Request{Limit: limit, Engine: ratelimit.Upstream{ID: upstream.ID, Started: upstream.Started}}
 	p.limits.withTable(func(table *ratelimit.Table, now time.Time) {
@@ -137,23 +137,23 @@
 	answer, err := p.placeClient.Reserve(ctx, loader, query)
 	switch {
 	case err != nil:
-		return answer.Load, false, err
+		return answer.EngineLoad, false, err
 	case answer.RateLimit != nil:
 		p.applyLimit(ratelimit.UpstreamReport{Upstream: upstream, Report: *answer.RateLimit}, sourceLoader, loader)
 	case query.RateLimit != nil && !query.RateLimit.Lifted:
-		return answer.Load, false, errLimitNotEnforced
+		return answer.EngineLoad, false, errLimitNotEnforced
 	}
 	if answer.RetryAfter > 0 {
 		p.recorder.limitDenied(dispatch.PathLoader)
 	}
-	return answer.Load, answer.Granted, nil
+	return answer.EngineLoad, answer.Granted, nil
 }
 
 // newLimitNotifier returns the sender of limits to other routers.
 func (p *Process) newLimitNotifier(client *http.Client) *broadcast.Sender[ratelimit.UpstreamReport] {
 	return &broadcast.Sender[ratelimit.UpstreamReport]{
 		Client: client, Path: broadcast.LimitsPath, Peers: p.otherRouters, CatchUpPeer: p.choosePeer, OnFailed: p.recorder.notificationFailed,
-		OnNotes: func(all []ratelimit.UpstreamReport, peer netip.AddrPort) { p.applyLimits(all, sourceAnswer, peer) },
+		OnReports: func(all []ratelimit.UpstreamReport, peer netip.AddrPort) { p.applyLimits(all, sourceAnswer, peer) },
 	}
 }
 
@@ -171,7 +171,7 @@
 		Merge: func(all []ratelimit.UpstreamReport) { p.applyLimits(all, sourceRouter, netip.AddrPort{}) },
 	}
 	routes.Compat().GET(broadcast.LimitsPath, receiver.ServeAll)
-	routes.Compat().POST(broadcast.LimitsPath, receiver.ServeNotes)
+	routes.Compat().POST(broadcast.LimitsPath, receiver.ServeReports)
 }
 
 func (p *Process) allLimits() (all []ratelimit.UpstreamReport) {
