--- a/cli/internal/fleet/fleet_test.go
+++ b/cli/internal/fleet/fleet_test.go
@@ -32,9 +32,9 @@
 // quickConfig returns the configuration of a fleet with short timeouts.
 func quickConfig(halls, entries, agents int) Config {
 	config := Config{Halls: HallNames(halls), EntriesPerHall: entries, Agents: agents, PlainServices: []string{"loans"}, PeerWait: 300 * time.Millisecond}
-	config.Entry.RearmDelay, config.Entry.LameDuck = 10*time.Millisecond, 100*time.Millisecond
-	config.Entry.LeaseTTL, config.Entry.PlaceInterval, config.Entry.ReplaceAfter = time.Second, 20*time.Millisecond, time.Second
-	config.Entry.SuspectAfter = 1500 * time.Millisecond
+	config.Entry.WatchInterval, config.Entry.LameDuck = 10*time.Millisecond, 100*time.Millisecond
+	config.Entry.LeaseTTL, config.Entry.PlacementInterval, config.Entry.ReplaceAfter = time.Second, 20*time.Millisecond, time.Second
+	config.Entry.HeartbeatTimeout = 1500 * time.Millisecond
 	config.Agent.LameDuck = 100 * time.Millisecond
 	config.Entry.HostsInterval, config.Agent.HostsInterval = 50*time.Millisecond, 50*time.Millisecond
 	config.SetUpEngine = func(e *engine.Server) { e.PerToken = 2 * time.Millisecond }
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -39,9 +39,9 @@
 	"github.com/wheelcleat/wheelcleat/daemon/settings"
 )
 
-// lameDuck is how long a draining entry still serves after it has become not
+// lameDuckPeriod is how long a draining entry still serves after it has become not
 // ready, so that the load balancer can remove it first.
-const lameDuck = time.Second
+const lameDuckPeriod = time.Second
 
 // pruneInterval is the interval at which the state of removed hosts is dropped.
 const pruneInterval = 30 * time.Second
@@ -51,15 +51,17 @@
 type Options struct {
 	// LogOutput receives the log lines; nil means standard error.
 	LogOutput io.Writer
-	// RearmDelay is the delay before the key-value watch is opened again, and
-	// LameDuck how long a draining entry still serves; 0 means the defaults.
-	RearmDelay, LameDuck time.Duration
-	// LeaseTTL, PlaceInterval and ReplaceAfter are the times of the placer; 0 means
-	// the defaults.
-	LeaseTTL, PlaceInterval, ReplaceAfter time.Duration
-	// SuspectAfter is the time without a report after which an agent is suspect; 0
-	// means the default.
-	SuspectAfter time.Duration
+	// WatchInterval is the mean interval between key-value watches while changes
+	// arrive, and LameDuck how long a draining entry still serves; 0 means the
+	// defaults.
+	WatchInterval, LameDuck time.Duration
+	// LeaseTTL is the time to live of the placer's lease, PlacementInterval the
+	// minimum interval between its writes, and ReplaceAfter how long a host must
+	// be suspect before its assignment moves; 0 means the defaults.
+	LeaseTTL, PlacementInterval, ReplaceAfter time.Duration
+	// HeartbeatTimeout is the time without a heartbeat after which an agent is
+	// suspect; 0 means the default.
+	HeartbeatTimeout time.Duration
 	// HostsInterval is the interval between fetches of the host list; 0 means the
 	// default.
 	HostsInterval time.Duration
@@ -106,7 +108,7 @@
 	}
 	p := &Process{
 		settings: s, options: options, telemetry: t,
-		table: &tables.Table{}, members: &members.Table{HeartbeatTimeout: options.SuspectAfter},
+		table: &tables.Table{}, members: &members.Table{HeartbeatTimeout: options.HeartbeatTimeout},
 		router:    &route.Router{Hall: s.Hall},
 		transport: upstream.NewTransport(options.Dial),
 		stopping:  make(chan struct{}), done: make(chan struct{}),
@@ -136,7 +138,7 @@
 // addFollowers creates the parts that follow the key-value service and other
 // entries.
 func (p *Process) addFollowers(kv *platform.KV, client *http.Client) {
-	p.watcher = &kvwatch.Watcher{KV: kv, Table: p.table, MinInterval: p.options.RearmDelay, OnResult: p.onKVState}
+	p.watcher = &kvwatch.Watcher{KV: kv, Table: p.table, MinInterval: p.options.WatchInterval, OnResult: p.onKVState}
 	p.puller = &gossip.Puller{
 		Name: p.settings.Name, Hall: p.settings.Hall, Table: p.table, Members: p.members, Client: client,
 		Entries:    func() []platform.Host { return p.hosts.Select(platform.RoleEntry, "") },
@@ -145,7 +147,7 @@
 	p.placer = &placer.Placer{
 		Hall: p.settings.Hall, Name: p.settings.Name, KV: kv, Table: p.table, Members: p.members,
 		HostList: p.hosts.Hosts, Telemetry: p.telemetry,
-		TTL: p.options.LeaseTTL, MinWriteInterval: p.options.PlaceInterval, ReplaceAfter: p.options.ReplaceAfter,
+		TTL: p.options.LeaseTTL, MinWriteInterval: p.options.PlacementInterval, ReplaceAfter: p.options.ReplaceAfter,
 	}
 }
 
@@ -301,7 +303,7 @@
 	p.telemetry.LogDecision(telemetry.Decision{Step: "leave", Choice: "drain", Reason: "shutdown requested"})
 	p.placer.Stop() // releases the lease, so that another entry can acquire it at once
 	p.callers.DisableKeepAlives()
-	helpers.Pause(helpers.OrDefault(p.options.LameDuck, lameDuck), ctx.Done())
+	helpers.Pause(helpers.OrDefault(p.options.LameDuck, lameDuckPeriod), ctx.Done())
 	return errors.Join(p.callers.Shutdown(ctx), p.operators.Shutdown(ctx), p.peers.Shutdown(ctx))
 }
 
