--- a/cli/internal/bench/distribute.go
+++ b/cli/internal/bench/distribute.go
@@ -118,7 +118,7 @@
 	}
 	config.Entry.HostsInterval, config.Agent.HostsInterval = 200*time.Millisecond, 200*time.Millisecond
 	config.Agent.Policy = d.Policy
-	config.Agent.Uploads, config.Agent.Downloads, config.Agent.Neighbours = d.Uploads, d.Downloads, d.Neighbours
+	config.Agent.UploadSlots, config.Agent.DownloadSlots, config.Agent.Neighbours = d.Uploads, d.Downloads, d.Neighbours
 	config.LogLevel = "debug"
 	if d.LogOutput == nil {
 		config.LogLevel = "error"
--- a/cli/internal/fleet/fleet.go
+++ b/cli/internal/fleet/fleet.go
@@ -286,11 +286,11 @@
 	options := f.Config.Agent
 	options.Dial = f.network.dialFrom(host.Hall)
 	if up := f.Config.UploadBytesPerSecond; up > 0 {
-		options.Upload = rate.NewLimiter(rate.Limit(up), linkBurst)
-		options.Download = options.Upload
+		options.UploadLimiter = rate.NewLimiter(rate.Limit(up), linkBurst)
+		options.DownloadLimiter = options.UploadLimiter
 	}
 	if down := f.Config.DownloadBytesPerSecond; down > 0 && !f.Config.HalfDuplex {
-		options.Download = rate.NewLimiter(rate.Limit(down), linkBurst)
+		options.DownloadLimiter = rate.NewLimiter(rate.Limit(down), linkBurst)
 	}
 	if f.Config.SetUpAgent != nil {
 		f.Config.SetUpAgent(host.Name, &options)
--- a/daemon/agent/agent.go
+++ b/daemon/agent/agent.go
@@ -37,9 +37,9 @@
 )
 
 const (
-	// lameDuck is how long a draining agent still responds to new requests,
+	// lameDuckPeriod is how long a draining agent still responds to new requests,
 	// with a refusal, while the entries learn that it is leaving.
-	lameDuck = time.Second
+	lameDuckPeriod = time.Second
 	// linkBurst is the burst of the link's rate limiters, in bytes.
 	linkBurst = 128 << 10
 )
@@ -51,13 +51,13 @@
 	LogOutput io.Writer
 	// Policy is the policy by which chunks are fetched; empty means the swarm.
 	Policy string
-	// Uploads and Downloads bound the concurrent transfers between peers, and
-	// Neighbours the number of hosts whose chunks are tracked; 0 means the
+	// UploadSlots and DownloadSlots bound the concurrent transfers between peers,
+	// and Neighbours the number of hosts whose chunks are tracked; 0 means the
 	// defaults.
-	Uploads, Downloads, Neighbours int
-	// Upload and Download limit the rates of the link; nil means the rates of
-	// the settings. A half-duplex link has the same limiter for both.
-	Upload, Download *rate.Limiter
+	UploadSlots, DownloadSlots, Neighbours int
+	// UploadLimiter and DownloadLimiter limit the rates of the link; nil means the
+	// rates of the settings. A half-duplex link has the same limiter for both.
+	UploadLimiter, DownloadLimiter *rate.Limiter
 	// OnFetched is called with received bytes by kind ("peer", "hall", "origin").
 	OnFetched func(kind string, bytes int64, useful bool)
 	// LameDuck is how long a draining agent still responds to new requests; 0
@@ -170,9 +170,9 @@
 
 // addEngine adds the parts that only the agent of an engine has.
 func (p *Process) addEngine(mux *http.ServeMux, client *http.Client, entries func() []platform.Host) {
-	upload := p.limiter(p.options.Upload, p.settings.Weights.UploadBytesPerSecond)
+	uploadLimiter := p.limiter(p.options.UploadLimiter, p.settings.Weights.UploadBytesPerSecond)
 	sent := p.telemetry.Scope.Counter("weights_sent_bytes")
-	sharing := &share.Server{Stage: p.stage, Slots: p.options.Uploads, Upload: upload, OnBytes: func(n int64) { sent.Inc(n) }, Fault: p.options.UploadFault}
+	sharing := &share.Server{Stage: p.stage, Slots: p.options.UploadSlots, Limiter: uploadLimiter, OnBytes: func(n int64) { sent.Inc(n) }, Fault: p.options.UploadFault}
 	sharing.Register(mux)
 	checksFence := p.settings.Upstream.ChecksFence
 	fence := &activate.Fence{Engine: activate.NewEngine(p.settings.Upstream.Address, &http.Client{Transport: p.transport})}
@@ -182,7 +182,7 @@
 	}
 	p.installer = &install.Installer{
 		Stage: p.stage, Fetcher: p.fetcher(client), Fence: fence, Gate: p.gate, Telemetry: p.telemetry,
-		Weights: localAddress(p.server.Address), OnChange: p.reporter.Changed,
+		WeightsAddress: localAddress(p.server.Address), OnChange: p.reporter.Changed,
 	}
 	p.follower = &follow.Follower{
 		Host: p.settings.Name, Hall: p.settings.Hall, Entries: entries, Client: client,
@@ -209,24 +209,24 @@
 }
 
 func (p *Process) fetcher(client *http.Client) *fetch.Fetcher {
-	link := &source.Link{Client: &http.Client{Transport: p.chunks}, Download: p.limiter(p.options.Download, p.settings.Weights.DownloadBytesPerSecond)}
+	downloader := &source.Downloader{Client: &http.Client{Transport: p.chunks}, Limiter: p.limiter(p.options.DownloadLimiter, p.settings.Weights.DownloadBytesPerSecond)}
 	var sources []*source.Source
 	if p.settings.Weights.Store.IsValid() {
-		sources = append(sources, source.NewSource("store", p.settings.Weights.Store, link))
+		sources = append(sources, source.NewSource("store", p.settings.Weights.Store, downloader))
 	}
-	sources = append(sources, source.NewSource("origin", p.settings.Weights.Origin, link))
+	sources = append(sources, source.NewSource("origin", p.settings.Weights.Origin, downloader))
 	return &fetch.Fetcher{
-		Self: p.settings.Name, Hall: p.settings.Hall, Stage: p.stage, Link: link, Sources: sources,
+		Self: p.settings.Name, Hall: p.settings.Hall, Stage: p.stage, Downloader: downloader, Sources: sources,
 		Have: func(ctx context.Context, peer netip.AddrPort, req *wire.HaveRequest) (*wire.HaveResponse, error) {
 			return wire.NewPeerProtobufClient("http://"+peer.String(), client).Have(ctx, req)
 		},
 		Telemetry: p.telemetry, Policy: fetch.Policy(p.options.Policy), PeerWait: p.settings.Weights.PeerWait.Std(),
-		PeerSlots: p.options.Downloads, Neighbours: p.options.Neighbours, OnBytes: p.countFetched(),
+		PeerSlots: p.options.DownloadSlots, Neighbours: p.options.Neighbours, OnBytes: p.countFetched(),
 	}
 }
 
-func (p *Process) countFetched() func(fetch.Kind, int64, bool) {
-	return func(kind fetch.Kind, bytes int64, useful bool) {
+func (p *Process) countFetched() func(fetch.SourceKind, int64, bool) {
+	return func(kind fetch.SourceKind, bytes int64, useful bool) {
 		p.telemetry.Scope.Tagged(map[string]string{"from": string(kind)}).Counter("weights_fetched_bytes").Inc(bytes)
 		if p.options.OnFetched != nil {
 			p.options.OnFetched(string(kind), bytes, useful)
@@ -295,7 +295,7 @@
 	p.telemetry.LogDecision(telemetry.Decision{Step: "leave", Choice: "drain", Reason: "shutdown requested", Details: map[string]any{"inFlight": p.gate.InFlight()}})
 	p.reporter.Send(ctx)
 	drained := p.gate.Drain(ctx)
-	helpers.Pause(helpers.OrDefault(p.options.LameDuck, lameDuck), ctx.Done())
+	helpers.Pause(helpers.OrDefault(p.options.LameDuck, lameDuckPeriod), ctx.Done())
 	p.server.DisableKeepAlives()
 	if err := p.server.Shutdown(ctx); err != nil && drained == nil {
 		return err
--- a/daemon/internal/version/activate/activate.go
+++ b/daemon/internal/version/activate/activate.go
@@ -105,8 +105,8 @@
 	return state, nil
 }
 
-// Fence sends the load orders of one engine and enforces the order of tokens. Set
-// the fields before use.
+// Fence sends load orders to one engine, and none with a token below the highest
+// one. Set the fields before use.
 type Fence struct {
 	Engine *Engine
 	// NotBefore is the earliest time of the first order, for engines that check
--- a/daemon/internal/version/fetch/fetch.go
+++ b/daemon/internal/version/fetch/fetch.go
@@ -12,7 +12,7 @@
 // failed primary to every host, and all of them would send requests to the
 // origin at once. A primary that does not respond is skipped. A primary that
 // responds but gains no chunk is replaced by the next rank only after no new
-// chunk has appeared in the neighbourhood for an adaptive delay.
+// chunk has appeared at this host or its neighbours for an adaptive delay.
 //
 // One goroutine owns all state of a fetch and starts transfers; transfers and
 // polls run in their own goroutines and report on one channel.
@@ -72,10 +72,10 @@
 
 // Defaults of the Fetcher fields of the same names.
 const (
-	DefaultPeerWait    = 2 * time.Second
-	DefaultPeerSlots   = 10
-	DefaultOriginSlots = 1
-	DefaultHallSlots   = 4
+	DefaultPeerWait       = 2 * time.Second
+	DefaultPeerSlots      = 10
+	DefaultOriginSlots    = 1
+	DefaultOtherHallSlots = 4
 	// DefaultNeighbours is the number of hosts that a host polls for chunks.
 	DefaultNeighbours = 16
 	transfersPerPeer  = 2
@@ -86,41 +86,41 @@
 	// Self and Hall are the names of the local host and its hall.
 	Self, Hall string
 	Stage      *stage.Stage
-	Link       *source.Link
+	Downloader *source.Downloader
 	// Sources are the store and the origin, in order of preference.
 	Sources []*source.Source
 	// Have polls a peer for the chunks that it has gained.
 	Have      func(ctx context.Context, peer netip.AddrPort, request *wire.HaveRequest) (*wire.HaveResponse, error)
 	Telemetry *telemetry.Telemetry
 	Policy    Policy
-	// PeerWait is the minimum delay before this host stands in for another
-	// primary, and the time that a primary of another hall may wait for a
+	// PeerWait is the minimum delay before this host takes over a chunk from
+	// its primary, and the time that a primary of another hall may wait for a
 	// requested chunk; 0 means DefaultPeerWait.
 	PeerWait time.Duration
-	// PeerSlots, OriginSlots and HallSlots limit concurrent transfers from peers
-	// of the hall, from the store and origin, and from other halls; 0 means the
-	// default.
-	PeerSlots, OriginSlots, HallSlots int
+	// PeerSlots, OriginSlots and OtherHallSlots limit concurrent transfers from
+	// peers of the local hall, from the store and origin, and from other halls; 0
+	// means the default.
+	PeerSlots, OriginSlots, OtherHallSlots int
 	// Neighbours is the number of hosts to poll; 0 means DefaultNeighbours.
 	Neighbours int
 	// OnBytes, if set, is called with the size of each transfer. useful is
 	// false if the chunk failed or was already staged.
-	OnBytes func(src Kind, bytes int64, useful bool)
+	OnBytes func(kind SourceKind, bytes int64, useful bool)
 }
 
-// Kind is the kind of source of a transfer.
-type Kind string
+// SourceKind is the kind of source of a transfer.
+type SourceKind string
 
-// Kinds of sources.
+// The kinds of sources.
 const (
-	FromPeer   Kind = "peer"   // an agent of the local hall
-	FromHall   Kind = "hall"   // an agent of another hall
-	FromOrigin Kind = "origin" // the store or origin
+	FromPeer      SourceKind = "peer"   // an agent of the local hall
+	FromOtherHall SourceKind = "hall"   // an agent of another hall
+	FromOrigin    SourceKind = "origin" // the store or origin
 )
 
-// SwarmSource returns the current swarm and a channel that is closed when it
+// SwarmFunc returns the current swarm and a channel that is closed when it
 // changes.
-type SwarmSource func() (Swarm, <-chan struct{})
+type SwarmFunc func() (Swarm, <-chan struct{})
 
 // Manifest downloads a version's manifest, from up to two random peers of the
 // hall first and then from the sources.
@@ -132,7 +132,7 @@
 		if peer.Name == f.Self {
 			continue
 		}
-		data, err := f.Link.FetchPeerManifest(ctx, peer.Address, version)
+		data, err := f.Downloader.FetchPeerManifest(ctx, peer.Address, version)
 		if err == nil {
 			if m, err := manifest.Decode(data, version); err == nil {
 				return m, nil
@@ -160,7 +160,7 @@
 // Fetch downloads every chunk of a staged version and verifies the digest of
 // the complete file. It returns when the version is verified, ctx is done or the
 // version is dropped from the stage.
-func (f *Fetcher) Fetch(ctx context.Context, version *stage.Version, swarm SwarmSource) error {
+func (f *Fetcher) Fetch(ctx context.Context, version *stage.Version, swarm SwarmFunc) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	r := newRun(f, version)
--- a/daemon/internal/version/fetch/fetch_test.go
+++ b/daemon/internal/version/fetch/fetch_test.go
@@ -68,7 +68,7 @@
 					continue
 				}
 				primaries[fmt.Sprint(hall, a.chunk)]++
-				if len(a.hops) == 0 {
+				if len(a.otherHallPeers) == 0 {
 					origins[a.chunk]++
 					load[hall]++
 				}
@@ -87,16 +87,16 @@
 	}
 }
 
-func TestHopsAreInOtherHalls(t *testing.T) {
+func TestOtherHallPeersAreInOtherHalls(t *testing.T) {
 	halls := map[string]int{"a": 3, "b": 3, "c": 3, "d": 3, "e": 3, "f": 3, "g": 3}
 	for hall := range halls {
 		swarm := newSwarm(hall, halls, 3)
 		for i := range 3 {
 			f := &Fetcher{Self: fmt.Sprintf("%s-%03d", hall, i), Hall: hall}
 			for _, a := range f.assignmentsOf(numberedChunks(50), swarm) {
-				assert.LessOrEqual(t, len(a.hops), 2*hopsPerHall)
-				for _, hop := range a.hops {
-					assert.NotEqual(t, hall, hop.Hall, "hops are in other halls")
+				assert.LessOrEqual(t, len(a.otherHallPeers), 2*peersPerOtherHall)
+				for _, peer := range a.otherHallPeers {
+					assert.NotEqual(t, hall, peer.Hall, "a peer of the local hall")
 				}
 			}
 		}
@@ -178,7 +178,7 @@
 	defer logger.Close()
 	self := Peer{Name: "alone", Hall: "a"}
 	singleHost := Swarm{HallHosts: []Peer{self}, Gateways: []Peer{self}, Halls: []string{"a"}}
-	f := &Fetcher{Self: "alone", Hall: "a", Stage: &stage.Stage{}, Link: &source.Link{}, Sources: []*source.Source{store, origin}, Telemetry: logger}
+	f := &Fetcher{Self: "alone", Hall: "a", Stage: &stage.Stage{}, Downloader: &source.Downloader{}, Sources: []*source.Source{store, origin}, Telemetry: logger}
 	version, err := f.Stage.Open(id, m, nil)
 	require.NoError(t, err)
 	require.NoError(t, f.Fetch(t.Context(), version, func() (Swarm, <-chan struct{}) { return singleHost, nil }))
--- a/daemon/internal/version/fetch/neighbours.go
+++ b/daemon/internal/version/fetch/neighbours.go
@@ -22,16 +22,16 @@
 	rank int
 	// rankedBefore are the gateways that rank before this host.
 	rankedBefore []string
-	// hops are the primaries of other halls to query before the origin.
-	hops []Peer
-	// waitsForHall is set while the halls to query have no gateways yet.
-	waitsForHall bool
+	// otherHallPeers are the gateways of other halls to query before the origin.
+	otherHallPeers []Peer
+	// waitsForOtherHall is set while the halls to query have no gateways yet.
+	waitsForOtherHall bool
 }
 
 // setSwarm applies a new list of hosts: it updates the polled neighbours and the
 // assignments.
 func (r *run) setSwarm(ctx context.Context, swarm Swarm) {
-	r.hallsTimedOut = false
+	r.otherHallsTimedOut = false
 	wanted := map[string]Peer{}
 	for _, peer := range r.fetcher.neighbours(swarm) {
 		wanted[peer.Name] = peer
@@ -67,7 +67,7 @@
 // neighbours returns the hosts of the hall that this host polls: the hosts at
 // ring distances of powers of two, so that a chunk reaches the entire hall in
 // log(n) steps, then random hosts. A gateway also polls the other gateways of the
-// hall, to detect when it has to stand in for one.
+// hall, to detect when it has to take over from one.
 func (f *Fetcher) neighbours(swarm Swarm) []Peer {
 	hosts := swarm.HallHosts
 	self := slices.IndexFunc(hosts, func(p Peer) bool { return p.Name == f.Self })
@@ -140,7 +140,7 @@
 }
 
 // assignmentsOf returns the chunks that this host may have to bring into its
-// hall, with the agents to query. It returns nil for a host that is no gateway.
+// hall, with the agents to query. It returns nil for a host that is not a gateway.
 func (f *Fetcher) assignmentsOf(chunks []digest, swarm Swarm) []assignment {
 	halls := groupByHall(swarm.Gateways)
 	own := slices.IndexFunc(halls, func(h hallGateways) bool { return h.hall == f.Hall })
@@ -150,12 +150,12 @@
 	if _, isGateway := halls[own].peers[f.Self]; !isGateway {
 		return nil
 	}
-	names := slices.Clone(swarm.Halls)
-	byName := map[string]hallGateways{}
+	hallNames := slices.Clone(swarm.Halls)
+	hallsByName := map[string]hallGateways{}
 	for _, hall := range halls {
-		byName[hall.hall] = hall
-		if !slices.Contains(names, hall.hall) {
-			names = append(names, hall.hall)
+		hallsByName[hall.hall] = hall
+		if !slices.Contains(hallNames, hall.hall) {
+			hallNames = append(hallNames, hall.hall)
 		}
 	}
 	assignments := make([]assignment, 0, len(chunks))
@@ -164,36 +164,36 @@
 		ranked := rendezvous.Rank(key, halls[own].names)
 		rank := slices.Index(ranked, f.Self)
 		a := assignment{chunk: index, rank: rank, rankedBefore: ranked[:rank]}
-		a.hops, a.waitsForHall = hopsFor(key, f.Hall, rendezvous.Rank(key, names), byName)
+		a.otherHallPeers, a.waitsForOtherHall = otherHallPeersFor(key, f.Hall, rendezvous.Rank(key, hallNames), hallsByName)
 		assignments = append(assignments, a)
 	}
 	return assignments
 }
 
-// hopsPerHall is the number of gateways of another hall that are queried for a
-// chunk: its primary and the next rank.
-const hopsPerHall = 2
+// peersPerOtherHall is the number of gateways of another hall that are queried
+// for a chunk: its primary and the next rank.
+const peersPerOtherHall = 2
 
-// hopsFor returns the agents of other halls from which a hall fetches a chunk.
-// The halls form a binary tree in the order of their rank for the chunk: the
-// root uses the origin, every other hall its parent and, if the parent fails,
+// otherHallPeersFor returns the agents of other halls from which a hall fetches a
+// chunk. The halls form a binary tree in the order of their rank for the chunk:
+// the root uses the origin, every other hall its parent and, if the parent fails,
 // the root.
-func hopsFor(key, hall string, ranked []string, byName map[string]hallGateways) (hops []Peer, waitsForHall bool) {
-	index := slices.Index(ranked, hall)
+func otherHallPeersFor(key, hall string, rankedHalls []string, hallsByName map[string]hallGateways) (peers []Peer, waitsForOtherHall bool) {
+	index := slices.Index(rankedHalls, hall)
 	if index <= 0 {
 		return nil, false
 	}
 	for _, parent := range []int{(index - 1) / 2, 0} {
-		source, ok := byName[ranked[parent]]
+		parentHall, ok := hallsByName[rankedHalls[parent]]
 		if !ok {
 			continue
 		}
-		inOrder := rendezvous.Rank(key, source.names)
-		for _, name := range inOrder[:min(hopsPerHall, len(inOrder))] {
-			if peer := source.peers[name]; !slices.Contains(hops, peer) {
-				hops = append(hops, peer)
+		inOrder := rendezvous.Rank(key, parentHall.names)
+		for _, name := range inOrder[:min(peersPerOtherHall, len(inOrder))] {
+			if peer := parentHall.peers[name]; !slices.Contains(peers, peer) {
+				peers = append(peers, peer)
 			}
 		}
 	}
-	return hops, len(hops) == 0
+	return peers, len(peers) == 0
 }
--- a/daemon/internal/version/fetch/run.go
+++ b/daemon/internal/version/fetch/run.go
@@ -95,17 +95,17 @@
 	chunks      []chunkState
 	peers       map[string]*peerState
 	assignments []assignment
-	// excludedHops maps failed agents of other halls to the end of their
+	// otherHallExclusions maps failed agents of other halls to the end of their
 	// exclusion.
-	excludedHops map[string]time.Time
-	// idleGateways names the gateways of the local hall that did not bring in a
-	// chunk within the stand-in delay, until they gain one. hallsTimedOut is
-	// set after the same delay for halls without gateways, until the swarm
-	// changes.
-	idleGateways  map[string]bool
-	hallsTimedOut bool
+	otherHallExclusions map[string]time.Time
+	// timedOutGateways names the gateways of the local hall that did not bring in
+	// a chunk within the takeover delay, until they gain one. otherHallsTimedOut
+	// is set when other halls still have no gateways after that delay, until the
+	// swarm changes.
+	timedOutGateways   map[string]bool
+	otherHallsTimedOut bool
 	// slots counts the transfers in progress by kind.
-	slots map[Kind]int
+	slots map[SourceKind]int
 	// meanTransfer is a moving average of the duration of peer transfers.
 	meanTransfer time.Duration
 	// lastNewChunk is when the latest chunk was first seen; newChunkGap is a
@@ -122,7 +122,8 @@
 	originFailures     int
 
 	events chan event
-	polls  int
+	// polls is the number of goroutines that poll a neighbour.
+	polls int
 }
 
 // event is a report from a transfer or a poll. Exactly one field is set.
@@ -145,14 +146,14 @@
 // transferResult is the result of one transfer.
 type transferResult struct {
 	chunk   int
-	kind    Kind
+	kind    SourceKind
 	peer    string // the neighbour's name, "" for the origin
 	started time.Time
 	bytes   int64
 	err     error
 	corrupt bool
-	// failedHops names the agents of other halls that failed.
-	failedHops []string
+	// failedPeers names the agents of other halls that failed.
+	failedPeers []string
 	// useful is set if the chunk was not staged before.
 	useful bool
 	// source names the sender of the chunk, for logs.
@@ -162,24 +163,24 @@
 func newRun(f *Fetcher, version *stage.Version) *run {
 	return &run{
 		fetcher: f, version: version,
-		chunks:       make([]chunkState, len(version.Manifest.Chunks)),
-		peers:        map[string]*peerState{},
-		excludedHops: map[string]time.Time{},
-		idleGateways: map[string]bool{},
-		slots:        map[Kind]int{},
-		lastNewChunk: time.Now(),
-		events:       make(chan event, 64),
+		chunks:              make([]chunkState, len(version.Manifest.Chunks)),
+		peers:               map[string]*peerState{},
+		otherHallExclusions: map[string]time.Time{},
+		timedOutGateways:    map[string]bool{},
+		slots:               map[SourceKind]int{},
+		lastNewChunk:        time.Now(),
+		events:              make(chan event, 64),
 	}
 }
 
 // loop schedules transfers until every chunk is staged, ctx is done or the
 // version is dropped.
-func (r *run) loop(ctx context.Context, swarm SwarmSource) error {
+func (r *run) loop(ctx context.Context, swarm SwarmFunc) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer r.awaitGoroutines()
 	defer cancel()
-	present, swarmChanged := swarm()
-	r.setSwarm(ctx, present)
+	current, swarmChanged := swarm()
+	r.setSwarm(ctx, current)
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	var gained stage.Gained
@@ -200,8 +201,8 @@
 				return stage.ErrDropped
 			}
 		case <-swarmChanged:
-			present, swarmChanged = swarm()
-			r.setSwarm(ctx, present)
+			current, swarmChanged = swarm()
+			r.setSwarm(ctx, current)
 		case <-ticker.C:
 		case <-ctx.Done():
 			return ctx.Err()
@@ -212,7 +213,7 @@
 // awaitGoroutines handles the remaining events, so that no transfer or poll
 // outlives the run.
 func (r *run) awaitGoroutines() {
-	for r.polls > 0 || r.slots[FromPeer]+r.slots[FromHall]+r.slots[FromOrigin] > 0 {
+	for r.polls > 0 || r.slots[FromPeer]+r.slots[FromOtherHall]+r.slots[FromOrigin] > 0 {
 		r.handle(<-r.events)
 	}
 }
@@ -245,9 +246,10 @@
 	}
 	r.chunks[index].seen = true
 	now := time.Now()
-	// A gap of at least the stand-in delay was spent waiting for another
-	// primary. Including it would raise the next delay four times, and so on.
-	if gap := now.Sub(r.lastNewChunk); gap < r.standInDelay() {
+	// A gap of at least the takeover delay is ignored, since it was spent waiting
+	// for another primary: the delay is a multiple of the gap and would keep
+	// growing.
+	if gap := now.Sub(r.lastNewChunk); gap < r.takeoverDelay() {
 		r.newChunkGap = max(gap, r.newChunkGap*9/10)
 	}
 	r.lastNewChunk = now
@@ -292,7 +294,7 @@
 		if int(index) < len(peer.has) && !peer.has[index] {
 			peer.has[index] = true
 			r.chunks[index].holders++
-			delete(r.idleGateways, update.peer)
+			delete(r.timedOutGateways, update.peer)
 			r.markSeen(int(index))
 		}
 	}
@@ -342,12 +344,12 @@
 	switch result.kind {
 	case FromOrigin:
 		r.finishOrigin(result, now)
-	case FromHall:
+	case FromOtherHall:
 		if result.err != nil {
 			chunk.backoffUntil = now.Add(busyBackoff)
 		}
-		for _, name := range result.failedHops {
-			r.excludedHops[name] = now.Add(exclusionPeriod)
+		for _, name := range result.failedPeers {
+			r.otherHallExclusions[name] = now.Add(exclusionPeriod)
 		}
 	case FromPeer:
 	}
--- a/daemon/internal/version/fetch/schedule.go
+++ b/daemon/internal/version/fetch/schedule.go
@@ -18,14 +18,14 @@
 
 type digest = manifest.Digest
 
-// hallDelayFactor is the multiple of the stand-in delay without a new chunk after
+// otherHallsDelayFactor is the multiple of the takeover delay without a new chunk after
 // which a hall uses the origin even though primaries of other halls respond.
-const hallDelayFactor = 2
+const otherHallsDelayFactor = 2
 
 // rarestSampleSize is the number of random chunks from which the rarest is picked.
 const rarestSampleSize = 2
 
-// lastResortFactor is the multiple of the stand-in delay without a new chunk after
+// lastResortFactor is the multiple of the takeover delay without a new chunk after
 // which any host fetches any chunk from the origin, regardless of the gateways.
 const lastResortFactor = 6
 
@@ -40,25 +40,25 @@
 		r.scheduleUnavailableFromOrigin(ctx, now)
 	case PolicyTree:
 		r.schedulePeers(ctx, now)
-		if len(r.peers) == 0 || r.idleTime(now) > lastResortFactor*r.standInDelay() {
+		if len(r.peers) == 0 || r.idleTime(now) > lastResortFactor*r.takeoverDelay() {
 			r.scheduleAllFromOrigin(ctx, now)
 		}
 	default:
 		r.scheduleAssignments(ctx, now)
 		r.schedulePeers(ctx, now)
 		r.hedge(ctx, now)
-		if r.idleTime(now) > lastResortFactor*r.standInDelay() {
+		if r.idleTime(now) > lastResortFactor*r.takeoverDelay() {
 			r.scheduleAllFromOrigin(ctx, now)
 		}
 	}
 }
 
-// standInDelay returns the time without a new chunk after which the next rank
-// stands in for a primary. It is at least a multiple of the gap between new
+// takeoverDelay returns the time without a new chunk after which the next rank
+// takes over from a primary. It is at least a multiple of the gap between new
 // chunks and twice the duration of this host's last or current transfer from the
 // origin. Otherwise a slow origin would look like a failed one: at the start all
 // gateways share the origin's link, and their first chunks all arrive late.
-func (r *run) standInDelay() time.Duration {
+func (r *run) takeoverDelay() time.Duration {
 	originTime := r.originDuration
 	if r.slots[FromOrigin] > 0 {
 		originTime = max(originTime, time.Since(r.originStart))
@@ -86,13 +86,13 @@
 }
 
 // isDue reports whether this host has to bring a chunk into the hall now: no
-// live gateway ranks before it, or the stand-in delay of each has passed.
+// live gateway ranks before it, or the takeover delay of each has passed.
 func (r *run) isDue(a *assignment, now time.Time, idleTime time.Duration) bool {
 	pending := r.countLiveBefore(a, now)
-	if a.waitsForHall && !r.hallsTimedOut {
+	if a.waitsForOtherHall && !r.otherHallsTimedOut {
 		pending++
 	}
-	if time.Duration(pending)*r.standInDelay() > idleTime {
+	if time.Duration(pending)*r.takeoverDelay() > idleTime {
 		return false
 	}
 	if pending > 0 {
@@ -104,14 +104,14 @@
 // startAssignment fetches a chunk from another hall, or from the origin if no
 // other hall is usable or none delivered within the delay.
 func (r *run) startAssignment(ctx context.Context, a *assignment, now time.Time, idleTime time.Duration) {
-	if hops := r.usableHops(a, now); len(hops) > 0 && idleTime < hallDelayFactor*r.standInDelay() {
-		if r.slots[FromHall] < helpers.OrDefault(r.fetcher.HallSlots, DefaultHallSlots) {
-			r.start(ctx, transfer{chunk: a.chunk, kind: FromHall, hops: hops}, now)
+	if peers := r.usableOtherHallPeers(a, now); len(peers) > 0 && idleTime < otherHallsDelayFactor*r.takeoverDelay() {
+		if r.slots[FromOtherHall] < helpers.OrDefault(r.fetcher.OtherHallSlots, DefaultOtherHallSlots) {
+			r.start(ctx, transfer{chunk: a.chunk, kind: FromOtherHall, peers: peers}, now)
 		}
 		return
 	}
-	for _, hop := range a.hops {
-		r.excludedHops[hop.Name] = now.Add(exclusionPeriod)
+	for _, peer := range a.otherHallPeers {
+		r.otherHallExclusions[peer.Name] = now.Add(exclusionPeriod)
 	}
 	if r.originAvailable(now) {
 		r.logOrigin(a, idleTime)
@@ -122,19 +122,19 @@
 // markTimedOut records the gateways and halls that did not bring in a chunk, so
 // that the next chunk does not wait for them again.
 func (r *run) markTimedOut(a *assignment) {
-	r.hallsTimedOut = r.hallsTimedOut || a.waitsForHall
+	r.otherHallsTimedOut = r.otherHallsTimedOut || a.waitsForOtherHall
 	for _, name := range a.rankedBefore {
-		r.idleGateways[name] = true
+		r.timedOutGateways[name] = true
 	}
 }
 
-// usableHops returns the agents of other halls to query, without those that
-// failed recently: an unresponsive agent would delay every chunk by a timeout.
-func (r *run) usableHops(a *assignment, now time.Time) []Peer {
+// usableOtherHallPeers returns the agents of other halls to query, without those
+// that failed recently: an unresponsive agent would delay every chunk by a timeout.
+func (r *run) usableOtherHallPeers(a *assignment, now time.Time) []Peer {
 	var usable []Peer
-	for _, hop := range a.hops {
-		if !now.Before(r.excludedHops[hop.Name]) {
-			usable = append(usable, hop)
+	for _, peer := range a.otherHallPeers {
+		if !now.Before(r.otherHallExclusions[peer.Name]) {
+			usable = append(usable, peer)
 		}
 	}
 	return usable
@@ -143,20 +143,20 @@
 // logOrigin logs why this host fetches a chunk from the origin.
 func (r *run) logOrigin(a *assignment, idleTime time.Duration) {
 	r.fetcher.Telemetry.Log.WithFields(log.Fields{
-		"version": r.version.ID.Short(), "chunk": a.chunk, "rank": a.rank, "waits": a.waitsForHall, "quiet": idleTime.String(), "patience": r.standInDelay().String(),
+		"version": r.version.ID.Short(), "chunk": a.chunk, "rank": a.rank, "waits": a.waitsForOtherHall, "quiet": idleTime.String(), "patience": r.takeoverDelay().String(),
 	}).Debug("fetching chunk from the origin")
 }
 
 // countLiveBefore counts the gateways that rank before this host for a chunk and
 // are neither unavailable nor timed out.
 func (r *run) countLiveBefore(a *assignment, now time.Time) int {
-	alive := 0
+	live := 0
 	for _, name := range a.rankedBefore {
-		if peer := r.peers[name]; !r.idleGateways[name] && (peer == nil || !peer.unavailable(now)) {
-			alive++
+		if peer := r.peers[name]; !r.timedOutGateways[name] && (peer == nil || !peer.unavailable(now)) {
+			live++
 		}
 	}
-	return alive
+	return live
 }
 
 func (r *run) originAvailable(now time.Time) bool {
@@ -197,7 +197,7 @@
 			return
 		}
 		peer.transfers++
-		r.start(ctx, transfer{chunk: index, kind: FromPeer, hops: []Peer{peer.Peer}}, now)
+		r.start(ctx, transfer{chunk: index, kind: FromPeer, peers: []Peer{peer.Peer}}, now)
 	}
 }
 
@@ -277,7 +277,7 @@
 		}
 		if peer := r.randomHolder(index, now); peer != nil {
 			peer.transfers++
-			r.start(ctx, transfer{chunk: index, kind: FromPeer, hops: []Peer{peer.Peer}}, now)
+			r.start(ctx, transfer{chunk: index, kind: FromPeer, peers: []Peer{peer.Peer}}, now)
 		}
 	}
 }
@@ -285,9 +285,9 @@
 // transfer describes the download of one chunk.
 type transfer struct {
 	chunk int
-	kind  Kind
-	// hops are the agents to try in order; none for the origin.
-	hops []Peer
+	kind  SourceKind
+	// peers are the agents to try in order; none for the origin.
+	peers []Peer
 }
 
 // start runs a transfer in a new goroutine, which reports to r.events.
@@ -315,11 +315,11 @@
 	var err error
 	switch t.kind {
 	case FromPeer:
-		result.peer = t.hops[0].Name
-		result.source = t.hops[0].Address.String()
-		data, err = f.Link.FetchChunk(ctx, chunkRequest(version, t.chunk, t.hops[0], 0))
-	case FromHall:
-		data, err = f.fetchFromHalls(ctx, version, t, result)
+		result.peer = t.peers[0].Name
+		result.source = t.peers[0].Address.String()
+		data, err = f.Downloader.FetchChunk(ctx, chunkRequest(version, t.chunk, t.peers[0], 0))
+	case FromOtherHall:
+		data, err = f.fetchFromOtherHalls(ctx, version, t, result)
 	case FromOrigin:
 		data, err = f.fetchFromSources(ctx, version, t.chunk, result)
 	}
@@ -337,14 +337,14 @@
 	return source.ChunkRequest{Peer: peer.Address, Digest: version.Manifest.Chunks[index], Length: length, Wait: wait}
 }
 
-// fetchFromHalls downloads a chunk from the primaries of other halls. If one of
-// them is busy or does not hold the chunk yet, the transfer is retried later; it
-// falls back to the sources only if all of them fail.
-func (f *Fetcher) fetchFromHalls(ctx context.Context, version *stage.Version, t transfer, result *transferResult) ([]byte, error) {
+// fetchFromOtherHalls downloads a chunk from the gateways of other halls. If one
+// of them is busy or does not hold the chunk yet, the transfer is retried later;
+// it falls back to the sources only if all of them fail.
+func (f *Fetcher) fetchFromOtherHalls(ctx context.Context, version *stage.Version, t transfer, result *transferResult) ([]byte, error) {
 	var replyErr error
-	for _, hop := range t.hops {
-		result.source = hop.Address.String()
-		data, err := f.Link.FetchChunk(ctx, chunkRequest(version, t.chunk, hop, helpers.OrDefault(f.PeerWait, DefaultPeerWait)))
+	for _, peer := range t.peers {
+		result.source = peer.Address.String()
+		data, err := f.Downloader.FetchChunk(ctx, chunkRequest(version, t.chunk, peer, helpers.OrDefault(f.PeerWait, DefaultPeerWait)))
 		switch {
 		case err == nil && manifest.Sum(data) == version.Manifest.Chunks[t.chunk]:
 			return data, nil
@@ -354,11 +354,11 @@
 			replyErr = err
 			continue
 		case err == nil:
-			err = fmt.Errorf("chunk %d from %s: %w", t.chunk, hop.Address, stage.ErrCorrupt)
+			err = fmt.Errorf("chunk %d from %s: %w", t.chunk, peer.Address, stage.ErrCorrupt)
 		}
-		result.failedHops = append(result.failedHops, hop.Name)
+		result.failedPeers = append(result.failedPeers, peer.Name)
 		f.Telemetry.LogDecision(telemetry.Decision{
-			Step: "fetch", Choice: "skip " + hop.Name, Reason: err.Error(),
+			Step: "fetch", Choice: "skip " + peer.Name, Reason: err.Error(),
 			Details: map[string]any{"version": version.ID.Short(), "chunk": t.chunk},
 		})
 	}
--- a/daemon/internal/version/install/install.go
+++ b/daemon/internal/version/install/install.go
@@ -53,8 +53,8 @@
 	Fence     *activate.Fence
 	Gate      *gate.Gate
 	Telemetry *telemetry.Telemetry
-	// Weights is the address at which the engine reads complete versions.
-	Weights netip.AddrPort
+	// WeightsAddress is the address at which the engine reads complete versions.
+	WeightsAddress netip.AddrPort
 	// OnChange, if set, is called when Status has changed.
 	OnChange func()
 
@@ -403,7 +403,7 @@
 	serve := order.GetServe()
 	err := i.Fence.Load(ctx, activate.Order{
 		Model: serve.GetModel(), Adapter: serve.GetAdapter(), Version: serve.GetVersion(), Manifest: id.String(),
-		Weights: "http://" + i.Weights.String() + "/versions/" + id.String() + "/weights",
+		Weights: "http://" + i.WeightsAddress.String() + "/versions/" + id.String() + "/weights",
 		Size:    version.Manifest.Size, Token: order.GetToken(),
 	}, version.Manifest.FileDigest)
 	if err != nil {
--- a/daemon/internal/version/share/share.go
+++ b/daemon/internal/version/share/share.go
@@ -52,16 +52,16 @@
 	Stage *stage.Stage
 	// Slots is the number of concurrent uploads; 0 means DefaultSlots.
 	Slots int
-	// Upload limits the rate of sent bytes; nil means no limit.
-	Upload *rate.Limiter
+	// Limiter limits the rate of sent bytes; nil means no limit.
+	Limiter *rate.Limiter
 	// Fault, if set, returns the fault to inject into the next chunk.
 	Fault func() Fault
 	// OnBytes, if set, is called with the number of bytes sent.
 	OnBytes func(bytes int64)
 
-	// slots limits uploads within the hall, hallSlots uploads to other halls.
+	// slots limits uploads within the hall, otherHallSlots uploads to other halls.
 	// They are separate because all hosts of a hall wait for each upload to that hall.
-	slots, hallSlots chan struct{}
+	slots, otherHallSlots chan struct{}
 }
 
 // Fault is a fault injected into one chunk.
@@ -79,7 +79,7 @@
 		slots = DefaultSlots
 	}
 	s.slots = make(chan struct{}, slots)
-	s.hallSlots = make(chan struct{}, slots)
+	s.otherHallSlots = make(chan struct{}, slots)
 	mux.HandleFunc("GET /chunks/{digest}", s.serveChunk)
 	mux.HandleFunc("GET /manifests/{digest}", s.serveManifest)
 	mux.HandleFunc("GET /versions/{digest}/weights", s.serveWeights)
@@ -108,7 +108,7 @@
 	}
 	slots := s.slots
 	if r.URL.Query().Has("wait") {
-		slots = s.hallSlots
+		slots = s.otherHallSlots
 	}
 	if !acquireSlot(r.Context(), slots) {
 		http.Error(w, "no free upload slot", http.StatusServiceUnavailable)
@@ -185,8 +185,8 @@
 func (s *Server) send(ctx context.Context, w http.ResponseWriter, data []byte) error {
 	for len(data) > 0 {
 		part := data[:min(writeSize, len(data))]
-		if s.Upload != nil {
-			if err := s.Upload.WaitN(ctx, len(part)); err != nil {
+		if s.Limiter != nil {
+			if err := s.Limiter.WaitN(ctx, len(part)); err != nil {
 				return err
 			}
 		}
--- a/daemon/internal/version/source/source.go
+++ b/daemon/internal/version/source/source.go
@@ -41,11 +41,12 @@
 	FetchRange func(ctx context.Context, version manifest.Digest, offset, length int64) ([]byte, error)
 }
 
-// Link limits the rate of a host's downloads and detects stalled transfers.
-type Link struct {
+// Downloader downloads within the rate limit of a host and aborts stalled
+// transfers.
+type Downloader struct {
 	Client *http.Client
-	// Download limits the rate of received bytes; nil means no limit.
-	Download *rate.Limiter
+	// Limiter limits the rate of received bytes; nil means no limit.
+	Limiter *rate.Limiter
 	// MinStallTimeout is the minimum time without a byte after which a transfer is
 	// aborted; 0 means 2s. The timeout is longer for peers with long gaps
 	// between reads.
@@ -58,12 +59,12 @@
 const readSize = 64 << 10
 
 // NewSource returns the store or origin at an address.
-func NewSource(name string, address netip.AddrPort, link *Link) *Source {
+func NewSource(name string, address netip.AddrPort, downloader *Downloader) *Source {
 	base := "http://" + address.String()
 	return &Source{
 		Name: name, Peer: address,
 		FetchManifest: func(ctx context.Context, version manifest.Digest) ([]byte, error) {
-			data, err := link.download(ctx, downloadRequest{url: base + "/manifests/" + version.String(), limit: manifest.MaxBytes})
+			data, err := downloader.download(ctx, downloadRequest{url: base + "/manifests/" + version.String(), limit: manifest.MaxBytes})
 			if err != nil {
 				return nil, fmt.Errorf("fetch manifest %s from %s %s: %w", version.Short(), name, address, err)
 			}
@@ -71,7 +72,7 @@
 		},
 		FetchRange: func(ctx context.Context, version manifest.Digest, offset, length int64) ([]byte, error) {
 			byteRange := fmt.Sprintf("bytes=%d-%d", offset, offset+length-1)
-			data, err := link.download(ctx, downloadRequest{url: base + "/weights/" + version.String(), byteRange: byteRange, limit: length, exact: true})
+			data, err := downloader.download(ctx, downloadRequest{url: base + "/weights/" + version.String(), byteRange: byteRange, limit: length, exact: true})
 			if err != nil {
 				return nil, fmt.Errorf("fetch bytes %d+%d of %s from %s %s: %w", offset, length, version.Short(), name, address, err)
 			}
@@ -90,12 +91,12 @@
 }
 
 // FetchChunk returns a chunk from another agent, not yet verified.
-func (l *Link) FetchChunk(ctx context.Context, request ChunkRequest) ([]byte, error) {
+func (d *Downloader) FetchChunk(ctx context.Context, request ChunkRequest) ([]byte, error) {
 	url := "http://" + request.Peer.String() + "/chunks/" + request.Digest.String()
 	if request.Wait > 0 {
 		url += "?wait=" + request.Wait.String()
 	}
-	data, err := l.download(ctx, downloadRequest{url: url, limit: request.Length, exact: true, headerWait: request.Wait})
+	data, err := d.download(ctx, downloadRequest{url: url, limit: request.Length, exact: true, headerWait: request.Wait})
 	if err != nil {
 		return nil, fmt.Errorf("fetch chunk %s from peer %s: %w", request.Digest.Short(), request.Peer, err)
 	}
@@ -104,8 +105,8 @@
 
 // FetchPeerManifest returns a version's manifest from another agent, not yet
 // verified.
-func (l *Link) FetchPeerManifest(ctx context.Context, peer netip.AddrPort, version manifest.Digest) ([]byte, error) {
-	data, err := l.download(ctx, downloadRequest{url: "http://" + peer.String() + "/manifests/" + version.String(), limit: manifest.MaxBytes})
+func (d *Downloader) FetchPeerManifest(ctx context.Context, peer netip.AddrPort, version manifest.Digest) ([]byte, error) {
+	data, err := d.download(ctx, downloadRequest{url: "http://" + peer.String() + "/manifests/" + version.String(), limit: manifest.MaxBytes})
 	if err != nil {
 		return nil, fmt.Errorf("fetch manifest %s from peer %s: %w", version.Short(), peer, err)
 	}
@@ -123,33 +124,33 @@
 	headerWait time.Duration
 }
 
-func (l *Link) stallTimeout(peer string) time.Duration {
+func (d *Downloader) stallTimeout(peer string) time.Duration {
 	minimum := defaultStallTimeout
-	if l.MinStallTimeout > 0 {
-		minimum = l.MinStallTimeout
+	if d.MinStallTimeout > 0 {
+		minimum = d.MinStallTimeout
 	}
-	return l.gaps.timeout(peer, minimum)
+	return d.gaps.timeout(peer, minimum)
 }
 
 // download returns the response body. It fails with ErrStalled when no byte
 // arrives within the stall timeout of the peer.
-func (l *Link) download(ctx context.Context, d downloadRequest) ([]byte, error) {
+func (d *Downloader) download(ctx context.Context, r downloadRequest) ([]byte, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, d.url, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, r.url, nil)
 	if err != nil {
 		return nil, err
 	}
-	timeout := l.stallTimeout(request.URL.Host)
-	watchdog := time.AfterFunc(timeout+d.headerWait, func() {
-		l.gaps.recordStall(request.URL.Host, timeout)
+	timeout := d.stallTimeout(request.URL.Host)
+	watchdog := time.AfterFunc(timeout+r.headerWait, func() {
+		d.gaps.recordStall(request.URL.Host, timeout)
 		cancel(ErrStalled)
 	})
 	defer watchdog.Stop()
-	if d.byteRange != "" {
-		request.Header.Set("Range", d.byteRange)
+	if r.byteRange != "" {
+		request.Header.Set("Range", r.byteRange)
 	}
-	response, err := l.Client.Do(request)
+	response, err := d.Client.Do(request)
 	if err != nil {
 		return nil, cancelCause(ctx, err)
 	}
@@ -157,7 +158,7 @@
 	if err := statusError(response); err != nil {
 		return nil, err
 	}
-	return l.read(ctx, response, d, watchdog)
+	return d.read(ctx, response, r, watchdog)
 }
 
 // cancelCause returns the cause of the cancellation of ctx, or err if ctx is not
@@ -182,9 +183,9 @@
 	}
 }
 
-func (l *Link) read(ctx context.Context, response *http.Response, d downloadRequest, watchdog *time.Timer) ([]byte, error) {
-	if response.ContentLength > d.limit {
-		return nil, fmt.Errorf("response has %d bytes, more than the requested %d", response.ContentLength, d.limit)
+func (d *Downloader) read(ctx context.Context, response *http.Response, r downloadRequest, watchdog *time.Timer) ([]byte, error) {
+	if response.ContentLength > r.limit {
+		return nil, fmt.Errorf("response has %d bytes, more than the requested %d", response.ContentLength, r.limit)
 	}
 	data := make([]byte, 0, max(response.ContentLength, readSize))
 	peer := response.Request.URL.Host
@@ -196,18 +197,18 @@
 		n, err := response.Body.Read(data[len(data):min(cap(data), len(data)+readSize)])
 		data = data[:len(data)+n]
 		if n > 0 {
-			l.gaps.record(peer, time.Since(last))
-			watchdog.Reset(l.stallTimeout(peer))
-			if waitErr := l.pace(ctx, n, peer, watchdog); waitErr != nil {
+			d.gaps.record(peer, time.Since(last))
+			watchdog.Reset(d.stallTimeout(peer))
+			if waitErr := d.waitForLimiter(ctx, n, peer, watchdog); waitErr != nil {
 				return nil, cancelCause(ctx, waitErr)
 			}
 			last = time.Now()
 		}
 		switch {
-		case int64(len(data)) > d.limit:
-			return nil, fmt.Errorf("response exceeds the requested %d bytes", d.limit)
-		case errors.Is(err, io.EOF) && d.exact && int64(len(data)) != d.limit:
-			return nil, fmt.Errorf("response truncated: got %d of %d bytes: %w", len(data), d.limit, io.ErrUnexpectedEOF)
+		case int64(len(data)) > r.limit:
+			return nil, fmt.Errorf("response exceeds the requested %d bytes", r.limit)
+		case errors.Is(err, io.EOF) && r.exact && int64(len(data)) != r.limit:
+			return nil, fmt.Errorf("response truncated: got %d of %d bytes: %w", len(data), r.limit, io.ErrUnexpectedEOF)
 		case errors.Is(err, io.EOF):
 			return data, nil
 		case err != nil:
@@ -216,14 +217,14 @@
 	}
 }
 
-// pace waits until the rate limit admits n bytes. The watchdog is stopped
-// meanwhile, since this wait is not a stall of the sender.
-func (l *Link) pace(ctx context.Context, n int, peer string, watchdog *time.Timer) error {
-	if l.Download == nil {
+// waitForLimiter waits until the rate limit admits n bytes. The watchdog is
+// stopped meanwhile, since this wait is not a stall of the sender.
+func (d *Downloader) waitForLimiter(ctx context.Context, n int, peer string, watchdog *time.Timer) error {
+	if d.Limiter == nil {
 		return nil
 	}
 	watchdog.Stop()
-	err := l.Download.WaitN(ctx, n)
-	watchdog.Reset(l.stallTimeout(peer))
+	err := d.Limiter.WaitN(ctx, n)
+	watchdog.Reset(d.stallTimeout(peer))
 	return err
 }
--- a/daemon/internal/version/source/source_test.go
+++ b/daemon/internal/version/source/source_test.go
@@ -39,9 +39,9 @@
 	}))
 	defer server.Close()
 	defer close(release)
-	link := &Link{Client: http.DefaultClient, MinStallTimeout: 20 * time.Millisecond}
+	downloader := &Downloader{Client: http.DefaultClient, MinStallTimeout: 20 * time.Millisecond}
 	peer := netip.MustParseAddrPort(server.Listener.Addr().String())
-	_, err := link.FetchChunk(t.Context(), ChunkRequest{Peer: peer, Length: 100})
+	_, err := downloader.FetchChunk(t.Context(), ChunkRequest{Peer: peer, Length: 100})
 	require.ErrorIs(t, err, ErrStalled)
 	require.ErrorContains(t, err, peer.String())
 }
@@ -68,8 +68,8 @@
 				_, _ = io.WriteString(w, test.body)
 			}))
 			defer server.Close()
-			link := &Link{Client: http.DefaultClient}
-			data, err := link.FetchChunk(t.Context(), ChunkRequest{Peer: netip.MustParseAddrPort(server.Listener.Addr().String()), Digest: manifest.Digest{1}, Length: 4})
+			downloader := &Downloader{Client: http.DefaultClient}
+			data, err := downloader.FetchChunk(t.Context(), ChunkRequest{Peer: netip.MustParseAddrPort(server.Listener.Addr().String()), Digest: manifest.Digest{1}, Length: 4})
 			switch {
 			case test.want != nil:
 				require.ErrorIs(t, err, test.want)
--- a/daemon/settings/settings.go
+++ b/daemon/settings/settings.go
@@ -107,8 +107,8 @@
 	// transfers on the host's link; 0 means no limit.
 	UploadBytesPerSecond   int64 `json:"uploadBytesPerSecond,omitempty"`
 	DownloadBytesPerSecond int64 `json:"downloadBytesPerSecond,omitempty"`
-	// PeerWait is the minimum time without progress after which a host stands
-	// in for a chunk's primary and fetches from the origin; 0 means 2s.
+	// PeerWait is the minimum time without progress after which a host takes
+	// over a chunk from its primary and fetches it from the origin; 0 means 2s.
 	PeerWait api.Duration `json:"peerWait,omitempty"`
 }
 
