--- a/daemon/internal/version/pace/pace.go
+++ b/daemon/internal/version/pace/pace.go
@@ -30,9 +30,9 @@
 	// lookahead is the number of chunks beyond the timeline's position that are due. It covers
 	// the chunks that are in flight between hosts and halls.
 	lookahead = 12
-	// stallWindow is the number of chunks that no host has which are due while the timeline is
-	// paused. As many are requested at once when the origin recovers.
-	stallWindow = 2 * lookahead
+	// pausedWindow is the maximum number of chunks due beyond those that were seen at any host
+	// while the timeline is paused. As many are requested at once when the origin recovers.
+	pausedWindow = 2 * lookahead
 	// outageShare is the share of an outage that counts as overdue time. It is so small that
 	// an outage of a few seconds does not make hosts take over from each other.
 	outageShare = 1.0 / 16
@@ -76,11 +76,11 @@
 	}
 }
 
-// ChunkReceived records that this host received a chunk. Of the pause before it only the first
-// StallThreshold counts as overdue time of other chunks.
+// ChunkReceived records that this host received a chunk. Of the time since the chunk before it
+// only the first StallThreshold counts as overdue time of other chunks.
 func (t *Timeline) ChunkReceived(now time.Time) {
-	if pause := now.Sub(t.lastReceivedAt); t.failedAt.IsZero() && pause > StallThreshold {
-		t.stalled += pause - StallThreshold
+	if gap := now.Sub(t.lastReceivedAt); t.failedAt.IsZero() && gap > StallThreshold {
+		t.stalled += gap - StallThreshold
 	}
 	t.lastReceivedAt = now
 }
@@ -89,11 +89,13 @@
 // now been seen at any host. It resumes a paused timeline.
 func (t *Timeline) NewChunkSeen(seen int, now time.Time) {
 	if t.isPaused(now) {
+		// Resume in the middle of the chunk at which the timeline was paused, so that rounding
+		// does not change the number of chunks due.
 		position := time.Duration(t.DueChunks(now, seen) - lookahead)
 		t.paused = max(t.paused, now.Sub(t.startedAt)-(2*position+1)*t.CopyTime/time.Duration(2*t.Chunks))
 	}
 	if !t.failedAt.IsZero() {
-		t.grace = max(t.grace, t.CopyTime*stallWindow/time.Duration(t.Chunks))
+		t.grace = max(t.grace, t.CopyTime*pausedWindow/time.Duration(t.Chunks))
 		t.failedAt, t.lastReceivedAt = time.Time{}, now
 	}
 	t.lastNewAt = now
@@ -128,7 +130,7 @@
 	if !t.failedAt.IsZero() && t.failedAt.Before(pausedAt) {
 		pausedAt = t.failedAt
 	}
-	return min(t.dueAt(pausedAt), seen+stallWindow)
+	return min(t.dueAt(pausedAt), seen+pausedWindow)
 }
 
 // dueAt returns the number of chunks that are due at a time while the timeline runs.
--- a/daemon/internal/version/reconcile/fetch.go
+++ b/daemon/internal/version/reconcile/fetch.go
@@ -25,7 +25,7 @@
 	r.stopFetch()
 	r.fetchVersion, r.fetchStarted = plan.Goal.Version, clock.Now()
 	fetchCtx, cancel := context.WithCancel(ctx)
-	r.cancel = cancel
+	r.cancelFetch = cancel
 	r.fetchDone = make(chan struct{})
 	go func(done chan<- struct{}) {
 		defer close(done)
@@ -46,10 +46,10 @@
 }
 
 func (r *Reconciler) stopFetch() {
-	if r.cancel != nil {
-		r.cancel()
+	if r.cancelFetch != nil {
+		r.cancelFetch()
 		<-r.fetchDone
-		r.cancel = nil
+		r.cancelFetch = nil
 	}
 }
 
--- a/daemon/internal/version/reconcile/manifest_test.go
+++ b/daemon/internal/version/reconcile/manifest_test.go
@@ -19,26 +19,26 @@
 // errUnresponsive is the result of a query to an unresponsive host.
 var errUnresponsive = errors.New("unresponsive host")
 
-// manifestFleet is a fleet of loops that query each other and one origin for a manifest.
+// manifestFleet is a fleet of reconcilers that query each other and one origin for a manifest.
 type manifestFleet struct {
-	// frozen is the number of unresponsive hosts, from the top of the ranking.
-	frozen      int
-	ranked      []netip.AddrPort
-	reconcilers map[netip.AddrPort]*reconcile.Reconciler
-	// calls counts the origin's calls for the manifest and open those under way. The origin
+	// unresponsive is the number of unresponsive hosts, from the top of the ranking.
+	unresponsive int
+	ranked       []netip.AddrPort
+	reconcilers  map[netip.AddrPort]*reconcile.Reconciler
+	// calls counts the calls to the origin and open those in progress. The origin
 	// resets connections beyond maxOpen.
 	calls, open atomic.Int64
 	maxOpen     int64
 }
 
-// start runs a loop on each host that is not frozen.
+// start starts a reconciler on each responsive host.
 func (f *manifestFleet) start(t *testing.T, hosts int) {
 	t.Helper()
 	f.reconcilers = map[netip.AddrPort]*reconcile.Reconciler{}
 	for index := range hosts {
 		f.ranked = append(f.ranked, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(index)}), 80))
 	}
-	for _, address := range f.ranked[f.frozen:] {
+	for _, address := range f.ranked[f.unresponsive:] {
 		e := &engine{t: t, staged: map[int][]byte{}, loaded: 1}
 		r := newReconciler(e, func() reconcile.Plan { return planOf(goal(2, time.Now().Add(time.Hour))) })
 		r.Self = address
@@ -82,8 +82,8 @@
 	return provider.Manifest{}, provider.ErrNotFound
 }
 
-// informed returns the number of hosts that have the manifest.
-func (f *manifestFleet) informed() int {
+// hostsWithManifest returns the number of hosts that have the manifest.
+func (f *manifestFleet) hostsWithManifest() int {
 	count := 0
 	for _, r := range f.reconcilers {
 		if r.Copies.Get(2) != nil {
@@ -97,13 +97,13 @@
 // once, which resets their connections, when the first host of the ranking is unresponsive.
 func TestHostsQueryOriginForManifestInRankOrder(t *testing.T) {
 	const hosts = 40
-	for name, frozen := range map[string]int{"all responsive": 0, "first unresponsive": 1, "first two unresponsive": 2} {
+	for name, unresponsive := range map[string]int{"all responsive": 0, "first unresponsive": 1, "first two unresponsive": 2} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := &manifestFleet{frozen: frozen, maxOpen: 8}
+				f := &manifestFleet{unresponsive: unresponsive, maxOpen: 8}
 				f.start(t, hosts)
 				helpers.Pause(1300*time.Millisecond, nil)
-				assert.Equal(t, hosts-frozen, f.informed(), "hosts that have the manifest")
+				assert.Equal(t, hosts-unresponsive, f.hostsWithManifest(), "hosts that have the manifest")
 				assert.LessOrEqual(t, f.calls.Load(), int64(2), "calls to the origin")
 			})
 		})
--- a/daemon/internal/version/reconcile/reconcile.go
+++ b/daemon/internal/version/reconcile/reconcile.go
@@ -57,8 +57,9 @@
 type Goal struct {
 	Model   string
 	Version int
-	// Fence is the fencing token of the order: an engine refuses one lower than it has seen.
-	Fence provider.Revision
+	// FencingToken is the token of the order: an engine refuses an order whose token is lower
+	// than the highest one that it has seen.
+	FencingToken provider.Revision
 	// LoadAt is the earliest time to order an engine that serves an older version.
 	LoadAt time.Time
 }
@@ -84,10 +85,10 @@
 
 // Reconciler reconciles one engine with its plan. The exported fields must be set, except Now.
 type Reconciler struct {
-	Engine  provider.Engine
-	Origin  provider.Origin
-	Address netip.AddrPort // of the engine
-	Copies  *swarm.Copies
+	Engine        provider.Engine
+	Origin        provider.Origin
+	EngineAddress netip.AddrPort
+	Copies        *swarm.Copies
 	// Plan returns the plan for an engine that serves the given version, 0 for none. It
 	// reports false while the configuration or the declared versions are not known.
 	Plan func(loaded int) (Plan, bool)
@@ -106,11 +107,11 @@
 	// OnStep is called with the outcome of each step.
 	OnStep func(step Step)
 
-	// fetchVersion is the version of the running fetch, which cancel ends and fetchDone
-	// waits for. Only run uses these fields.
+	// fetchVersion is the version of the last fetch that was started. cancelFetch cancels the
+	// fetch, and fetchDone is closed when it has ended. Only run uses these fields.
 	fetchVersion int
 	fetchStarted time.Time
-	cancel       context.CancelFunc
+	cancelFetch  context.CancelFunc
 	fetchDone    chan struct{}
 	// stagedVersion is the version that was written to the engine's staging area.
 	stagedVersion int
@@ -296,7 +297,7 @@
 func (r *Reconciler) report(ctx context.Context) (provider.EngineReport, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return r.Engine.Report(ctx, r.Address)
+	return r.Engine.Report(ctx, r.EngineAddress)
 }
 
 // loadedVersion returns the version that an engine has loaded, or 0. An engine serves one
@@ -313,8 +314,8 @@
 	started := clock.Now()
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	result, err := r.Engine.Start(ctx, r.Address, provider.Order{
-		Model: goal.Model, Version: goal.Version, FencingToken: goal.Fence, Sequence: report.Sequence,
+	result, err := r.Engine.Start(ctx, r.EngineAddress, provider.Order{
+		Model: goal.Model, Version: goal.Version, FencingToken: goal.FencingToken, Sequence: report.Sequence,
 	})
 	r.orderedAt = r.now()
 	r.drainStarted = time.Time{}
--- a/daemon/internal/version/reconcile/reconcile_test.go
+++ b/daemon/internal/version/reconcile/reconcile_test.go
@@ -58,11 +58,11 @@
 	// the reports.
 	draining atomic.Bool
 	rounds   atomic.Int64
-	// clock is the time in nanoseconds of the loop under test; 0 selects the system's clock.
+	// clock is the time in nanoseconds of the reconciler under test; 0 selects the system's clock.
 	clock atomic.Int64
 }
 
-// now returns the time of the loop under test.
+// now returns the time of the reconciler under test.
 func (e *engine) now() time.Time {
 	if at := e.clock.Load(); at != 0 {
 		return time.Unix(0, at)
@@ -138,7 +138,7 @@
 	return e.loaded
 }
 
-// start runs a loop for an engine; plan may return other plans as the test goes on.
+// start starts a reconciler for an engine; plan may return another plan in each round.
 func start(t *testing.T, e *engine, plan func() reconcile.Plan) *reconcile.Reconciler {
 	t.Helper()
 	r := newReconciler(e, plan)
@@ -147,10 +147,10 @@
 	return r
 }
 
-// newReconciler returns a loop for an engine without peers; its origin has every version.
+// newReconciler returns a reconciler for an engine without peers; its origin has every version.
 func newReconciler(e *engine, plan func() reconcile.Plan) *reconcile.Reconciler {
 	r := &reconcile.Reconciler{
-		Engine: e.provider(), Address: host, Copies: &swarm.Copies{}, Self: host,
+		Engine: e.provider(), EngineAddress: host, Copies: &swarm.Copies{}, Self: host,
 		Origin: provider.Origin{
 			Manifest: func(_ context.Context, _ netip.AddrPort, _ string, version int) (provider.Manifest, error) {
 				return manifestOf(version), nil
@@ -170,7 +170,7 @@
 	}
 	r.NewFetch = func(_ reconcile.Plan, c *swarm.Copy) *swarm.Fetch {
 		return &swarm.Fetch{
-			Copy: c, Model: "m", Source: r.Origin, Self: swarm.Host{Address: host, Hall: "h"},
+			Copy: c, Model: "m", Origin: r.Origin, Self: swarm.Host{Address: host, Hall: "h"},
 			Hosts: func() []swarm.Host { return nil },
 		}
 	}
@@ -178,7 +178,7 @@
 }
 
 func goal(version int, loadTime time.Time) reconcile.Goal {
-	return reconcile.Goal{Model: "m", Version: version, LoadAt: loadTime, Fence: provider.Revision(version)}
+	return reconcile.Goal{Model: "m", Version: version, LoadAt: loadTime, FencingToken: provider.Revision(version)}
 }
 
 func planOf(goals ...reconcile.Goal) reconcile.Plan {
@@ -292,7 +292,7 @@
 	fence.Store(3)
 	start(t, e, func() reconcile.Plan {
 		next := goal(2, time.Time{})
-		next.Fence = provider.Revision(fence.Load())
+		next.FencingToken = provider.Revision(fence.Load())
 		return planOf(next)
 	})
 	await(t, "a refusal", func() bool {
--- a/daemon/internal/version/reconcile/stage.go
+++ b/daemon/internal/version/reconcile/stage.go
@@ -40,7 +40,7 @@
 func (r *Reconciler) readChunk(ctx context.Context, model string, index int) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return r.Engine.ReadStaged(ctx, r.Address, model, index)
+	return r.Engine.ReadStaged(ctx, r.EngineAddress, model, index)
 }
 
 // stage writes a version to the engine's staging area ahead of its load time. It is verified
@@ -83,7 +83,7 @@
 func (r *Reconciler) writeChunk(ctx context.Context, model string, index int, chunk []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return r.Engine.WriteStaged(ctx, r.Address, model, index, chunk)
+	return r.Engine.WriteStaged(ctx, r.EngineAddress, model, index, chunk)
 }
 
 // verify verifies and repairs the staged version, and reports whether it is complete.
--- a/daemon/internal/version/schedule/schedule.go
+++ b/daemon/internal/version/schedule/schedule.go
@@ -16,10 +16,11 @@
 
 const (
 	// firstShare is the share of the apply time before the first scheduled load, in which the
-	// chunks are transferred. loadReserve is the time between the last scheduled load and the
-	// end of the apply time, for requests that are running then and for the load itself.
-	// lastShare bounds that reserve for a short apply time: it is at most 1-lastShare of it.
-	firstShare  = 0.45
+	// chunks are transferred.
+	firstShare = 0.45
+	// loadReserve is the time between the last scheduled load and the end of the apply time,
+	// for requests that are running then and for the load itself. If the apply time is short,
+	// the last load is scheduled at lastShare of it instead.
 	lastShare   = 0.86
 	loadReserve = 1120 * time.Millisecond
 	// earlyShare is the share of the apply time before the early hosts may load. No host has
@@ -41,8 +42,8 @@
 func IsEarly(rank int) bool { return rank < earlyHosts }
 
 // NewWindow returns the window of a version that was declared at some time and must serve
-// everywhere within the apply time. Due is when an older version that the engine has not
-// loaded must serve, or zero: an engine that loads the newer version by then saves one load.
+// everywhere within the apply time. If due is not zero, an older version that the engine has
+// not loaded must serve by then: an engine that loads the newer version instead saves one load.
 func NewWindow(declared time.Time, apply time.Duration, due time.Time) Window {
 	w := Window{
 		Early: declared.Add(fraction(earlyShare, apply)),
--- a/daemon/internal/version/swarm/assignment.go
+++ b/daemon/internal/version/swarm/assignment.go
@@ -124,7 +124,7 @@
 // offeredInHall reports whether a responsive neighbour in this hall has the chunk.
 func (f *Fetch) offeredInHall(index int) bool {
 	for _, n := range f.neighbours {
-		if !n.far && n.have.Has(index) && clock.Since(n.reportedAt) < peerTimeout {
+		if !n.otherHall && n.have.Has(index) && clock.Since(n.reportedAt) < peerTimeout {
 			return true
 		}
 	}
--- a/daemon/internal/version/swarm/fetch.go
+++ b/daemon/internal/version/swarm/fetch.go
@@ -19,10 +19,10 @@
 )
 
 const (
-	// maxHallNeighbours and maxFarNeighbours bound the neighbours in the host's own hall and
-	// in each other hall.
-	maxHallNeighbours = 16
-	maxFarNeighbours  = 8
+	// maxOwnHallNeighbours and maxOtherHallNeighbours bound the neighbours in the host's own
+	// hall and in each other hall.
+	maxOwnHallNeighbours   = 16
+	maxOtherHallNeighbours = 8
 	// maxPeerFetches and originFetches bound the chunks in flight from peers and from the
 	// origin, and maxPerPeer those from one peer.
 	maxPeerFetches = 4
@@ -97,10 +97,10 @@
 // choosing the origin's own hall would save a transfer between halls, but its hosts would
 // upload more than the others and delay the rollout.
 type Fetch struct {
-	Copy   *Copy
-	Model  string
-	Origin netip.AddrPort
-	Source provider.Origin
+	Copy          *Copy
+	Model         string
+	OriginAddress netip.AddrPort
+	Origin        provider.Origin
 	// Self is this host, and Hosts returns all hosts that should have the version. They
 	// need not include Self.
 	Self   Host
@@ -145,7 +145,8 @@
 
 // neighbour is the state of a peer as seen by this fetch.
 type neighbour struct {
-	far        bool
+	// otherHall is set for a peer in another hall.
+	otherHall  bool
 	have       Bitmap
 	reportedAt time.Time
 	// unknownVersion means that the peer does not have the version's manifest.
@@ -241,9 +242,9 @@
 // follow follows the reports of one host, and reconnects when the stream ends.
 func (f *Fetch) follow(ctx context.Context, host Host) {
 	peer := Peer{Address: host.Address, Client: f.Client}
-	far := host.Hall != f.Self.Hall
+	otherHall := host.Hall != f.Self.Hall
 	for ctx.Err() == nil {
-		err := peer.Follow(ctx, f.Copy.Manifest.Version, far, func(have Bitmap) { f.recordReport(host, have, false) })
+		err := peer.Follow(ctx, f.Copy.Manifest.Version, otherHall, func(have Bitmap) { f.recordReport(host, have, false) })
 		pause := peerRetryDelay + rand.N(peerRetryDelay)
 		if errors.Is(err, lines.ErrNotServed) {
 			f.recordReport(host, "", true)
@@ -258,7 +259,7 @@
 	defer f.mu.Unlock()
 	n := f.neighbours[host.Address]
 	if n == nil {
-		n = &neighbour{far: host.Hall != f.Self.Hall}
+		n = &neighbour{otherHall: host.Hall != f.Self.Hall}
 		f.neighbours[host.Address] = n
 	}
 	now := clock.Now()
--- a/daemon/internal/version/swarm/fetch_test.go
+++ b/daemon/internal/version/swarm/fetch_test.go
@@ -110,7 +110,7 @@
 	var running sync.WaitGroup
 	for i, c := range copies {
 		fetch := &swarm.Fetch{
-			Copy: c, Model: "m", Source: provider.Origin{Chunk: o.chunk}, Self: listed[i],
+			Copy: c, Model: "m", Origin: provider.Origin{Chunk: o.chunk}, Self: listed[i],
 			Hosts: func() []swarm.Host { return listed }, Client: net.client(t),
 			CopyTime: max(50*time.Millisecond, o.linkTime*time.Duration(len(manifest.Digests))), Early: i == 0,
 		}
@@ -132,7 +132,7 @@
 
 func TestOriginSendsAboutOneCopy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		data, manifest := sample(2, 24)
+		data, manifest := sampleVersion(2, 24)
 		o := &origin{data: data}
 		copies := fetchOnFleet(t, o, manifest, 9, 0)
 		assertComplete(t, copies, data)
@@ -146,7 +146,7 @@
 	const runs, chunks, corrupt = 20, 24, 3
 	for range runs { // the choice of chunks is random
 		synctest.Test(t, func(t *testing.T) {
-			data, manifest := sample(2, chunks)
+			data, manifest := sampleVersion(2, chunks)
 			o := &origin{data: data, failures: 300, corrupt: corrupt, linkTime: 10 * time.Millisecond}
 			copies := fetchOnFleet(t, o, manifest, 9, 0)
 			assertComplete(t, copies, data)
@@ -158,11 +158,11 @@
 // TestFetchRetriesCorruptChunks guards against taking the manifest to be wrong because the
 // origin sends many chunks corrupt once each.
 func TestFetchRetriesCorruptChunks(t *testing.T) {
-	data, manifest := sample(2, 24)
+	data, manifest := sampleVersion(2, 24)
 	o := &origin{data: data, corruptFirst: true, sent: map[int]int{}}
 	own := swarm.Host{Address: serve(t, &swarm.Copies{}).Address, Hall: "hall"}
 	fetch := &swarm.Fetch{
-		Copy: swarm.NewCopy(manifest), Model: "m", Source: provider.Origin{Chunk: o.chunk}, Self: own,
+		Copy: swarm.NewCopy(manifest), Model: "m", Origin: provider.Origin{Chunk: o.chunk}, Self: own,
 		Hosts: func() []swarm.Host { return nil }, Client: serve(t, &swarm.Copies{}).Client,
 	}
 	require.NoError(t, fetch.Run(context.Background()))
@@ -171,7 +171,7 @@
 
 func TestLiveHostsTakeOverChunksOfDeadHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		data, manifest := sample(2, 24)
+		data, manifest := sampleVersion(2, 24)
 		o := &origin{data: data}
 		copies := fetchOnFleet(t, o, manifest, 4, 3)
 		assertComplete(t, copies, data)
@@ -204,7 +204,7 @@
 // TestFetchBypassesStuckHolder: chunks whose only holder in the hall does not send them come
 // from the origin, or from another hall where the origin is down too.
 func TestFetchBypassesStuckHolder(t *testing.T) {
-	data, manifest := sample(2, 4)
+	data, manifest := sampleVersion(2, 4)
 	complete := swarm.NewCopy(manifest)
 	for index, chunk := range data {
 		require.NoError(t, complete.Put(index, chunk))
@@ -220,7 +220,7 @@
 				hosts = append(hosts, swarm.Host{Address: serve(t, hostCopies).Address, Hall: "far"})
 			}
 			fetch := &swarm.Fetch{
-				Copy: swarm.NewCopy(manifest), Model: "m", Source: provider.Origin{Chunk: o.chunk},
+				Copy: swarm.NewCopy(manifest), Model: "m", Origin: provider.Origin{Chunk: o.chunk},
 				Self:  swarm.Host{Address: serve(t, &swarm.Copies{}).Address, Hall: "hall"},
 				Hosts: func() []swarm.Host { return hosts }, Client: serve(t, &swarm.Copies{}).Client,
 				CopyTime: 50 * time.Millisecond,
@@ -233,23 +233,23 @@
 }
 
 func TestFetchFailsOnWrongManifest(t *testing.T) {
-	data, manifest := sample(2, 4)
+	data, manifest := sampleVersion(2, 4)
 	manifest.Digests[2][0] ^= 1
 	o := &origin{data: data, sent: map[int]int{}}
 	own := swarm.Host{Address: serve(t, &swarm.Copies{}).Address, Hall: "hall"}
 	fetch := &swarm.Fetch{
-		Copy: swarm.NewCopy(manifest), Model: "m", Source: provider.Origin{Chunk: o.chunk}, Self: own,
+		Copy: swarm.NewCopy(manifest), Model: "m", Origin: provider.Origin{Chunk: o.chunk}, Self: own,
 		Hosts: func() []swarm.Host { return nil }, Client: serve(t, &swarm.Copies{}).Client,
 	}
 	require.ErrorIs(t, fetch.Run(context.Background()), swarm.ErrManifest)
 }
 
 func TestFetchEndsWithItsContext(t *testing.T) {
-	data, manifest := sample(2, 4)
+	data, manifest := sampleVersion(2, 4)
 	o := &origin{data: data, sent: map[int]int{}, block: make(chan struct{})}
 	own := swarm.Host{Address: serve(t, &swarm.Copies{}).Address, Hall: "hall"}
 	fetch := &swarm.Fetch{
-		Copy: swarm.NewCopy(manifest), Model: "m", Source: provider.Origin{Chunk: o.chunk}, Self: own,
+		Copy: swarm.NewCopy(manifest), Model: "m", Origin: provider.Origin{Chunk: o.chunk}, Self: own,
 		Hosts: func() []swarm.Host { return nil }, Client: serve(t, &swarm.Copies{}).Client,
 	}
 	ctx, cancel := context.WithCancel(context.Background())
--- a/daemon/internal/version/swarm/fromorigin.go
+++ b/daemon/internal/version/swarm/fromorigin.go
@@ -39,7 +39,7 @@
 	defer f.release(index)
 	ctx, cancel := context.WithTimeout(ctx, chunkTimeout+f.CopyTime)
 	defer cancel()
-	chunk, err := f.Source.Chunk(ctx, f.Origin, f.Model, f.Copy.Manifest.Version, index)
+	chunk, err := f.Origin.Chunk(ctx, f.OriginAddress, f.Model, f.Copy.Manifest.Version, index)
 	if err != nil {
 		return nil, err
 	}
--- a/daemon/internal/version/swarm/frompeers.go
+++ b/daemon/internal/version/swarm/frompeers.go
@@ -53,7 +53,7 @@
 			continue
 		}
 		for index := range have {
-			if n.have.Has(index) && !have[index] && !f.inFlight[index] && (!n.far || f.fetchesFromOtherHalls(index, now)) {
+			if n.have.Has(index) && !have[index] && !f.inFlight[index] && (!n.otherHall || f.fetchesFromOtherHalls(index, now)) {
 				holders[index] = append(holders[index], address)
 			}
 		}
--- a/daemon/internal/version/swarm/inbound_test.go
+++ b/daemon/internal/version/swarm/inbound_test.go
@@ -55,7 +55,7 @@
 		"unknown link":            {0, false, 2},
 	}
 	const hosts, chunkCount = 8, 24
-	data, manifest := sample(2, chunkCount)
+	data, manifest := sampleVersion(2, chunkCount)
 	complete := swarm.NewCopy(manifest)
 	for index, chunk := range data {
 		require.NoError(t, complete.Put(index, chunk))
@@ -69,7 +69,7 @@
 			}
 			o := &origin{data: data, failures: 1 << 30, sent: map[int]int{}}
 			fetch := &swarm.Fetch{
-				Copy: swarm.NewCopy(manifest), Model: "m", Source: provider.Origin{Chunk: o.chunk},
+				Copy: swarm.NewCopy(manifest), Model: "m", Origin: provider.Origin{Chunk: o.chunk},
 				Self:  swarm.Host{Address: serve(t, &swarm.Copies{}).Address, Hall: "hall"},
 				Hosts: func() []swarm.Host { return listed }, Client: serve(t, &swarm.Copies{}).Client,
 				CopyTime: 50 * time.Millisecond, ChunkTime: test.chunkTime, Early: test.early,
--- a/daemon/internal/version/swarm/outage_test.go
+++ b/daemon/internal/version/swarm/outage_test.go
@@ -98,7 +98,7 @@
 		copyTime       = chunks * linkTime
 	)
 	synctest.Test(t, func(t *testing.T) {
-		data, manifest := sample(2, chunks)
+		data, manifest := sampleVersion(2, chunks)
 		start := time.Now()
 		o := &sharedOrigin{
 			data: data, linkTime: linkTime, maxInFlight: 48,
@@ -139,7 +139,7 @@
 	var running sync.WaitGroup
 	for i, c := range copies {
 		fetch := &swarm.Fetch{
-			Copy: c, Model: "m", Source: provider.Origin{Chunk: o.chunk}, Self: listed[i],
+			Copy: c, Model: "m", Origin: provider.Origin{Chunk: o.chunk}, Self: listed[i],
 			Hosts: func() []swarm.Host { return listed }, Client: net.client(t),
 			CopyTime: o.linkTime * time.Duration(len(manifest.Digests)), Early: i < 2,
 		}
--- a/daemon/internal/version/swarm/peer.go
+++ b/daemon/internal/version/swarm/peer.go
@@ -32,9 +32,10 @@
 
 // Follow calls onHave with the peer's chunks, at first and at each change, until the peer is
 // unresponsive, leaves, or does not have the version's manifest, which is lines.ErrNotServed.
-func (p Peer) Follow(ctx context.Context, version int, far bool, onHave func(Bitmap)) error {
+// If otherHall is set, the peer reports changes at the longer interval for other halls.
+func (p Peer) Follow(ctx context.Context, version int, otherHall bool, onHave func(Bitmap)) error {
 	url := fmt.Sprintf("http://%s%s?version=%d", p.Address, havePath, version)
-	if far {
+	if otherHall {
 		url += "&far"
 	}
 	return lines.Read(ctx, p.Client, url, func(line []byte) error {
--- a/daemon/internal/version/swarm/peerset.go
+++ b/daemon/internal/version/swarm/peerset.go
@@ -46,9 +46,9 @@
 	counts := map[string]int{}
 	for _, name := range rendezvous.Rank("neighbours of "+own.Address.String(), names) {
 		host := byName[name]
-		limit := maxFarNeighbours
+		limit := maxOtherHallNeighbours
 		if host.Hall == own.Hall {
-			limit = maxHallNeighbours
+			limit = maxOwnHallNeighbours
 		}
 		if host.Address != own.Address && counts[host.Hall] < limit {
 			counts[host.Hall]++
--- a/daemon/internal/version/swarm/serve.go
+++ b/daemon/internal/version/swarm/serve.go
@@ -24,10 +24,10 @@
 const urgentQuery = "urgent"
 
 const (
-	// hallReportInterval and farReportInterval are the intervals in which new chunks are
-	// reported together, to hosts of this hall and of other halls.
-	hallReportInterval = 40 * time.Millisecond
-	farReportInterval  = 80 * time.Millisecond
+	// ownHallReportInterval and otherHallReportInterval are the intervals in which new chunks
+	// are reported together, to hosts of this hall and of other halls.
+	ownHallReportInterval   = 40 * time.Millisecond
+	otherHallReportInterval = 80 * time.Millisecond
 )
 
 // Bitmap marks the chunks that a host has, in hexadecimal digits of four chunks each. The
@@ -94,9 +94,9 @@
 	if c == nil {
 		return
 	}
-	interval := hallReportInterval
+	interval := ownHallReportInterval
 	if r.URL.Query().Has("far") {
-		interval = farReportInterval
+		interval = otherHallReportInterval
 	}
 	lines.Serve(w, r, func() time.Duration { return interval }, func() ([]byte, <-chan struct{}) {
 		_, changed := c.Count()
--- a/daemon/internal/version/swarm/serve_test.go
+++ b/daemon/internal/version/swarm/serve_test.go
@@ -18,8 +18,8 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// sample returns the chunks of a version and its manifest.
-func sample(version, chunks int) ([][]byte, provider.Manifest) {
+// sampleVersion returns the chunks of a version and its manifest.
+func sampleVersion(version, chunks int) ([][]byte, provider.Manifest) {
 	manifest := provider.Manifest{Model: "m", Version: version, ChunkBytes: 64}
 	var data [][]byte
 	for index := range chunks {
@@ -48,7 +48,7 @@
 }
 
 func TestPeerServesManifestReportsAndChunks(t *testing.T) {
-	data, manifest := sample(2, 9)
+	data, manifest := sampleVersion(2, 9)
 	c := swarm.NewCopy(manifest)
 	require.NoError(t, c.Put(1, data[1]))
 	require.NoError(t, c.Put(8, data[8]))
@@ -86,7 +86,7 @@
 }
 
 func TestCopyRejectsChunksThatDoNotMatch(t *testing.T) {
-	data, manifest := sample(1, 3)
+	data, manifest := sampleVersion(1, 3)
 	c := swarm.NewCopy(manifest)
 	require.Error(t, c.Put(0, data[1]), "another chunk")
 	require.Error(t, c.Put(0, data[0][:10]), "a truncated chunk")
@@ -102,7 +102,7 @@
 func TestOnlyNewestVersionsAreKept(t *testing.T) {
 	hostCopies := &swarm.Copies{}
 	for version := 1; version <= 5; version++ {
-		_, manifest := sample(version, 1)
+		_, manifest := sampleVersion(version, 1)
 		hostCopies.Add(swarm.NewCopy(manifest))
 	}
 	assert.Nil(t, hostCopies.Get(2))
@@ -113,7 +113,7 @@
 // TestServerRejectsUploadsBeyondQueue: the rejection is sent at once, so that the requesting host
 // can use another peer, and the queue has room again once the active uploads have ended.
 func TestServerRejectsUploadsBeyondQueue(t *testing.T) {
-	data, manifest := sample(2, 9)
+	data, manifest := sampleVersion(2, 9)
 	c := swarm.NewCopy(manifest)
 	require.NoError(t, c.Put(1, data[1]))
 	hostCopies := &swarm.Copies{}
--- a/daemon/loader/engineconfig.go
+++ b/daemon/loader/engineconfig.go
@@ -20,9 +20,9 @@
 
 // This file polls the part of the configuration for the engine's service. It is a small part of
 // a large configuration, and every loader needs it before it can load anything. So a loader
-// queries a router of its hall, which has the complete configuration. Only while none answers it
-// reads the configuration from the store: over the region's link, which all of its loaders
-// share, and over its own link, which weights need.
+// queries a router of its hall, which has the complete configuration. It reads the configuration
+// from the store only while none answers: the read uses the link of the region, which all of its
+// loaders share, and its own link, which also carries the weights.
 
 const (
 	// minBackoff is the delay after the first failed poll. It doubles up to maxBackoff, and
@@ -100,7 +100,7 @@
 		err = replica.ErrNoEngine
 	}
 	if err != nil {
-		p.log.WithField("reason", err.Error()).Error("configuration rejected, the last good one stays in force")
+		p.log.WithField("reason", err.Error()).Error("invalid configuration in the store; keeping the last valid one")
 		return peering.VersionedEngineConfig{}, fmt.Errorf("decode the configuration: %w", err)
 	}
 	config, err := replica.EngineConfigFor(record.Configuration, p.current.Load().Service)
--- a/daemon/loader/events.go
+++ b/daemon/loader/events.go
@@ -102,20 +102,20 @@
 // The sources of chunks in metrics and logs.
 const (
 	fromOrigin     = "origin"
-	fromHall       = "hall"
+	fromOwnHall    = "hall"
 	fromOtherHalls = "otherHalls"
 )
 
 // received counts the bytes of chunks by source since the last fetch ended. Those from the
 // origin and from other halls use links that a whole region shares.
-type received struct{ origin, hall, otherHalls atomic.Int64 }
+type received struct{ origin, ownHall, otherHalls atomic.Int64 }
 
 func (r *received) counter(source string) *atomic.Int64 {
 	switch source {
 	case fromOrigin:
 		return &r.origin
-	case fromHall:
-		return &r.hall
+	case fromOwnHall:
+		return &r.ownHall
 	default:
 		return &r.otherHalls
 	}
@@ -124,7 +124,7 @@
 // takeCounts returns the counts for a log line and resets them.
 func (r *received) takeCounts() map[string]int64 {
 	counts := map[string]int64{}
-	for _, source := range []string{fromOrigin, fromHall, fromOtherHalls} {
+	for _, source := range []string{fromOrigin, fromOwnHall, fromOtherHalls} {
 		counts[source] = r.counter(source).Swap(0)
 	}
 	return counts
@@ -137,7 +137,7 @@
 	case from == swarm.FromOrigin:
 		source = fromOrigin
 	case p.roster().inHall(from, p.current.Load().Hall):
-		source = fromHall
+		source = fromOwnHall
 	}
 	p.received.counter(source).Add(int64(len(chunk)))
 	p.telemetry.Scope.Tagged(map[string]string{"from": source}).Counter("chunk_bytes").Inc(int64(len(chunk)))
--- a/daemon/loader/events_test.go
+++ b/daemon/loader/events_test.go
@@ -25,11 +25,11 @@
 	query := places.Request{Limit: places.Limit{Waiting: 9, InUse: 9}}
 
 	p.publishReport(provider.EngineReport{}, nil)
-	_, given := p.ledger.Reserve(query)
-	assert.False(t, given)
+	_, granted := p.ledger.Reserve(query)
+	assert.False(t, granted)
 	p.publishReport(provider.EngineReport{Models: []provider.LoadedModel{{Model: "m", Version: 1}}}, nil)
-	_, given = p.ledger.Reserve(query)
-	assert.True(t, given)
+	_, granted = p.ledger.Reserve(query)
+	assert.True(t, granted)
 }
 
 // TestCopyTimeFollowsOriginRate also covers the fallback to the rate of this host's link.
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -49,20 +49,20 @@
 	// are detected sooner. With a shorter wait nearly every watch would return without a
 	// change, and a longer one would exceed the revision history of some stores.
 	versionsWatchWait = 15 * time.Second
-	// hostsInterval is the interval in which the list of hosts is read from the store while
-	// no router answers. The list grows with the fleet, and all loaders of a hall share the
-	// link to the store. routersRetryInterval is the interval in which the hall's routers are
-	// listed while none is known.
-	hostsInterval        = 8 * time.Second
+	// upstreamsInterval is the interval in which the list of upstreams is read from the store
+	// while no router answers. The list grows with the fleet, and all loaders of a hall share
+	// the link to the store. routersRetryInterval is the interval in which the hall's routers
+	// are listed while none is known.
+	upstreamsInterval    = 8 * time.Second
 	routersRetryInterval = 400 * time.Millisecond
 	// routersInterval is the interval in which the hall's routers are listed otherwise. Until
 	// the next listing a new router is not queried, which is harmless.
 	routersInterval = 20 * time.Second
 	// maxRouterFailures is the number of consecutive failed queries to routers after which
-	// the list of hosts is read from the store.
+	// the list of upstreams is read from the store.
 	maxRouterFailures = 8
 	// startupPeriod is the time after the start in which the store is not read for the list
-	// of hosts and the engine's configuration: all loaders may start at once after a power
+	// of upstreams and the engine's configuration: all loaders may start at once after a power
 	// loss, and routers have both within seconds.
 	startupPeriod = 8 * time.Second
 	// hostIdleTimeout closes idle connections to the store and to other loaders.
@@ -96,15 +96,15 @@
 
 	table    *replica.Table
 	compiler *replica.Compiler
-	// versions follows the declared versions, hosts the records of the upstreams, and
+	// versions follows the declared versions, upstreams the records of all upstreams, and
 	// routers the records of the hall's routers.
-	versions, hosts, routers *replica.Follower
-	copies                   *swarm.Copies
-	reconciler               *reconcile.Reconciler
-	feed                     *loadfeed.Feed
-	ledger                   *places.Ledger
-	limitLog                 *rate.Limiter
-	client                   *http.Client
+	versions, upstreams, routers *replica.Follower
+	copies                       *swarm.Copies
+	reconciler                   *reconcile.Reconciler
+	feed                         *loadfeed.Feed
+	ledger                       *places.Ledger
+	limitLog                     *rate.Limiter
+	client                       *http.Client
 
 	// engineConfig is the part of the configuration for the engine's service.
 	engineConfig atomic.Pointer[replica.EngineConfig]
@@ -144,22 +144,22 @@
 	}
 	p.current.Store(&s)
 	p.ledger.OnLimit = p.logLimit
-	calls := &http.Client{Transport: dial.NewHostTransport(options.Dial, originIdleTimeout)}
-	p.provider = options.Provider(s.Store, p.client, calls)
+	hostClient := &http.Client{Transport: dial.NewHostTransport(options.Dial, originIdleTimeout)}
+	p.provider = options.Provider(s.Store, p.client, hostClient)
 	p.compiler = &replica.Compiler{Decode: p.provider.Decode, OnEntryChange: p.logDeclaration}
 	p.table.OnChange = p.compiler.Apply
 	p.neighbours = p.newNeighbours()
 	p.neighbours.Hold = p.starting
 	p.addFollowers()
 	p.reconciler = &reconcile.Reconciler{
-		Engine: p.provider.Engine, Origin: p.provider.Origin, Address: s.Engine, Copies: p.copies,
+		Engine: p.provider.Engine, Origin: p.provider.Origin, EngineAddress: s.Engine, Copies: p.copies,
 		Self: s.Listen.Peers, RankLoaders: p.manifestRanking, Plan: p.plan, NewFetch: p.newFetch, PeerManifest: p.peerManifest,
 		OnReport: p.publishReport, OnStep: p.logStep,
 	}
 	return p, nil
 }
 
-// addFollowers configures the followers. Declared versions and the list of hosts come from a
+// addFollowers configures the followers. Declared versions and the upstreams come from a
 // router of this hall while one answers: with watches by each loader, these would be most of
 // the calls to the store. The versions are also read from the store, at first and at intervals.
 func (p *Process) addFollowers() {
@@ -176,9 +176,9 @@
 	p.versions.RecheckInterval = versionsPollInterval
 	p.versions.QueryPeer = p.newNeighbours().FetchUpdate
 	hall := p.current.Load().Hall
-	p.hosts = follower(p.provider.Prefixes.Upstreams)
-	p.hosts.PollInterval = func() time.Duration { return hostsInterval/2 + rand.N(hostsInterval/2) }
-	p.hosts.QueryPeer, p.hosts.PeerAttempts = p.neighbours.FetchUpdate, maxRouterFailures
+	p.upstreams = follower(p.provider.Prefixes.Upstreams)
+	p.upstreams.PollInterval = func() time.Duration { return upstreamsInterval/2 + rand.N(upstreamsInterval/2) }
+	p.upstreams.QueryPeer, p.upstreams.PeerAttempts = p.neighbours.FetchUpdate, maxRouterFailures
 	p.routers = follower(p.provider.Prefixes.MembersOfHall(hall, ""))
 	p.routers.PollInterval = p.routersDelay
 	p.routers.QueryPeer = p.newNeighbours().FetchUpdate
@@ -212,7 +212,7 @@
 func (p *Process) starting() bool { return clock.Since(p.createdAt) < startupPeriod }
 
 func (p *Process) followers() []*replica.Follower {
-	return []*replica.Follower{p.versions, p.hosts, p.routers}
+	return []*replica.Follower{p.versions, p.upstreams, p.routers}
 }
 
 // Start listens on the ports and starts the followers and the engine's reconciliation.
@@ -251,7 +251,7 @@
 	}
 	model := config.Engine.Model
 	plan := reconcile.Plan{
-		Goal:   reconcile.Goal{Model: model, Version: initialVersion, Fence: p.table.LatestRevision()},
+		Goal:   reconcile.Goal{Model: model, Version: initialVersion, FencingToken: p.table.LatestRevision()},
 		Origin: config.Origin, Places: config.Engine.Places,
 		Chunks: config.Engine.Chunks, ChunkBytes: config.Engine.ChunkBytes,
 		CopyTime: p.copyTime(config),
@@ -277,7 +277,7 @@
 		window = window.Delayed(c.CompletedAt())
 	}
 	rank, hosts := p.rank(declared.Model, declared.Version)
-	return reconcile.Goal{Model: declared.Model, Version: declared.Version, Fence: p.table.LatestRevision(), LoadAt: window.LoadTime(rank, hosts)}
+	return reconcile.Goal{Model: declared.Model, Version: declared.Version, FencingToken: p.table.LatestRevision(), LoadAt: window.LoadTime(rank, hosts)}
 }
 
 // rank returns this host's rank in the order in which hosts load a version, and their number.
@@ -341,7 +341,7 @@
 	rank, _ := p.rank(plan.Goal.Model, plan.Goal.Version)
 	return &swarm.Fetch{
 		Early: schedule.IsEarly(rank),
-		Copy:  c, Model: plan.Goal.Model, Origin: plan.Origin, Source: p.provider.Origin,
+		Copy:  c, Model: plan.Goal.Model, OriginAddress: plan.Origin, Origin: p.provider.Origin,
 		Self: p.self(), Hosts: p.loaders, Client: p.client, CopyTime: plan.CopyTime,
 		ChunkTime: p.linkTime(plan.ChunkBytes), OnChunk: p.countChunk,
 	}
--- a/daemon/loader/loader_test.go
+++ b/daemon/loader/loader_test.go
@@ -32,8 +32,8 @@
 	defer origin.Close()
 	var client *http.Client
 	_, err := loader.New(settings.ExampleLoader(), loader.Options{
-		Provider: func(_ netip.AddrPort, _, hosts *http.Client) provider.Provider {
-			client = hosts
+		Provider: func(_ netip.AddrPort, _, hostClient *http.Client) provider.Provider {
+			client = hostClient
 			return provider.Provider{}
 		},
 	})
--- a/daemon/loader/start_test.go
+++ b/daemon/loader/start_test.go
@@ -22,14 +22,14 @@
 		Provider: func(netip.AddrPort, *http.Client, *http.Client) provider.Provider { return provider.Provider{} },
 	})
 	require.NoError(t, err)
-	_, err = p.hosts.QueryPeer(t.Context(), "u/", 0)
+	_, err = p.upstreams.QueryPeer(t.Context(), "u/", 0)
 	require.ErrorIs(t, err, replica.ErrWait)
 	for range 100 {
 		assert.LessOrEqual(t, p.routersDelay(), routersRetryInterval, "the hall's routers are not listed often enough")
 	}
 
 	p.createdAt = clock.Now().Add(-startupPeriod)
-	_, err = p.hosts.QueryPeer(t.Context(), "u/", 0)
+	_, err = p.upstreams.QueryPeer(t.Context(), "u/", 0)
 	require.ErrorIs(t, err, replica.ErrNoPeer, "the store is read where no router has registered")
 
 	member := &provider.Member{Name: "r", Hall: p.current.Load().Hall, Peers: netip.MustParseAddrPort("127.0.0.1:1")}
--- a/daemon/provider/provider.go
+++ b/daemon/provider/provider.go
@@ -115,7 +115,7 @@
 	Member        *Member
 	// EvacuatedHall is a data hall whose upstreams must receive no requests while the entry exists.
 	EvacuatedHall string
-	// Suspect is a record of a content under which upstreams crashed, as encoded by the routers.
+	// Suspect is a record of a request content that crashed upstreams, as encoded by the routers.
 	Suspect []byte
 }
 
@@ -130,7 +130,7 @@
 	Decode func(Entry) (Record, error)
 	// EncodeMember returns the write that announces a router.
 	EncodeMember func(Member) Put
-	// EncodeSuspect returns the write of a record of a content under which upstreams crashed. It
+	// EncodeSuspect returns the write of a record of a request content that crashed upstreams. It
 	// may be nil.
 	EncodeSuspect func(content string, report []byte) Put
 }
