--- a/daemon/cmd/wheelcleatd/main.go
+++ b/daemon/cmd/wheelcleatd/main.go
@@ -96,7 +96,7 @@
 	if err != nil {
 		return err
 	}
-	p, err := prepare(file)
+	p, err := newProcess(file)
 	if err != nil {
 		return err
 	}
@@ -150,8 +150,8 @@
 	}
 }
 
-// prepare creates the process of the role that the settings name, without starting it.
-func prepare(file settings.File) (process, error) {
+// newProcess creates the process of the role that the settings name, without starting it.
+func newProcess(file settings.File) (process, error) {
 	switch file.Role() {
 	case settings.RoleEntry:
 		p, err := entry.New(*file.Entry, entry.Options{})
--- a/daemon/settings/watch.go
+++ b/daemon/settings/watch.go
@@ -23,11 +23,11 @@
 	// Reloads delivers the result of each reload.
 	Reloads <-chan ReloadResult
 
-	path    string
-	reloads chan ReloadResult
-	trigger chan struct{}
-	seen    fileState
-	tomb    tomb.Tomb
+	path     string
+	reloads  chan ReloadResult
+	trigger  chan struct{}
+	lastRead fileState
+	tomb     tomb.Tomb
 }
 
 // fileState identifies the contents of a file; it is zero for a missing file.
@@ -40,7 +40,7 @@
 func NewWatcher(path string) *Watcher {
 	reloads := make(chan ReloadResult)
 	w := &Watcher{path: path, Reloads: reloads, reloads: reloads, trigger: make(chan struct{}, 1)}
-	w.seen = w.stat()
+	w.lastRead = w.stat()
 	w.tomb.Go(w.run)
 	return w
 }
@@ -69,7 +69,7 @@
 		case <-w.trigger:
 			w.read()
 		case <-ticker.C:
-			if w.stat() != w.seen {
+			if w.stat() != w.lastRead {
 				w.read()
 			}
 		}
@@ -85,7 +85,7 @@
 }
 
 func (w *Watcher) read() {
-	w.seen = w.stat()
+	w.lastRead = w.stat()
 	file, err := Load(w.path)
 	select {
 	case w.reloads <- ReloadResult{File: file, Err: err}:
