--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -138,7 +138,7 @@
 // addFollowers creates the parts that follow the key-value service and other
 // entries.
 func (p *Process) addFollowers(kv *platform.KV, client *http.Client) {
-	p.watcher = &kvwatch.Watcher{KV: kv, Table: p.table, MinInterval: p.options.WatchInterval, OnResult: p.onKVState}
+	p.watcher = &kvwatch.Watcher{KV: kv, Table: p.table, MinInterval: p.options.WatchInterval, OnResult: p.onKVResult}
 	p.puller = &gossip.Puller{
 		Name: p.settings.Name, Hall: p.settings.Hall, Table: p.table, Members: p.members, Client: client,
 		Entries:    func() []platform.Host { return p.hosts.Select(platform.RoleEntry, "") },
@@ -201,9 +201,9 @@
 	return mux
 }
 
-// onKVState updates readiness and metrics after each call to the key-value
+// onKVResult updates readiness and metrics after each call to the key-value
 // service; err is nil if the service responded.
-func (p *Process) onKVState(err error) {
+func (p *Process) onKVResult(err error) {
 	up := p.telemetry.Scope.Gauge("key_value_up")
 	if err == nil {
 		up.Update(1)
--- a/daemon/internal/version/activate/activate.go
+++ b/daemon/internal/version/activate/activate.go
@@ -150,7 +150,7 @@
 	}
 	state, err := f.Engine.Load(ctx, order)
 	if err != nil {
-		f.recordFailure(err)
+		f.recordUnanswered(err)
 		return fmt.Errorf("order %d: %w", order.Token, err)
 	}
 	if state.Manifest != order.Manifest || state.Digest != fileDigest.String() {
@@ -178,8 +178,8 @@
 	return nil
 }
 
-// recordFailure delays the next order after an order without a response.
-func (f *Fence) recordFailure(err error) {
+// recordUnanswered delays the next order after an order without a response.
+func (f *Fence) recordUnanswered(err error) {
 	if f.OrderHold == 0 || errors.Is(err, ErrRefused) {
 		return
 	}
--- a/daemon/internal/version/fetch/fetch_test.go
+++ b/daemon/internal/version/fetch/fetch_test.go
@@ -58,7 +58,7 @@
 	chunks := numberedChunks(200)
 	primaries := map[string]int{}
 	origins := make([]int, len(chunks))
-	load := map[string]int{}
+	originFetches := map[string]int{}
 	for hall, count := range halls {
 		swarm := newSwarm(hall, halls, 16)
 		for i := range count {
@@ -70,7 +70,7 @@
 				primaries[fmt.Sprint(hall, a.chunk)]++
 				if len(a.otherHallPeers) == 0 {
 					origins[a.chunk]++
-					load[hall]++
+					originFetches[hall]++
 				}
 			}
 		}
@@ -83,7 +83,7 @@
 		require.Equal(t, 1, count, "chunk %d", chunk)
 	}
 	for hall := range halls {
-		assert.InDelta(t, len(chunks)/len(halls), load[hall], 30, "fetches from the origin are spread evenly over halls")
+		assert.InDelta(t, len(chunks)/len(halls), originFetches[hall], 30, "fetches from the origin are spread evenly over halls")
 	}
 }
 
--- a/daemon/internal/version/fetch/run.go
+++ b/daemon/internal/version/fetch/run.go
@@ -129,7 +129,7 @@
 // event is a report from a transfer or a poll. Exactly one field is set.
 type event struct {
 	transfer  *transferResult
-	have      *chunkUpdate
+	update    *chunkUpdate
 	pollEnded bool
 }
 
@@ -259,8 +259,8 @@
 	if e.transfer != nil {
 		r.finishTransfer(e.transfer)
 	}
-	if e.have != nil {
-		r.applyUpdate(e.have)
+	if e.update != nil {
+		r.applyUpdate(e.update)
 	}
 	if e.pollEnded {
 		r.polls--
@@ -414,7 +414,7 @@
 			instance, cursor = response.GetInstance(), response.GetCursor()
 		}
 		select {
-		case r.events <- event{have: update}:
+		case r.events <- event{update: update}:
 		case <-ctx.Done():
 		}
 		if err != nil {
