--- a/daemon/internal/version/reconcile/busy_test.go
+++ b/daemon/internal/version/reconcile/busy_test.go
@@ -8,7 +8,8 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// TestIsBusyCountsRunningAndWaiting also covers an engine of unknown size, which is never busy.
+// TestIsBusyCountsRunningAndWaiting also covers an engine whose number of places is unknown, which
+// is never busy.
 func TestIsBusyCountsRunningAndWaiting(t *testing.T) {
 	assert.False(t, isBusy(provider.EngineReport{}, 16))
 	assert.False(t, isBusy(provider.EngineReport{Running: 9}, 16))
--- a/daemon/internal/version/reconcile/fetch.go
+++ b/daemon/internal/version/reconcile/fetch.go
@@ -114,7 +114,7 @@
 			return r.PeerManifest(ctx, peer, goal.Version)
 		},
 		QueryOrigin: func(ctx context.Context) (provider.Manifest, error) {
-			return r.Origin.Manifest(ctx, plan.Origin, goal.Model, goal.Version)
+			return r.Origin.Manifest(ctx, plan.OriginAddress, goal.Model, goal.Version)
 		},
 		Check: func(manifest provider.Manifest) error { return checkManifest(manifest, plan) },
 	}
--- a/daemon/internal/version/reconcile/reconcile.go
+++ b/daemon/internal/version/reconcile/reconcile.go
@@ -70,8 +70,8 @@
 	// ones declared before it, newest first.
 	Goal    Goal
 	Earlier []Goal
-	// Origin is the address of the origin of the weights.
-	Origin netip.AddrPort
+	// OriginAddress is the address of the origin of the weights.
+	OriginAddress netip.AddrPort
 	// Places is the number of requests that the engine runs at once.
 	Places int
 	// Chunks and ChunkBytes are the declared sizes of a version.
--- a/daemon/loader/engineconfig.go
+++ b/daemon/loader/engineconfig.go
@@ -72,7 +72,7 @@
 // refreshEngineConfig queries a router of this hall, and reads the store if none answers and
 // routersOnly is not set.
 func (p *Process) refreshEngineConfig(ctx context.Context, routersOnly bool) error {
-	update, err := p.neighbours.FetchEngine(ctx, p.current.Load().Service)
+	update, err := p.routerClient.FetchEngine(ctx, p.current.Load().Service)
 	if err != nil && !routersOnly {
 		update, err = p.readEngineConfig(ctx)
 	}
--- a/daemon/loader/engineconfig_test.go
+++ b/daemon/loader/engineconfig_test.go
@@ -56,7 +56,7 @@
 		},
 	}}
 	p.current.Store(&settings.Loader{Service: "s"})
-	p.neighbours = &peering.Neighbours{Choose: p.chooseRouter}
+	p.routerClient = &peering.Neighbours{Choose: p.chooseRouter}
 	p.compiler = &replica.Compiler{}
 	p.tomb.Go(p.pollEngineConfig)
 	return p
--- a/daemon/loader/events.go
+++ b/daemon/loader/events.go
@@ -82,7 +82,7 @@
 	fields := log.Fields{fieldDecision: step.Name, "version": step.Version, "took": step.Took.String()}
 	switch step.Name {
 	case reconcile.StepFetch:
-		fields["bytes"] = p.received.takeCounts()
+		fields["bytes"] = p.receivedBytes.takeCounts()
 	case reconcile.StepOrder:
 		fields["engine"], fields["running"] = p.current.Load().Engine, step.Running
 	}
@@ -106,11 +106,11 @@
 	fromOtherHalls = "otherHalls"
 )
 
-// received counts the bytes of chunks by source since the last fetch ended. Those from the
+// receivedBytes counts the bytes of chunks by source since the last fetch ended. Those from the
 // origin and from other halls use links that a whole region shares.
-type received struct{ origin, ownHall, otherHalls atomic.Int64 }
+type receivedBytes struct{ origin, ownHall, otherHalls atomic.Int64 }
 
-func (r *received) counter(source string) *atomic.Int64 {
+func (r *receivedBytes) counter(source string) *atomic.Int64 {
 	switch source {
 	case fromOrigin:
 		return &r.origin
@@ -122,7 +122,7 @@
 }
 
 // takeCounts returns the counts for a log line and resets them.
-func (r *received) takeCounts() map[string]int64 {
+func (r *receivedBytes) takeCounts() map[string]int64 {
 	counts := map[string]int64{}
 	for _, source := range []string{fromOrigin, fromOwnHall, fromOtherHalls} {
 		counts[source] = r.counter(source).Swap(0)
@@ -139,6 +139,6 @@
 	case p.roster().inHall(from, p.current.Load().Hall):
 		source = fromOwnHall
 	}
-	p.received.counter(source).Add(int64(len(chunk)))
+	p.receivedBytes.counter(source).Add(int64(len(chunk)))
 	p.telemetry.Scope.Tagged(map[string]string{"from": source}).Counter("chunk_bytes").Inc(int64(len(chunk)))
 }
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -108,10 +108,10 @@
 
 	// engineConfig is the part of the configuration for the engine's service.
 	engineConfig atomic.Pointer[replica.EngineConfig]
-	// neighbours queries the routers of this hall.
-	neighbours *peering.Neighbours
-	// received counts chunk bytes by source.
-	received received
+	// routerClient queries the routers of this hall.
+	routerClient *peering.Neighbours
+	// receivedBytes counts chunk bytes by source.
+	receivedBytes receivedBytes
 	// cachedRoster is the roster of the newest view.
 	cachedRoster atomic.Pointer[roster]
 
@@ -148,8 +148,8 @@
 	p.provider = options.Provider(s.Store, p.client, hostClient)
 	p.compiler = &replica.Compiler{Decode: p.provider.Decode, OnEntryChange: p.logDeclaration}
 	p.table.OnChange = p.compiler.Apply
-	p.neighbours = p.newNeighbours()
-	p.neighbours.Hold = p.starting
+	p.routerClient = p.newRouterClient()
+	p.routerClient.Hold = p.starting
 	p.addFollowers()
 	p.reconciler = &reconcile.Reconciler{
 		Engine: p.provider.Engine, Origin: p.provider.Origin, EngineAddress: s.Engine, Copies: p.copies,
@@ -174,14 +174,14 @@
 	p.versions.StaleFirstList = true
 	p.versions.WatchWait = func() time.Duration { return versionsWatchWait }
 	p.versions.RecheckInterval = versionsPollInterval
-	p.versions.QueryPeer = p.newNeighbours().FetchUpdate
+	p.versions.QueryPeer = p.newRouterClient().FetchUpdate
 	hall := p.current.Load().Hall
 	p.upstreams = follower(p.provider.Prefixes.Upstreams)
 	p.upstreams.PollInterval = func() time.Duration { return upstreamsInterval/2 + rand.N(upstreamsInterval/2) }
-	p.upstreams.QueryPeer, p.upstreams.PeerAttempts = p.neighbours.FetchUpdate, maxRouterFailures
+	p.upstreams.QueryPeer, p.upstreams.PeerAttempts = p.routerClient.FetchUpdate, maxRouterFailures
 	p.routers = follower(p.provider.Prefixes.MembersOfHall(hall, ""))
 	p.routers.PollInterval = p.routersDelay
-	p.routers.QueryPeer = p.newNeighbours().FetchUpdate
+	p.routers.QueryPeer = p.newRouterClient().FetchUpdate
 	p.routers.BootstrapPrefixes = []string{p.provider.Prefixes.MembersOfHall(hall, readers.Shard(p.current.Load().Name)), p.routers.Prefix}
 	p.routers.BootstrapDone = p.knowsRouter
 }
@@ -192,8 +192,8 @@
 	return known
 }
 
-// newNeighbours returns a client of this hall's routers for one follower.
-func (p *Process) newNeighbours() *peering.Neighbours {
+// newRouterClient returns a client of this hall's routers for one follower.
+func (p *Process) newRouterClient() *peering.Neighbours {
 	return &peering.Neighbours{Client: p.client, Choose: p.chooseRouter, OnBackoff: p.telemetry.LogPeerPaused}
 }
 
@@ -251,8 +251,8 @@
 	}
 	model := config.Engine.Model
 	plan := reconcile.Plan{
-		Goal:   reconcile.Goal{Model: model, Version: initialVersion, FencingToken: p.table.LatestRevision()},
-		Origin: config.Origin, Places: config.Engine.Places,
+		Goal:          reconcile.Goal{Model: model, Version: initialVersion, FencingToken: p.table.LatestRevision()},
+		OriginAddress: config.Origin, Places: config.Engine.Places,
 		Chunks: config.Engine.Chunks, ChunkBytes: config.Engine.ChunkBytes,
 		CopyTime: p.copyTime(config),
 	}
@@ -341,7 +341,7 @@
 	rank, _ := p.rank(plan.Goal.Model, plan.Goal.Version)
 	return &swarm.Fetch{
 		Early: schedule.IsEarly(rank),
-		Copy:  c, Model: plan.Goal.Model, OriginAddress: plan.Origin, Origin: p.provider.Origin,
+		Copy:  c, Model: plan.Goal.Model, OriginAddress: plan.OriginAddress, Origin: p.provider.Origin,
 		Self: p.self(), Hosts: p.loaders, Client: p.client, CopyTime: plan.CopyTime,
 		ChunkTime: p.linkTime(plan.ChunkBytes), OnChunk: p.countChunk,
 	}
