--- a/daemon/internal/version/activate/activate.go
+++ b/daemon/internal/version/activate/activate.go
@@ -53,7 +53,7 @@
 
 // Engine is the client of a model engine.
 type Engine struct {
-	Peer netip.AddrPort
+	Address netip.AddrPort
 	// Load sends an order and returns the state of the engine afterwards.
 	Load func(ctx context.Context, order Order) (State, error)
 	// QueryState returns the current state of the engine.
@@ -65,7 +65,7 @@
 
 // NewEngine returns a client of the engine at an address.
 func NewEngine(address netip.AddrPort, client *http.Client) *Engine {
-	e := &Engine{Peer: address}
+	e := &Engine{Address: address}
 	e.Load = func(ctx context.Context, order Order) (State, error) {
 		body, err := json.Marshal(order)
 		if err != nil {
@@ -155,7 +155,7 @@
 	}
 	if state.Manifest != order.Manifest || state.Digest != fileDigest.String() {
 		return fmt.Errorf("order %d: engine %s holds version %q with digest %q instead of %q with %q",
-			order.Token, f.Engine.Peer, state.Manifest, state.Digest, order.Manifest, fileDigest)
+			order.Token, f.Engine.Address, state.Manifest, state.Digest, order.Manifest, fileDigest)
 	}
 	return nil
 }
--- a/daemon/internal/version/activate/activate_test.go
+++ b/daemon/internal/version/activate/activate_test.go
@@ -62,7 +62,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var loads atomic.Int64
 		loadErr := io.ErrUnexpectedEOF
-		e := &Engine{Peer: netip.MustParseAddrPort("127.0.0.1:1"), Load: func(_ context.Context, o Order) (State, error) {
+		e := &Engine{Address: netip.MustParseAddrPort("127.0.0.1:1"), Load: func(_ context.Context, o Order) (State, error) {
 			loads.Add(1)
 			if loadErr != nil {
 				return State{}, loadErr
--- a/daemon/internal/version/fetch/fetch.go
+++ b/daemon/internal/version/fetch/fetch.go
@@ -149,7 +149,7 @@
 		if err == nil {
 			return m, nil
 		}
-		lastErr = fmt.Errorf("manifest %s from %s %s: %w", version.Short(), src.Name, src.Peer, err)
+		lastErr = fmt.Errorf("manifest %s from %s %s: %w", version.Short(), src.Name, src.Address, err)
 	}
 	if lastErr == nil {
 		lastErr = fmt.Errorf("manifest %s: no store or origin is configured", version.Short())
--- a/daemon/internal/version/fetch/fetch_test.go
+++ b/daemon/internal/version/fetch/fetch_test.go
@@ -43,7 +43,7 @@
 	return swarm
 }
 
-func numberedChunks(n int) []digest {
+func numberedDigests(n int) []digest {
 	chunks := make([]digest, n)
 	for i := range chunks {
 		chunks[i] = manifest.Sum([]byte(fmt.Sprint(i)))
@@ -55,7 +55,7 @@
 // and that exactly one of these fetches it from the origin.
 func TestEachChunkHasOnePrimaryPerHallAndOneOrigin(t *testing.T) {
 	halls := map[string]int{"a": 5, "b": 20, "c": 1}
-	chunks := numberedChunks(200)
+	chunks := numberedDigests(200)
 	primaries := map[string]int{}
 	origins := make([]int, len(chunks))
 	originFetches := map[string]int{}
@@ -93,7 +93,7 @@
 		swarm := newSwarm(hall, halls, 3)
 		for i := range 3 {
 			f := &Fetcher{Self: fmt.Sprintf("%s-%03d", hall, i), Hall: hall}
-			for _, a := range f.assignmentsOf(numberedChunks(50), swarm) {
+			for _, a := range f.assignmentsOf(numberedDigests(50), swarm) {
 				assert.LessOrEqual(t, len(a.otherHallPeers), 2*peersPerOtherHall)
 				for _, peer := range a.otherHallPeers {
 					assert.NotEqual(t, hall, peer.Hall, "a peer of the local hall")
--- a/daemon/internal/version/fetch/schedule.go
+++ b/daemon/internal/version/fetch/schedule.go
@@ -373,7 +373,7 @@
 	offset, length := version.Manifest.ChunkRange(index)
 	err := errors.New("no store or origin is configured")
 	for _, src := range f.Sources {
-		result.source = src.Name + " " + src.Peer.String()
+		result.source = src.Name + " " + src.Address.String()
 		var data []byte
 		data, err = src.FetchRange(ctx, version.ID, offset, length)
 		if err == nil && manifest.Sum(data) != version.Manifest.Chunks[index] {
--- a/daemon/internal/version/source/source.go
+++ b/daemon/internal/version/source/source.go
@@ -33,8 +33,8 @@
 // Source is the weight store or the origin.
 type Source struct {
 	// Name is "store" or "origin", for logs.
-	Name string
-	Peer netip.AddrPort
+	Name    string
+	Address netip.AddrPort
 	// FetchManifest returns a version's manifest bytes, not yet verified.
 	FetchManifest func(ctx context.Context, version manifest.Digest) ([]byte, error)
 	// FetchRange returns a byte range of a version's file, not yet verified.
@@ -62,7 +62,7 @@
 func NewSource(name string, address netip.AddrPort, downloader *Downloader) *Source {
 	base := "http://" + address.String()
 	return &Source{
-		Name: name, Peer: address,
+		Name: name, Address: address,
 		FetchManifest: func(ctx context.Context, version manifest.Digest) ([]byte, error) {
 			data, err := downloader.download(ctx, downloadRequest{url: base + "/manifests/" + version.String(), limit: manifest.MaxBytes})
 			if err != nil {
--- a/daemon/internal/version/swarm/fetch.go
+++ b/daemon/internal/version/swarm/fetch.go
@@ -241,7 +241,7 @@
 
 // follow follows the reports of one host, and reconnects when the stream ends.
 func (f *Fetch) follow(ctx context.Context, host Host) {
-	peer := Peer{Address: host.Address, Client: f.Client}
+	peer := PeerClient{Address: host.Address, Client: f.Client}
 	otherHall := host.Hall != f.Self.Hall
 	for ctx.Err() == nil {
 		err := peer.Follow(ctx, f.Copy.Manifest.Version, otherHall, func(have Bitmap) { f.recordReport(host, have, false) })
--- a/daemon/internal/version/swarm/frompeers.go
+++ b/daemon/internal/version/swarm/frompeers.go
@@ -24,7 +24,7 @@
 	ctx, cancel := context.WithTimeout(ctx, chunkTimeout)
 	defer cancel()
 	started := clock.Now()
-	chunk, err := Peer{Address: address, Client: f.Client, Urgent: f.Early}.Chunk(ctx, f.Copy.Manifest.Version, index)
+	chunk, err := PeerClient{Address: address, Client: f.Client, Urgent: f.Early}.Chunk(ctx, f.Copy.Manifest.Version, index)
 	if err == nil {
 		err = f.Copy.Put(index, chunk)
 	}
--- a/daemon/internal/version/swarm/peer.go
+++ b/daemon/internal/version/swarm/peer.go
@@ -22,8 +22,8 @@
 // IsBusy reports whether a peer rejected a request because its upload queue is full.
 func IsBusy(err error) bool { return errors.Is(err, errBusy) }
 
-// Peer makes the calls to another loader.
-type Peer struct {
+// PeerClient makes the calls to another loader.
+type PeerClient struct {
 	Address netip.AddrPort
 	Client  *http.Client
 	// Urgent requests chunks ahead of non-urgent uploads.
@@ -33,7 +33,7 @@
 // Follow calls onHave with the peer's chunks, at first and at each change, until the peer is
 // unresponsive, leaves, or does not have the version's manifest, which is lines.ErrNotServed.
 // If otherHall is set, the peer reports changes at the longer interval for other halls.
-func (p Peer) Follow(ctx context.Context, version int, otherHall bool, onHave func(Bitmap)) error {
+func (p PeerClient) Follow(ctx context.Context, version int, otherHall bool, onHave func(Bitmap)) error {
 	url := fmt.Sprintf("http://%s%s?version=%d", p.Address, havePath, version)
 	if otherHall {
 		url += "&far"
@@ -45,7 +45,7 @@
 }
 
 // Manifest requests the manifest of a version.
-func (p Peer) Manifest(ctx context.Context, version int) (provider.Manifest, error) {
+func (p PeerClient) Manifest(ctx context.Context, version int) (provider.Manifest, error) {
 	var manifest provider.Manifest
 	data, err := p.get(ctx, fmt.Sprintf("%s?version=%d", manifestPath, version))
 	if err != nil {
@@ -55,7 +55,7 @@
 }
 
 // Chunk requests a chunk and returns it unverified.
-func (p Peer) Chunk(ctx context.Context, version, index int) ([]byte, error) {
+func (p PeerClient) Chunk(ctx context.Context, version, index int) ([]byte, error) {
 	path := fmt.Sprintf("%s?version=%d&index=%d", chunkPath, version, index)
 	if p.Urgent {
 		path += "&" + urgentQuery
@@ -63,7 +63,7 @@
 	return p.get(ctx, path)
 }
 
-func (p Peer) get(ctx context.Context, path string) ([]byte, error) {
+func (p PeerClient) get(ctx context.Context, path string) ([]byte, error) {
 	data, err := call.Get(ctx, p.Client, fmt.Sprintf("http://%s%s", p.Address, path), maxPeerResponse)
 	var statusErr *call.StatusError
 	if errors.As(err, &statusErr) {
@@ -80,7 +80,7 @@
 	return data, nil
 }
 
-func (p Peer) decode(data []byte, target any) error {
+func (p PeerClient) decode(data []byte, target any) error {
 	if err := json.Unmarshal(data, target); err != nil {
 		return fmt.Errorf("decode response of peer %s: %w", p.Address, err)
 	}
--- a/daemon/internal/version/swarm/serve_test.go
+++ b/daemon/internal/version/swarm/serve_test.go
@@ -38,13 +38,13 @@
 }
 
 // serve starts a server of copies and returns a client for it.
-func serve(t *testing.T, copies *swarm.Copies) swarm.Peer {
+func serve(t *testing.T, copies *swarm.Copies) swarm.PeerClient {
 	t.Helper()
 	server := httptest.NewServer(handler(copies))
 	t.Cleanup(server.Close)
 	address, err := netip.ParseAddrPort(server.Listener.Addr().String())
 	require.NoError(t, err)
-	return swarm.Peer{Address: address, Client: server.Client()}
+	return swarm.PeerClient{Address: address, Client: server.Client()}
 }
 
 func TestPeerServesManifestReportsAndChunks(t *testing.T) {
@@ -128,7 +128,7 @@
 	(&swarm.Server{Copies: hostCopies, Uplink: swarm.Uplink{BytesPerSecond: slow}}).Register(routes)
 	server := httptest.NewServer(routes)
 	t.Cleanup(server.Close)
-	peer := swarm.Peer{Address: netip.MustParseAddrPort(server.Listener.Addr().String()), Client: server.Client()}
+	peer := swarm.PeerClient{Address: netip.MustParseAddrPort(server.Listener.Addr().String()), Client: server.Client()}
 
 	const uploads = 3 // one active, two queued
 	results := make(chan error, uploads)
@@ -173,7 +173,7 @@
 	(&swarm.Server{Copies: hostCopies, Uplink: swarm.Uplink{BytesPerSecond: func() float64 { return bytesPerSecond }}}).Register(routes)
 	server := httptest.NewServer(routes)
 	t.Cleanup(server.Close)
-	peer := swarm.Peer{Address: netip.MustParseAddrPort(server.Listener.Addr().String()), Client: server.Client()}
+	peer := swarm.PeerClient{Address: netip.MustParseAddrPort(server.Listener.Addr().String()), Client: server.Client()}
 	started := time.Now()
 	got, err := peer.Chunk(context.Background(), 2, 0)
 	require.NoError(t, err)
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -348,7 +348,7 @@
 }
 
 func (p *Process) peerManifest(ctx context.Context, peer netip.AddrPort, version int) (provider.Manifest, error) {
-	return swarm.Peer{Address: peer, Client: p.client}.Manifest(ctx, version)
+	return swarm.PeerClient{Address: peer, Client: p.client}.Manifest(ctx, version)
 }
 
 // Stop stops the loader. The engine continues to serve the version that it has loaded.
