--- a/daemon/internal/version/activate/activate.go
+++ b/daemon/internal/version/activate/activate.go
@@ -53,7 +53,7 @@
 
 // Engine is the client of a model engine.
 type Engine struct {
-	Peer netip.AddrPort
+	Address netip.AddrPort
 	// Load sends an order and returns the state of the engine afterwards.
 	Load func(ctx context.Context, order Order) (State, error)
 	// QueryState returns the current state of the engine.
@@ -65,7 +65,7 @@
 
 // NewEngine returns a client of the engine at an address.
 func NewEngine(address netip.AddrPort, client *http.Client) *Engine {
-	e := &Engine{Peer: address}
+	e := &Engine{Address: address}
 	e.Load = func(ctx context.Context, order Order) (State, error) {
 		body, err := json.Marshal(order)
 		if err != nil {
@@ -105,8 +105,8 @@
 	return state, nil
 }
 
-// Fence sends the load orders of one engine and enforces the order of tokens. Set
-// the fields before use.
+// Fence sends load orders to one engine, and none with a token below the highest
+// one. Set the fields before use.
 type Fence struct {
 	Engine *Engine
 	// NotBefore is the earliest time of the first order, for engines that check
@@ -150,12 +150,12 @@
 	}
 	state, err := f.Engine.Load(ctx, order)
 	if err != nil {
-		f.recordFailure(err)
+		f.recordUnanswered(err)
 		return fmt.Errorf("order %d: %w", order.Token, err)
 	}
 	if state.Manifest != order.Manifest || state.Digest != fileDigest.String() {
 		return fmt.Errorf("order %d: engine %s holds version %q with digest %q instead of %q with %q",
-			order.Token, f.Engine.Peer, state.Manifest, state.Digest, order.Manifest, fileDigest)
+			order.Token, f.Engine.Address, state.Manifest, state.Digest, order.Manifest, fileDigest)
 	}
 	return nil
 }
@@ -178,8 +178,8 @@
 	return nil
 }
 
-// recordFailure delays the next order after an order without a response.
-func (f *Fence) recordFailure(err error) {
+// recordUnanswered delays the next order after an order without a response.
+func (f *Fence) recordUnanswered(err error) {
 	if f.OrderHold == 0 || errors.Is(err, ErrRefused) {
 		return
 	}
--- a/daemon/internal/version/fetch/fetch_test.go
+++ b/daemon/internal/version/fetch/fetch_test.go
@@ -43,7 +43,7 @@
 	return swarm
 }
 
-func numberedChunks(n int) []digest {
+func numberedDigests(n int) []digest {
 	chunks := make([]digest, n)
 	for i := range chunks {
 		chunks[i] = manifest.Sum([]byte(fmt.Sprint(i)))
@@ -55,10 +55,10 @@
 // and that exactly one of these fetches it from the origin.
 func TestEachChunkHasOnePrimaryPerHallAndOneOrigin(t *testing.T) {
 	halls := map[string]int{"a": 5, "b": 20, "c": 1}
-	chunks := numberedChunks(200)
+	chunks := numberedDigests(200)
 	primaries := map[string]int{}
 	origins := make([]int, len(chunks))
-	load := map[string]int{}
+	originFetches := map[string]int{}
 	for hall, count := range halls {
 		swarm := newSwarm(hall, halls, 16)
 		for i := range count {
@@ -68,9 +68,9 @@
 					continue
 				}
 				primaries[fmt.Sprint(hall, a.chunk)]++
-				if len(a.hops) == 0 {
+				if len(a.otherHallPeers) == 0 {
 					origins[a.chunk]++
-					load[hall]++
+					originFetches[hall]++
 				}
 			}
 		}
@@ -83,20 +83,20 @@
 		require.Equal(t, 1, count, "chunk %d", chunk)
 	}
 	for hall := range halls {
-		assert.InDelta(t, len(chunks)/len(halls), load[hall], 30, "fetches from the origin are spread evenly over halls")
+		assert.InDelta(t, len(chunks)/len(halls), originFetches[hall], 30, "fetches from the origin are spread evenly over halls")
 	}
 }
 
-func TestHopsAreInOtherHalls(t *testing.T) {
+func TestOtherHallPeersAreInOtherHalls(t *testing.T) {
 	halls := map[string]int{"a": 3, "b": 3, "c": 3, "d": 3, "e": 3, "f": 3, "g": 3}
 	for hall := range halls {
 		swarm := newSwarm(hall, halls, 3)
 		for i := range 3 {
 			f := &Fetcher{Self: fmt.Sprintf("%s-%03d", hall, i), Hall: hall}
-			for _, a := range f.assignmentsOf(numberedChunks(50), swarm) {
-				assert.LessOrEqual(t, len(a.hops), 2*hopsPerHall)
-				for _, hop := range a.hops {
-					assert.NotEqual(t, hall, hop.Hall, "hops are in other halls")
+			for _, a := range f.assignmentsOf(numberedDigests(50), swarm) {
+				assert.LessOrEqual(t, len(a.otherHallPeers), 2*peersPerOtherHall)
+				for _, peer := range a.otherHallPeers {
+					assert.NotEqual(t, hall, peer.Hall, "a peer of the local hall")
 				}
 			}
 		}
@@ -178,7 +178,7 @@
 	defer logger.Close()
 	self := Peer{Name: "alone", Hall: "a"}
 	singleHost := Swarm{HallHosts: []Peer{self}, Gateways: []Peer{self}, Halls: []string{"a"}}
-	f := &Fetcher{Self: "alone", Hall: "a", Stage: &stage.Stage{}, Link: &source.Link{}, Sources: []*source.Source{store, origin}, Telemetry: logger}
+	f := &Fetcher{Self: "alone", Hall: "a", Stage: &stage.Stage{}, Downloader: &source.Downloader{}, Sources: []*source.Source{store, origin}, Telemetry: logger}
 	version, err := f.Stage.Open(id, m, nil)
 	require.NoError(t, err)
 	require.NoError(t, f.Fetch(t.Context(), version, func() (Swarm, <-chan struct{}) { return singleHost, nil }))
--- a/daemon/internal/version/swarm/frompeers.go
+++ b/daemon/internal/version/swarm/frompeers.go
@@ -24,7 +24,7 @@
 	ctx, cancel := context.WithTimeout(ctx, chunkTimeout)
 	defer cancel()
 	started := clock.Now()
-	chunk, err := Peer{Address: address, Client: f.Client, Urgent: f.Early}.Chunk(ctx, f.Copy.Manifest.Version, index)
+	chunk, err := PeerClient{Address: address, Client: f.Client, Urgent: f.Early}.Chunk(ctx, f.Copy.Manifest.Version, index)
 	if err == nil {
 		err = f.Copy.Put(index, chunk)
 	}
@@ -53,7 +53,7 @@
 			continue
 		}
 		for index := range have {
-			if n.have.Has(index) && !have[index] && !f.inFlight[index] && (!n.far || f.fetchesFromOtherHalls(index, now)) {
+			if n.have.Has(index) && !have[index] && !f.inFlight[index] && (!n.otherHall || f.fetchesFromOtherHalls(index, now)) {
 				holders[index] = append(holders[index], address)
 			}
 		}
--- a/daemon/internal/version/swarm/serve_test.go
+++ b/daemon/internal/version/swarm/serve_test.go
@@ -18,8 +18,8 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// sample returns the chunks of a version and its manifest.
-func sample(version, chunks int) ([][]byte, provider.Manifest) {
+// sampleVersion returns the chunks of a version and its manifest.
+func sampleVersion(version, chunks int) ([][]byte, provider.Manifest) {
 	manifest := provider.Manifest{Model: "m", Version: version, ChunkBytes: 64}
 	var data [][]byte
 	for index := range chunks {
@@ -38,17 +38,17 @@
 }
 
 // serve starts a server of copies and returns a client for it.
-func serve(t *testing.T, copies *swarm.Copies) swarm.Peer {
+func serve(t *testing.T, copies *swarm.Copies) swarm.PeerClient {
 	t.Helper()
 	server := httptest.NewServer(handler(copies))
 	t.Cleanup(server.Close)
 	address, err := netip.ParseAddrPort(server.Listener.Addr().String())
 	require.NoError(t, err)
-	return swarm.Peer{Address: address, Client: server.Client()}
+	return swarm.PeerClient{Address: address, Client: server.Client()}
 }
 
 func TestPeerServesManifestReportsAndChunks(t *testing.T) {
-	data, manifest := sample(2, 9)
+	data, manifest := sampleVersion(2, 9)
 	c := swarm.NewCopy(manifest)
 	require.NoError(t, c.Put(1, data[1]))
 	require.NoError(t, c.Put(8, data[8]))
@@ -86,7 +86,7 @@
 }
 
 func TestCopyRejectsChunksThatDoNotMatch(t *testing.T) {
-	data, manifest := sample(1, 3)
+	data, manifest := sampleVersion(1, 3)
 	c := swarm.NewCopy(manifest)
 	require.Error(t, c.Put(0, data[1]), "another chunk")
 	require.Error(t, c.Put(0, data[0][:10]), "a truncated chunk")
@@ -102,7 +102,7 @@
 func TestOnlyNewestVersionsAreKept(t *testing.T) {
 	hostCopies := &swarm.Copies{}
 	for version := 1; version <= 5; version++ {
-		_, manifest := sample(version, 1)
+		_, manifest := sampleVersion(version, 1)
 		hostCopies.Add(swarm.NewCopy(manifest))
 	}
 	assert.Nil(t, hostCopies.Get(2))
@@ -113,7 +113,7 @@
 // TestServerRejectsUploadsBeyondQueue: the rejection is sent at once, so that the requesting host
 // can use another peer, and the queue has room again once the active uploads have ended.
 func TestServerRejectsUploadsBeyondQueue(t *testing.T) {
-	data, manifest := sample(2, 9)
+	data, manifest := sampleVersion(2, 9)
 	c := swarm.NewCopy(manifest)
 	require.NoError(t, c.Put(1, data[1]))
 	hostCopies := &swarm.Copies{}
@@ -128,7 +128,7 @@
 	(&swarm.Server{Copies: hostCopies, Uplink: swarm.Uplink{BytesPerSecond: slow}}).Register(routes)
 	server := httptest.NewServer(routes)
 	t.Cleanup(server.Close)
-	peer := swarm.Peer{Address: netip.MustParseAddrPort(server.Listener.Addr().String()), Client: server.Client()}
+	peer := swarm.PeerClient{Address: netip.MustParseAddrPort(server.Listener.Addr().String()), Client: server.Client()}
 
 	const uploads = 3 // one active, two queued
 	results := make(chan error, uploads)
@@ -173,7 +173,7 @@
 	(&swarm.Server{Copies: hostCopies, Uplink: swarm.Uplink{BytesPerSecond: func() float64 { return bytesPerSecond }}}).Register(routes)
 	server := httptest.NewServer(routes)
 	t.Cleanup(server.Close)
-	peer := swarm.Peer{Address: netip.MustParseAddrPort(server.Listener.Addr().String()), Client: server.Client()}
+	peer := swarm.PeerClient{Address: netip.MustParseAddrPort(server.Listener.Addr().String()), Client: server.Client()}
 	started := time.Now()
 	got, err := peer.Chunk(context.Background(), 2, 0)
 	require.NoError(t, err)
