--- a/daemon/internal/connection/places/ledger.go
+++ b/daemon/internal/connection/places/ledger.go
@@ -121,9 +121,9 @@
 		return load, false
 	}
 	now := helpers.Now(l.Now)
-	wait, ok := l.warmup.Allow(req.Engine, ratelimit.FullShare, now)
+	wait, ok := l.warmup.Allow(req.Engine, ratelimit.LoaderShare, now)
 	if ok {
-		wait, ok = l.limits.Allow(req.Engine, ratelimit.FullShare, now)
+		wait, ok = l.limits.Allow(req.Engine, ratelimit.LoaderShare, now)
 	}
 	if !ok {
 		load.RetryAfter = max(wait, time.Millisecond)
--- a/daemon/internal/request/ratelimit/ratelimit.go
+++ b/daemon/internal/request/ratelimit/ratelimit.go
@@ -108,8 +108,8 @@
 
 // Shares by the process that counts.
 var (
-	// FullShare is the share of a loader, which counts for all routers.
-	FullShare = Share{Processes: 1, Fraction: 1}
+	// LoaderShare is the share of a loader, which counts for all routers.
+	LoaderShare = Share{Processes: 1, Fraction: 1}
 	// LoaderUnreachableShare is the share of routers whose loader is unresponsive. It is small, because
 	// the loader may still grant requests to other routers.
 	LoaderUnreachableShare = Share{Fraction: 0.25}
--- a/daemon/internal/request/ratelimit/ratelimit_test.go
+++ b/daemon/internal/request/ratelimit/ratelimit_test.go
@@ -65,7 +65,7 @@
 	}
 	share := ratelimit.LoaderUnreachableShare.Fraction * l.bypass
 	if l.bypass < 1 {
-		share += ratelimit.FullShare.Fraction
+		share += ratelimit.LoaderShare.Fraction
 	}
 	return share
 }
@@ -94,7 +94,7 @@
 			if at < next[i] || random.Float64() > sendProbability {
 				continue
 			}
-			table, share := loader, ratelimit.FullShare
+			table, share := loader, ratelimit.LoaderShare
 			switch {
 			case l.noLoader:
 				table, share = own[i], ratelimit.NoLoaderShare.Among(l.routers)
@@ -152,7 +152,7 @@
 	for i := range tables {
 		tables[i].Observe(engine, limited(1), start, start)
 		for at := time.Duration(0); at < window; at += 10 * time.Millisecond {
-			if _, ok := tables[i].Allow(engine, ratelimit.FullShare, start.Add(at)); ok {
+			if _, ok := tables[i].Allow(engine, ratelimit.LoaderShare, start.Add(at)); ok {
 				sent++
 			}
 		}
@@ -234,7 +234,7 @@
 	table.Observe(engine, limited(0), start, start)
 	sent := 0
 	for at := time.Duration(0); at < time.Minute; at += 10 * time.Millisecond {
-		if _, ok := table.Allow(engine, ratelimit.FullShare, start.Add(at)); ok {
+		if _, ok := table.Allow(engine, ratelimit.LoaderShare, start.Add(at)); ok {
 			sent++
 		}
 	}
@@ -252,7 +252,7 @@
 		at := time.Duration(0)
 		for range rapid.IntRange(1, 300).Draw(t, "questions") {
 			at += time.Duration(rapid.SampledFrom([]int{0, 0, 1, 10, 100, 10_000}).Draw(t, "pause")) * time.Millisecond
-			if _, ok := table.Allow(engine, ratelimit.FullShare, start.Add(at)); ok {
+			if _, ok := table.Allow(engine, ratelimit.LoaderShare, start.Add(at)); ok {
 				sends = append(sends, at)
 			}
 		}
--- a/daemon/internal/request/ratelimit/warmup_test.go
+++ b/daemon/internal/request/ratelimit/warmup_test.go
@@ -38,7 +38,7 @@
 		for step := range 3000 {
 			now := start.Add(time.Duration(step) * time.Millisecond)
 			for range routers / 20 {
-				if _, ok := warming.Allow(engine, ratelimit.FullShare, now); ok {
+				if _, ok := warming.Allow(engine, ratelimit.LoaderShare, now); ok {
 					sent = append(sent, now)
 				}
 			}
@@ -56,16 +56,16 @@
 	warming.Merge(engine, ratelimit.Warmup{PerSecond: 1, Remaining: time.Second}, start)
 	denied := 0
 	for range 10 {
-		if _, ok := warming.Allow(engine, ratelimit.FullShare, start); !ok {
+		if _, ok := warming.Allow(engine, ratelimit.LoaderShare, start); !ok {
 			denied++
 		}
 	}
 	assert.Positive(t, denied)
 	restarted := ratelimit.Upstream{ID: "e", Started: start}
 	for range 10 {
-		_, ok := warming.Allow(restarted, ratelimit.FullShare, start)
+		_, ok := warming.Allow(restarted, ratelimit.LoaderShare, start)
 		assert.True(t, ok)
-		_, ok = warming.Allow(engine, ratelimit.FullShare, start.Add(time.Second))
+		_, ok = warming.Allow(engine, ratelimit.LoaderShare, start.Add(time.Second))
 		assert.True(t, ok)
 	}
 }
@@ -87,7 +87,7 @@
 		var sent []time.Time
 		for step := range 600 {
 			now := start.Add(time.Duration(step) * 5 * time.Millisecond)
-			if _, ok := loader.Allow(engine, ratelimit.FullShare, now); ok {
+			if _, ok := loader.Allow(engine, ratelimit.LoaderShare, now); ok {
 				sent = append(sent, now)
 			}
 			for _, router := range bypassing {
--- a/daemon/lab/limit.go
+++ b/daemon/lab/limit.go
@@ -301,7 +301,7 @@
 	if report, known := u.loader.Report(key, now); known {
 		r.applyLimit(key, report)
 	}
-	return u.loader.Allow(key, ratelimit.FullShare, now)
+	return u.loader.Allow(key, ratelimit.LoaderShare, now)
 }
 
 // send delivers a request to an upstream and schedules its answer.
