--- a/daemon/internal/request/holding/holding.go
+++ b/daemon/internal/request/buffer/buffer.go
@@ -1,4 +1,4 @@
-// Package holding bounds the bytes that a router buffers for slow clients and slow upstreams.
+// Package buffer bounds the bytes that a router buffers for slow clients and slow upstreams.
 // The dispatcher wraps request bodies and response bodies with it.
 //
 // A response is read ahead of the client up to a limit, so that the upstream does not hit its
@@ -8,7 +8,7 @@
 //
 // Rejected: a limit per client only, which many clients together exceed; closing the slowest
 // connection, whose response is complete at the upstream and may still be delivered.
-package holding
+package buffer
 
 import (
 	"bytes"
@@ -26,23 +26,23 @@
 	// MaxBytes is the limit in bytes; 0 means unlimited.
 	MaxBytes int64
 
-	held atomic.Int64
+	reserved atomic.Int64
 }
 
 // Reserve reserves n bytes and reports false, without reserving any, if they exceed the limit.
 func (b *Budget) Reserve(n int) bool {
-	if b.held.Add(int64(n)) > b.MaxBytes && b.MaxBytes > 0 {
-		b.held.Add(-int64(n))
+	if b.reserved.Add(int64(n)) > b.MaxBytes && b.MaxBytes > 0 {
+		b.reserved.Add(-int64(n))
 		return false
 	}
 	return true
 }
 
 // Release returns n reserved bytes to the budget.
-func (b *Budget) Release(n int) { b.held.Add(-int64(n)) }
+func (b *Budget) Release(n int) { b.reserved.Add(-int64(n)) }
 
-// Held returns the number of reserved bytes.
-func (b *Budget) Held() int64 { return b.held.Load() }
+// Reserved returns the number of reserved bytes.
+func (b *Budget) Reserved() int64 { return b.reserved.Load() }
 
 // Body reads a request body. The bytes read count against the budget until Release.
 type Body struct {
@@ -127,7 +127,7 @@
 	if r.waiting && r.buffer.Len() == 0 {
 		return true
 	}
-	return r.buffer.Len()+chunkBytes <= r.limit && (r.budget.MaxBytes == 0 || r.budget.Held()+chunkBytes <= r.budget.MaxBytes)
+	return r.buffer.Len()+chunkBytes <= r.limit && (r.budget.MaxBytes == 0 || r.budget.Reserved()+chunkBytes <= r.budget.MaxBytes)
 }
 
 // add buffers a chunk and reports whether to continue reading.
@@ -137,7 +137,7 @@
 	if r.closed {
 		return false
 	}
-	r.budget.held.Add(int64(len(chunk)))
+	r.budget.reserved.Add(int64(len(chunk)))
 	r.buffer.Write(chunk)
 	r.err = err
 	r.changed.Broadcast()
--- a/daemon/internal/request/holding/holding_test.go
+++ b/daemon/internal/request/buffer/buffer_test.go
@@ -1,4 +1,4 @@
-package holding_test
+package buffer_test
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"github.com/wheelcleat/wheelcleat/daemon/internal/request/holding"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/request/buffer"
 )
 
 // countingBody counts the bytes read from it.
@@ -40,15 +40,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		const readers, responseBytes, limit, budgetBytes = 1000, 64 << 10, 32 << 10, 4 << 20
 		want := bytes.Repeat([]byte("answer "), responseBytes/7)
-		budget := &holding.Budget{MaxBytes: budgetBytes}
-		var bodies []*holding.PrefetchReader
+		budget := &buffer.Budget{MaxBytes: budgetBytes}
+		var bodies []*buffer.PrefetchReader
 		for range readers {
-			bodies = append(bodies, holding.Prefetch(&countingBody{Reader: bytes.NewReader(want)}, budget, limit))
+			bodies = append(bodies, buffer.Prefetch(&countingBody{Reader: bytes.NewReader(want)}, budget, limit))
 		}
 		synctest.Wait()
 		// Concurrent reads check the budget before they reserve, so each may exceed it by a chunk.
-		assert.LessOrEqual(t, budget.Held(), int64(budgetBytes+readers*(4<<10)))
-		assert.Positive(t, budget.Held())
+		assert.LessOrEqual(t, budget.Reserved(), int64(budgetBytes+readers*(4<<10)))
+		assert.Positive(t, budget.Reserved())
 		for _, body := range bodies {
 			got, err := io.ReadAll(body)
 			require.NoError(t, err)
@@ -56,7 +56,7 @@
 			require.NoError(t, body.Close())
 		}
 		synctest.Wait()
-		assert.Zero(t, budget.Held())
+		assert.Zero(t, budget.Reserved())
 	})
 }
 
@@ -64,15 +64,15 @@
 // client.
 func TestResponseIsReadAheadUpToLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		budget := &holding.Budget{}
+		budget := &buffer.Budget{}
 		response := &countingBody{Reader: strings.NewReader(strings.Repeat("x", 1<<20))}
-		body := holding.Prefetch(response, budget, 64<<10)
+		body := buffer.Prefetch(response, budget, 64<<10)
 		synctest.Wait()
 		assert.Equal(t, 64<<10, response.read)
 		require.NoError(t, body.Close())
 		assert.True(t, response.closed)
 		synctest.Wait()
-		assert.Zero(t, budget.Held(), "Close returns the buffered bytes to the budget")
+		assert.Zero(t, budget.Reserved(), "Close returns the buffered bytes to the budget")
 		_, err := body.Read(make([]byte, 1))
 		require.ErrorIs(t, err, io.ErrClosedPipe)
 	})
@@ -83,7 +83,7 @@
 func TestErrorFollowsBufferedBytes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		errReset := errors.New("connection reset")
-		body := holding.Prefetch(&countingBody{Reader: io.MultiReader(strings.NewReader("begin"), &failingReader{errReset})}, &holding.Budget{}, 1<<10)
+		body := buffer.Prefetch(&countingBody{Reader: io.MultiReader(strings.NewReader("begin"), &failingReader{errReset})}, &buffer.Budget{}, 1<<10)
 		got, err := io.ReadAll(body)
 		require.ErrorIs(t, err, errReset)
 		assert.Equal(t, "begin", string(got))
@@ -97,16 +97,16 @@
 
 // TestBodyBeyondBudgetIsRejected also checks that Release returns what a rejected body reserved.
 func TestBodyBeyondBudgetIsRejected(t *testing.T) {
-	budget := &holding.Budget{MaxBytes: 100}
-	first := &holding.Body{Reader: strings.NewReader(strings.Repeat("a", 80)), Budget: budget}
+	budget := &buffer.Budget{MaxBytes: 100}
+	first := &buffer.Body{Reader: strings.NewReader(strings.Repeat("a", 80)), Budget: budget}
 	_, err := io.ReadAll(first)
 	require.NoError(t, err)
-	second := &holding.Body{Reader: strings.NewReader(strings.Repeat("b", 80)), Budget: budget}
+	second := &buffer.Body{Reader: strings.NewReader(strings.Repeat("b", 80)), Budget: budget}
 	_, err = io.ReadAll(second)
-	require.ErrorIs(t, err, holding.ErrFull)
+	require.ErrorIs(t, err, buffer.ErrFull)
 	second.Release()
 	first.Release()
-	assert.Zero(t, budget.Held())
+	assert.Zero(t, budget.Reserved())
 }
 
 // TestSmallReadsUseMemoryInProportion guards against allocating a full chunk for each small read
@@ -116,18 +116,18 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	budget := &holding.Budget{}
-	var bodies []*holding.PrefetchReader
+	budget := &buffer.Budget{}
+	var bodies []*buffer.PrefetchReader
 	synctest.Test(t, func(*testing.T) {
 		for range streams {
 			body := iotest.DataErrReader(io.LimitReader(&smallReads{event}, event*events))
-			bodies = append(bodies, holding.Prefetch(&countingBody{Reader: body}, budget, 64<<10))
+			bodies = append(bodies, buffer.Prefetch(&countingBody{Reader: body}, budget, 64<<10))
 		}
 		synctest.Wait()
 	})
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	assert.Equal(t, int64(event*events*streams), budget.Held())
+	assert.Equal(t, int64(event*events*streams), budget.Reserved())
 	assert.Less(t, int64(after.HeapAlloc)-int64(before.HeapAlloc), int64(4*event*events*streams))
 	runtime.KeepAlive(bodies)
 }
--- a/daemon/internal/request/dispatch/admit.go
+++ b/daemon/internal/request/dispatch/admit.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/admission"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/request/buffer"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/content"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/request/holding"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/quarantine"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
@@ -126,7 +126,7 @@
 		limit = defaultMaxBody
 	}
 	_ = http.NewResponseController(q.writer).SetReadDeadline(time.Now().Add(bodyTimeout))
-	q.bodyReader = &holding.Body{Reader: http.MaxBytesReader(q.writer, q.Body, limit), Budget: &q.Buffers}
+	q.bodyReader = &buffer.Body{Reader: http.MaxBytesReader(q.writer, q.Body, limit), Budget: &q.Buffers}
 	body, err := io.ReadAll(q.bodyReader)
 	_ = http.NewResponseController(q.writer).SetReadDeadline(time.Time{})
 	var tooLarge *http.MaxBytesError
@@ -134,7 +134,7 @@
 	case errors.As(err, &tooLarge):
 		q.reject(http.StatusRequestEntityTooLarge, "request body is too large")
 		return false
-	case errors.Is(err, holding.ErrFull):
+	case errors.Is(err, buffer.ErrFull):
 		q.refuse(admission.EnginesFull, err.Error())
 		return false
 	case err != nil:
--- a/daemon/internal/request/dispatch/dispatch.go
+++ b/daemon/internal/request/dispatch/dispatch.go
@@ -27,9 +27,9 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/balance"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/admission"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/request/buffer"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/content"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/exchange"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/request/holding"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/quarantine"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/ratelimit"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
@@ -49,7 +49,7 @@
 	View  func() *replica.View
 	Stale func() bool
 	// Buffers bounds the bytes that are buffered for slow callers and upstreams.
-	Buffers holding.Budget
+	Buffers buffer.Budget
 	// Region returns the region of a data hall, "" if unknown. It may be nil.
 	Region func(hall string) string
 	// Demand returns the versions of a model on which requests may run.
@@ -183,7 +183,7 @@
 	account *provider.Account
 	body    []byte
 	// bodyReader read the body, nil before that.
-	bodyReader *holding.Body
+	bodyReader *buffer.Body
 	// deadline is the caller's or the route's, whichever is earlier.
 	deadline time.Time
 	// rank is the index of the request's priority among those of its service, 0 for the
--- a/daemon/internal/request/dispatch/stream.go
+++ b/daemon/internal/request/dispatch/stream.go
@@ -11,8 +11,8 @@
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/clock"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/balance"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/request/buffer"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/exchange"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/request/holding"
 )
 
 var errMissingEvent = errors.New("event missing from the stream")
@@ -79,7 +79,7 @@
 // copyEvents forwards one upstream's events until its end; a nil error means a complete
 // stream. If the stream has resumed at another upstream meanwhile, it returns that.
 func (s *stream) copyEvents(ctx context.Context, choice balance.Choice, response *http.Response) (*resumption, error) {
-	response.Body = holding.Prefetch(response.Body, &s.Buffers, maxReadAhead)
+	response.Body = buffer.Prefetch(response.Body, &s.Buffers, maxReadAhead)
 	defer func() { _ = response.Body.Close() }()
 	watch := s.watchStall(ctx, response)
 	defer func() { watch.cancel() }()
--- a/daemon/router/listeners.go
+++ b/daemon/router/listeners.go
@@ -11,9 +11,9 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/server"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/admission"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/request/buffer"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/dispatch"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/exchange"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/request/holding"
 )
 
 // listen opens the listeners for callers, the load balancer, other daemons and operators.
@@ -57,7 +57,7 @@
 			Unpooled: dial.NewHostTransport(connect, 0),
 		},
 		Pool: p.pool, Budget: p.budget, LoadTracker: &dispatch.LoadTracker{}, Callers: &admission.RetryDetector{}, View: p.compiler.View, Stale: p.isStale,
-		Buffers: holding.Budget{MaxBytes: p.maxBufferedBytes()},
+		Buffers: buffer.Budget{MaxBytes: p.maxBufferedBytes()},
 		Region:  func(hall string) string { return p.current.Load().RegionOf(hall) },
 		Demand:  p.demand, Report: p.recorder.request, RequestPlace: p.requestPlace, OnDisconnect: p.connectionBroke,
 		OnLimit: p.limitReported, Allow: p.allowSend,
