--- a/daemon/internal/request/admission/retryafter.go
+++ b/daemon/internal/request/admission/retryafter.go
@@ -6,13 +6,13 @@
 // recognized by the time that has passed since the first attempt, so the minimum delay must exceed
 // the difference between the timeouts of first attempts; see RetryDetector.
 
-// Cause is the cause of a refusal.
-type Cause int
+// RefusalReason is the cause of a refusal.
+type RefusalReason int
 
 // Values of Cause.
 const (
 	// EnginesFull means that the response would be late.
-	EnginesFull Cause = iota
+	EnginesFull RefusalReason = iota
 	// NotReady means that this process or all upstreams in its view cannot serve yet. They
 	// will soon, or another process already can.
 	NotReady
@@ -34,7 +34,7 @@
 
 // RetryAfter returns the Retry-After of a refused request. A uniform variate in [0, 1) spreads it, so
 // that refused clients do not retry at the same time.
-func RetryAfter(cause Cause, variate float64) time.Duration {
+func RetryAfter(cause RefusalReason, variate float64) time.Duration {
 	lower, upper := MinRetryAfter, MaxRetryAfter
 	if cause == NotReady {
 		lower, upper = minNotReady, maxNotReady
--- a/daemon/internal/request/dispatch/admit.go
+++ b/daemon/internal/request/dispatch/admit.go
@@ -177,7 +177,7 @@
 	if !declared {
 		return 0, false
 	}
-	return remaining, q.Callers.IsRetry(admission.Arrival{Route: q.route.Name, Remaining: remaining, Declared: q.route.Timeout})
+	return remaining, q.RetryDetector.IsRetry(admission.Arrival{Route: q.route.Name, Remaining: remaining, Declared: q.route.Timeout})
 }
 
 // routeTimeout returns the time limit that the route sets for a request.
--- a/daemon/internal/request/dispatch/dispatch.go
+++ b/daemon/internal/request/dispatch/dispatch.go
@@ -40,10 +40,10 @@
 	Headers     provider.Headers
 	Client      *exchange.Client
 	Pool        *balance.Pool
-	Budget      *Budget
+	RetryBudget *RetryBudget
 	LoadTracker *LoadTracker
-	// Callers recognises retries of refused requests.
-	Callers *admission.RetryDetector
+	// RetryDetector recognises retries of refused requests.
+	RetryDetector *admission.RetryDetector
 	// View returns the configuration and the upstreams in force, and Stale reports whether
 	// they may be out of date.
 	View  func() *replica.View
@@ -52,18 +52,18 @@
 	Buffers buffer.Budget
 	// Region returns the region of a data hall, "" if unknown. It may be nil.
 	Region func(hall string) string
-	// Demand returns the versions of a model on which requests may run.
-	Demand func(declared *replica.Declaration) replica.VersionPolicy
+	// VersionPolicy returns the versions of a model on which requests may run.
+	VersionPolicy func(declared *replica.Declaration) replica.VersionPolicy
 	// RequestPlace requests a place from an engine's loader. An error means that the loader
 	// did not answer. Nil means that there are no loaders.
 	RequestPlace func(ctx context.Context, engine *provider.Upstream, limit places.Limit) (places.Load, bool, error)
 	// OnLimit is called with what each response states about its upstream's rate limit. It may
 	// be nil.
 	OnLimit func(LimitReport)
-	// Allow reports whether this router's share of an upstream's rate limit admits a request
+	// AllowSend reports whether this router's share of an upstream's rate limit admits a request
 	// that no loader gave a place, and counts the request. If it does not, it returns how
 	// long to wait before the next request. It may be nil.
-	Allow func(upstream *provider.Upstream, path AdmissionPath) (time.Duration, bool)
+	AllowSend func(upstream *provider.Upstream, path AdmissionPath) (time.Duration, bool)
 	// OnDisconnect is called for each send whose connection broke, before the request is
 	// retried. It may be nil.
 	OnDisconnect func(Disconnect)
@@ -214,9 +214,9 @@
 	defer q.limitWrites()()
 	ctx, cancel := context.WithTimeout(r.Context(), clock.Until(q.deadline))
 	defer cancel()
-	d.Budget.CountRequest(q.service.Name)
+	d.RetryBudget.CountRequest(q.service.Name)
 	q.run(ctx)
-	q.trace.RemainingRetries = d.Budget.Remaining(q.service.Name)
+	q.trace.RemainingRetries = d.RetryBudget.Remaining(q.service.Name)
 }
 
 // writeGrace is how long after the request's deadline its response may still be written. It
@@ -267,7 +267,7 @@
 )
 
 // unplacedReason returns why no upstream was chosen, which decides the caller's backoff.
-func unplacedReason(err error) admission.Cause {
+func unplacedReason(err error) admission.RefusalReason {
 	if errors.Is(err, errNoUpstream) {
 		return admission.NotReady
 	}
@@ -297,9 +297,9 @@
 	}
 	query.Model = q.service.Engine.Model
 	query.Duration = q.expectedHold()
-	query.ReservedPlaces = admission.Reserve(admission.Service{Saturation: q.LoadTracker.FullShare(q.service.Name)}, q.admissionRequest())
+	query.ReservedPlaces = admission.Reserve(admission.Service{Saturation: q.LoadTracker.Saturation(q.service.Name)}, q.admissionRequest())
 	if declared, ok := q.View().Targets[query.Model]; ok {
-		demand := q.Demand(&declared)
+		demand := q.VersionPolicy(&declared)
 		query.MinVersion, query.PreferredVersion, query.AvoidWeight = demand.MinVersion, demand.PreferredVersion, demand.AvoidWeight
 	}
 	return query
@@ -346,7 +346,7 @@
 	if kind == exchange.Unknown && !q.repeatable() {
 		return false
 	}
-	return q.Budget.Allow(q.service.Name)
+	return q.RetryBudget.Allow(q.service.Name)
 }
 
 // repeatable reports whether the request may run more than once.
--- a/daemon/internal/request/dispatch/limit_test.go
+++ b/daemon/internal/request/dispatch/limit_test.go
@@ -120,7 +120,7 @@
 			q := f.request("patient", sent)
 			c.prepare(q)
 			var paths []AdmissionPath
-			q.Allow = func(upstream *provider.Upstream, path AdmissionPath) (time.Duration, bool) {
+			q.AllowSend = func(upstream *provider.Upstream, path AdmissionPath) (time.Duration, bool) {
 				paths = append(paths, path)
 				return retryWait, upstream.ID == "u2"
 			}
@@ -130,7 +130,7 @@
 			assert.Equal(t, c.path, q.paths["u2"], name)
 			assert.Subset(t, []AdmissionPath{c.path}, paths, name)
 
-			q.Allow = func(*provider.Upstream, AdmissionPath) (time.Duration, bool) { return retryWait, false }
+			q.AllowSend = func(*provider.Upstream, AdmissionPath) (time.Duration, bool) { return retryWait, false }
 			_, err = q.choosePlace(context.Background())
 			require.ErrorIs(t, err, errLimitsUsedUp, name)
 		}
--- a/daemon/internal/request/dispatch/loadtracker.go
+++ b/daemon/internal/request/dispatch/loadtracker.go
@@ -14,8 +14,8 @@
 	initialHoldTime = 1500 * time.Millisecond
 	// holdTimeWeight is the weight of one request in the moving average.
 	holdTimeWeight = 0.02
-	// fullTimeConstant is the time constant of the moving average over full services.
-	fullTimeConstant = 2500 * time.Millisecond
+	// saturationTimeConstant is the time constant of the moving average over full services.
+	saturationTimeConstant = 2500 * time.Millisecond
 )
 
 // LoadTracker tracks the load of each service as this process sees it. The zero value is
@@ -32,9 +32,9 @@
 type serviceLoad struct {
 	// holdTime is how long requests hold a place on average.
 	holdTime time.Duration
-	// fullShare is the share of time in which no upstream had a free place, as of observed.
-	fullShare float64
-	observed  time.Time
+	// saturation is the share of time in which no upstream had a free place, as of observed.
+	saturation float64
+	observed   time.Time
 }
 
 func (t *LoadTracker) now() time.Time { return helpers.Now(t.Now) }
@@ -68,11 +68,11 @@
 	return t.service(service).holdTime
 }
 
-// FullShare returns the share of recent time in which a service had no free place.
-func (t *LoadTracker) FullShare(service string) float64 {
+// Saturation returns the share of recent time in which a service had no free place.
+func (t *LoadTracker) Saturation(service string) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.service(service).fullShare
+	return t.service(service).saturation
 }
 
 // RecordFull records whether a service has no free place now, and returns the share of recent
@@ -82,12 +82,12 @@
 	defer t.mu.Unlock()
 	s := t.service(service)
 	now := t.now()
-	weight := 1 - math.Exp(-float64(now.Sub(s.observed))/float64(fullTimeConstant))
+	weight := 1 - math.Exp(-float64(now.Sub(s.observed))/float64(saturationTimeConstant))
 	s.observed = now
 	current := 0.0
 	if full {
 		current = 1
 	}
-	s.fullShare += weight * (current - s.fullShare)
-	return s.fullShare
+	s.saturation += weight * (current - s.saturation)
+	return s.saturation
 }
--- a/daemon/internal/request/dispatch/overload_test.go
+++ b/daemon/internal/request/dispatch/overload_test.go
@@ -63,7 +63,7 @@
 
 func makeFull(tracker *LoadTracker) {
 	tracker.RecordFull("s", true)
-	tracker.services["s"].fullShare = 1
+	tracker.services["s"].saturation = 1
 }
 
 // TestFullShareFollowsElapsedTime: the number of requests that see a full service must not
@@ -74,9 +74,9 @@
 	for range 100 {
 		assert.Zero(t, tracker.RecordFull("s", true), "no time has passed")
 	}
-	now = now.Add(fullTimeConstant)
+	now = now.Add(saturationTimeConstant)
 	assert.InDelta(t, 0.63, tracker.RecordFull("s", true), 0.01)
-	now = now.Add(10 * fullTimeConstant)
+	now = now.Add(10 * saturationTimeConstant)
 	assert.InDelta(t, 0, tracker.RecordFull("s", false), 0.01)
 }
 
--- a/daemon/internal/request/dispatch/place.go
+++ b/daemon/internal/request/dispatch/place.go
@@ -156,10 +156,10 @@
 
 // limitAllows takes a request from this router's share of an upstream's rate limit.
 func (q *request) limitAllows(choice balance.Choice, path AdmissionPath) (time.Duration, bool) {
-	if q.Allow == nil {
+	if q.AllowSend == nil {
 		return 0, true
 	}
-	return q.Allow(choice.Upstream, path)
+	return q.AllowSend(choice.Upstream, path)
 }
 
 // recordPath records the admission path to an upstream.
@@ -201,7 +201,7 @@
 func (q *request) serviceState(choice balance.Choice, objective time.Duration) admission.Service {
 	return admission.Service{
 		Places: choice.Upstream.Places, ReadTime: q.promptTime(), PlaceInterval: q.placeInterval(choice),
-		Objective: objective, Saturation: q.LoadTracker.FullShare(q.service.Name),
+		Objective: objective, Saturation: q.LoadTracker.Saturation(q.service.Name),
 	}
 }
 
--- a/daemon/internal/request/dispatch/quarantine_test.go
+++ b/daemon/internal/request/dispatch/quarantine_test.go
@@ -19,7 +19,7 @@
 func requestWithVerdict(verdict *quarantine.Verdict) *request {
 	return &request{
 		Dispatcher: &Dispatcher{
-			Pool: &balance.Pool{}, Budget: &Budget{Slack: 100, Window: time.Minute},
+			Pool: &balance.Pool{}, RetryBudget: &RetryBudget{Slack: 100, Window: time.Minute},
 			CheckContent: func(content.Digest) quarantine.Verdict { return *verdict },
 		},
 		Request: httptest.NewRequest("GET", "/", nil), trace: &Trace{}, sent: 1,
--- a/daemon/internal/request/dispatch/response.go
+++ b/daemon/internal/request/dispatch/response.go
@@ -178,7 +178,7 @@
 }
 
 // notRunReason returns why a request that an upstream did not run is refused.
-func notRunReason(kind exchange.Kind) admission.Cause {
+func notRunReason(kind exchange.Kind) admission.RefusalReason {
 	if kind == exchange.Refused {
 		return admission.EnginesFull
 	}
@@ -186,12 +186,12 @@
 }
 
 // refuse answers a request that has not run, and sends the backoff for its retry.
-func (q *request) refuse(reason admission.Cause, cause string) {
+func (q *request) refuse(reason admission.RefusalReason, cause string) {
 	if !q.neverRan() {
 		q.fail(http.StatusBadGateway, OutcomeUnknown, cause)
 		return
 	}
-	q.Callers.RecordRefusal()
+	q.RetryDetector.RecordRefusal()
 	wait := admission.RetryAfter(reason, rand.Float64())
 	q.trace.RetryAfter = wait
 	q.writer.Header().Set("Retry-After", strconv.FormatFloat(wait.Seconds(), 'f', 3, 64))
--- a/daemon/internal/request/dispatch/budget.go
+++ b/daemon/internal/request/dispatch/retrybudget.go
@@ -15,10 +15,10 @@
 	budgetMargin = 0.7
 )
 
-// Budget limits retries to a share of each service's requests plus a fixed number, over a
+// RetryBudget limits retries to a share of each service's requests plus a fixed number, over a
 // sliding window and all processes together. This process counts its own requests and gets
 // an equal part of the fixed number. The zero value allows none.
-type Budget struct {
+type RetryBudget struct {
 	// Ratio, Slack and Window are the limits for all processes together.
 	Ratio  float64
 	Slack  float64
@@ -39,14 +39,14 @@
 }
 
 // SetBounds replaces the limits.
-func (b *Budget) SetBounds(ratio, slack float64, window time.Duration) {
+func (b *RetryBudget) SetBounds(ratio, slack float64, window time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.Ratio, b.Slack, b.Window = ratio, slack, window
 }
 
 // CountRequest counts a request.
-func (b *Budget) CountRequest(service string) {
+func (b *RetryBudget) CountRequest(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	u := b.current(service)
@@ -54,7 +54,7 @@
 }
 
 // Allow reports whether one more retry is allowed, and counts it if so.
-func (b *Budget) Allow(service string) bool {
+func (b *RetryBudget) Allow(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	u := b.current(service)
@@ -66,14 +66,14 @@
 }
 
 // Remaining returns the remaining number of retries.
-func (b *Budget) Remaining(service string) float64 {
+func (b *RetryBudget) Remaining(service string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	u := b.current(service)
 	return b.limit(u) - float64(sum(u.retries))
 }
 
-func (b *Budget) limit(u *usage) float64 {
+func (b *RetryBudget) limit(u *usage) float64 {
 	processes := 1
 	if b.Processes != nil {
 		processes = max(b.Processes(), 1)
@@ -82,7 +82,7 @@
 }
 
 // current returns a service's counts after clearing the buckets that have expired.
-func (b *Budget) current(service string) *usage {
+func (b *RetryBudget) current(service string) *usage {
 	if b.services == nil {
 		b.services = map[string]*usage{}
 	}
--- a/daemon/internal/request/dispatch/budget_test.go
+++ b/daemon/internal/request/dispatch/retrybudget_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestZeroBudgetAllowsNothing(t *testing.T) {
-	assert.False(t, (&dispatch.Budget{}).Allow("s"))
+	assert.False(t, (&dispatch.RetryBudget{}).Allow("s"))
 }
 
 // TestBudgetHoldsForAllProcesses: all processes together stay within the ratio and the slack,
@@ -21,7 +21,7 @@
 		processes := rapid.IntRange(1, 12).Draw(t, "processes")
 		requests, taken := 0, 0
 		for range processes {
-			budget := &dispatch.Budget{Ratio: 0.2, Slack: 100, Window: time.Hour, Processes: func() int { return processes }}
+			budget := &dispatch.RetryBudget{Ratio: 0.2, Slack: 100, Window: time.Hour, Processes: func() int { return processes }}
 			own := rapid.IntRange(0, 300).Draw(t, "requests")
 			requests += own
 			for range own {
@@ -39,7 +39,7 @@
 }
 
 func TestServicesHaveSeparateBudgets(t *testing.T) {
-	budget := &dispatch.Budget{Slack: 2, Window: time.Hour}
+	budget := &dispatch.RetryBudget{Slack: 2, Window: time.Hour}
 	assert.True(t, budget.Allow("a"))
 	assert.False(t, budget.Allow("a"))
 	assert.True(t, budget.Allow("b"))
@@ -49,7 +49,7 @@
 // counted retries.
 func TestSuspensionCountsTowardsWindow(t *testing.T) {
 	now := time.Unix(1000, 0)
-	budget := &dispatch.Budget{Slack: 10, Window: 10 * time.Second, Now: func() time.Time { return now }}
+	budget := &dispatch.RetryBudget{Slack: 10, Window: 10 * time.Second, Now: func() time.Time { return now }}
 	taken := 0
 	for budget.Allow("s") {
 		taken++
--- a/daemon/internal/request/dispatch/send.go
+++ b/daemon/internal/request/dispatch/send.go
@@ -206,14 +206,14 @@
 // startHedge sends the request to another upstream, if one has a place before searchCtx is
 // done and the budget allows it. Otherwise it returns nil.
 func (q *request) startHedge(ctx, searchCtx context.Context, lastEvent string) *pendingSend {
-	if !q.mayHedge() || q.Budget.Remaining(q.service.Name) < 1 {
+	if !q.mayHedge() || q.RetryBudget.Remaining(q.service.Name) < 1 {
 		return nil
 	}
 	choice, err := q.choosePlace(searchCtx)
 	if err != nil {
 		return nil
 	}
-	if !q.Budget.Allow(q.service.Name) {
+	if !q.RetryBudget.Allow(q.service.Name) {
 		choice.Done(balance.Canceled)
 		return nil
 	}
--- a/daemon/lab/router.go
+++ b/daemon/lab/router.go
@@ -97,7 +97,7 @@
 	spec := r.sim.Engine
 	return admission.Service{
 		Places: spec.Places, ReadTime: r.sim.readTime(), Objective: r.sim.objective(),
-		PlaceInterval: r.loadTracker.HoldTime(service) / time.Duration(spec.Places), Saturation: r.loadTracker.FullShare(service),
+		PlaceInterval: r.loadTracker.HoldTime(service) / time.Duration(spec.Places), Saturation: r.loadTracker.Saturation(service),
 	}
 }
 
--- a/daemon/router/listeners.go
+++ b/daemon/router/listeners.go
@@ -45,7 +45,7 @@
 	bounds := p.current.Load().Bounds
 	connect := dial.WithTimeout(upstreamConnectTimeout, p.options.Dial)
 	p.upstreamTransport = dial.NewHostTransport(connect, upstreamIdleTimeout)
-	p.budget = &dispatch.Budget{
+	p.budget = &dispatch.RetryBudget{
 		Ratio: bounds.RetryRatio, Slack: bounds.RetrySlack, Window: bounds.RetryWindow.Std(),
 		Processes: func() int { return max(len(p.compiler.View().Members), len(p.current.Load().Seeds)) },
 	}
@@ -56,11 +56,11 @@
 			Pooled:   p.upstreamTransport,
 			Unpooled: dial.NewHostTransport(connect, 0),
 		},
-		Pool: p.pool, Budget: p.budget, LoadTracker: &dispatch.LoadTracker{}, Callers: &admission.RetryDetector{}, View: p.compiler.View, Stale: p.isStale,
-		Buffers: buffer.Budget{MaxBytes: p.maxBufferedBytes()},
-		Region:  func(hall string) string { return p.current.Load().RegionOf(hall) },
-		Demand:  p.demand, Report: p.recorder.request, RequestPlace: p.requestPlace, OnDisconnect: p.connectionBroke,
-		OnLimit: p.limitReported, Allow: p.allowSend,
+		Pool: p.pool, RetryBudget: p.budget, LoadTracker: &dispatch.LoadTracker{}, RetryDetector: &admission.RetryDetector{}, View: p.compiler.View, Stale: p.isStale,
+		Buffers:       buffer.Budget{MaxBytes: p.maxBufferedBytes()},
+		Region:        func(hall string) string { return p.current.Load().RegionOf(hall) },
+		VersionPolicy: p.demand, Report: p.recorder.request, RequestPlace: p.requestPlace, OnDisconnect: p.connectionBroke,
+		OnLimit: p.limitReported, AllowSend: p.allowSend,
 		AdmitContent: p.admitContent, CheckContent: p.suspects.verdict, OnServed: p.contentCompleted, ShutdownDeadline: p.drainExpired,
 	}
 }
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -97,7 +97,7 @@
 	loadReader  *loadfeed.Reader
 	placeClient *places.Client
 	pool        *balance.Pool
-	budget      *dispatch.Budget
+	budget      *dispatch.RetryBudget
 	// probe detects crashed upstreams, suspects holds the contents that ran there, and
 	// crashNotifier sends them to the other routers.
 	probe         *livenessprobe.Probe
