--- a/daemon/internal/request/admission/admission.go
+++ b/daemon/internal/request/admission/admission.go
@@ -9,8 +9,8 @@
 // than are read in time, and the request needs no place beyond those of the engine, or one that is
 // freed soon. The first queries of a search look for an engine with an empty queue.
 //
-// A search queries several engines, since a full engine answers within a millisecond and one of a
-// few mostly has a free place unless the whole fleet is saturated.
+// A search queries several engines: a full engine answers within a millisecond, and unless the
+// whole fleet is saturated, one of a few engines usually has a free place.
 //
 // A retry of a refused request is likely to be late already. It gets only places that first
 // attempts leave free. In a sustained overload each admitted retry would otherwise make a first
@@ -19,9 +19,9 @@
 // All routes of a service share one limit. With limits per route, the route that tolerates the
 // longest wait would occupy every place of a full engine.
 //
-// Rejected: more overcommitted places the less an engine was full lately, equal treatment of
-// retries, and two overcommitted places at once, all of which make more requests late in a
-// sustained overload; more queries per search, which cost calls without serving more requests.
+// Rejected: overcommitting an engine by more than one request, or the more the less it was full
+// recently, and treating retries like first attempts, since each makes more requests late in a
+// sustained overload; more queries per search, which serve no more requests.
 package admission
 
 import (
@@ -87,7 +87,7 @@
 	PlaceInterval time.Duration
 	// Objective is the shortest first-byte objective of the service's routes, 0 if none has one.
 	Objective time.Duration
-	// Saturation is the recent share of time in which no place was free.
+	// Saturation is the share of recent time in which no engine had a free place.
 	Saturation float64
 }
 
@@ -112,19 +112,19 @@
 	return min(r.Rank*reservePerRank, maxReserve)
 }
 
-// HoldTime returns the expected time for which a request holds a place, from the recent average and
-// the ratio of its answer tokens to those of a typical answer. An engine that is about to load a
-// version admits only requests that are expected to end before.
-func HoldTime(s Service, occupied time.Duration, answer, usual float64) time.Duration {
-	if usual <= 0 {
-		return occupied
+// HoldTime returns the expected time for which a request holds a place: the recent average, scaled
+// by the ratio of its answer tokens to their mean. An engine that is about to load a version admits
+// only requests that are expected to end before.
+func HoldTime(s Service, meanHoldTime time.Duration, answerTokens, meanAnswerTokens float64) time.Duration {
+	if meanAnswerTokens <= 0 {
+		return meanHoldTime
 	}
-	return time.Duration(float64(occupied)*answer/usual) + minReads*s.ReadTime
+	return time.Duration(float64(meanHoldTime)*answerTokens/meanAnswerTokens) + minReads*s.ReadTime
 }
 
-// Limit returns the maximum load of an engine that is queried after some others have denied the
-// request. Last means that no further engine will be queried.
-func (p Policy) Limit(s Service, r Request, queried int, last bool) places.Limit {
+// Limit returns the maximum load at which the next engine may admit the request, after the given
+// number of engines have denied it. Last means that no further engine will be queried.
+func (p Policy) Limit(s Service, r Request, denied int, last bool) places.Limit {
 	free := max(0, s.Places-1-Reserve(s, r))
 	switch {
 	case last && (r.Sent || s.Objective <= 0):
@@ -134,14 +134,14 @@
 	case last:
 		return places.Limit{Waiting: s.maxWaiting(), InUse: free + p.overcommit(s)}
 	default:
-		step := queried / max(p.QueriesPerStep, 1)
+		step := denied / max(p.QueriesPerStep, 1)
 		return places.Limit{Waiting: min(step, s.maxWaiting()), InUse: free + min(step, p.overcommit(s))}
 	}
 }
 
-// overcommit returns the number of requests that may be admitted beyond the places of an engine.
-// It keeps places from being idle until the next pass. An engine that frees places too slowly
-// gets none, since the waiting request would be late.
+// overcommit returns the number of requests that may be admitted beyond the places of an engine, so
+// that a freed place is not idle until the next pass. It is 0 if places are freed so slowly that
+// the waiting request would be late.
 func (p Policy) overcommit(s Service) int {
 	if s.PlaceInterval <= 0 {
 		return 0
--- a/daemon/internal/request/admission/admission_test.go
+++ b/daemon/internal/request/admission/admission_test.go
@@ -28,11 +28,11 @@
 
 // patterns are request rates over time as fractions of the engines' capacity.
 var patterns = map[string]func(now time.Duration) float64{
-	"half":           func(time.Duration) float64 { return 0.5 },
-	"below capacity": func(time.Duration) float64 { return 0.9 },
-	"all":            func(time.Duration) float64 { return 1 },
-	"lasting":        func(time.Duration) float64 { return 1.3 },
-	"twice":          func(time.Duration) float64 { return 2 },
+	"half capacity":      func(time.Duration) float64 { return 0.5 },
+	"below capacity":     func(time.Duration) float64 { return 0.9 },
+	"at capacity":        func(time.Duration) float64 { return 1 },
+	"sustained overload": func(time.Duration) float64 { return 1.3 },
+	"double capacity":    func(time.Duration) float64 { return 2 },
 	"burst": func(now time.Duration) float64 {
 		if now > 8*time.Second && now < 11*time.Second {
 			return 1.7
@@ -46,7 +46,7 @@
 // markedly more in an overload.
 func TestPolicyBeatsBaselineUnderOverload(t *testing.T) {
 	const noise = 0.005
-	gains := map[string]float64{"lasting": 0.12, "twice": 0.1, "burst": 0.02}
+	gains := map[string]float64{"sustained overload": 0.12, "double capacity": 0.1, "burst": 0.02}
 	for name, rate := range patterns {
 		t.Run(name, func(t *testing.T) {
 			got, base := simulate(current, rate), simulate(baseline, rate)
@@ -62,9 +62,9 @@
 func TestLimitsGrowWithinOvercommit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := admission.Service{
-			Places: rapid.IntRange(4, 64).Draw(t, "places"), Saturation: rapid.Float64Range(0, 1).Draw(t, "full"),
-			ReadTime:  time.Duration(rapid.IntRange(0, 200).Draw(t, "read")) * time.Millisecond,
-			Objective: time.Duration(rapid.IntRange(1, 2000).Draw(t, "objective")) * time.Millisecond,
+			Places: rapid.IntRange(4, 64).Draw(t, "places"), Saturation: rapid.Float64Range(0, 1).Draw(t, "saturation"),
+			ReadTime:  time.Duration(rapid.IntRange(0, 200).Draw(t, "read ms")) * time.Millisecond,
+			Objective: time.Duration(rapid.IntRange(1, 2000).Draw(t, "objective ms")) * time.Millisecond,
 		}
 		r := admission.Request{Rank: rapid.IntRange(0, 5).Draw(t, "rank")}
 		inUse := 0
@@ -107,7 +107,7 @@
 	s := admission.Service{ReadTime: 50 * time.Millisecond}
 	assert.Equal(t, 1100*time.Millisecond, admission.HoldTime(s, time.Second, 90, 90))
 	assert.Equal(t, 2100*time.Millisecond, admission.HoldTime(s, time.Second, 180, 90))
-	assert.Equal(t, time.Second, admission.HoldTime(s, time.Second, 180, 0), "the typical answer is unknown")
+	assert.Equal(t, time.Second, admission.HoldTime(s, time.Second, 180, 0), "the mean is unknown")
 }
 
 // TestClosingBeforeLoadReducesRefusals simulates engines that load a version one after the other
--- a/daemon/internal/request/admission/retryafter.go
+++ b/daemon/internal/request/admission/retryafter.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// This file computes the Retry-After of refused requests. In a sustained overload a retry is
-// recognized by the time that has passed since the first attempt, so the minimum delay must exceed
-// the difference between the timeouts of first attempts; see RetryDetector.
+// This file computes the Retry-After of refused requests. RetryDetector recognizes a retry by the
+// time that has passed since the first attempt, so the minimum delay must exceed the difference
+// between the timeouts of first attempts.
 
-// RefusalReason is the cause of a refusal.
+// RefusalReason is why a request is refused.
 type RefusalReason int
 
-// Values of Cause.
+// Values of RefusalReason.
 const (
 	// EnginesFull means that the response would be late.
 	EnginesFull RefusalReason = iota
@@ -34,9 +34,9 @@
 
 // RetryAfter returns the Retry-After of a refused request. A uniform variate in [0, 1) spreads it, so
 // that refused clients do not retry at the same time.
-func RetryAfter(cause RefusalReason, variate float64) time.Duration {
+func RetryAfter(reason RefusalReason, variate float64) time.Duration {
 	lower, upper := MinRetryAfter, MaxRetryAfter
-	if cause == NotReady {
+	if reason == NotReady {
 		lower, upper = minNotReady, maxNotReady
 	}
 	return lower + time.Duration(variate*float64(upper-lower))
--- a/daemon/internal/request/admission/retrydetector.go
+++ b/daemon/internal/request/admission/retrydetector.go
@@ -9,25 +9,26 @@
 )
 
 const (
-	// routeTTL is how long the samples of an unused route are kept, maxSamples the number of
-	// samples per route, and minSamples the number from which they count.
+	// routeTTL is how long the samples of an unused route are kept, maxSamples is the maximum
+	// number of samples per route, and minSamples the number from which they are used.
 	routeTTL   = 30 * time.Second
 	maxSamples = 64
 	minSamples = 8
 	// longestQuantile is the upper quantile of the samples that counts as a route's longest
 	// timeout, since a few clients may send far longer ones.
 	longestQuantile = 0.05
-	// maxShortShare is the share of short remaining times, sampled while no request is refused,
-	// above which retries cannot be distinguished from first attempts. shortWeight is the weight of one
-	// sample in the moving average.
+	// maxShortShare is the share of short remaining times among the baseline samples, those taken
+	// while no request was refused, above which retries cannot be distinguished from first
+	// attempts. shortWeight is the weight of one sample in the moving average.
 	maxShortShare, shortWeight = 0.1, 0.02
-	// minLongShare is the share of samples above the threshold that is required while no calm
-	// samples exist, minDeclaredShare the same if the threshold stems from the declared timeout.
+	// minLongShare is the share of samples above the threshold that is required until there are
+	// enough baseline samples, minDeclaredShare the same if the threshold stems from the declared
+	// timeout.
 	minLongShare, minDeclaredShare = 0.5, 0.125
-	// calmAfter is the time after a refusal by which its retry has arrived.
-	calmAfter = MaxRetryAfter + 600*time.Millisecond
-	// timeoutError is the assumed error of the remaining times that clients send.
-	timeoutError = 50 * time.Millisecond
+	// maxRetryDelay is the time within which the retry of a refused request arrives.
+	maxRetryDelay = MaxRetryAfter + 600*time.Millisecond
+	// timeoutTolerance is the assumed inaccuracy of the remaining times that clients send.
+	timeoutTolerance = 50 * time.Millisecond
 )
 
 // Arrival describes an arriving request.
@@ -45,10 +46,10 @@
 // request is therefore a first attempt if its remaining time is within MinRetryAfter of the
 // longest timeout on its route, and a likely retry otherwise.
 //
-// The longest timeout is taken from sampled requests. Until some were sampled while no request was
-// refused, it is at least the route's declared timeout, provided that some requests have that much
-// time. Right after a start all arriving requests may be retries, whose remaining times would pass
-// for full timeouts.
+// The longest timeout is taken from sampled requests. Until there are enough baseline samples, it
+// is at least the route's declared timeout, provided that some requests have that much time: right
+// after a start all arriving requests may be retries, whose remaining times would pass for full
+// timeouts.
 //
 // If the timeouts of first attempts on a route differ too much, no request is classified as a
 // retry. The zero value is ready to use.
@@ -72,11 +73,11 @@
 	next      int
 	// longest is the longest timeout apart from outliers, recomputed every minSamples samples.
 	longest time.Duration
-	// calm counts the samples taken while no request was refused, and short is the moving share
-	// of them with a short remaining time.
-	calm   int
-	short  float64
-	seenAt time.Time
+	// baselineSamples counts the samples taken while no request was refused, and shortShare is
+	// the moving share of them with a short remaining time.
+	baselineSamples int
+	shortShare      float64
+	seenAt          time.Time
 }
 
 // RecordRefusal records that a request was refused.
@@ -101,8 +102,8 @@
 	r.add(arrival.Remaining)
 	threshold := r.threshold(arrival.Declared)
 	isShort := arrival.Remaining < threshold
-	if now.Sub(d.refusedAt) > calmAfter {
-		r.addCalm(isShort)
+	if now.Sub(d.refusedAt) > maxRetryDelay {
+		r.addBaseline(isShort)
 	}
 	return isShort && r.conclusive(threshold, arrival.Declared)
 }
@@ -113,17 +114,17 @@
 	if !r.calibrated() {
 		longest = max(longest, declared)
 	}
-	return longest - min(MinRetryAfter, longest/maxWaitDivisor) + timeoutError
+	return longest - min(MinRetryAfter, longest/maxWaitDivisor) + timeoutTolerance
 }
 
-// calibrated reports whether enough requests were sampled while none was refused.
-func (r *routeSamples) calibrated() bool { return r.calm >= minSamples }
+// calibrated reports whether there are enough baseline samples.
+func (r *routeSamples) calibrated() bool { return r.baselineSamples >= minSamples }
 
 // conclusive reports whether a remaining time below the threshold identifies a retry.
 func (r *routeSamples) conclusive(threshold, declared time.Duration) bool {
 	switch {
 	case r.calibrated():
-		return r.short <= maxShortShare
+		return r.shortShare <= maxShortShare
 	case r.longest < declared:
 		return r.shareFrom(threshold) >= minDeclaredShare
 	default:
@@ -145,15 +146,15 @@
 	}
 }
 
-// addCalm samples whether a request had a short remaining time while none was refused. The first
-// samples are weighted equally.
-func (r *routeSamples) addCalm(isShort bool) {
-	r.calm++
+// addBaseline samples whether a request had a short remaining time while no request was refused.
+// The first samples are weighted equally.
+func (r *routeSamples) addBaseline(isShort bool) {
+	r.baselineSamples++
 	sample := 0.0
 	if isShort {
 		sample = 1
 	}
-	r.short += max(shortWeight, 1/float64(r.calm)) * (sample - r.short)
+	r.shortShare += max(shortWeight, 1/float64(r.baselineSamples)) * (sample - r.shortShare)
 }
 
 // shareFrom returns the share of the sampled remaining times at or above the threshold.
--- a/daemon/internal/request/admission/retrydetector_test.go
+++ b/daemon/internal/request/admission/retrydetector_test.go
@@ -47,17 +47,18 @@
 	return retries
 }
 
-// TestRetriesAreToldFromFirstAttempts guards against missed retries and against first attempts
-// taken for retries when the timeouts of clients differ and half of all requests are retries.
-func TestRetriesAreToldFromFirstAttempts(t *testing.T) {
+// TestRetriesAreDistinguishedFromFirstAttempts guards against missed retries and against first
+// attempts taken for retries when the timeouts of clients differ and half of all requests are
+// retries.
+func TestRetriesAreDistinguishedFromFirstAttempts(t *testing.T) {
 	for _, spread := range []float64{0, 0.05, 0.15} {
 		for _, longest := range []time.Duration{2500 * time.Millisecond, 6 * time.Second, time.Minute} {
 			c := newClients()
 			first := func() time.Duration { return c.timeout(longest, spread) }
 			distinct := spread*longest.Seconds() < admission.MinRetryAfter.Seconds()
-			calm := c.countRetries(200, 0, first)
-			assert.LessOrEqual(t, calm, 10, "calm, %s, %.2f", longest, spread)
-			assert.True(t, !distinct || calm == 0, "calm, %s, %.2f", longest, spread)
+			baseline := c.countRetries(200, 0, first)
+			assert.LessOrEqual(t, baseline, 10, "without refusals, %s, %.2f", longest, spread)
+			assert.True(t, !distinct || baseline == 0, "without refusals, %s, %.2f", longest, spread)
 			firsts, retries := 0, 0
 			for range 200 {
 				c.detector.RecordRefusal()
--- a/daemon/internal/request/admission/search.go
+++ b/daemon/internal/request/admission/search.go
@@ -28,7 +28,7 @@
 	sawFree bool
 }
 
-// policy returns the policy of the search.
+// policy returns Policy or its default.
 func (s *Search) policy() Policy {
 	if s.Policy == (Policy{}) {
 		return DefaultPolicy()
--- a/daemon/internal/request/admission/simulation_test.go
+++ b/daemon/internal/request/admission/simulation_test.go
@@ -153,14 +153,14 @@
 	}
 	var requests []*request
 	var retries []*request
-	full := 0.0
+	saturation := 0.0
 	for now := time.Duration(0); now < arrivalTime+10*time.Second; now += tick {
 		for _, e := range fleet {
 			e.step(now)
 			e.loadIfDrained(now)
 		}
 		for len(retries) > 0 && retries[0].arrival+retryAfter <= now {
-			full = search(p, fleet, retries[0], now, full, rng)
+			saturation = search(p, fleet, retries[0], now, saturation, rng)
 			retries = retries[1:]
 		}
 		expected := rate(now) * capacity * engines * tick.Seconds()
@@ -170,7 +170,7 @@
 			req.prompt = min(req.prompt, maxPassPrompt)
 			req.hint = float64(req.remaining) * hintError(hints)
 			requests = append(requests, req)
-			full = search(p, fleet, req, now, full, rng)
+			saturation = search(p, fleet, req, now, saturation, rng)
 			if req.refusals > 0 {
 				retries = append(retries, req)
 			}
@@ -179,13 +179,13 @@
 	return summarize(requests)
 }
 
-// search queries engines for a place, in the order of their reported load, and returns the updated
-// moving share of searches that found all engines full.
-func search(p policy, fleet []*engine, req *request, now time.Duration, full float64, rng *rand.Rand) float64 {
+// search queries engines for a place, in the order of their load, and returns the updated moving
+// share of searches that found all engines full.
+func search(p policy, fleet []*engine, req *request, now time.Duration, saturation float64, rng *rand.Rand) float64 {
 	const weight = 0.01
 	s := admission.Service{
 		Places: enginePlaces, ReadTime: readTime(typicalPrompt),
-		PlaceInterval: 1500 * time.Millisecond / enginePlaces, Objective: objective, Saturation: full,
+		PlaceInterval: 1500 * time.Millisecond / enginePlaces, Objective: objective, Saturation: saturation,
 	}
 	order := rng.Perm(len(fleet))[:2*p.queries]
 	score := func(i int) int {
@@ -208,11 +208,11 @@
 		}
 		if load.Waiting <= limit.Waiting && load.Running+load.Waiting <= limit.InUse {
 			fleet[i].waiting = append(fleet[i].waiting, req)
-			return full + weight*(allFull-full)
+			return saturation + weight*(allFull-saturation)
 		}
 	}
 	req.refusals++
-	return full + weight*(allFull-full)
+	return saturation + weight*(allFull-saturation)
 }
 
 // hintError draws the factor by which a client's estimate of its answer's length is off.
@@ -223,17 +223,17 @@
 
 func summarize(requests []*request) result {
 	var r result
-	each := 1 / float64(len(requests))
+	fraction := 1 / float64(len(requests))
 	for _, req := range requests {
 		switch {
 		case req.served && req.firstByte-req.arrival <= objective:
-			r.inTime += each
+			r.inTime += fraction
 		case req.served:
-			r.late += each
+			r.late += fraction
 		case req.refusals > 1:
-			r.refusedTwice += each
+			r.refusedTwice += fraction
 		default:
-			r.refused += each
+			r.refused += fraction
 		}
 	}
 	return r
