--- a/daemon/internal/request/dispatch/admit.go
+++ b/daemon/internal/request/dispatch/admit.go
@@ -38,11 +38,11 @@
 	if !q.findRoute() || !q.findAccount() {
 		return false
 	}
-	q.findService()
+	q.chooseService()
 	if !q.readBody() {
 		return false
 	}
-	q.trace.Content = q.contentName()
+	q.trace.Content = q.contentDigest()
 	if q.AdmitContent != nil && q.AdmitContent(q.trace.Content) == quarantine.Quarantined {
 		q.refuseQuarantined()
 		return false
@@ -98,8 +98,8 @@
 	q.reject(status, cause)
 }
 
-// findService picks one of the route's services at random, by weight.
-func (q *request) findService() {
+// chooseService chooses one of the route's services at random, by weight.
+func (q *request) chooseService() {
 	total := 0
 	for _, share := range q.route.Shares {
 		total += max(share.Weight, 0)
@@ -145,8 +145,7 @@
 	return true
 }
 
-// contentName identifies what is requested.
-func (q *request) contentName() content.Digest {
+func (q *request) contentDigest() content.Digest {
 	return content.Request{
 		Account: q.accountName(), Method: q.Method, Host: q.Host, Target: q.RequestURI, Body: q.body,
 	}.Digest()
--- a/daemon/internal/request/dispatch/dispatch.go
+++ b/daemon/internal/request/dispatch/dispatch.go
@@ -42,7 +42,7 @@
 	Pool        *balance.Pool
 	RetryBudget *RetryBudget
 	LoadTracker *LoadTracker
-	// RetryDetector recognises retries of refused requests.
+	// RetryDetector recognizes retries of refused requests.
 	RetryDetector *admission.RetryDetector
 	// View returns the configuration and the upstreams in force, and Stale reports whether
 	// they may be out of date.
@@ -52,16 +52,16 @@
 	Buffers buffer.Budget
 	// Region returns the region of a data hall, "" if unknown. It may be nil.
 	Region func(hall string) string
-	// VersionPolicy returns the versions of a model on which requests may run.
+	// VersionPolicy returns on which versions of a model requests may run.
 	VersionPolicy func(declared *replica.Declaration) replica.VersionPolicy
 	// RequestPlace requests a place from an engine's loader. An error means that the loader
 	// did not answer. Nil means that there are no loaders.
 	RequestPlace func(ctx context.Context, engine *provider.Upstream, limit places.Limit) (places.Load, bool, error)
-	// OnLimit is called with what each response states about its upstream's rate limit. It may
+	// OnLimit is called with the rate limit that each response states for its upstream. It may
 	// be nil.
 	OnLimit func(LimitReport)
 	// AllowSend reports whether this router's share of an upstream's rate limit admits a request
-	// that no loader gave a place, and counts the request. If it does not, it returns how
+	// that no loader granted a place, and counts the request. If it does not, it returns how
 	// long to wait before the next request. It may be nil.
 	AllowSend func(upstream *provider.Upstream, path AdmissionPath) (time.Duration, bool)
 	// OnDisconnect is called for each send whose connection broke, before the request is
@@ -79,7 +79,7 @@
 	Report func(*Trace)
 }
 
-// LimitReport is what a response states about its upstream's rate limit.
+// LimitReport is the rate limit that a response states for its upstream.
 type LimitReport struct {
 	Request  string
 	Upstream *provider.Upstream
@@ -140,7 +140,7 @@
 	Running   int           `json:"running"`
 	ReportAge time.Duration `json:"age"`
 	// Path is the admission path to the upstream, and Limit the rate limit that the
-	// response named, "" if none.
+	// response stated, "" if none.
 	Path  AdmissionPath `json:"door,omitempty"`
 	Limit string        `json:"limit,omitempty"`
 }
@@ -150,7 +150,7 @@
 
 // Admission paths.
 const (
-	PathLoader     AdmissionPath = "loader" // the engine's loader gave a place
+	PathLoader     AdmissionPath = "loader" // the engine's loader granted a place
 	PathLoadReport AdmissionPath = "news"   // the loader did not answer, the last load report had room
 	PathNoLoader   AdmissionPath = "own"    // the upstream has no loader
 )
@@ -285,9 +285,8 @@
 	}
 }
 
-// defaultPrompt is the assumed length of waiting prompts, in tokens, if the configuration
-// names none.
-const defaultPrompt = 900.0
+// defaultPromptTokens is the assumed mean length of prompts if the configuration declares none.
+const defaultPromptTokens = 900.0
 
 // upstreamQuery returns the conditions that an upstream must meet.
 func (q *request) upstreamQuery() balance.Query {
@@ -296,11 +295,11 @@
 		return query
 	}
 	query.Model = q.service.Engine.Model
-	query.Duration = q.expectedHold()
+	query.Duration = q.expectedHoldTime()
 	query.ReservedPlaces = admission.Reserve(admission.Service{Saturation: q.LoadTracker.Saturation(q.service.Name)}, q.admissionRequest())
 	if declared, ok := q.View().Targets[query.Model]; ok {
-		demand := q.VersionPolicy(&declared)
-		query.MinVersion, query.PreferredVersion, query.AvoidWeight = demand.MinVersion, demand.PreferredVersion, demand.AvoidWeight
+		policy := q.VersionPolicy(&declared)
+		query.MinVersion, query.PreferredVersion, query.AvoidWeight = policy.MinVersion, policy.PreferredVersion, policy.AvoidWeight
 	}
 	return query
 }
@@ -390,22 +389,23 @@
 	if err != nil {
 		return -1
 	}
-	estimate := promptTokens/q.service.Engine.PromptRate + q.answerHint()*hintWeight.Seconds()
+	estimate := promptTokens/q.service.Engine.PromptRate + q.answerTokens()*hintWeight.Seconds()
 	size := min(int(estimate/priorityStep.Seconds()), priorityClasses-1)
 	return priorityClass(q.rank, q.ranks, size)
 }
 
-// answerHint returns the number of tokens that the caller expects, or that of a usual answer.
-func (q *request) answerHint() float64 {
+// answerTokens returns the number of answer tokens that the caller expects, or the mean if it
+// states none.
+func (q *request) answerTokens() float64 {
 	hint, err := strconv.ParseFloat(q.Header.Get(q.Headers.LengthHint), 64)
-	if err != nil || !(hint > 0 && hint <= maxHint) {
-		return q.usualAnswer()
+	if err != nil || !(hint > 0 && hint <= maxHintTokens) {
+		return q.meanAnswerTokens()
 	}
 	return hint
 }
 
-func (q *request) usualAnswer() float64 {
-	return helpers.OrDefault(q.service.Engine.MeanAnswerTokens, defaultAnswer)
+func (q *request) meanAnswerTokens() float64 {
+	return helpers.OrDefault(q.service.Engine.MeanAnswerTokens, defaultAnswerTokens)
 }
 
 // priorityClass divides the classes among the ranks, and those of a rank by size.
@@ -419,13 +419,12 @@
 const (
 	// priorityClasses is the number of classes in an upstream's queue.
 	priorityClasses = 10
-	// defaultAnswer replaces a missing hint, in tokens, if the configuration names no usual
-	// length.
-	defaultAnswer = 92.0
-	// maxHint bounds the hint of a caller, in tokens.
-	maxHint = 1e6
-	// hintWeight is the time that one hinted token adds to the estimate. It is less than the
-	// token takes, because hints are often far off.
+	// defaultAnswerTokens is the assumed mean length of answers if the configuration declares none.
+	defaultAnswerTokens = 92.0
+	// maxHintTokens bounds the answer length that a caller may state.
+	maxHintTokens = 1e6
+	// hintWeight is the time by which each expected answer token raises the estimate. It is less
+	// than the token takes, because the stated lengths are often far off.
 	hintWeight = 2 * time.Millisecond
 	// priorityStep is the estimated time that one priority class spans.
 	priorityStep = 60 * time.Millisecond
--- a/daemon/internal/request/dispatch/interrupt.go
+++ b/daemon/internal/request/dispatch/interrupt.go
@@ -42,11 +42,11 @@
 
 // Causes of sends that this router canceled.
 var (
-	errSuperseded  = errors.New("no response head in time, and another upstream responded")
+	errSuperseded  = errors.New("no response head yet, and another upstream responded or the time to resume was over")
 	errOutdated    = errors.New("no response head yet, and the upstream's version is outdated")
-	errStalled     = errors.New("no event in time")
+	errStalled     = fmt.Errorf("no event within %s, and another upstream responded", stallTimeout)
 	errStopping    = errors.New("no response head yet, and this router is stopping")
-	errQuarantined = errors.New("content is quarantined: too many upstreams crashed under it")
+	errQuarantined = errors.New("content is quarantined: too many upstreams crashed while they ran it")
 )
 
 // interruptReason returns why a send was interrupted, from its error.
@@ -86,8 +86,8 @@
 	})
 }
 
-// isDisconnect reports whether an error means that a connection closed early, and not that a
-// response was invalid.
+// isDisconnect reports whether an error means that a connection closed early, not that a response
+// was invalid.
 func isDisconnect(err error) bool {
 	for _, cause := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE, exchange.ErrPartialEvent} {
 		if errors.Is(err, cause) {
--- a/daemon/internal/request/dispatch/limit_test.go
+++ b/daemon/internal/request/dispatch/limit_test.go
@@ -15,13 +15,13 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// retryWait is the wait that an upstream with a used up limit names.
+// retryWait is the wait that is returned for an upstream whose rate limit is used up.
 const retryWait = 300 * time.Millisecond
 
-// limitAllBut makes all loaders but one answer that the engine's limit is used up.
-func (f *fleet) limitAllBut(q *request, free string) {
+// limitAllExcept makes all loaders except one answer that the engine's rate limit is used up.
+func (f *fleet) limitAllExcept(q *request, except string) {
 	q.RequestPlace = func(_ context.Context, engine *provider.Upstream, _ places.Limit) (places.Load, bool, error) {
-		if engine.ID == free {
+		if engine.ID == except {
 			return places.Load{}, true, nil
 		}
 		return places.Load{RetryAfter: retryWait}, false, nil
@@ -34,14 +34,14 @@
 	engines := 2 * admission.DefaultPolicy().MaxQueries
 	f := newFleet(t, engines, nil)
 	q := f.request("hasty", 0)
-	f.limitAllBut(q, "u3")
+	f.limitAllExcept(q, "u3")
 	choice, err := q.choosePlace(context.Background())
 	require.NoError(t, err)
 	assert.Equal(t, "u3", choice.Upstream.ID)
 	queried := len(q.trace.PlaceRequests)
 
 	second := f.request("hasty", 0)
-	f.limitAllBut(second, "u3")
+	f.limitAllExcept(second, "u3")
 	for range engines {
 		choice, err = second.choosePlace(context.Background())
 		require.NoError(t, err)
@@ -55,7 +55,7 @@
 func TestRefusesWhenAllLimitsAreUsedUp(t *testing.T) {
 	f := newFleet(t, 5, nil)
 	q := f.request("patient", 1)
-	f.limitAllBut(q, "")
+	f.limitAllExcept(q, "")
 	_, err := q.choosePlace(context.Background())
 	require.ErrorIs(t, err, errLimitsUsedUp)
 	assert.Equal(t, admission.EnginesFull, unplacedReason(err), "the caller gets the backoff for full engines")
@@ -70,7 +70,7 @@
 	const engines, maxQueries = 200, 20
 	f := newFleet(t, engines, nil)
 	q := f.request("patient", 0)
-	f.limitAllBut(q, "")
+	f.limitAllExcept(q, "")
 	_, err := q.choosePlace(context.Background())
 	require.ErrorIs(t, err, errLimitsUsedUp)
 	assert.LessOrEqual(t, len(q.trace.PlaceRequests), maxQueries)
--- a/daemon/internal/request/dispatch/loadtracker.go
+++ b/daemon/internal/request/dispatch/loadtracker.go
@@ -14,7 +14,7 @@
 	initialHoldTime = 1500 * time.Millisecond
 	// holdTimeWeight is the weight of one request in the moving average.
 	holdTimeWeight = 0.02
-	// saturationTimeConstant is the time constant of the moving average over full services.
+	// saturationTimeConstant is the time constant of the moving average of saturation.
 	saturationTimeConstant = 2500 * time.Millisecond
 )
 
@@ -32,7 +32,8 @@
 type serviceLoad struct {
 	// holdTime is how long requests hold a place on average.
 	holdTime time.Duration
-	// saturation is the share of time in which no upstream had a free place, as of observed.
+	// saturation is the moving share of time in which no upstream had a free place, as of
+	// observed.
 	saturation float64
 	observed   time.Time
 }
@@ -68,15 +69,14 @@
 	return t.service(service).holdTime
 }
 
-// Saturation returns the share of recent time in which a service had no free place.
+// Saturation returns the share of recent time in which no upstream of a service had a free place.
 func (t *LoadTracker) Saturation(service string) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.service(service).saturation
 }
 
-// RecordFull records whether a service has no free place now, and returns the share of recent
-// time in which it had none.
+// RecordFull records whether a service has no free place now, and returns its saturation.
 func (t *LoadTracker) RecordFull(service string, full bool) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/daemon/internal/request/dispatch/overload_test.go
+++ b/daemon/internal/request/dispatch/overload_test.go
@@ -38,7 +38,7 @@
 				Dispatcher: &Dispatcher{LoadTracker: &LoadTracker{Now: frozenNow}}, Request: httptest.NewRequest("GET", "/", nil), sent: test.sent,
 				trace: &Trace{}, service: &provider.Service{Name: "s", Engine: test.engine}, route: &provider.Route{Objective: test.objective},
 			}
-			makeFull(q.LoadTracker)
+			saturate(q.LoadTracker)
 			choice := balance.Choice{Upstream: &provider.Upstream{Places: 16}, Running: test.running, Waiting: test.waiting}
 			assert.Equal(t, test.want, q.overloaded(choice))
 		})
@@ -54,21 +54,21 @@
 	}
 	choice := balance.Choice{Upstream: &provider.Upstream{Places: 16}, Running: 16}
 	assert.False(t, q.overloaded(choice))
-	makeFull(q.LoadTracker)
+	saturate(q.LoadTracker)
 	assert.True(t, q.overloaded(choice))
 }
 
 // frozenNow is a clock that does not advance.
 func frozenNow() time.Time { return time.Unix(1000, 0) }
 
-func makeFull(tracker *LoadTracker) {
+func saturate(tracker *LoadTracker) {
 	tracker.RecordFull("s", true)
 	tracker.services["s"].saturation = 1
 }
 
-// TestFullShareFollowsElapsedTime: the number of requests that see a full service must not
+// TestSaturationFollowsElapsedTime: the number of requests that see a full service must not
 // change the share.
-func TestFullShareFollowsElapsedTime(t *testing.T) {
+func TestSaturationFollowsElapsedTime(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tracker := &LoadTracker{Now: func() time.Time { return now }}
 	for range 100 {
@@ -86,7 +86,7 @@
 		Dispatcher: &Dispatcher{LoadTracker: &LoadTracker{Now: frozenNow}}, Request: httptest.NewRequest("GET", "/", nil),
 		trace: &Trace{}, service: &provider.Service{Name: "s", Engine: &provider.EngineSpec{Model: "m"}}, route: &provider.Route{Objective: 400 * time.Millisecond},
 	}
-	makeFull(q.LoadTracker)
+	saturate(q.LoadTracker)
 	choice := balance.Choice{Upstream: &provider.Upstream{Places: 16}, Running: 13}
 	assert.False(t, q.overloaded(choice))
 	q.rank = 1
--- a/daemon/internal/request/dispatch/place.go
+++ b/daemon/internal/request/dispatch/place.go
@@ -13,8 +13,8 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// maxReportAge is how old a load report may be to replace the answer of a loader. Reports
-// stay younger while weights fill a host's link, and grow older if the host is cut off.
+// maxReportAge is how old a load report may be to replace the answer of a loader. Reports stay
+// younger than that while a host downloads weights, and grow older if the host is cut off.
 const maxReportAge = 150 * time.Millisecond
 
 // PlaceRequest is a request for a place at an engine and its result.
@@ -36,10 +36,9 @@
 // report of the engine decides; without one the engine is skipped, because its host may be
 // cut off.
 //
-// An upstream whose rate limit is used up is skipped too, and does not count among the
-// queried engines. If no upstream remains after it, the others are queried once more, since the
-// last query of a search has the loosest limit and was spent on an upstream whose rate limit
-// was used up.
+// An upstream whose rate limit is used up is skipped too, and does not count as queried. If such
+// an upstream was the last one, the others are queried once more, since the last query of a
+// search has the loosest limit.
 func (q *request) choosePlace(ctx context.Context) (balance.Choice, error) {
 	query := q.upstreamQuery()
 	candidates, err := q.candidates()
@@ -77,14 +76,14 @@
 
 // tryUpstream tries to get the request admitted to a chosen upstream, and reports whether it
 // was. If it was not and there is no error, another upstream must be chosen.
-func (q *request) tryUpstream(ctx context.Context, choice balance.Choice, search *admission.Search, hold time.Duration) (balance.Choice, bool, error) {
+func (q *request) tryUpstream(ctx context.Context, choice balance.Choice, search *admission.Search, holdTime time.Duration) (balance.Choice, bool, error) {
 	if !q.hasLoader(choice) {
 		return q.admitUnqueried(choice, PathNoLoader)
 	}
 	search.Service = q.serviceState(choice, q.view.Objective(q.service.Name))
 	limit := search.Limit(choice.Candidates == 1)
 	if limit != admission.Unlimited {
-		limit.Duration = hold
+		limit.Duration = holdTime
 	}
 	load, granted, err := q.queryLoader(ctx, choice, limit)
 	switch {
@@ -154,7 +153,8 @@
 	return choice, true, nil
 }
 
-// limitAllows takes a request from this router's share of an upstream's rate limit.
+// limitAllows reports whether this router's share of an upstream's rate limit admits the request,
+// and counts it. If it does not, it returns how long to wait.
 func (q *request) limitAllows(choice balance.Choice, path AdmissionPath) (time.Duration, bool) {
 	if q.AllowSend == nil {
 		return 0, true
@@ -200,7 +200,7 @@
 // given objective.
 func (q *request) serviceState(choice balance.Choice, objective time.Duration) admission.Service {
 	return admission.Service{
-		Places: choice.Upstream.Places, ReadTime: q.promptTime(), PlaceInterval: q.placeInterval(choice),
+		Places: choice.Upstream.Places, ReadTime: q.readTime(), PlaceInterval: q.placeInterval(choice),
 		Objective: objective, Saturation: q.LoadTracker.Saturation(q.service.Name),
 	}
 }
@@ -210,19 +210,19 @@
 	return admission.Request{Rank: q.rank, Retry: q.trace.Retried, Sent: q.sent > 0}
 }
 
-// expectedHold returns how long the request is likely to hold a place.
-func (q *request) expectedHold() time.Duration {
-	state := admission.Service{ReadTime: q.promptTime()}
-	return admission.HoldTime(state, q.LoadTracker.HoldTime(q.service.Name), q.answerHint(), q.usualAnswer())
+// expectedHoldTime returns how long the request is likely to hold a place.
+func (q *request) expectedHoldTime() time.Duration {
+	state := admission.Service{ReadTime: q.readTime()}
+	return admission.HoldTime(state, q.LoadTracker.HoldTime(q.service.Name), q.answerTokens(), q.meanAnswerTokens())
 }
 
-// promptTime returns how long an engine takes to read a usual prompt, 0 if unknown.
-func (q *request) promptTime() time.Duration {
+// readTime returns how long an engine takes to read a prompt of mean length, 0 if unknown.
+func (q *request) readTime() time.Duration {
 	rate := q.service.Engine.PromptRate
 	if rate <= 0 {
 		return 0
 	}
-	prompt := helpers.OrDefault(q.service.Engine.MeanPromptTokens, defaultPrompt)
+	prompt := helpers.OrDefault(q.service.Engine.MeanPromptTokens, defaultPromptTokens)
 	return time.Duration(prompt / rate * float64(time.Second))
 }
 
--- a/daemon/internal/request/dispatch/place_test.go
+++ b/daemon/internal/request/dispatch/place_test.go
@@ -20,7 +20,7 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// fleet is a set of engines whose loaders answer as a test sets.
+// fleet is a set of engines whose loaders grant places as a test sets.
 type fleet struct {
 	pool    *balance.Pool
 	view    *replica.View
@@ -57,7 +57,7 @@
 	return f
 }
 
-func (f *fleet) answer(_ context.Context, _ *provider.Upstream, limit places.Limit) (places.Load, bool, error) {
+func (f *fleet) requestPlace(_ context.Context, _ *provider.Upstream, limit places.Limit) (places.Load, bool, error) {
 	f.queries = append(f.queries, limit)
 	granted, err := f.grant(len(f.queries))
 	return places.Load{Running: 10, Waiting: 1}, granted, err
@@ -66,7 +66,7 @@
 func (f *fleet) request(route string, sent int) *request {
 	q := &request{
 		Dispatcher: &Dispatcher{
-			Pool: f.pool, LoadTracker: &LoadTracker{}, RequestPlace: f.answer, View: func() *replica.View { return f.view },
+			Pool: f.pool, LoadTracker: &LoadTracker{}, RequestPlace: f.requestPlace, View: func() *replica.View { return f.view },
 			VersionPolicy: func(*replica.Declaration) replica.VersionPolicy { return replica.VersionPolicy{} },
 		},
 		Request: httptest.NewRequest("GET", "/", nil), view: f.view, service: f.view.Service("s"), sent: sent, trace: &Trace{},
@@ -92,8 +92,8 @@
 	return total
 }
 
-// TestQueriesEnginesUntilOneGivesPlace: a denial leads to another engine.
-func TestQueriesEnginesUntilOneGivesPlace(t *testing.T) {
+// TestQueriesEnginesUntilOneGrantsPlace: a denial leads to another engine.
+func TestQueriesEnginesUntilOneGrantsPlace(t *testing.T) {
 	f := newFleet(t, 5, func(n int) (bool, error) { return n == 2, nil })
 	q := f.request("hasty", 0)
 	choice, err := q.choosePlace(context.Background())
@@ -109,9 +109,9 @@
 	assert.Zero(t, f.inFlight(t))
 }
 
-// TestRefusesWhenNoEngineGivesPlace: the number of queries is bounded, and nothing remains in
+// TestRefusesWhenNoEngineGrantsPlace: the number of queries is bounded, and nothing remains in
 // flight.
-func TestRefusesWhenNoEngineGivesPlace(t *testing.T) {
+func TestRefusesWhenNoEngineGrantsPlace(t *testing.T) {
 	for engines, want := range map[int]int{1: 1, 2: 2, 9: admission.DefaultPolicy().MaxQueries} {
 		f := newFleet(t, engines, func(int) (bool, error) { return false, nil })
 		_, err := f.request("hasty", 0).choosePlace(context.Background())
@@ -121,7 +121,8 @@
 	}
 }
 
-// TestUnresponsiveLoaderFallsBackToLoadReport: a loader that does not answer is no refusal.
+// TestUnresponsiveLoaderFallsBackToLoadReport: a loader that does not answer does not count as a
+// refusal.
 func TestUnresponsiveLoaderFallsBackToLoadReport(t *testing.T) {
 	f := newFleet(t, 3, func(int) (bool, error) { return false, errors.New("no answer") })
 	choice, err := f.request("hasty", 0).choosePlace(context.Background())
@@ -165,8 +166,8 @@
 	assert.Len(t, f.queries, 2)
 }
 
-// TestRetriedSendTakesAnyPlace: otherwise the work done for the request would be lost.
-func TestRetriedSendTakesAnyPlace(t *testing.T) {
+// TestRetriedSendIsAdmittedByAnyEngine: otherwise the work done for the request would be lost.
+func TestRetriedSendIsAdmittedByAnyEngine(t *testing.T) {
 	f := newFleet(t, 9, func(int) (bool, error) { return false, nil })
 	_, _ = f.request("hasty", 1).choosePlace(context.Background())
 	assert.Equal(t, places.Limit{Waiting: math.MaxInt32, InUse: math.MaxInt32}, f.queries[len(f.queries)-1])
--- a/daemon/internal/request/dispatch/priority_test.go
+++ b/daemon/internal/request/dispatch/priority_test.go
@@ -19,10 +19,10 @@
 		other := rapid.IntRange(rank, ranks-1).Draw(t, "less urgent")
 		size := rapid.IntRange(0, priorityClasses-1).Draw(t, "size")
 		otherSize := rapid.IntRange(0, priorityClasses-1).Draw(t, "its size")
-		class, behind := priorityClass(rank, ranks, size), priorityClass(other, ranks, otherSize)
+		class, otherClass := priorityClass(rank, ranks, size), priorityClass(other, ranks, otherSize)
 		assert.True(t, 0 <= class && class < priorityClasses)
 		if other > rank && ranks <= priorityClasses {
-			assert.Less(t, class, behind)
+			assert.Less(t, class, otherClass)
 		}
 	})
 }
--- a/daemon/internal/request/dispatch/quarantine_test.go
+++ b/daemon/internal/request/dispatch/quarantine_test.go
@@ -49,16 +49,16 @@
 	verdict := quarantine.SingleAttempt
 	q := requestWithVerdict(&verdict)
 	ctx, cancel := context.WithCancelCause(context.Background())
-	waiting := &pendingSend{cancel: cancel}
-	begunCtx, cancelBegun := context.WithCancelCause(context.Background())
-	begun := &pendingSend{cancel: cancelBegun}
-	begun.settled.Store(true) // its response head has arrived
+	withoutHead := &pendingSend{cancel: cancel}
+	withHeadCtx, cancelWithHead := context.WithCancelCause(context.Background())
+	withHead := &pendingSend{cancel: cancelWithHead}
+	withHead.settled.Store(true) // its response head has arrived
 
-	q.cancelQuarantined(waiting, begun, nil)
+	q.cancelQuarantined(withoutHead, withHead, nil)
 	assert.NoError(t, ctx.Err())
 	verdict = quarantine.Quarantined
-	q.cancelQuarantined(waiting, begun, nil)
+	q.cancelQuarantined(withoutHead, withHead, nil)
 	assert.ErrorIs(t, context.Cause(ctx), errQuarantined)
-	assert.NoError(t, begunCtx.Err())
+	assert.NoError(t, withHeadCtx.Err())
 	assert.Equal(t, InterruptQuarantine, q.interruptReason(context.Cause(ctx)))
 }
--- a/daemon/internal/request/dispatch/response.go
+++ b/daemon/internal/request/dispatch/response.go
@@ -16,8 +16,8 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// maxBuffered bounds a response, in bytes, that is buffered completely before it is
-// forwarded. Longer ones are streamed, so that slow callers hold little memory.
+// maxBuffered is the size in bytes below which a response is buffered completely before it is
+// forwarded. Longer ones are streamed, so that slow callers occupy little memory.
 const maxBuffered = 64 << 10
 
 // forward writes an upstream's response to the caller. It returns false if nothing was
@@ -39,8 +39,9 @@
 		return true
 	}
 	if err != nil {
+		err = fmt.Errorf("response from %s truncated: %w", choice.Upstream.ID, err)
 		choice.Done(q.balanceOutcome(exchange.Unknown))
-		q.amendAttempt(choice, q.answeredAttempt, fmt.Errorf("response truncated: %w", err))
+		q.amendAttempt(choice, q.answeredAttempt, err)
 		if q.Context().Err() == nil && q.mayRetry(exchange.Unknown) {
 			return false
 		}
@@ -76,8 +77,9 @@
 		_, err = io.Copy(q.writer, response.Body)
 	}
 	if err != nil {
+		err = fmt.Errorf("response from %s truncated: %w", choice.Upstream.ID, err)
 		choice.Done(q.balanceOutcome(exchange.Unknown))
-		q.amendAttempt(choice, q.answeredAttempt, fmt.Errorf("response truncated: %w", err))
+		q.amendAttempt(choice, q.answeredAttempt, err)
 		q.abort(err)
 	}
 	outcome := balance.Served
@@ -113,8 +115,8 @@
 	q.complete(buffered.StatusCode)
 }
 
-// complete ends a request with a complete response. An error response does not clear the
-// content: the upstream may have sent it without running the request.
+// complete ends a request with a complete response. An error response does not clear the content
+// of suspicion, since the upstream may have sent it without running the request.
 func (q *request) complete(status int) {
 	if q.OnServed != nil && status/100 == 2 {
 		q.OnServed(q.trace.Content)
@@ -203,12 +205,12 @@
 	q.fail(status, OutcomeRejected, cause)
 }
 
-// fail writes a response of the router's own, which never carries a signature. If a retry
-// followed an upstream's failure, it forwards that failure instead.
+// fail writes an error response of the router itself, which never carries a signature. If an
+// upstream's error response was kept for a retry, it forwards that instead.
 func (q *request) fail(status int, outcome Outcome, cause string) {
 	if q.errorResponse != nil {
 		q.writeBuffered(*q.errorResponse)
-		q.trace.Cause = "no other upstream responded after the failure: " + cause
+		q.trace.Cause = "no other upstream responded after the error response: " + cause
 		return
 	}
 	header := q.writer.Header()
--- a/daemon/internal/request/dispatch/resume.go
+++ b/daemon/internal/request/dispatch/resume.go
@@ -11,9 +11,8 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/balance"
 )
 
-// This file finds the upstream at which a stream resumes. A stall alone ends nothing: the
-// first upstream is read until the second has begun, because an upstream that only paused
-// holds the whole response, and there may be no place elsewhere.
+// This file finds the upstream at which a stream resumes. A stalled upstream is read until the
+// second one responds, because it may only have paused, and there may be no place elsewhere.
 
 const (
 	// stallTimeout is the longest pause between events before a second upstream is searched
@@ -95,11 +94,10 @@
 	cancel    context.CancelFunc
 	done      chan struct{}
 	found     *resumption
-	// closedFirst is set if run closed the first upstream because the second had begun.
+	// closedFirst is set if run closed the first upstream because the second had responded.
 	closedFirst bool
 }
 
-// watchStall starts to wait for a stall.
 func (s *stream) watchStall(ctx context.Context, first *http.Response) *stallWatch {
 	w := &stallWatch{stream: s, ctx: ctx, first: first}
 	w.arm()
@@ -122,12 +120,12 @@
 	}
 }
 
-// stop ends a search after the first upstream has sent an event or ended. It returns the
-// second upstream if that has begun.
+// stop ends a search after the first upstream has sent an event or ended. It returns the second
+// upstream's stream if that has responded.
 func (w *stallWatch) stop() *resumption { return w.stopAfter(0) }
 
-// stopAfter ends a search after the first upstream broke. It lets a running search go on for
-// the grace time: canceled at once, it would waste a send, perhaps the last.
+// stopAfter ends a search after the connection to the first upstream broke. It lets a running
+// search continue for the grace time, because canceling it would waste a send.
 func (w *stallWatch) stopAfter(grace time.Duration) *resumption {
 	if w.timer.Stop() {
 		return nil
--- a/daemon/internal/request/dispatch/retry_test.go
+++ b/daemon/internal/request/dispatch/retry_test.go
@@ -49,7 +49,7 @@
 		remaining, retried := q.retryState()
 		assert.Zero(t, remaining, text)
 		assert.False(t, retried, text)
-		assert.False(t, math.IsNaN(q.answerHint()) || q.answerHint() > maxHint || q.answerHint() <= 0, text)
+		assert.False(t, math.IsNaN(q.answerTokens()) || q.answerTokens() > maxHintTokens || q.answerTokens() <= 0, text)
 	}
 	q := &request{Dispatcher: &Dispatcher{Headers: provider.Headers{Deadline: "Left"}}, Request: httptest.NewRequest("GET", "/", nil)}
 	q.Header.Set("Left", "1500.5")
--- a/daemon/internal/request/dispatch/retrybudget.go
+++ b/daemon/internal/request/dispatch/retrybudget.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// budgetBuckets is the number of buckets that the window is counted in.
+	// budgetBuckets is the number of buckets that the window is divided into.
 	budgetBuckets = 10
-	// budgetMargin is the part of the allowance that is used, because the windows of the
-	// processes are not aligned and the count of members lags.
+	// budgetMargin is the fraction of the limit that is used, because the windows of the
+	// processes are not aligned and the count of processes lags.
 	budgetMargin = 0.7
 )
 
--- a/daemon/internal/request/dispatch/retrybudget_test.go
+++ b/daemon/internal/request/dispatch/retrybudget_test.go
@@ -14,12 +14,12 @@
 	assert.False(t, (&dispatch.RetryBudget{}).Allow("s"))
 }
 
-// TestBudgetHoldsForAllProcesses: all processes together stay within the ratio and the slack,
-// however the requests are spread among them.
-func TestBudgetHoldsForAllProcesses(t *testing.T) {
+// TestBudgetAppliesToAllProcessesTogether: all processes together stay within the ratio and the
+// slack, however the requests are spread among them.
+func TestBudgetAppliesToAllProcessesTogether(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		processes := rapid.IntRange(1, 12).Draw(t, "processes")
-		requests, taken := 0, 0
+		requests, allowed := 0, 0
 		for range processes {
 			budget := &dispatch.RetryBudget{Ratio: 0.2, Slack: 100, Window: time.Hour, Processes: func() int { return processes }}
 			own := rapid.IntRange(0, 300).Draw(t, "requests")
@@ -27,14 +27,14 @@
 			for range own {
 				budget.CountRequest("s")
 			}
-			for range rapid.IntRange(0, 200).Draw(t, "tries") {
+			for range rapid.IntRange(0, 200).Draw(t, "retries") {
 				if budget.Allow("s") {
-					taken++
+					allowed++
 				}
 			}
 			assert.False(t, budget.Remaining("s") < -1e-9)
 		}
-		assert.LessOrEqual(t, float64(taken), 0.2*float64(requests)+100)
+		assert.LessOrEqual(t, float64(allowed), 0.2*float64(requests)+100)
 	})
 }
 
@@ -50,11 +50,11 @@
 func TestSuspensionCountsTowardsWindow(t *testing.T) {
 	now := time.Unix(1000, 0)
 	budget := &dispatch.RetryBudget{Slack: 10, Window: 10 * time.Second, Now: func() time.Time { return now }}
-	taken := 0
+	allowed := 0
 	for budget.Allow("s") {
-		taken++
+		allowed++
 	}
-	assert.Equal(t, 7, taken)
+	assert.Equal(t, 7, allowed)
 	now = now.Add(11 * time.Second)
 	assert.True(t, budget.Allow("s"))
 }
--- a/daemon/internal/request/dispatch/send.go
+++ b/daemon/internal/request/dispatch/send.go
@@ -15,7 +15,7 @@
 
 // This file sends a request to an upstream and waits for the head of the response. If the
 // head is late, the request is hedged: it goes to a second upstream, and the first send
-// continues until the second has responded. A slow upstream responds in the end, and a
+// continues until the second has responded, since a slow upstream may still respond and the
 // second one may refuse.
 
 const (
@@ -27,8 +27,8 @@
 	// searches for a place where there was none.
 	checkInterval  = 100 * time.Millisecond
 	searchInterval = 200 * time.Millisecond
-	// maxUpstreams bounds the upstreams that a request is tried at. Connections that fail do
-	// not count as sends, but take time.
+	// maxUpstreams bounds the upstreams that a request is tried at. It includes those that
+	// cannot be connected to, which do not count as sends but take time.
 	maxUpstreams = 4
 )
 
@@ -97,8 +97,8 @@
 	q.recordAttempt(s.choice, result, s.started)
 }
 
-// supersede cancels a send after another upstream has responded, and reports the given
-// outcome for its own.
+// supersede cancels a send after another upstream has responded, and reports the given outcome
+// for the send's upstream.
 func (q *request) supersede(s *pendingSend, outcome balance.Outcome) {
 	if s == nil {
 		return
--- a/daemon/internal/request/dispatch/stream.go
+++ b/daemon/internal/request/dispatch/stream.go
@@ -17,12 +17,12 @@
 
 var errMissingEvent = errors.New("event missing from the stream")
 
-// maxReadAhead is how many bytes a stream is read ahead of its caller: most streams fit.
+// maxReadAhead is how many bytes a stream is read ahead of its caller.
 const maxReadAhead = 64 << 10
 
-// forwardStream forwards complete events as they arrive. If an upstream breaks, the stream
-// resumes at another after the last forwarded event; the head and its signature stay those
-// of the first upstream.
+// forwardStream forwards complete events as they arrive. If the stream breaks, it resumes at
+// another upstream after the last forwarded event; the head and its signature stay those of
+// the first upstream.
 func (q *request) forwardStream(ctx context.Context, choice balance.Choice, response *http.Response) bool {
 	s := &stream{request: q, lastWrite: clock.Now()}
 	s.lastID, s.hasLastID = q.callerLastEvent()
@@ -50,8 +50,8 @@
 	}
 }
 
-// streamOutcome returns what a broken stream reveals about its upstream: nothing, if the
-// upstream broke it to load a version.
+// streamOutcome returns the outcome of a broken stream for the load balancing. It is no failure
+// of the upstream if that is loading a version.
 func (q *request) streamOutcome(choice balance.Choice) balance.Outcome {
 	if q.Pool.Loading(choice.Upstream.ID) {
 		return balance.Canceled
@@ -76,8 +76,8 @@
 	lastWrite time.Time
 }
 
-// copyEvents forwards one upstream's events until its end; a nil error means a complete
-// stream. If the stream has resumed at another upstream meanwhile, it returns that.
+// copyEvents forwards one upstream's events until its stream ends; a nil error means a complete
+// stream. If the stream has resumed at another upstream meanwhile, it returns the resumption.
 func (s *stream) copyEvents(ctx context.Context, choice balance.Choice, response *http.Response) (*resumption, error) {
 	response.Body = buffer.Prefetch(response.Body, &s.Buffers, maxReadAhead)
 	defer func() { _ = response.Body.Close() }()
