--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -79,7 +79,7 @@
 	watcher *kvwatch.Watcher
 	puller  *gossip.Puller
 	placer  *placer.Placer
-	router  *route.Router
+	router  *route.Selector
 	// transport carries requests, and control carries all other calls, whose
 	// bytes meter counts.
 	transport, control *http.Transport
@@ -107,7 +107,7 @@
 	p := &Process{
 		settings: s, options: options, telemetry: t,
 		table: &tables.Table{}, members: &members.Table{HeartbeatTimeout: options.SuspectAfter},
-		router:    &route.Router{Hall: s.Hall},
+		router:    &route.Selector{Hall: s.Hall},
 		transport: upstream.NewTransport(options.Dial),
 		stopping:  make(chan struct{}), done: make(chan struct{}),
 	}
@@ -173,8 +173,8 @@
 func (p *Process) callerRoutes() http.Handler {
 	router := bunrouter.New()
 	handler := &intake.Handler{
-		Table: p.table, Members: p.members, Router: p.router,
-		Accounts: &account.Limiter{}, Budgets: &intake.Budgets{},
+		Table: p.table, Members: p.members, Selector: p.router,
+		Accounts: &account.Limiter{}, RetryBudgets: &intake.RetryBudgets{},
 		Transport: p.transport, Telemetry: p.telemetry, MaxBodyBytes: p.settings.Requests.MaxBodyBytes,
 	}
 	handler.Register(router)
--- a/daemon/internal/request/intake/intake.go
+++ b/daemon/internal/request/intake/intake.go
@@ -40,14 +40,15 @@
 	defaultTimeout = 60 * time.Second
 	// maxTimeout bounds the timeout that a caller may request.
 	maxTimeout = time.Hour
-	// maxTries bounds the hosts that a request is sent to.
-	maxTries = 4
-	// replayBytes is the size up to which a repeatable body is buffered for a retry. Larger
+	// maxAttempts bounds the attempts to send a request to a host.
+	maxAttempts = 4
+	// maxBufferedBody is the size up to which a repeatable body is buffered for a retry. Larger
 	// bodies, and those of requests that run at most once, are not read from the caller until
 	// the agent has admitted the request.
-	replayBytes = 64 << 10
-	// noUpstreamRetry is the backoff sent to callers when no host serves the service.
-	noUpstreamRetry = time.Second
+	maxBufferedBody = 64 << 10
+	// defaultRetryAfter is the Retry-After value sent when no host serves the service, or when a
+	// refusal of an agent carries none.
+	defaultRetryAfter = time.Second
 )
 
 // pathPrefix is the path under which callers reach services.
@@ -55,13 +56,13 @@
 
 // Handler serves callers' requests at an entry.
 type Handler struct {
-	Table     *tables.Table
-	Members   *members.Table
-	Router    *route.Router
-	Accounts  *account.Limiter
-	Budgets   *Budgets
-	Transport *http.Transport
-	Telemetry *telemetry.Telemetry
+	Table        *tables.Table
+	Members      *members.Table
+	Selector     *route.Selector
+	Accounts     *account.Limiter
+	RetryBudgets *RetryBudgets
+	Transport    *http.Transport
+	Telemetry    *telemetry.Telemetry
 	// MaxBodyBytes bounds a request's body.
 	MaxBodyBytes int64
 
@@ -111,8 +112,8 @@
 	body []byte
 	// tried names the hosts that refused the request.
 	tried []string
-	// corrected is the host to retry next, nil if any may be chosen. It refused the request
-	// for its version and named the one that it serves now.
+	// corrected is the host to retry next, with the version that it serves now; nil if any host
+	// may be chosen. The host refused the request because of its version.
 	corrected *route.Choice
 }
 
@@ -121,7 +122,7 @@
 	h.metrics.requests.Inc(1)
 	defer func() { h.metrics.seconds.Record(time.Since(started)) }()
 	p := &proxyRequest{handler: h, w: w, r: r.Request}
-	if refusal := p.admit(r.Param("service"), started); refusal != nil {
+	if refusal := p.handle(r.Param("service"), started); refusal != nil {
 		p.refuse(refusal)
 	}
 	return nil
@@ -148,9 +149,9 @@
 	})
 }
 
-// admit validates the request and runs it. A refusal that it returns is the final response
-// and must still be written.
-func (p *proxyRequest) admit(service string, now time.Time) *outcome.Refusal {
+// handle validates the request and sends it to hosts. A refusal that it returns is the final
+// response and must still be written.
+func (p *proxyRequest) handle(service string, now time.Time) *outcome.Refusal {
 	view := p.handler.Table.View()
 	p.id = p.r.Header.Get(api.HeaderRequestID)
 	if p.id == "" {
@@ -210,10 +211,10 @@
 	if refusal := p.bufferBody(); refusal != nil {
 		return refusal
 	}
-	budget := p.handler.Budgets.For(p.service)
+	budget := p.handler.RetryBudgets.For(p.service)
 	budget.CountRequest()
 	var last *outcome.Refusal
-	for attempt := range maxTries {
+	for attempt := range maxAttempts {
 		if attempt > 0 {
 			if last.Reason != outcome.ReasonWrongVersion && !budget.AllowRetry() {
 				p.logDecision("", "no-retry", "the service's retry budget is used up", 0)
@@ -240,13 +241,13 @@
 
 // choose returns the host for the next attempt, false if there is none.
 func (p *proxyRequest) choose() (route.Choice, bool) {
-	router := p.handler.Router
+	selector := p.handler.Selector
 	if p.corrected == nil {
-		return router.Choose(route.Query{Service: p.service, Members: p.handler.Members.View(), Tried: p.tried})
+		return selector.Choose(route.Query{Service: p.service, Members: p.handler.Members.View(), Tried: p.tried})
 	}
 	choice := *p.corrected
 	p.corrected = nil
-	router.CountAttempt(choice)
+	selector.CountAttempt(choice)
 	return choice, true
 }
 
@@ -256,12 +257,12 @@
 		return last
 	}
 	return outcome.NotRun(http.StatusServiceUnavailable, outcome.ReasonNoUpstream,
-		fmt.Sprintf("no host serves %q now", p.service.Name)).WithRetryAfter(noUpstreamRetry)
+		fmt.Sprintf("no host serves %q now", p.service.Name)).WithRetryAfter(defaultRetryAfter)
 }
 
 // bufferBody reads a small repeatable body, so that it can be sent again.
 func (p *proxyRequest) bufferBody() *outcome.Refusal {
-	if p.atMostOnce || p.r.ContentLength <= 0 || p.r.ContentLength > replayBytes {
+	if p.atMostOnce || p.r.ContentLength <= 0 || p.r.ContentLength > maxBufferedBody {
 		return nil
 	}
 	body, err := io.ReadAll(p.r.Body)
@@ -299,19 +300,19 @@
 // attempt sends the request to one host. It returns true once the request has its final
 // response: either written already, or the returned refusal.
 func (p *proxyRequest) attempt(ctx context.Context, choice route.Choice) (*outcome.Refusal, bool) {
-	router := p.handler.Router
+	selector := p.handler.Selector
 	response, err := relay.Send(ctx, p.r, p.hop(ctx, choice))
 	if err != nil {
 		return p.handleSendError(ctx, choice, err)
 	}
 	if inFlight, err := strconv.Atoi(response.Header.Get(gate.HeaderInFlight)); err == nil {
-		router.Report(choice.Host, inFlight)
+		selector.Report(choice.Host, inFlight)
 	}
 	response.Header.Del(gate.HeaderInFlight)
 	switch api.Outcome(response.Header.Get(api.HeaderOutcome)) {
 	case api.OutcomeNotRun:
 		_ = response.Body.Close()
-		router.Done(choice.Host, route.ResultRefused)
+		selector.Done(choice.Host, route.ResultRefused)
 		p.corrected = correctedChoice(choice, response.Header.Get(gate.HeaderServes))
 		return refusalOf(response, choice), false
 	case api.OutcomeDone:
@@ -328,7 +329,7 @@
 	if disconnected {
 		result = route.ResultCanceled
 	}
-	p.handler.Router.Done(choice.Host, result)
+	p.handler.Selector.Done(choice.Host, result)
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		return outcome.Unknown(http.StatusRequestEntityTooLarge, outcome.ReasonTooLarge, fmt.Sprintf("the body may take %d bytes", tooLarge.Limit)), true
@@ -357,7 +358,7 @@
 	if seconds, err := strconv.Atoi(response.Header.Get("Retry-After")); err == nil {
 		return refusal.WithRetryAfter(time.Duration(seconds) * time.Second)
 	}
-	return refusal.WithRetryAfter(noUpstreamRetry)
+	return refusal.WithRetryAfter(defaultRetryAfter)
 }
 
 // stream writes a response as it arrives. If it is truncated, the caller's connection is
@@ -375,7 +376,7 @@
 	default:
 		result = route.ResultFailed
 	}
-	p.handler.Router.Done(choice.Host, result)
+	p.handler.Selector.Done(choice.Host, result)
 	if err != nil {
 		p.handler.metrics.cut.Inc(1)
 		p.logDecision(choice.Host, "cut", err.Error(), choice.Candidates)
--- a/daemon/internal/request/intake/intake_test.go
+++ b/daemon/internal/request/intake/intake_test.go
@@ -31,8 +31,8 @@
 type changedHost struct {
 	*httptest.Server
 	gate *gate.Gate
-	// requested lists the versions that requests were routed for.
-	requested []string
+	// requestedVersions lists the versions that requests were routed for.
+	requestedVersions []string
 }
 
 func startChangedHost(t *testing.T, name string) *changedHost {
@@ -45,7 +45,7 @@
 	t.Cleanup(upstream.Close)
 	handler.Upstream = address(t, upstream)
 	h.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		h.requested = append(h.requested, r.Header.Get(gate.HeaderManifest))
+		h.requestedVersions = append(h.requestedVersions, r.Header.Get(gate.HeaderManifest))
 		mux.ServeHTTP(w, r)
 	}))
 	t.Cleanup(h.Close)
@@ -57,13 +57,13 @@
 func TestRetriesChangedHostWithItsVersion(t *testing.T) {
 	host := startChangedHost(t, "a")
 	host.gate.Open(gate.Serving{Services: []string{"s"}, Manifest: "v2"})
-	caller := startIntake(t, &wire.Member{Name: "a", Address: address(t, host.Server).String(), ReadyService: "s", ReadyManifest: "v1", Incarnation: 1})
+	entry := startEntry(t, &wire.Member{Name: "a", Address: address(t, host.Server).String(), ReadyService: "s", ReadyManifest: "v1", Incarnation: 1})
 
-	response := get(t, caller)
+	response := get(t, entry)
 	assert.Equal(t, http.StatusOK, response.StatusCode)
 	assert.Equal(t, "v2", response.Header.Get(api.HeaderVersion))
 	assert.Empty(t, response.Header.Get(gate.HeaderServes), "this header is for entries only")
-	assert.Equal(t, []string{"v1", "v2"}, host.requested)
+	assert.Equal(t, []string{"v1", "v2"}, host.requestedVersions)
 }
 
 // TestDoesNotRetryClosedHost: a host that admits nothing names no version to retry with.
@@ -71,13 +71,13 @@
 	host := startChangedHost(t, "a")
 	host.gate.Open(gate.Serving{Services: []string{"s"}, Manifest: "v2"})
 	require.NoError(t, host.gate.Close(t.Context()))
-	caller := startIntake(t, &wire.Member{Name: "a", Address: address(t, host.Server).String(), ReadyService: "s", ReadyManifest: "v1", Incarnation: 1})
+	entry := startEntry(t, &wire.Member{Name: "a", Address: address(t, host.Server).String(), ReadyService: "s", ReadyManifest: "v1", Incarnation: 1})
 
-	response := get(t, caller)
+	response := get(t, entry)
 	assert.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
 	assert.Equal(t, string(api.OutcomeNotRun), response.Header.Get(api.HeaderOutcome))
 	assert.NotEmpty(t, response.Header.Get("Retry-After"))
-	assert.Equal(t, []string{"v1"}, host.requested)
+	assert.Equal(t, []string{"v1"}, host.requestedVersions)
 }
 
 // TestVersionMismatchIsNotChargedToBudget: a change of version causes more refusals than the
@@ -85,14 +85,14 @@
 func TestVersionMismatchIsNotChargedToBudget(t *testing.T) {
 	host := startChangedHost(t, "a")
 	host.gate.Open(gate.Serving{Services: []string{"s"}, Manifest: "v2"})
-	caller := startIntake(t, &wire.Member{Name: "a", Address: address(t, host.Server).String(), ReadyService: "s", ReadyManifest: "v1", Incarnation: 1})
+	entry := startEntry(t, &wire.Member{Name: "a", Address: address(t, host.Server).String(), ReadyService: "s", ReadyManifest: "v1", Incarnation: 1})
 	for range 3 * int(initialRetries) {
-		assert.Equal(t, http.StatusOK, get(t, caller).StatusCode)
+		assert.Equal(t, http.StatusOK, get(t, entry).StatusCode)
 	}
 }
 
-// startIntake starts a handler whose member table holds the given hosts.
-func startIntake(t *testing.T, hosts ...*wire.Member) *httptest.Server {
+// startEntry starts an entry whose member table holds the given hosts.
+func startEntry(t *testing.T, hosts ...*wire.Member) *httptest.Server {
 	t.Helper()
 	sum := sha256.Sum256([]byte(testKey))
 	table := &tables.Table{}
@@ -100,11 +100,11 @@
 		item(t, &api.Resource{Kind: api.KindService, Name: "s", Service: &api.ServiceSpec{}}),
 		item(t, &api.Resource{Kind: api.KindAccount, Name: "a", Account: &api.AccountSpec{KeyDigests: []string{hex.EncodeToString(sum[:])}}}),
 	}, 1)
-	known := &members.Table{}
-	known.Merge(hosts)
+	memberTable := &members.Table{}
+	memberTable.Merge(hosts)
 	router := bunrouter.New()
 	(&Handler{
-		Table: table, Members: known, Router: &route.Router{}, Accounts: &account.Limiter{}, Budgets: &Budgets{},
+		Table: table, Members: memberTable, Selector: &route.Selector{}, Accounts: &account.Limiter{}, RetryBudgets: &RetryBudgets{},
 		Transport: &http.Transport{}, Telemetry: discardTelemetry(t), MaxBodyBytes: 1 << 20,
 	}).Register(router)
 	server := httptest.NewServer(router)
@@ -119,12 +119,12 @@
 	return platform.Item{Key: tables.ResourceKey(declared.Kind, declared.Name), Value: value, Revision: 1}
 }
 
-func get(t *testing.T, caller *httptest.Server) *http.Response {
+func get(t *testing.T, entry *httptest.Server) *http.Response {
 	t.Helper()
-	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, caller.URL+pathPrefix+"s/", nil)
+	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, entry.URL+pathPrefix+"s/", nil)
 	require.NoError(t, err)
 	request.Header.Set("Authorization", "Bearer "+testKey)
-	response, err := caller.Client().Do(request)
+	response, err := entry.Client().Do(request)
 	require.NoError(t, err)
 	_, err = io.Copy(io.Discard, response.Body)
 	require.NoError(t, err)
--- a/daemon/internal/request/intake/budget.go
+++ b/daemon/internal/request/intake/retrybudget.go
@@ -11,41 +11,41 @@
 	defaultRetryShare = 0.2
 	// initialRetries is the number of retries that a service starts with.
 	initialRetries = 10.0
-	// maxTokens bounds the retries that accumulate while few are used.
-	maxTokens = 100.0
+	// maxSavedRetries bounds the unused retries that a service accumulates.
+	maxSavedRetries = 100.0
 )
 
-// Budgets holds one retry budget per service. The zero value is ready to use.
-type Budgets struct {
+// RetryBudgets holds one retry budget per service. The zero value is ready to use.
+type RetryBudgets struct {
 	mu      sync.Mutex
-	budgets map[string]*Budget
+	budgets map[string]*RetryBudget
 }
 
 // For returns a service's budget.
-func (b *Budgets) For(service *api.Resource) *Budget {
+func (b *RetryBudgets) For(service *api.Resource) *RetryBudget {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.budgets == nil {
-		b.budgets = map[string]*Budget{}
+		b.budgets = map[string]*RetryBudget{}
 	}
 	budget := b.budgets[service.Name]
 	if budget == nil {
-		budget = &Budget{tokens: initialRetries}
+		budget = &RetryBudget{tokens: initialRetries}
 		b.budgets[service.Name] = budget
 	}
 	budget.setShare(service.Service.Limits.RetryShare)
 	return budget
 }
 
-// Budget is a token bucket of retries: each request adds a share of a token, and each retry
+// RetryBudget is a token bucket of retries: each request adds a share of a token, and each retry
 // takes one.
-type Budget struct {
+type RetryBudget struct {
 	mu     sync.Mutex
 	share  float64
 	tokens float64
 }
 
-func (b *Budget) setShare(share float64) {
+func (b *RetryBudget) setShare(share float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.share = share
@@ -55,14 +55,14 @@
 }
 
 // CountRequest counts a request.
-func (b *Budget) CountRequest() {
+func (b *RetryBudget) CountRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(b.tokens+b.share, maxTokens)
+	b.tokens = min(b.tokens+b.share, maxSavedRetries)
 }
 
 // AllowRetry takes a token and reports whether there was one.
-func (b *Budget) AllowRetry() bool {
+func (b *RetryBudget) AllowRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.tokens < 1 {
--- a/daemon/internal/request/intake/budget_test.go
+++ b/daemon/internal/request/intake/retrybudget_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestBudgetGrowsWithRequestsUpToBound(t *testing.T) {
-	budgets := &Budgets{}
+	budgets := &RetryBudgets{}
 	service := &api.Resource{Name: "s", Service: &api.ServiceSpec{Limits: api.Limits{RetryShare: 0.1}}}
 	count := func() int {
 		retries := 0
@@ -27,5 +27,5 @@
 	for range 1_000_000 {
 		budgets.For(service).CountRequest()
 	}
-	assert.LessOrEqual(t, count(), int(maxTokens), "accumulated retries are bounded")
+	assert.LessOrEqual(t, count(), int(maxSavedRetries), "accumulated retries are bounded")
 }
--- a/daemon/internal/request/route/route.go
+++ b/daemon/internal/request/route/route.go
@@ -45,22 +45,22 @@
 	Reason     string
 }
 
-// Router selects hosts and tracks the load and failures that this entry observes at
+// Selector selects hosts and tracks the load and failures that this entry observes at
 // each. The zero value is ready to use.
 //
 // mu is the only lock; it is not held while a request runs.
-type Router struct {
+type Selector struct {
 	// Hall is the data hall of this entry.
 	Hall string
 	// Now overrides the clock in tests; nil means clock.Now.
 	Now func() time.Time
 
-	mu        sync.Mutex
-	upstreams map[string]*upstream
+	mu    sync.Mutex
+	hosts map[string]*hostState
 }
 
-// upstream is the state of one host as observed by this entry.
-type upstream struct {
+// hostState is the state of one host as observed by this entry.
+type hostState struct {
 	// inFlight counts this entry's requests at the host.
 	inFlight int
 	// reported is the number of requests in flight that the agent reported at
@@ -72,32 +72,32 @@
 	ejectedUntil time.Time
 }
 
-func (r *Router) now() time.Time { return helpers.Now(r.Now) }
+func (s *Selector) now() time.Time { return helpers.Now(s.Now) }
 
 // get returns the state of a host, creating it if needed. The caller must hold mu.
-func (r *Router) get(host string) *upstream {
-	if r.upstreams == nil {
-		r.upstreams = map[string]*upstream{}
+func (s *Selector) get(host string) *hostState {
+	if s.hosts == nil {
+		s.hosts = map[string]*hostState{}
 	}
-	u := r.upstreams[host]
-	if u == nil {
-		u = &upstream{}
-		r.upstreams[host] = u
+	h := s.hosts[host]
+	if h == nil {
+		h = &hostState{}
+		s.hosts[host] = h
 	}
-	return u
+	return h
 }
 
 // load returns the expected number of requests in flight at the host.
-func (u *upstream) load(now time.Time) float64 {
-	age := now.Sub(u.reportedAt)
-	if u.reported <= 0 || age > 8*reportHalfLife {
-		return float64(u.inFlight)
+func (h *hostState) load(now time.Time) float64 {
+	age := now.Sub(h.reportedAt)
+	if h.reported <= 0 || age > 8*reportHalfLife {
+		return float64(h.inFlight)
 	}
 	weight := 1.0
 	for ; age > reportHalfLife; age -= reportHalfLife {
 		weight /= 2
 	}
-	return float64(u.inFlight) + weight*float64(u.reported)
+	return float64(h.inFlight) + weight*float64(h.reported)
 }
 
 // Query holds the inputs of Choose.
@@ -110,22 +110,22 @@
 
 // Choose returns the host for a request, or false if none is eligible. The request
 // counts as in flight at that host until Done.
-func (r *Router) Choose(query Query) (Choice, bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	now := r.now()
-	candidates := r.candidates(query, now)
+func (s *Selector) Choose(query Query) (Choice, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.now()
+	candidates := s.candidates(query, now)
 	if len(candidates) == 0 {
 		return Choice{}, false
 	}
-	best := r.leastLoaded(candidates, now)
+	best := s.leastLoaded(candidates, now)
 	address, err := netip.ParseAddrPort(best.GetAddress())
 	if err != nil {
 		return Choice{}, false
 	}
-	r.get(best.GetName()).inFlight++
+	s.get(best.GetName()).inFlight++
 	reason := "lowest expected load in the local hall"
-	if best.GetHall() != r.Hall {
+	if best.GetHall() != s.Hall {
 		reason = "lowest expected load in a remote hall; no eligible host in the local hall"
 	}
 	return Choice{
@@ -136,38 +136,38 @@
 
 // CountAttempt counts another attempt at the host of an earlier choice as in flight until
 // Done.
-func (r *Router) CountAttempt(choice Choice) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.get(choice.Host).inFlight++
+func (s *Selector) CountAttempt(choice Choice) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.get(choice.Host).inFlight++
 }
 
 // candidates returns the eligible hosts of the own hall or, if there are none, those
 // of other halls. The caller must hold mu.
-func (r *Router) candidates(query Query, now time.Time) []*members.Agent {
+func (s *Selector) candidates(query Query, now time.Time) []*members.Agent {
 	var local, remote []*members.Agent
 	for _, agent := range query.Members.ByService[query.Service.Name] {
 		switch {
 		case agent.GetLeaving() || agent.GetSuspect() || slices.Contains(query.Tried, agent.GetName()):
 		case !placer.ServesHall(query.Service.Service.Halls, agent.GetHall()):
-		case agent.GetHall() == r.Hall:
+		case agent.GetHall() == s.Hall:
 			local = append(local, agent)
 		default:
 			remote = append(remote, agent)
 		}
 	}
-	if local = r.withoutEjected(local, now); len(local) > 0 {
+	if local = s.withoutEjected(local, now); len(local) > 0 {
 		return local
 	}
-	return r.withoutEjected(remote, now)
+	return s.withoutEjected(remote, now)
 }
 
 // withoutEjected filters out ejected hosts, but never more than
 // ejectMaxShare of them: if most fail, the fault is more likely at this entry.
-func (r *Router) withoutEjected(agents []*members.Agent, now time.Time) []*members.Agent {
+func (s *Selector) withoutEjected(agents []*members.Agent, now time.Time) []*members.Agent {
 	var healthy []*members.Agent
 	for _, agent := range agents {
-		if !now.Before(r.get(agent.GetName()).ejectedUntil) {
+		if !now.Before(s.get(agent.GetName()).ejectedUntil) {
 			healthy = append(healthy, agent)
 		}
 	}
@@ -178,13 +178,13 @@
 }
 
 // leastLoaded returns the candidate with the lowest load and breaks ties at random.
-func (r *Router) leastLoaded(candidates []*members.Agent, now time.Time) *members.Agent {
+func (s *Selector) leastLoaded(candidates []*members.Agent, now time.Time) *members.Agent {
 	start := rand.IntN(len(candidates))
 	best := candidates[start]
-	bestLoad := r.get(best.GetName()).load(now)
+	bestLoad := s.get(best.GetName()).load(now)
 	for i := 1; i < len(candidates); i++ {
 		candidate := candidates[(start+i)%len(candidates)]
-		if load := r.get(candidate.GetName()).load(now); load < bestLoad {
+		if load := s.get(candidate.GetName()).load(now); load < bestLoad {
 			best, bestLoad = candidate, load
 		}
 	}
@@ -209,41 +209,41 @@
 )
 
 // Done ends an attempt counted by Choose or CountAttempt and records its result.
-func (r *Router) Done(host string, result Result) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	u := r.get(host)
-	u.inFlight--
+func (s *Selector) Done(host string, result Result) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	h := s.get(host)
+	h.inFlight--
 	switch result {
 	case ResultAnswered:
-		u.failures = 0
+		h.failures = 0
 	case ResultFailed:
-		u.failures++
+		h.failures++
 		wait := ejectMax
-		if u.failures < 8 {
-			wait = min(ejectBase<<(u.failures-1), ejectMax)
+		if h.failures < 8 {
+			wait = min(ejectBase<<(h.failures-1), ejectMax)
 		}
-		u.ejectedUntil = r.now().Add(wait)
+		h.ejectedUntil = s.now().Add(wait)
 	case ResultRefused, ResultCanceled:
 	}
 }
 
 // Report records the number of requests in flight that an agent reported.
-func (r *Router) Report(host string, inFlight int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	u := r.get(host)
-	u.reported = inFlight - u.inFlight
-	u.reportedAt = r.now()
+func (s *Selector) Report(host string, inFlight int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	h := s.get(host)
+	h.reported = inFlight - h.inFlight
+	h.reportedAt = s.now()
 }
 
 // Prune drops the state of hosts that are no longer members and have no requests in flight.
-func (r *Router) Prune(view *members.View) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for host, u := range r.upstreams {
-		if view.ByName[host] == nil && u.inFlight == 0 {
-			delete(r.upstreams, host)
+func (s *Selector) Prune(view *members.View) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for host, h := range s.hosts {
+		if view.ByName[host] == nil && h.inFlight == 0 {
+			delete(s.hosts, host)
 		}
 	}
 }
--- a/daemon/internal/request/route/route_test.go
+++ b/daemon/internal/request/route/route_test.go
@@ -14,15 +14,15 @@
 
 // fixture is a router with a fake clock and a membership table.
 type fixture struct {
-	router  *Router
-	table   *members.Table
-	now     time.Time
-	service *api.Resource
+	selector *Selector
+	table    *members.Table
+	now      time.Time
+	service  *api.Resource
 }
 
 func newFixture(agents ...*wire.Member) *fixture {
 	f := &fixture{table: &members.Table{}, now: time.Unix(1000, 0), service: &api.Resource{Kind: api.KindService, Name: "s", Service: &api.ServiceSpec{}}}
-	f.router = &Router{Hall: "here", Now: func() time.Time { return f.now }}
+	f.selector = &Selector{Hall: "here", Now: func() time.Time { return f.now }}
 	for _, agent := range agents {
 		agent.Address, agent.ReadyService, agent.ReadyManifest = "127.0.0.1:1", "s", "v1"
 		if agent.GetHall() == "" {
@@ -34,7 +34,7 @@
 }
 
 func (f *fixture) choose(tried ...string) string {
-	choice, _ := f.router.Choose(Query{Service: f.service, Members: f.table.View(), Tried: tried})
+	choice, _ := f.selector.Choose(Query{Service: f.service, Members: f.table.View(), Tried: tried})
 	return choice.Host
 }
 
@@ -74,9 +74,9 @@
 	}
 	assert.Equal(t, map[string]int{"a": 5, "b": 5}, counts, "requests in flight spread evenly")
 	for range 5 {
-		f.router.Done("b", ResultAnswered)
+		f.selector.Done("b", ResultAnswered)
 	}
-	f.router.Report("b", 50) // requests of other entries
+	f.selector.Report("b", 50) // requests of other entries
 	assert.Equal(t, "a", f.choose())
 	f.now = f.now.Add(time.Minute)
 	assert.Equal(t, "b", f.choose(), "an old report loses its weight")
@@ -85,17 +85,17 @@
 func TestFailingHostIsEjected(t *testing.T) {
 	f := newFixture(&wire.Member{Name: "a"}, &wire.Member{Name: "b"}, &wire.Member{Name: "c"})
 	fail := func(host string) {
-		f.router.mu.Lock()
-		f.router.get(host).inFlight++
-		f.router.mu.Unlock()
-		f.router.Done(host, ResultFailed)
+		f.selector.mu.Lock()
+		f.selector.get(host).inFlight++
+		f.selector.mu.Unlock()
+		f.selector.Done(host, ResultFailed)
 	}
 	chosen := func() map[string]bool {
 		seen := map[string]bool{}
 		for range 60 {
 			host := f.choose()
 			seen[host] = true
-			f.router.Done(host, ResultCanceled)
+			f.selector.Done(host, ResultCanceled)
 		}
 		return seen
 	}
@@ -112,7 +112,7 @@
 	assert.Len(t, chosen(), 3, "no host is ejected if most hosts fail")
 	f.now = f.now.Add(ejectMax)
 	fail("a")
-	f.router.Done(func() string { f.now = f.now.Add(ejectMax); return f.choose() }(), ResultAnswered)
+	f.selector.Done(func() string { f.now = f.now.Add(ejectMax); return f.choose() }(), ResultAnswered)
 	assert.Len(t, chosen(), 3)
 }
 
@@ -120,9 +120,9 @@
 	f := newFixture(&wire.Member{Name: "a"})
 	require.Equal(t, "a", f.choose())
 	empty := &members.Table{}
-	f.router.Prune(empty.View())
-	assert.Len(t, f.router.upstreams, 1, "a request is still in flight")
-	f.router.Done("a", ResultAnswered)
-	f.router.Prune(empty.View())
-	assert.Empty(t, f.router.upstreams)
+	f.selector.Prune(empty.View())
+	assert.Len(t, f.selector.hosts, 1, "a request is still in flight")
+	f.selector.Done("a", ResultAnswered)
+	f.selector.Prune(empty.View())
+	assert.Empty(t, f.selector.hosts)
 }
