--- a/daemon/internal/request/ratelimit/header.go
+++ b/daemon/internal/request/ratelimit/header.go
@@ -6,23 +6,23 @@
 	"strings"
 )
 
-// This file parses the header in which a response names its upstream's limit.
+// This file parses the header in which a response states its upstream's limit.
 
 // Kind classifies what a response states about the limit.
 type Kind int
 
 // Values of Kind.
 const (
-	// Unspecified means that nothing is learned: the response is not the upstream's, or its header
-	// is invalid.
+	// Unspecified means that the response says nothing about the limit: it is not the upstream's,
+	// or its header is invalid.
 	Unspecified Kind = iota
-	// Unlimited means that the response names no limit.
+	// Unlimited means that the response states no limit.
 	Unlimited
-	// Limited means that the response names a limit.
+	// Limited means that the response states a limit.
 	Limited
 )
 
-// ResponseLimit is the limit that one response names.
+// ResponseLimit is the limit that one response states.
 type ResponseLimit struct {
 	Kind Kind
 	// PerSecond is the limit in requests per second, 0 or more.
@@ -34,13 +34,13 @@
 // maxInvalidBytes bounds ResponseLimit.Invalid.
 const maxInvalidBytes = 40
 
-// String returns the limit for logs, "" if the response names none.
-func (s ResponseLimit) String() string {
+// String returns the limit for logs, "" if the response states none.
+func (l ResponseLimit) String() string {
 	switch {
-	case s.Invalid != "":
-		return "unread " + strconv.Quote(s.Invalid)
-	case s.Kind == Limited:
-		return strconv.FormatFloat(s.PerSecond, 'g', -1, 64)
+	case l.Invalid != "":
+		return "unread " + strconv.Quote(l.Invalid)
+	case l.Kind == Limited:
+		return strconv.FormatFloat(l.PerSecond, 'g', -1, 64)
 	default:
 		return ""
 	}
@@ -65,16 +65,16 @@
 	return parsed
 }
 
-func (s *ResponseLimit) add(text string) {
+func (l *ResponseLimit) add(text string) {
 	perSecond, err := strconv.ParseFloat(text, 64)
 	if err != nil || !decimal(text) || perSecond < 0 {
-		s.Invalid = text[:min(len(text), maxInvalidBytes)]
+		l.Invalid = text[:min(len(text), maxInvalidBytes)]
 		if text == "" {
-			s.Invalid = "nothing"
+			l.Invalid = "nothing"
 		}
 		return
 	}
-	s.Kind, s.PerSecond = Limited, min(s.PerSecond, perSecond)
+	l.Kind, l.PerSecond = Limited, min(l.PerSecond, perSecond)
 }
 
 // decimal reports whether a number is in decimal notation. strconv.ParseFloat also accepts
--- a/daemon/internal/request/ratelimit/ratelimit.go
+++ b/daemon/internal/request/ratelimit/ratelimit.go
@@ -1,4 +1,4 @@
-// Package ratelimit enforces the request rates that upstreams name in their responses. A rate
+// Package ratelimit enforces the request rates that upstreams state in their responses. A rate
 // is the limit for all routers together. Routers and loaders each keep a Table.
 //
 // One process counts the requests of all routers: the loader beside the upstream, which grants
@@ -7,7 +7,7 @@
 // An unused slot expires, since hundreds of idle routers would otherwise save up a burst.
 //
 // Invariants: the newest response decides, whichever process received it. The absence of a limit
-// is as old as the request whose response named none. Loader and time slots together stay within
+// is as old as the request whose response stated none. Loader and time slots together stay within
 // the burst that an upstream tolerates above its limit. The package has no clock and no network.
 //
 // Rejected: a router that counts for an upstream without a loader, because routers with
@@ -189,7 +189,7 @@
 }
 
 // notifyDue reports whether to notify other processes and, if so, records the notification. It
-// is always due when a limit is first named or lifted.
+// is always due when a limit is first stated or lifted.
 func (l *limit) notifyDue(now time.Time) bool {
 	switched := l.report.Lifted != l.notified.Lifted
 	if !switched && now.Sub(l.notifiedAt) < notifyInterval {
@@ -228,7 +228,7 @@
 	delete(t.limits, oldest)
 }
 
-// Report returns the report of an upstream's limit, or false if the upstream never named a limit
+// Report returns the report of an upstream's limit, or false if the upstream never stated a limit
 // or lifted it longer than liftedReportTTL ago.
 func (t *Table) Report(upstream Upstream, now time.Time) (Report, bool) {
 	entry := t.limits[upstream.key()]
--- a/daemon/internal/request/ratelimit/ratelimit_test.go
+++ b/daemon/internal/request/ratelimit/ratelimit_test.go
@@ -48,8 +48,8 @@
 // load describes routers that compete for one upstream and honour the delays that Allow returns.
 type load struct {
 	routers int
-	// bypass is the share of the routers whose calls the loader does not answer.
-	bypass float64
+	// unreachable is the share of the routers whose calls the loader does not answer.
+	unreachable float64
 	// noLoader means that the upstream has no loader.
 	noLoader bool
 	// idle is a pause without requests, after which all routers start at once.
@@ -63,8 +63,8 @@
 	if l.noLoader {
 		return ratelimit.NoLoaderShare.Fraction
 	}
-	share := ratelimit.LoaderUnreachableShare.Fraction * l.bypass
-	if l.bypass < 1 {
+	share := ratelimit.LoaderUnreachableShare.Fraction * l.unreachable
+	if l.unreachable < 1 {
 		share += ratelimit.LoaderShare.Fraction
 	}
 	return share
@@ -79,11 +79,11 @@
 	random := rand.New(rand.NewPCG(l.seed, 1))
 	loader := &ratelimit.Table{Draw: random.Float64}
 	loader.Observe(engine, limited(l.perSecond), start, start)
-	own := make([]*ratelimit.Table, l.routers)
+	routerTables := make([]*ratelimit.Table, l.routers)
 	next := make([]time.Duration, l.routers)
-	for i := range own {
-		own[i] = &ratelimit.Table{Draw: random.Float64}
-		own[i].Observe(engine, limited(l.perSecond), start, start)
+	for i := range routerTables {
+		routerTables[i] = &ratelimit.Table{Draw: random.Float64}
+		routerTables[i].Observe(engine, limited(l.perSecond), start, start)
 	}
 	var sends []time.Duration
 	for at := time.Duration(0); at < duration; at += step {
@@ -97,9 +97,9 @@
 			table, share := loader, ratelimit.LoaderShare
 			switch {
 			case l.noLoader:
-				table, share = own[i], ratelimit.NoLoaderShare.Among(l.routers)
-			case float64(i) < l.bypass*float64(l.routers):
-				table, share = own[i], ratelimit.LoaderUnreachableShare.Among(l.routers)
+				table, share = routerTables[i], ratelimit.NoLoaderShare.Among(l.routers)
+			case float64(i) < l.unreachable*float64(l.routers):
+				table, share = routerTables[i], ratelimit.LoaderUnreachableShare.Among(l.routers)
 			}
 			wait, ok := table.Allow(engine, share, start.Add(at))
 			next[i] = at + wait
@@ -119,12 +119,12 @@
 	for _, routers := range []int{6, 40, 400} {
 		for _, perSecond := range []float64{0.2, 1, 2.3, 5, 50} {
 			for name, l := range map[string]load{
-				"loader":                    {},
-				"loader unreachable":        {bypass: 1},
-				"half past the loader":      {bypass: 0.5},
-				"without":                   {noLoader: true},
-				"without, after idle pause": {noLoader: true, idle: 20 * time.Second},
-				"loader, after idle pause":  {idle: 20 * time.Second},
+				"loader":             {},
+				"loader unreachable": {unreachable: 1},
+				"loader unreachable for half of the routers": {unreachable: 0.5},
+				"no loader":                   {noLoader: true},
+				"no loader, after idle pause": {noLoader: true, idle: 20 * time.Second},
+				"loader, after idle pause":    {idle: 20 * time.Second},
 			} {
 				l.routers, l.perSecond = routers, perSecond
 				total := 0
@@ -166,10 +166,10 @@
 func TestNewestObservationWins(t *testing.T) {
 	var table ratelimit.Table
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	assert.False(t, table.Observe(engine, unlimited, at(0), at(1)).Changed, "an upstream that never named a limit")
+	assert.False(t, table.Observe(engine, unlimited, at(0), at(1)).Changed, "an upstream that never stated a limit")
 	change := table.Observe(engine, limited(2), at(0), at(100))
 	assert.True(t, change.Changed && change.Notify && change.Previous.Lifted)
-	assert.False(t, table.Observe(engine, unlimited, at(50), at(300)).Changed, "response to a request sent before the limit was named")
+	assert.False(t, table.Observe(engine, unlimited, at(50), at(300)).Changed, "response to a request sent before the limit was stated")
 	assert.True(t, table.Limited(engine))
 
 	var other ratelimit.Table
@@ -183,7 +183,7 @@
 	}
 	assert.False(t, other.Observe(engine, unlimited, at(450), at(3000)).Changed, "within the grace period")
 	lifted := other.Observe(engine, unlimited, at(1450), at(4000))
-	assert.True(t, lifted.Changed && lifted.Notify, "request sent after the limit was named")
+	assert.True(t, lifted.Changed && lifted.Notify, "request sent after the limit was stated")
 	assert.Equal(t, 3550*time.Millisecond, lifted.Current.Age, "the report carries its age")
 
 	assert.True(t, table.Merge(engine, ratelimit.Report{Lifted: true, Age: 10 * time.Millisecond}, at(5000)).Changed)
@@ -250,7 +250,7 @@
 		table.Observe(engine, limited(perSecond), start, start)
 		var sends []time.Duration
 		at := time.Duration(0)
-		for range rapid.IntRange(1, 300).Draw(t, "questions") {
+		for range rapid.IntRange(1, 300).Draw(t, "requests") {
 			at += time.Duration(rapid.SampledFrom([]int{0, 0, 1, 10, 100, 10_000}).Draw(t, "pause")) * time.Millisecond
 			if _, ok := table.Allow(engine, ratelimit.LoaderShare, start.Add(at)); ok {
 				sends = append(sends, at)
--- a/daemon/internal/request/ratelimit/warmup.go
+++ b/daemon/internal/request/ratelimit/warmup.go
@@ -6,9 +6,9 @@
 // upstream sustains only a low request rate and collapses above it. When a hall recovers, its
 // upstreams are idle as well as cold, and load balancing would direct all routers to them.
 //
-// The warm-up limit is counted in the same way as a limit named in responses, by the loader or
+// The warm-up limit is counted in the same way as a limit stated in responses, by the loader or
 // by router shares. The two are kept in separate tables, because a response without a limit
-// lifts a named limit but not the warm-up limit.
+// lifts a stated limit but not the warm-up limit.
 
 // maxWarmup bounds the warm-up time that a single report may claim.
 const maxWarmup = 5 * time.Minute
--- a/daemon/internal/request/ratelimit/warmup_test.go
+++ b/daemon/internal/request/ratelimit/warmup_test.go
@@ -31,14 +31,14 @@
 	const sustained, allowed = 26, 44
 	engine := ratelimit.Upstream{ID: "e"}
 	for _, routers := range []int{40, 80, 546, 1092} {
-		warming := &ratelimit.WarmupTable{}
+		table := &ratelimit.WarmupTable{}
 		start := time.Unix(1000, 0)
-		warming.Merge(engine, ratelimit.Warmup{PerSecond: sustained, Remaining: 3 * time.Second}, start)
+		table.Merge(engine, ratelimit.Warmup{PerSecond: sustained, Remaining: 3 * time.Second}, start)
 		var sent []time.Time
 		for step := range 3000 {
 			now := start.Add(time.Duration(step) * time.Millisecond)
 			for range routers / 20 {
-				if _, ok := warming.Allow(engine, ratelimit.LoaderShare, now); ok {
+				if _, ok := table.Allow(engine, ratelimit.LoaderShare, now); ok {
 					sent = append(sent, now)
 				}
 			}
@@ -52,20 +52,20 @@
 func TestWarmUpstreamIsUnlimited(t *testing.T) {
 	engine := ratelimit.Upstream{ID: "e"}
 	start := time.Unix(1000, 0)
-	warming := &ratelimit.WarmupTable{}
-	warming.Merge(engine, ratelimit.Warmup{PerSecond: 1, Remaining: time.Second}, start)
+	table := &ratelimit.WarmupTable{}
+	table.Merge(engine, ratelimit.Warmup{PerSecond: 1, Remaining: time.Second}, start)
 	denied := 0
 	for range 10 {
-		if _, ok := warming.Allow(engine, ratelimit.LoaderShare, start); !ok {
+		if _, ok := table.Allow(engine, ratelimit.LoaderShare, start); !ok {
 			denied++
 		}
 	}
 	assert.Positive(t, denied)
 	restarted := ratelimit.Upstream{ID: "e", Started: start}
 	for range 10 {
-		_, ok := warming.Allow(restarted, ratelimit.LoaderShare, start)
+		_, ok := table.Allow(restarted, ratelimit.LoaderShare, start)
 		assert.True(t, ok)
-		_, ok = warming.Allow(engine, ratelimit.LoaderShare, start.Add(time.Second))
+		_, ok = table.Allow(engine, ratelimit.LoaderShare, start.Add(time.Second))
 		assert.True(t, ok)
 	}
 }
@@ -79,10 +79,10 @@
 		start := time.Unix(1000, 0)
 		loader := &ratelimit.WarmupTable{}
 		loader.Merge(engine, ratelimit.Warmup{PerSecond: sustained, Remaining: 3 * time.Second}, start)
-		bypassing := make([]*ratelimit.WarmupTable, routers)
-		for i := range bypassing {
-			bypassing[i] = &ratelimit.WarmupTable{}
-			bypassing[i].Merge(engine, ratelimit.Warmup{PerSecond: sustained, Remaining: 3 * time.Second}, start)
+		routerTables := make([]*ratelimit.WarmupTable, routers)
+		for i := range routerTables {
+			routerTables[i] = &ratelimit.WarmupTable{}
+			routerTables[i].Merge(engine, ratelimit.Warmup{PerSecond: sustained, Remaining: 3 * time.Second}, start)
 		}
 		var sent []time.Time
 		for step := range 600 {
@@ -90,7 +90,7 @@
 			if _, ok := loader.Allow(engine, ratelimit.LoaderShare, now); ok {
 				sent = append(sent, now)
 			}
-			for _, router := range bypassing {
+			for _, router := range routerTables {
 				if _, ok := router.Allow(engine, ratelimit.LoaderUnreachableShare.Among(routers), now); ok {
 					sent = append(sent, now)
 				}
