--- a/daemon/internal/request/quarantine/quarantine.go
+++ b/daemon/internal/request/quarantine/quarantine.go
@@ -4,15 +4,15 @@
 //
 // A crash is evidence against every request that ran on the upstream, bystanders included. A
 // bystander seldom runs on the next upstream that crashes, whereas the cause always does.
-// Contents are therefore judged by the depth of their crashes. A crash is one deeper than the
-// deepest earlier crash of the content that its router had received before it sent the request,
-// or more than simultaneousWindow before the present crash. Upstreams that crash together, as in
-// a power failure, thus have depth 1, however many of them ran the same popular request. The
-// second condition is needed because attempts of one client overlap: by the first condition alone
-// the depth would grow too slowly.
+// Contents are therefore judged by the depth of their crashes, which is one more than the depth of
+// the deepest earlier crash of the content. A crash counts as earlier if the router had received it
+// before it sent the request, or more than simultaneousWindow before the present crash. Upstreams
+// that crash together, as in a power failure, thus have depth 1, however many of them ran the same
+// popular request. The second condition is needed because attempts of one client overlap: by the
+// first condition alone the depth would grow too slowly.
 //
 // At depth 2 a request is sent to one upstream only, without retry or hedge. At depth 3 it is
-// quarantined, and attempts that have not begun are cancelled. When the quarantine expires, one
+// quarantined, and attempts without a response head are canceled. When the quarantine expires, one
 // router sends the request once, as a trial. A further crash renews the quarantine for longer, and
 // a complete response clears the content. A content that recently had a complete response is not
 // blamed for a crash, since a popular request may run on each of several upstreams that crashing
@@ -300,14 +300,14 @@
 }
 
 // Admit returns the verdict on a request that has just arrived. After a quarantine has expired,
-// one request at a time is admitted as a trial, at the router for which mayTry is set.
-func (t *Table) Admit(digest content.Digest, mayTry bool, now time.Time) Verdict {
+// one request at a time is admitted as a trial, at the router for which runsTrials is set.
+func (t *Table) Admit(digest content.Digest, runsTrials bool, now time.Time) Verdict {
 	verdict := t.Verdict(digest, now)
 	r := t.contents[digest]
 	if r == nil || !r.expired {
 		return verdict
 	}
-	if !mayTry || now.Sub(r.trialAt) < trialTimeout {
+	if !runsTrials || now.Sub(r.trialAt) < trialTimeout {
 		return Quarantined
 	}
 	r.trialAt = now
--- a/daemon/internal/request/quarantine/quarantine_test.go
+++ b/daemon/internal/request/quarantine/quarantine_test.go
@@ -168,9 +168,9 @@
 		reports := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) quarantine.Report {
 			crashes := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) quarantine.Crash {
 				return crash(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "upstream"), rapid.Int64Range(1, 2).Draw(t, "started"), rapid.IntRange(1, 3).Draw(t, "depth"))
-			}), 1, 3).Draw(t, "ends")
+			}), 1, 3).Draw(t, "crashes")
 			return report(rapid.IntRange(1, 3).Draw(t, "content"), crashes...)
-		}), 1, 20).Draw(t, "notes")
+		}), 1, 20).Draw(t, "reports")
 		first, second := &quarantine.Table{}, &quarantine.Table{}
 		for _, r := range reports {
 			first.Merge(r, start)
--- a/daemon/internal/request/quarantine/simulation_test.go
+++ b/daemon/internal/request/quarantine/simulation_test.go
@@ -52,8 +52,8 @@
 	now       time.Duration
 	contents  uint64
 
-	crashes, late, bystandersQuarantined, bystanders int
-	thirdCrash                                       time.Duration
+	crashes, sentAfterQuarantine, bystandersQuarantined, bystanders int
+	thirdCrash                                                      time.Duration
 }
 
 type delivery struct {
@@ -80,13 +80,13 @@
 func (f *fleet) admit(r *request) {
 	r.router, r.attempts = f.random.IntN(routers), maxAttempts
 	const trialRouter = 0 // the router that may run trials
-	f.sendWith(r, f.tables[r.router].Admit(r.content, r.router == trialRouter, f.time()))
+	f.sendByVerdict(r, f.tables[r.router].Admit(r.content, r.router == trialRouter, f.time()))
 }
 
 // send sends an admitted request to a free engine if the verdict of its router allows it.
-func (f *fleet) send(r *request) { f.sendWith(r, f.tables[r.router].Verdict(r.content, f.time())) }
+func (f *fleet) send(r *request) { f.sendByVerdict(r, f.tables[r.router].Verdict(r.content, f.time())) }
 
-func (f *fleet) sendWith(r *request, verdict quarantine.Verdict) {
+func (f *fleet) sendByVerdict(r *request, verdict quarantine.Verdict) {
 	switch {
 	case verdict == quarantine.Quarantined && !r.crashing:
 		f.bystandersQuarantined++
@@ -114,7 +114,7 @@
 	if r.crashing {
 		r.until = f.now + queueTime + crashTime
 		if f.thirdCrash > 0 && f.now > f.thirdCrash+3*time.Second {
-			f.late++
+			f.sentAfterQuarantine++
 		}
 	}
 	f.running[engine] = append(f.running[engine], r)
@@ -184,7 +184,7 @@
 		crashes := false
 		for _, r := range f.running[engine] {
 			switch {
-			case f.cancelled(r):
+			case f.canceled(r):
 			case r.until > f.now:
 				remaining = append(remaining, r)
 			case r.crashing:
@@ -213,9 +213,9 @@
 	}
 }
 
-// cancelled reports whether the router cancels an attempt that has not begun, because its
+// canceled reports whether the router cancels an attempt that has not begun, because its
 // content has been quarantined since.
-func (f *fleet) cancelled(r *request) bool {
+func (f *fleet) canceled(r *request) bool {
 	begin := r.until - crashTime
 	return r.crashing && f.now < begin && f.tables[r.router].Verdict(r.content, f.time()) == quarantine.Quarantined
 }
@@ -246,7 +246,7 @@
 			f := &fleet{random: rand.New(rand.NewPCG(seed, 0)), reportDelay: delay}
 			f.simulate(30 * time.Second)
 			assert.LessOrEqual(t, f.crashes, maxCrashes, "seed %d, report delay %s", seed, delay)
-			assert.LessOrEqual(t, f.late, 1, "more than the trial was sent after the quarantine; seed %d, report delay %s", seed, delay)
+			assert.LessOrEqual(t, f.sentAfterQuarantine, 1, "more than the trial was sent after the quarantine; seed %d, report delay %s", seed, delay)
 			crashes, quarantined, bystanders = crashes+f.crashes, quarantined+f.bystandersQuarantined, bystanders+f.bystanders
 		}
 		t.Logf("report delay %s: %.2f engines crash, %d of %d other requests are quarantined", delay, float64(crashes)/seeds, quarantined, bystanders)
