--- a/daemon/internal/request/exchange/events.go
+++ b/daemon/internal/request/exchange/events.go
@@ -83,7 +83,7 @@
 		e.start = 0
 	}
 	if len(e.buffer) > maxEventBytes {
-		e.err = fmt.Errorf("an event of over %d bytes", maxEventBytes)
+		e.err = fmt.Errorf("event exceeds %d bytes", maxEventBytes)
 		return
 	}
 	if cap(e.buffer)-len(e.buffer) < chunk {
--- a/daemon/internal/request/exchange/exchange.go
+++ b/daemon/internal/request/exchange/exchange.go
@@ -1,11 +1,11 @@
 // Package exchange sends one request to one upstream and classifies the result. The
 // dispatcher calls it for every attempt and decides on retries by the classification.
 //
-// Whether a request may be sent again depends on whether it may have been executed.
-// There are two proofs that it was not: no connection was established, or the response
-// carries the upstream's not-run header. In all other cases (a reset, a closed
-// connection, a response to another request) it may have been executed. The type Kind
-// holds the classification, so that callers need not inspect errors.
+// Whether a request may be sent again depends on whether it may have been executed. It
+// was not if no connection was established, if the response carries the upstream's
+// not-run header, or if its status is 421 (misdirected request). In all other cases (a
+// reset, a closed connection, a response to another request) it may have been executed.
+// Kind holds the classification, so that the dispatcher need not inspect errors.
 package exchange
 
 import (
@@ -43,12 +43,12 @@
 )
 
 // String returns the name used in logs.
-func (f Kind) String() string {
-	return [...]string{"unknown", "answered", "unsent", "refused", "misdirected"}[f]
+func (k Kind) String() string {
+	return [...]string{"unknown", "answered", "unsent", "refused", "misdirected"}[k]
 }
 
 // NotRun reports whether the request was not and will not be executed.
-func (f Kind) NotRun() bool { return f >= Unsent }
+func (k Kind) NotRun() bool { return k >= Unsent }
 
 // Result is the result of one attempt. Response is set only if Kind is Answered; the
 // caller must close its body.
@@ -56,17 +56,17 @@
 	Kind     Kind
 	Response *http.Response
 	Err      error
-	// Limit is the rate limit that the response names, if it comes from the expected
+	// Limit is the rate limit that the response states, if it comes from the expected
 	// upstream.
 	Limit ratelimit.ResponseLimit
 }
 
 // Errors for responses that cannot be attributed to the request and the upstream.
 var (
-	errRequestIDMismatch = errors.New("the answer belongs to another request")
-	errUnsigned          = errors.New("the answer is a success without a signature")
-	errEncoded           = errors.New("the answer is encoded, which was not asked for")
-	errUndeclaredRefusal = errors.New("the upstream refused without the promise that the request has not run")
+	errRequestIDMismatch = errors.New("the response has the ID of another request")
+	errUnsigned          = errors.New("the response is a success without a signature")
+	errEncoded           = errors.New("the response has a content encoding that was not requested")
+	errUndeclaredRefusal = errors.New("the refusal lacks the header which guarantees that the request has not run")
 )
 
 // Attempt describes one attempt to send a request.
@@ -119,7 +119,7 @@
 	result.Limit = c.advertisedLimit(result, response.Header)
 	if result.Kind != Answered {
 		_ = response.Body.Close()
-		result.Err = fmt.Errorf("answer of %s at %s: %w", attempt.Upstream.ID, attempt.Upstream.Address, result.Err)
+		result.Err = fmt.Errorf("response from %s at %s: %w", attempt.Upstream.ID, attempt.Upstream.Address, result.Err)
 	}
 	return result
 }
@@ -137,7 +137,7 @@
 	case declaredNotRun:
 		return Result{Kind: Refused, Err: fmt.Errorf("status %d", status)}
 	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests || status == http.StatusRequestTimeout:
-		return Result{Kind: Unknown, Err: errUndeclaredRefusal}
+		return Result{Kind: Unknown, Err: fmt.Errorf("status %d: %w", status, errUndeclaredRefusal)}
 	case status/100 == 2 && response.Header.Get(h.Signature) == "":
 		return Result{Kind: Unknown, Err: errUnsigned}
 	case status/100 == 2 && response.Header.Get("Content-Encoding") != "":
@@ -149,7 +149,7 @@
 	}
 }
 
-// advertisedLimit parses the rate limit that a response names. It ignores responses of
+// advertisedLimit parses the rate limit that a response states. It ignores responses of
 // other upstreams, and those to other requests, which may be old. The absence of a limit
 // counts only if the result is known, since an invalid response may lack the header.
 func (c *Client) advertisedLimit(result Result, header http.Header) ratelimit.ResponseLimit {
@@ -163,7 +163,6 @@
 	return limit
 }
 
-// newRequest builds the outgoing request.
 func (c *Client) newRequest(ctx context.Context, attempt Attempt) *http.Request {
 	in := attempt.Incoming
 	out := (&http.Request{
