--- a/daemon/internal/request/account/account_test.go
+++ b/daemon/internal/request/account/account_test.go
@@ -55,7 +55,7 @@
 	a := &api.Resource{Name: "a", Revision: 1, Account: &api.AccountSpec{RatePerSecond: 2, Concurrency: 3}}
 	_, refusal := limiter.Admit(a, now)
 	require.Nil(t, refusal)
-	leave, refusal := limiter.Admit(a, now)
+	release, refusal := limiter.Admit(a, now)
 	require.Nil(t, refusal)
 	_, refusal = limiter.Admit(a, now)
 	require.NotNil(t, refusal, "rate limit exceeded")
@@ -65,8 +65,8 @@
 	require.Nil(t, refusal)
 	_, refusal = limiter.Admit(a, now.Add(time.Hour))
 	require.NotNil(t, refusal, "concurrency limit exceeded")
-	leave()
-	leave()
+	release()
+	release()
 	_, refusal = limiter.Admit(a, now.Add(time.Hour))
 	require.Nil(t, refusal)
 	raised := &api.Resource{Name: "a", Revision: 2, Account: &api.AccountSpec{}}
--- a/daemon/internal/request/buffer/buffer.go
+++ b/daemon/internal/request/buffer/buffer.go
@@ -19,7 +19,7 @@
 )
 
 // ErrFull means that the budget is spent.
-var ErrFull = errors.New("too many bytes are held for slow callers")
+var ErrFull = errors.New("the memory budget for buffered bodies is spent")
 
 // Budget limits the number of buffered bytes. The zero value is unlimited.
 type Budget struct {
--- a/daemon/internal/request/content/content.go
+++ b/daemon/internal/request/content/content.go
@@ -15,11 +15,11 @@
 	"github.com/zeebo/blake3"
 )
 
-// size is the length of a digest in bytes.
-const size = 16
+// digestBytes is the length of a digest in bytes.
+const digestBytes = 16
 
 // Digest is the digest of a request's content. The zero value means no content.
-type Digest [size]byte
+type Digest [digestBytes]byte
 
 // Request holds the parts of a request that the digest covers.
 type Request struct {
@@ -53,8 +53,8 @@
 
 // UnmarshalText decodes the output of MarshalText.
 func (d *Digest) UnmarshalText(text []byte) error {
-	if len(text) != hex.EncodedLen(size) {
-		return fmt.Errorf("name of a content: %d characters, give %d in hex", len(text), hex.EncodedLen(size))
+	if len(text) != hex.EncodedLen(digestBytes) {
+		return fmt.Errorf("name of a content: %d characters, give %d in hex", len(text), hex.EncodedLen(digestBytes))
 	}
 	if _, err := hex.Decode(d[:], text); err != nil {
 		return fmt.Errorf("name of a content: %w", err)
--- a/daemon/internal/request/gate/gate.go
+++ b/daemon/internal/request/gate/gate.go
@@ -7,8 +7,8 @@
 // true.
 //
 // Invariant: a request runs only while the version that it was routed for is
-// served. A change of version closes the gate, drains the requests in flight, and
-// opens the gate for the new version, so none of them is cut.
+// served. A change of version closes the gate, waits for the requests in flight, and
+// opens the gate for the new version, so none of them is interrupted.
 package gate
 
 import (
--- a/daemon/internal/request/gate/gate_test.go
+++ b/daemon/internal/request/gate/gate_test.go
@@ -34,11 +34,11 @@
 		t.Run(test.name, func(t *testing.T) {
 			g := &Gate{}
 			test.set(g)
-			_, leave, refusal := g.Admit(test.target)
+			_, release, refusal := g.Admit(test.target)
 			if test.reason == "" {
 				require.Nil(t, refusal)
-				leave()
-				leave()
+				release()
+				release()
 				assert.Zero(t, g.InFlight(), "a second call has no effect")
 				return
 			}
@@ -52,16 +52,16 @@
 func TestCloseDrainsOrReopensOnTimeout(t *testing.T) {
 	g := &Gate{}
 	g.Open(Serving{[]string{"s"}, "v1"})
-	_, leave, _ := g.Admit(Target{"s", "v1"})
+	_, release, _ := g.Admit(Target{"s", "v1"})
 	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
 	require.Error(t, g.Close(canceled))
-	_, second, refusal := g.Admit(Target{"s", "v1"})
+	_, releaseSecond, refusal := g.Admit(Target{"s", "v1"})
 	require.Nil(t, refusal, "the gate reopens for the same version")
 	closed := make(chan error)
 	go func() { closed <- g.Close(t.Context()) }()
-	leave()
-	second()
+	release()
+	releaseSecond()
 	require.NoError(t, <-closed)
 }
 
@@ -71,8 +71,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		g := &Gate{}
 		type admitted struct {
-			target Target
-			leave  func()
+			target  Target
+			release func()
 		}
 		var requests []admitted
 		canceled, cancel := context.WithCancel(context.Background())
@@ -80,14 +80,14 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"enter": func(t *rapid.T) {
 				target := Target{"s", rapid.SampledFrom([]string{"v1", "v2"}).Draw(t, "version")}
-				if _, leave, refusal := g.Admit(target); refusal == nil {
-					requests = append(requests, admitted{target, leave})
+				if _, release, refusal := g.Admit(target); refusal == nil {
+					requests = append(requests, admitted{target, release})
 				}
 			},
 			"leave": func(t *rapid.T) {
 				if len(requests) > 0 {
 					at := rapid.IntRange(0, len(requests)-1).Draw(t, "which")
-					requests[at].leave()
+					requests[at].release()
 					requests = append(requests[:at:at], requests[at+1:]...)
 				}
 			},
--- a/daemon/internal/request/relay/relay.go
+++ b/daemon/internal/request/relay/relay.go
@@ -25,8 +25,8 @@
 
 var buffers = sync.Pool{New: func() any { b := make([]byte, copyBytes); return &b }}
 
-// hopHeaders are the hop-by-hop headers, which are not forwarded.
-var hopHeaders = []string{
+// hopByHopHeaders apply to a single connection and are not forwarded.
+var hopByHopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
@@ -39,7 +39,7 @@
 	Path string
 	// Header is set on the request over the caller's headers.
 	Header http.Header
-	// Body replaces the caller's body, nil forwards that.
+	// Body replaces the caller's body; nil forwards the caller's.
 	Body io.Reader
 	// ExpectContinue makes the peer accept the request before any byte of the body is read
 	// from the caller, so that a refused request can be sent elsewhere with its complete
@@ -115,7 +115,7 @@
 	for name, values := range from {
 		to[name] = append([]string(nil), values...)
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		to.Del(name)
 	}
 	for _, name := range dropped {
--- a/daemon/internal/request/relay/relay_test.go
+++ b/daemon/internal/request/relay/relay_test.go
@@ -124,7 +124,7 @@
 	assert.Equal(t, int(body.Size()), body.Len(), "no byte was read from the caller")
 }
 
-func TestHopHeadersAreDropped(t *testing.T) {
+func TestHopByHopHeadersAreDropped(t *testing.T) {
 	var got http.Header
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		got = r.Header.Clone()
