--- a/daemon/internal/request/admission/admission.go
+++ b/daemon/internal/request/admission/admission.go
@@ -96,7 +96,7 @@
 	// Rank is the rank of the request among the priorities of the service, 0 for the most
 	// urgent.
 	Rank int
-	// Retry means that the client retries after a refusal.
+	// Retry means that the caller retries after a refusal.
 	Retry bool
 	// Sent means that the request was sent to an engine before. Refusing it would waste the
 	// work done, so its last query is unlimited.
--- a/daemon/internal/request/admission/retryafter.go
+++ b/daemon/internal/request/admission/retryafter.go
@@ -27,13 +27,13 @@
 	// a power failure engines are ready and empty before the retries of an overload arrive.
 	minNotReady = 500 * time.Millisecond
 	maxNotReady = 1300 * time.Millisecond
-	// maxWaitDivisor is the divisor of a client's timeout that gives the longest time for
-	// which the client honours Retry-After.
+	// maxWaitDivisor bounds Retry-After for a caller: it waits for at most its timeout divided
+	// by maxWaitDivisor.
 	maxWaitDivisor = 3
 )
 
 // RetryAfter returns the Retry-After of a refused request. A uniform variate in [0, 1) spreads it, so
-// that refused clients do not retry at the same time.
+// that refused callers do not retry at the same time.
 func RetryAfter(reason RefusalReason, variate float64) time.Duration {
 	lower, upper := MinRetryAfter, MaxRetryAfter
 	if reason == NotReady {
--- a/daemon/internal/request/admission/retrydetector.go
+++ b/daemon/internal/request/admission/retrydetector.go
@@ -15,7 +15,7 @@
 	maxSamples = 64
 	minSamples = 8
 	// longestQuantile is the upper quantile of the samples that counts as a route's longest
-	// timeout, since a few clients may send far longer ones.
+	// timeout, since a few callers may send far longer ones.
 	longestQuantile = 0.05
 	// maxShortShare is the share of short remaining times among the baseline samples, those taken
 	// while no request was refused, above which retries cannot be distinguished from first
@@ -27,7 +27,7 @@
 	minLongShare, minDeclaredShare = 0.5, 0.125
 	// maxRetryDelay is the time within which the retry of a refused request arrives.
 	maxRetryDelay = MaxRetryAfter + 600*time.Millisecond
-	// timeoutTolerance is the assumed inaccuracy of the remaining times that clients send.
+	// timeoutTolerance is the assumed inaccuracy of the remaining times that callers send.
 	timeoutTolerance = 50 * time.Millisecond
 )
 
@@ -35,14 +35,14 @@
 type Arrival struct {
 	// Route is the name of the route.
 	Route string
-	// Remaining is the time until the client's deadline.
+	// Remaining is the time until the caller's deadline.
 	Remaining time.Duration
 	// Declared is the route's declared timeout, 0 if there is none.
 	Declared time.Duration
 }
 
-// RetryDetector recognizes retries of refused requests by the time until the client's deadline. The
-// timeout of a client includes its retries, and no refused client retries before MinRetryAfter. A
+// RetryDetector recognizes retries of refused requests by the time until the caller's deadline. The
+// timeout of a caller includes its retries, and no refused caller retries before MinRetryAfter. A
 // request is therefore a first attempt if its remaining time is within MinRetryAfter of the
 // longest timeout on its route, and a likely retry otherwise.
 //
--- a/daemon/internal/request/admission/retrydetector_test.go
+++ b/daemon/internal/request/admission/retrydetector_test.go
@@ -10,33 +10,33 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/admission"
 )
 
-// clients simulates the requests of one route with a virtual clock.
-type clients struct {
+// callers simulates the requests of one route with a virtual clock.
+type callers struct {
 	detector admission.RetryDetector
 	now      time.Time
 	rng      *rand.Rand
 }
 
-func newClients() *clients {
-	c := &clients{now: time.Unix(1000, 0), rng: rand.New(rand.NewPCG(1, 2))}
+func newCallers() *callers {
+	c := &callers{now: time.Unix(1000, 0), rng: rand.New(rand.NewPCG(1, 2))}
 	c.detector.Now = func() time.Time { return c.now }
 	return c
 }
 
 // timeout draws the timeout of a first attempt, shorter than the longest by up to the given
 // fraction.
-func (c *clients) timeout(longest time.Duration, spread float64) time.Duration {
+func (c *callers) timeout(longest time.Duration, spread float64) time.Duration {
 	return time.Duration((1 - spread*c.rng.Float64()) * float64(longest))
 }
 
-// retryTimeout draws the remaining time of a retry that honoured Retry-After.
-func (c *clients) retryTimeout(longest time.Duration, spread float64) time.Duration {
+// retryTimeout draws the remaining time of a retry that honored Retry-After.
+func (c *callers) retryTimeout(longest time.Duration, spread float64) time.Duration {
 	first := c.timeout(longest, spread)
 	return first - min(admission.RetryAfter(admission.EnginesFull, c.rng.Float64()), first/3)
 }
 
 // countRetries sends requests 100 ms apart and returns how many are classified as retries.
-func (c *clients) countRetries(count int, declared time.Duration, remaining func() time.Duration) int {
+func (c *callers) countRetries(count int, declared time.Duration, remaining func() time.Duration) int {
 	retries := 0
 	for range count {
 		c.now = c.now.Add(100 * time.Millisecond)
@@ -48,12 +48,12 @@
 }
 
 // TestRetriesAreDistinguishedFromFirstAttempts guards against missed retries and against first
-// attempts taken for retries when the timeouts of clients differ and half of all requests are
+// attempts taken for retries when the timeouts of callers differ and half of all requests are
 // retries.
 func TestRetriesAreDistinguishedFromFirstAttempts(t *testing.T) {
 	for _, spread := range []float64{0, 0.05, 0.15} {
 		for _, longest := range []time.Duration{2500 * time.Millisecond, 6 * time.Second, time.Minute} {
-			c := newClients()
+			c := newCallers()
 			first := func() time.Duration { return c.timeout(longest, spread) }
 			distinct := spread*longest.Seconds() < admission.MinRetryAfter.Seconds()
 			baseline := c.countRetries(200, 0, first)
@@ -76,7 +76,7 @@
 // TestWidelySpreadTimeoutsYieldNoRetries guards against first attempts taken for retries on a route
 // whose timeouts are not informative.
 func TestWidelySpreadTimeoutsYieldNoRetries(t *testing.T) {
-	c := newClients()
+	c := newCallers()
 	spread := func() time.Duration { return c.timeout(6*time.Second, 0.9) }
 	assert.Less(t, c.countRetries(400, 0, spread), 20)
 	c.detector.RecordRefusal()
@@ -88,7 +88,7 @@
 func TestDeclaredTimeoutIdentifiesRetriesAfterStart(t *testing.T) {
 	const longest = 6 * time.Second
 	for _, declared := range []time.Duration{longest, time.Minute} {
-		c := newClients()
+		c := newCallers()
 		firsts, retries := 0, 0
 		for i := range 60 {
 			c.detector.RecordRefusal()
@@ -107,10 +107,10 @@
 	}
 }
 
-// TestFewLongTimeoutsAreOutliers guards against a few clients with far longer timeouts making all
+// TestFewLongTimeoutsAreOutliers guards against a few callers with far longer timeouts making all
 // others look like retries.
 func TestFewLongTimeoutsAreOutliers(t *testing.T) {
-	c := newClients()
+	c := newCallers()
 	count := 0
 	c.countRetries(200, 0, func() time.Duration {
 		if count++; count%40 == 0 {
@@ -124,7 +124,7 @@
 
 // TestSamplesExpireWithUnusedRoute guards against judging new, shorter timeouts by old samples.
 func TestSamplesExpireWithUnusedRoute(t *testing.T) {
-	c := newClients()
+	c := newCallers()
 	c.countRetries(200, 0, func() time.Duration { return c.timeout(6*time.Second, 0) })
 	c.now = c.now.Add(2 * time.Minute)
 	assert.Zero(t, c.countRetries(100, 0, func() time.Duration { return c.timeout(3*time.Second, 0) }))
--- a/daemon/internal/request/admission/simulation_test.go
+++ b/daemon/internal/request/admission/simulation_test.go
@@ -30,11 +30,11 @@
 	retryAfter = 1500 * time.Millisecond
 )
 
-// request is one client request; times count from the start of the simulation.
+// request is one request of a caller; times count from the start of the simulation.
 type request struct {
 	arrival           time.Duration
 	prompt, remaining int
-	hint              float64 // answer tokens that the client expects
+	hint              float64 // answer tokens that the caller expects
 	firstByte         time.Duration
 	refusals          int
 	served, ended     bool
@@ -215,7 +215,7 @@
 	return saturation + weight*(allFull-saturation)
 }
 
-// hintError draws the factor by which a client's estimate of its answer's length is off.
+// hintError draws the factor by which a caller's estimate of its answer's length is off.
 func hintError(rng *rand.Rand) float64 {
 	const spread = 0.7
 	return math.Exp(spread * rng.NormFloat64())
--- a/daemon/internal/request/buffer/buffer.go
+++ b/daemon/internal/request/buffer/buffer.go
@@ -1,12 +1,12 @@
-// Package buffer bounds the bytes that a router buffers for slow clients and slow upstreams.
+// Package buffer bounds the bytes that a router buffers for slow callers and slow upstreams.
 // The dispatcher wraps request bodies and response bodies with it.
 //
-// A response is read ahead of the client up to a limit, so that the upstream does not hit its
-// write timeout while the client reads slowly. All buffered request and response bytes count
-// against one budget, which keeps many slow clients from exhausting memory. Once the budget is
-// spent, an upstream is read only as fast as its client reads.
+// A response is read ahead of the caller up to a limit, so that the upstream does not hit its
+// write timeout while the caller reads slowly. All buffered request and response bytes count
+// against one budget, which keeps many slow callers from exhausting memory. Once the budget is
+// spent, an upstream is read only as fast as the caller reads.
 //
-// Rejected: a limit per client only, which many clients together exceed; closing the slowest
+// Rejected: a limit per caller only, which many callers together exceed; closing the slowest
 // connection, whose response is complete at the upstream and may still be delivered.
 package buffer
 
--- a/daemon/internal/request/buffer/buffer_test.go
+++ b/daemon/internal/request/buffer/buffer_test.go
@@ -35,7 +35,7 @@
 }
 
 // TestUnreadResponsesStayWithinBudget guards against memory that grows with the number of slow
-// clients, and against responses truncated by the budget.
+// callers, and against responses truncated by the budget.
 func TestUnreadResponsesStayWithinBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const readers, responseBytes, limit, budgetBytes = 1000, 64 << 10, 32 << 10, 4 << 20
@@ -61,7 +61,7 @@
 }
 
 // TestResponseIsReadAheadUpToLimit guards against upstream write timeouts caused by a slow
-// client.
+// caller.
 func TestResponseIsReadAheadUpToLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		budget := &buffer.Budget{}
--- a/daemon/internal/request/content/content.go
+++ b/daemon/internal/request/content/content.go
@@ -1,7 +1,7 @@
 // Package content computes the digest of a request, by which every router recognizes a
 // retry of the same request. Package quarantine keys its records by it.
 //
-// The request id cannot serve as the key, since a client sends a new one with each attempt.
+// The request id cannot serve as the key, since a caller sends a new one with each attempt.
 // The digest covers the account, the method, the host, the target and the body. It reveals
 // nothing of the request, so it may be logged and sent to other routers. The service is not
 // part of it, because a route may split its traffic over several services.
@@ -25,7 +25,7 @@
 type Request struct {
 	// Account is the name of the client account, empty if the request has none.
 	Account, Method, Host string
-	// Target is the path and query as received from the client.
+	// Target is the path and query as received from the caller.
 	Target string
 	Body   []byte
 }
--- a/daemon/internal/request/dispatch/admit.go
+++ b/daemon/internal/request/dispatch/admit.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	// defaultDeadline applies to callers that declare none.
-	defaultDeadline = time.Minute
-	// maxDeadline is the longest time that a caller may declare.
-	maxDeadline = time.Hour
+	// defaultTimeout applies to callers that declare none.
+	defaultTimeout = time.Minute
+	// maxTimeout is the longest time that a caller may declare.
+	maxTimeout = time.Hour
 	// defaultMaxBody bounds a body, in bytes, if the configuration does not.
 	defaultMaxBody = 4 << 20
 	// bodyTimeout limits the time in which a body must arrive.
@@ -156,14 +156,14 @@
 	if declared, ok := q.declaredTimeout(); ok {
 		return declared
 	}
-	return defaultDeadline
+	return defaultTimeout
 }
 
 // declaredTimeout returns the timeout that the caller declares, false if it declares none or an
 // invalid one.
 func (q *request) declaredTimeout() (time.Duration, bool) {
 	ms, err := strconv.ParseFloat(q.Header.Get(q.Headers.Deadline), 64)
-	if err != nil || !(ms > 0 && ms <= float64(maxDeadline/time.Millisecond)) {
+	if err != nil || !(ms > 0 && ms <= float64(maxTimeout/time.Millisecond)) {
 		return 0, false
 	}
 	return time.Duration(ms * float64(time.Millisecond)), true
@@ -182,7 +182,7 @@
 // routeTimeout returns the time limit that the route sets for a request.
 func (q *request) routeTimeout() time.Duration {
 	if q.route.Timeout <= 0 {
-		return defaultDeadline
+		return defaultTimeout
 	}
 	return q.route.Timeout
 }
--- a/daemon/internal/request/dispatch/retry_test.go
+++ b/daemon/internal/request/dispatch/retry_test.go
@@ -45,7 +45,7 @@
 		}
 		q.Header.Set("Left", text)
 		q.Header.Set("Hint", text)
-		assert.Equal(t, defaultDeadline, q.callerTimeout(), text)
+		assert.Equal(t, defaultTimeout, q.callerTimeout(), text)
 		remaining, retried := q.retryState()
 		assert.Zero(t, remaining, text)
 		assert.False(t, retried, text)
--- a/daemon/internal/request/exchange/exchange.go
+++ b/daemon/internal/request/exchange/exchange.go
@@ -71,7 +71,7 @@
 
 // Attempt describes one attempt to send a request.
 type Attempt struct {
-	// Incoming is the client's request; its method, target and headers are forwarded.
+	// Incoming is the caller's request; its method, target and headers are forwarded.
 	Incoming *http.Request
 	Body     []byte
 	Upstream *provider.Upstream
@@ -84,7 +84,7 @@
 	// Version is the version that the upstream must have loaded; 0 means any.
 	Version int
 	// LastEventID is the id of the event after which a stream resumes; empty keeps the
-	// client's header.
+	// caller's header.
 	LastEventID string
 	// NewConn requests a new connection. A request that must not be repeated would be
 	// lost if a pooled keep-alive connection turned out to be closed.
@@ -210,7 +210,7 @@
 	}
 }
 
-// target preserves the client's request target byte for byte. A target that starts
+// target preserves the caller's request target byte for byte. A target that starts
 // with two slashes would be parsed as a host, so it is rebuilt from the parsed URL.
 func target(in *http.Request, to *provider.Upstream) *url.URL {
 	out := &url.URL{Scheme: "http", Host: to.Address.String()}
--- a/daemon/internal/request/gate/gate.go
+++ b/daemon/internal/request/gate/gate.go
@@ -111,9 +111,9 @@
 	return g.serving
 }
 
-// Serves returns the version that the gate admits requests of a service for, and
+// AdmittedVersion returns the version that the gate admits requests of a service for, and
 // false if it admits none.
-func (g *Gate) Serves(service string) (string, bool) {
+func (g *Gate) AdmittedVersion(service string) (string, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	open := !g.leaving && !g.closed && slices.Contains(g.serving.Services, service)
--- a/daemon/internal/request/gate/handler.go
+++ b/daemon/internal/request/gate/handler.go
@@ -17,7 +17,7 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/relay"
 )
 
-// Headers between entry and agent. They never reach clients or upstreams: each hop
+// Headers between entry and agent. They never reach callers or upstreams: each hop
 // deletes those that it receives.
 const (
 	HeaderService  = "Wheelcleat-Routed-Service"
@@ -71,7 +71,7 @@
 	if refusal.Reason != outcome.ReasonWrongVersion {
 		return
 	}
-	if manifest, open := h.Gate.Serves(target.Service); open {
+	if manifest, open := h.Gate.AdmittedVersion(target.Service); open {
 		w.Header().Set(HeaderServes, manifest)
 	}
 }
--- a/daemon/internal/request/intake/intake.go
+++ b/daemon/internal/request/intake/intake.go
@@ -158,11 +158,11 @@
 		p.id = newRequestID()
 	}
 	p.w.Header().Set(api.HeaderRequestID, p.id)
-	client, refusal := account.Find(view, p.r)
+	callerAccount, refusal := account.Find(view, p.r)
 	if refusal != nil {
 		return refusal
 	}
-	p.account = client
+	p.account = callerAccount
 	if p.service = view.Services[service]; p.service == nil {
 		return outcome.NotRun(http.StatusNotFound, outcome.ReasonNoService, fmt.Sprintf("service %q is not declared", service))
 	}
@@ -174,7 +174,7 @@
 	if p.r.ContentLength > p.handler.MaxBodyBytes {
 		return outcome.NotRun(http.StatusRequestEntityTooLarge, outcome.ReasonTooLarge, fmt.Sprintf("the body may take %d bytes", p.handler.MaxBodyBytes))
 	}
-	release, refusal := p.handler.Accounts.Admit(client, now)
+	release, refusal := p.handler.Accounts.Admit(callerAccount, now)
 	if refusal != nil {
 		return refusal
 	}
--- a/daemon/internal/request/quarantine/quarantine.go
+++ b/daemon/internal/request/quarantine/quarantine.go
@@ -8,7 +8,7 @@
 // the deepest earlier crash of the content. A crash counts as earlier if the router had received it
 // before it sent the request, or more than simultaneousWindow before the present crash. Upstreams
 // that crash together, as in a power failure, thus have depth 1, however many of them ran the same
-// popular request. The second condition is needed because attempts of one client overlap: by the
+// popular request. The second condition is needed because attempts of one caller overlap: by the
 // first condition alone the depth would grow too slowly.
 //
 // At depth 2 a request is sent to one upstream only, without retry or hedge. At depth 3 it is
@@ -63,7 +63,7 @@
 	successTTL   = 2 * time.Second
 	maxSuccesses = 4096
 	// maxContents bounds the table. Contents with the shallowest crashes are evicted first, so
-	// that a client cannot lift a quarantine by sending many other contents.
+	// that a caller cannot lift a quarantine by sending many other contents.
 	maxContents = 4096
 	// maxCrashes bounds the crashes kept of a content.
 	maxCrashes = 16
--- a/daemon/internal/request/quarantine/quarantine_test.go
+++ b/daemon/internal/request/quarantine/quarantine_test.go
@@ -83,7 +83,7 @@
 	assert.Equal(t, quarantine.SingleAttempt, table.Verdict(digest(1), now))
 }
 
-// TestRapidRetriesGrowDepth guards against taking crashes for simultaneous when a client retries
+// TestRapidRetriesGrowDepth guards against taking crashes for simultaneous when a caller retries
 // within milliseconds.
 func TestRapidRetriesGrowDepth(t *testing.T) {
 	table := &quarantine.Table{}
@@ -147,7 +147,7 @@
 	assert.Equal(t, quarantine.Unrestricted, table.Verdict(digest(2), now.Add(10*time.Minute)), "a suspicion expires")
 }
 
-// TestEvictionKeepsQuarantinedContents guards against a client that lifts a quarantine by sending
+// TestEvictionKeepsQuarantinedContents guards against a caller that lifts a quarantine by sending
 // thousands of other contents, and against unbounded growth of the table.
 func TestEvictionKeepsQuarantinedContents(t *testing.T) {
 	table := &quarantine.Table{}
--- a/daemon/internal/request/quarantine/simulation_test.go
+++ b/daemon/internal/request/quarantine/simulation_test.go
@@ -26,12 +26,12 @@
 	tick                     = 10 * time.Millisecond
 )
 
-// request is a client's request at one router.
+// request is a caller's request at one router.
 type request struct {
 	content  content.Digest
 	router   int
 	attempts int // remaining
-	retries  int // remaining, by the client
+	retries  int // remaining, by the caller
 	crashing bool
 	sent     time.Duration
 	until    time.Duration // end of its run at the engine
@@ -120,7 +120,7 @@
 	f.running[engine] = append(f.running[engine], r)
 }
 
-// fail ends a request without a response; its client may retry.
+// fail ends a request without a response; its caller may retry.
 func (f *fleet) fail(r *request) {
 	if r.retries > 0 {
 		r.retries--
--- a/daemon/internal/request/residency/residency.go
+++ b/daemon/internal/request/residency/residency.go
@@ -3,7 +3,7 @@
 //
 // A route and an account may each restrict the regions that process their data; if both do, a
 // region must be allowed by both. The rule holds also while a region is cut off or evacuated
-// and its clients reach routers in other regions: a request goes to an allowed region or is
+// and its callers reach routers in other regions: a request goes to an allowed region or is
 // refused, whatever capacity is free elsewhere. A hall of unknown region is never allowed for a
 // restricted request.
 package residency
--- a/daemon/internal/request/route/route.go
+++ b/daemon/internal/request/route/route.go
@@ -203,7 +203,7 @@
 	ResultRefused
 	// ResultFailed means no connection or no complete response.
 	ResultFailed
-	// ResultCanceled means that the client disconnected, which is no evidence
+	// ResultCanceled means that the caller disconnected, which is no evidence
 	// about the host.
 	ResultCanceled
 )
