--- a/daemon/internal/request/admission/admission.go
+++ b/daemon/internal/request/admission/admission.go
@@ -81,7 +81,7 @@
 type Service struct {
 	// Places is the number of requests that an engine runs at once.
 	Places int
-	// ReadTime is how long an engine takes to read a typical prompt, 0 if unknown.
+	// ReadTime is how long an engine takes to read a prompt of mean length, 0 if unknown.
 	ReadTime time.Duration
 	// PlaceInterval is the average time between two places freed on a full engine.
 	PlaceInterval time.Duration
@@ -162,7 +162,7 @@
 	return int(max(0, s.Objective-minReads*read) / read)
 }
 
-// busyReadTime returns the time to read a typical prompt on a full engine.
+// busyReadTime returns the time to read a prompt of mean length on a full engine.
 func (s Service) busyReadTime() time.Duration { return time.Duration(passFactor * float64(s.ReadTime)) }
 
 // Overloaded reports whether a request would probably miss its objective at an engine whose load
--- a/daemon/internal/request/admission/simulation_test.go
+++ b/daemon/internal/request/admission/simulation_test.go
@@ -20,8 +20,8 @@
 	maxPassPrompt = 2048 // prompt tokens per pass
 	passTokens    = 5    // tokens decoded per request and pass
 	passTime      = 70 * time.Millisecond
-	typicalPrompt = 900 // tokens
-	typicalAnswer = 70  // tokens
+	meanPrompt    = 900 // tokens
+	meanAnswer    = 70  // tokens
 	objective     = 500 * time.Millisecond
 	// tick is the step of the clock, and arrivalTime the time during which requests arrive.
 	tick        = 5 * time.Millisecond
@@ -76,8 +76,8 @@
 
 // closed reports whether an engine is closed to a request that would run past its load time.
 func (r rollout) closed(e *engine, req *request, now time.Duration) bool {
-	s := admission.Service{ReadTime: readTime(typicalPrompt)}
-	duration := admission.HoldTime(s, passTime*typicalAnswer/passTokens, req.hint, typicalAnswer)
+	s := admission.Service{ReadTime: readTime(meanPrompt)}
+	duration := admission.HoldTime(s, passTime*meanAnswer/passTokens, req.hint, meanAnswer)
 	return e.loadAt > now && e.loadAt-now <= r.closeBefore && now+duration > e.loadAt
 }
 
@@ -166,7 +166,7 @@
 		expected := rate(now) * capacity * engines * tick.Seconds()
 		for now < arrivalTime && rng.Float64() < expected {
 			expected--
-			req := &request{arrival: now, prompt: 200 + int(rng.ExpFloat64()*(typicalPrompt-200)), remaining: 5 + int(rng.ExpFloat64()*(typicalAnswer-5))}
+			req := &request{arrival: now, prompt: 200 + int(rng.ExpFloat64()*(meanPrompt-200)), remaining: 5 + int(rng.ExpFloat64()*(meanAnswer-5))}
 			req.prompt = min(req.prompt, maxPassPrompt)
 			req.hint = float64(req.remaining) * hintError(hints)
 			requests = append(requests, req)
@@ -184,7 +184,7 @@
 func search(p policy, fleet []*engine, req *request, now time.Duration, saturation float64, rng *rand.Rand) float64 {
 	const weight = 0.01
 	s := admission.Service{
-		Places: enginePlaces, ReadTime: readTime(typicalPrompt),
+		Places: enginePlaces, ReadTime: readTime(meanPrompt),
 		PlaceInterval: 1500 * time.Millisecond / enginePlaces, Objective: objective, Saturation: saturation,
 	}
 	order := rng.Perm(len(fleet))[:2*p.queries]
--- a/daemon/internal/request/dispatch/dispatch.go
+++ b/daemon/internal/request/dispatch/dispatch.go
@@ -94,7 +94,7 @@
 	// Content identifies what was requested; a retry by the caller has the same content.
 	Content content.Digest
 	Started time.Time
-	// FirstByte is when the head of the response was written, zero if none was.
+	// FirstByte is when the head of an upstream's response was forwarded, zero if none was.
 	FirstByte time.Time
 	Status    int
 	Outcome   Outcome
--- a/daemon/internal/request/dispatch/interrupt_test.go
+++ b/daemon/internal/request/dispatch/interrupt_test.go
@@ -40,7 +40,7 @@
 // TestPanicIsReported: a panicking handler still reports its request, and a response that is
 // truncated on purpose keeps its own outcome.
 func TestPanicIsReported(t *testing.T) {
-	for outcome, failure := range map[Outcome]any{OutcomePanicked: "a fault", OutcomeTruncated: http.ErrAbortHandler} {
+	for outcome, failure := range map[Outcome]any{OutcomePanicked: "internal error", OutcomeTruncated: http.ErrAbortHandler} {
 		var reported *Trace
 		d := &Dispatcher{
 			Report: func(trace *Trace) { reported = trace },
--- a/daemon/internal/request/dispatch/response.go
+++ b/daemon/internal/request/dispatch/response.go
@@ -128,6 +128,7 @@
 	q.setOutcome(outcome, status, "")
 }
 
+// copyHeader copies an upstream's headers to the response and records the time of its first byte.
 func (q *request) copyHeader(response *http.Response) {
 	header := q.writer.Header()
 	exchange.RemoveHopByHopHeaders(response.Header)
