--- a/daemon/internal/request/admission/retryafter.go
+++ b/daemon/internal/request/admission/retryafter.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// This file computes the Retry-After of refused requests. In a sustained overload a retry is
-// recognized by the time that has passed since the first attempt, so the minimum delay must exceed
-// the difference between the timeouts of first attempts; see RetryDetector.
+// This file computes the Retry-After of refused requests. RetryDetector recognizes a retry by the
+// time that has passed since the first attempt, so the minimum delay must exceed the difference
+// between the timeouts of first attempts.
 
-// Cause is the cause of a refusal.
-type Cause int
+// RefusalReason is why a request is refused.
+type RefusalReason int
 
-// Values of Cause.
+// Values of RefusalReason.
 const (
 	// EnginesFull means that the response would be late.
-	EnginesFull Cause = iota
+	EnginesFull RefusalReason = iota
 	// NotReady means that this process or all upstreams in its view cannot serve yet. They
 	// will soon, or another process already can.
 	NotReady
@@ -27,16 +27,16 @@
 	// a power failure engines are ready and empty before the retries of an overload arrive.
 	minNotReady = 500 * time.Millisecond
 	maxNotReady = 1300 * time.Millisecond
-	// maxWaitDivisor is the divisor of a client's timeout that gives the longest time for
-	// which the client honours Retry-After.
+	// maxWaitDivisor bounds Retry-After for a caller: it waits for at most its timeout divided
+	// by maxWaitDivisor.
 	maxWaitDivisor = 3
 )
 
 // RetryAfter returns the Retry-After of a refused request. A uniform variate in [0, 1) spreads it, so
-// that refused clients do not retry at the same time.
-func RetryAfter(cause Cause, variate float64) time.Duration {
+// that refused callers do not retry at the same time.
+func RetryAfter(reason RefusalReason, variate float64) time.Duration {
 	lower, upper := MinRetryAfter, MaxRetryAfter
-	if cause == NotReady {
+	if reason == NotReady {
 		lower, upper = minNotReady, maxNotReady
 	}
 	return lower + time.Duration(variate*float64(upper-lower))
--- a/daemon/internal/request/admission/simulation_test.go
+++ b/daemon/internal/request/admission/simulation_test.go
@@ -20,8 +20,8 @@
 	maxPassPrompt = 2048 // prompt tokens per pass
 	passTokens    = 5    // tokens decoded per request and pass
 	passTime      = 70 * time.Millisecond
-	typicalPrompt = 900 // tokens
-	typicalAnswer = 70  // tokens
+	meanPrompt    = 900 // tokens
+	meanAnswer    = 70  // tokens
 	objective     = 500 * time.Millisecond
 	// tick is the step of the clock, and arrivalTime the time during which requests arrive.
 	tick        = 5 * time.Millisecond
@@ -30,11 +30,11 @@
 	retryAfter = 1500 * time.Millisecond
 )
 
-// request is one client request; times count from the start of the simulation.
+// request is one request of a caller; times count from the start of the simulation.
 type request struct {
 	arrival           time.Duration
 	prompt, remaining int
-	hint              float64 // answer tokens that the client expects
+	hint              float64 // answer tokens that the caller expects
 	firstByte         time.Duration
 	refusals          int
 	served, ended     bool
@@ -76,8 +76,8 @@
 
 // closed reports whether an engine is closed to a request that would run past its load time.
 func (r rollout) closed(e *engine, req *request, now time.Duration) bool {
-	s := admission.Service{ReadTime: readTime(typicalPrompt)}
-	duration := admission.HoldTime(s, passTime*typicalAnswer/passTokens, req.hint, typicalAnswer)
+	s := admission.Service{ReadTime: readTime(meanPrompt)}
+	duration := admission.HoldTime(s, passTime*meanAnswer/passTokens, req.hint, meanAnswer)
 	return e.loadAt > now && e.loadAt-now <= r.closeBefore && now+duration > e.loadAt
 }
 
@@ -153,24 +153,24 @@
 	}
 	var requests []*request
 	var retries []*request
-	full := 0.0
+	saturation := 0.0
 	for now := time.Duration(0); now < arrivalTime+10*time.Second; now += tick {
 		for _, e := range fleet {
 			e.step(now)
 			e.loadIfDrained(now)
 		}
 		for len(retries) > 0 && retries[0].arrival+retryAfter <= now {
-			full = search(p, fleet, retries[0], now, full, rng)
+			saturation = search(p, fleet, retries[0], now, saturation, rng)
 			retries = retries[1:]
 		}
 		expected := rate(now) * capacity * engines * tick.Seconds()
 		for now < arrivalTime && rng.Float64() < expected {
 			expected--
-			req := &request{arrival: now, prompt: 200 + int(rng.ExpFloat64()*(typicalPrompt-200)), remaining: 5 + int(rng.ExpFloat64()*(typicalAnswer-5))}
+			req := &request{arrival: now, prompt: 200 + int(rng.ExpFloat64()*(meanPrompt-200)), remaining: 5 + int(rng.ExpFloat64()*(meanAnswer-5))}
 			req.prompt = min(req.prompt, maxPassPrompt)
 			req.hint = float64(req.remaining) * hintError(hints)
 			requests = append(requests, req)
-			full = search(p, fleet, req, now, full, rng)
+			saturation = search(p, fleet, req, now, saturation, rng)
 			if req.refusals > 0 {
 				retries = append(retries, req)
 			}
@@ -179,13 +179,13 @@
 	return summarize(requests)
 }
 
-// search queries engines for a place, in the order of their reported load, and returns the updated
-// moving share of searches that found all engines full.
-func search(p policy, fleet []*engine, req *request, now time.Duration, full float64, rng *rand.Rand) float64 {
+// search queries engines for a place, in the order of their load, and returns the updated moving
+// share of searches that found all engines full.
+func search(p policy, fleet []*engine, req *request, now time.Duration, saturation float64, rng *rand.Rand) float64 {
 	const weight = 0.01
 	s := admission.Service{
-		Places: enginePlaces, ReadTime: readTime(typicalPrompt),
-		PlaceInterval: 1500 * time.Millisecond / enginePlaces, Objective: objective, Saturation: full,
+		Places: enginePlaces, ReadTime: readTime(meanPrompt),
+		PlaceInterval: 1500 * time.Millisecond / enginePlaces, Objective: objective, Saturation: saturation,
 	}
 	order := rng.Perm(len(fleet))[:2*p.queries]
 	score := func(i int) int {
@@ -208,14 +208,14 @@
 		}
 		if load.Waiting <= limit.Waiting && load.Running+load.Waiting <= limit.InUse {
 			fleet[i].waiting = append(fleet[i].waiting, req)
-			return full + weight*(allFull-full)
+			return saturation + weight*(allFull-saturation)
 		}
 	}
 	req.refusals++
-	return full + weight*(allFull-full)
+	return saturation + weight*(allFull-saturation)
 }
 
-// hintError draws the factor by which a client's estimate of its answer's length is off.
+// hintError draws the factor by which a caller's estimate of its answer's length is off.
 func hintError(rng *rand.Rand) float64 {
 	const spread = 0.7
 	return math.Exp(spread * rng.NormFloat64())
@@ -223,17 +223,17 @@
 
 func summarize(requests []*request) result {
 	var r result
-	each := 1 / float64(len(requests))
+	fraction := 1 / float64(len(requests))
 	for _, req := range requests {
 		switch {
 		case req.served && req.firstByte-req.arrival <= objective:
-			r.inTime += each
+			r.inTime += fraction
 		case req.served:
-			r.late += each
+			r.late += fraction
 		case req.refusals > 1:
-			r.refusedTwice += each
+			r.refusedTwice += fraction
 		default:
-			r.refused += each
+			r.refused += fraction
 		}
 	}
 	return r
--- a/daemon/internal/request/dispatch/admit.go
+++ b/daemon/internal/request/dispatch/admit.go
@@ -11,17 +11,17 @@
 	"time"
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/admission"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/request/buffer"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/content"
-	"github.com/wheelcleat/wheelcleat/daemon/internal/request/holding"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/request/quarantine"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
 const (
-	// defaultDeadline applies to callers that declare none.
-	defaultDeadline = time.Minute
-	// maxDeadline is the longest time that a caller may declare.
-	maxDeadline = time.Hour
+	// defaultTimeout applies to callers that declare none.
+	defaultTimeout = time.Minute
+	// maxTimeout is the longest time that a caller may declare.
+	maxTimeout = time.Hour
 	// defaultMaxBody bounds a body, in bytes, if the configuration does not.
 	defaultMaxBody = 4 << 20
 	// bodyTimeout limits the time in which a body must arrive.
@@ -38,11 +38,11 @@
 	if !q.findRoute() || !q.findAccount() {
 		return false
 	}
-	q.findService()
+	q.chooseService()
 	if !q.readBody() {
 		return false
 	}
-	q.trace.Content = q.contentName()
+	q.trace.Content = q.contentDigest()
 	if q.AdmitContent != nil && q.AdmitContent(q.trace.Content) == quarantine.Quarantined {
 		q.refuseQuarantined()
 		return false
@@ -98,8 +98,8 @@
 	q.reject(status, cause)
 }
 
-// findService picks one of the route's services at random, by weight.
-func (q *request) findService() {
+// chooseService chooses one of the route's services at random, by weight.
+func (q *request) chooseService() {
 	total := 0
 	for _, share := range q.route.Shares {
 		total += max(share.Weight, 0)
@@ -126,7 +126,7 @@
 		limit = defaultMaxBody
 	}
 	_ = http.NewResponseController(q.writer).SetReadDeadline(time.Now().Add(bodyTimeout))
-	q.bodyReader = &holding.Body{Reader: http.MaxBytesReader(q.writer, q.Body, limit), Budget: &q.Buffers}
+	q.bodyReader = &buffer.Body{Reader: http.MaxBytesReader(q.writer, q.Body, limit), Budget: &q.Buffers}
 	body, err := io.ReadAll(q.bodyReader)
 	_ = http.NewResponseController(q.writer).SetReadDeadline(time.Time{})
 	var tooLarge *http.MaxBytesError
@@ -134,7 +134,7 @@
 	case errors.As(err, &tooLarge):
 		q.reject(http.StatusRequestEntityTooLarge, "request body is too large")
 		return false
-	case errors.Is(err, holding.ErrFull):
+	case errors.Is(err, buffer.ErrFull):
 		q.refuse(admission.EnginesFull, err.Error())
 		return false
 	case err != nil:
@@ -145,8 +145,7 @@
 	return true
 }
 
-// contentName identifies what is requested.
-func (q *request) contentName() content.Digest {
+func (q *request) contentDigest() content.Digest {
 	return content.Request{
 		Account: q.accountName(), Method: q.Method, Host: q.Host, Target: q.RequestURI, Body: q.body,
 	}.Digest()
@@ -157,14 +156,14 @@
 	if declared, ok := q.declaredTimeout(); ok {
 		return declared
 	}
-	return defaultDeadline
+	return defaultTimeout
 }
 
 // declaredTimeout returns the timeout that the caller declares, false if it declares none or an
 // invalid one.
 func (q *request) declaredTimeout() (time.Duration, bool) {
 	ms, err := strconv.ParseFloat(q.Header.Get(q.Headers.Deadline), 64)
-	if err != nil || !(ms > 0 && ms <= float64(maxDeadline/time.Millisecond)) {
+	if err != nil || !(ms > 0 && ms <= float64(maxTimeout/time.Millisecond)) {
 		return 0, false
 	}
 	return time.Duration(ms * float64(time.Millisecond)), true
@@ -177,13 +176,13 @@
 	if !declared {
 		return 0, false
 	}
-	return remaining, q.Callers.IsRetry(admission.Arrival{Route: q.route.Name, Remaining: remaining, Declared: q.route.Timeout})
+	return remaining, q.RetryDetector.IsRetry(admission.Arrival{Route: q.route.Name, Remaining: remaining, Declared: q.route.Timeout})
 }
 
 // routeTimeout returns the time limit that the route sets for a request.
 func (q *request) routeTimeout() time.Duration {
 	if q.route.Timeout <= 0 {
-		return defaultDeadline
+		return defaultTimeout
 	}
 	return q.route.Timeout
 }
--- a/daemon/internal/request/dispatch/budget_test.go
+++ b/daemon/internal/request/dispatch/retrybudget_test.go
@@ -11,35 +11,35 @@
 )
 
 func TestZeroBudgetAllowsNothing(t *testing.T) {
-	assert.False(t, (&dispatch.Budget{}).Allow("s"))
+	assert.False(t, (&dispatch.RetryBudget{}).Allow("s"))
 }
 
-// TestBudgetHoldsForAllProcesses: all processes together stay within the ratio and the slack,
-// however the requests are spread among them.
-func TestBudgetHoldsForAllProcesses(t *testing.T) {
+// TestBudgetAppliesToAllProcessesTogether: all processes together stay within the ratio and the
+// slack, however the requests are spread among them.
+func TestBudgetAppliesToAllProcessesTogether(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		processes := rapid.IntRange(1, 12).Draw(t, "processes")
-		requests, taken := 0, 0
+		requests, allowed := 0, 0
 		for range processes {
-			budget := &dispatch.Budget{Ratio: 0.2, Slack: 100, Window: time.Hour, Processes: func() int { return processes }}
+			budget := &dispatch.RetryBudget{Ratio: 0.2, Slack: 100, Window: time.Hour, Processes: func() int { return processes }}
 			own := rapid.IntRange(0, 300).Draw(t, "requests")
 			requests += own
 			for range own {
 				budget.CountRequest("s")
 			}
-			for range rapid.IntRange(0, 200).Draw(t, "tries") {
+			for range rapid.IntRange(0, 200).Draw(t, "retries") {
 				if budget.Allow("s") {
-					taken++
+					allowed++
 				}
 			}
 			assert.False(t, budget.Remaining("s") < -1e-9)
 		}
-		assert.LessOrEqual(t, float64(taken), 0.2*float64(requests)+100)
+		assert.LessOrEqual(t, float64(allowed), 0.2*float64(requests)+100)
 	})
 }
 
 func TestServicesHaveSeparateBudgets(t *testing.T) {
-	budget := &dispatch.Budget{Slack: 2, Window: time.Hour}
+	budget := &dispatch.RetryBudget{Slack: 2, Window: time.Hour}
 	assert.True(t, budget.Allow("a"))
 	assert.False(t, budget.Allow("a"))
 	assert.True(t, budget.Allow("b"))
@@ -49,12 +49,12 @@
 // counted retries.
 func TestSuspensionCountsTowardsWindow(t *testing.T) {
 	now := time.Unix(1000, 0)
-	budget := &dispatch.Budget{Slack: 10, Window: 10 * time.Second, Now: func() time.Time { return now }}
-	taken := 0
+	budget := &dispatch.RetryBudget{Slack: 10, Window: 10 * time.Second, Now: func() time.Time { return now }}
+	allowed := 0
 	for budget.Allow("s") {
-		taken++
+		allowed++
 	}
-	assert.Equal(t, 7, taken)
+	assert.Equal(t, 7, allowed)
 	now = now.Add(11 * time.Second)
 	assert.True(t, budget.Allow("s"))
 }
--- a/daemon/internal/request/quarantine/quarantine_test.go
+++ b/daemon/internal/request/quarantine/quarantine_test.go
@@ -83,7 +83,7 @@
 	assert.Equal(t, quarantine.SingleAttempt, table.Verdict(digest(1), now))
 }
 
-// TestRapidRetriesGrowDepth guards against taking crashes for simultaneous when a client retries
+// TestRapidRetriesGrowDepth guards against taking crashes for simultaneous when a caller retries
 // within milliseconds.
 func TestRapidRetriesGrowDepth(t *testing.T) {
 	table := &quarantine.Table{}
@@ -147,7 +147,7 @@
 	assert.Equal(t, quarantine.Unrestricted, table.Verdict(digest(2), now.Add(10*time.Minute)), "a suspicion expires")
 }
 
-// TestEvictionKeepsQuarantinedContents guards against a client that lifts a quarantine by sending
+// TestEvictionKeepsQuarantinedContents guards against a caller that lifts a quarantine by sending
 // thousands of other contents, and against unbounded growth of the table.
 func TestEvictionKeepsQuarantinedContents(t *testing.T) {
 	table := &quarantine.Table{}
@@ -168,9 +168,9 @@
 		reports := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) quarantine.Report {
 			crashes := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) quarantine.Crash {
 				return crash(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "upstream"), rapid.Int64Range(1, 2).Draw(t, "started"), rapid.IntRange(1, 3).Draw(t, "depth"))
-			}), 1, 3).Draw(t, "ends")
+			}), 1, 3).Draw(t, "crashes")
 			return report(rapid.IntRange(1, 3).Draw(t, "content"), crashes...)
-		}), 1, 20).Draw(t, "notes")
+		}), 1, 20).Draw(t, "reports")
 		first, second := &quarantine.Table{}, &quarantine.Table{}
 		for _, r := range reports {
 			first.Merge(r, start)
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -97,7 +97,7 @@
 	loadReader  *loadfeed.Reader
 	placeClient *places.Client
 	pool        *balance.Pool
-	budget      *dispatch.Budget
+	budget      *dispatch.RetryBudget
 	// probe detects crashed upstreams, suspects holds the contents of the requests that ran
 	// there, and crashNotifier sends crash reports to the other routers.
 	probe         *livenessprobe.Probe
