--- a/cli/internal/soak/fleet.go
+++ b/cli/internal/soak/fleet.go
@@ -232,8 +232,8 @@
 			Address: addrPort(h.address, linkPort), Places: plainPlaces,
 		},
 		Store: f.store, OnRun: f.oracle.RecordRun, OnReceive: f.oracle.RecordArrival,
-		OnFault: func(text string) { f.oracle.Violatef(CheckWeights, "%s", text) },
-		OnCrash: func() { f.crashUnderRequest(h) },
+		OnChunkMismatch: func(text string) { f.oracle.Violatef(CheckWeights, "%s", text) },
+		OnCrash:         func() { f.crashUnderRequest(h) },
 	}
 	if h.loader != nil {
 		u.Origin, u.Record.Places = f.origin, enginePlaces
--- a/cli/internal/soak/oracle.go
+++ b/cli/internal/soak/oracle.go
@@ -302,7 +302,7 @@
 	want := standin.ResponseBody(outcome.ID)
 	if strings.HasPrefix(outcome.Path, standin.StreamPath) {
 		want = ""
-		for number := 1; number <= standin.Events(outcome.Path); number++ {
+		for number := 1; number <= standin.EventCount(outcome.Path); number++ {
 			want += standin.Event(outcome.ID, number)
 		}
 	}
