--- a/cli/internal/bench/route.go
+++ b/cli/internal/bench/route.go
@@ -201,7 +201,7 @@
 	outcome   api.Outcome
 	version   string
 	truncated bool
-	tokens    []engine.Token
+	tokens    []engine.TokenEvent
 	finished  bool
 }
 
@@ -305,7 +305,7 @@
 			answer.finished = true
 		default:
 			now := time.Now()
-			var token engine.Token
+			var token engine.TokenEvent
 			if json.Unmarshal([]byte(data), &token) != nil {
 				return false
 			}
@@ -369,7 +369,7 @@
 		return false
 	}
 	for i, token := range answer.tokens {
-		want := engine.Token{Request: answer.id, Manifest: answer.version, Index: i, Text: engine.TokenText(answer.version, "prompt of "+answer.id, i)}
+		want := engine.TokenEvent{Request: answer.id, Manifest: answer.version, Index: i, Text: engine.TokenText(answer.version, "prompt of "+answer.id, i)}
 		if token != want {
 			return false
 		}
--- a/cli/internal/command/dev.go
+++ b/cli/internal/command/dev.go
@@ -282,7 +282,7 @@
 		return fmt.Errorf("answer to %q has %d events, want %d tokens and the end marker", text, len(events), tokens)
 	}
 	for index, event := range events[:tokens] {
-		var token engine.Token
+		var token engine.TokenEvent
 		if err := json.Unmarshal([]byte(strings.TrimPrefix(event, "data: ")), &token); err != nil {
 			return fmt.Errorf("answer to %q, token %d: %w", text, index, err)
 		}
--- a/cli/internal/fleet/fleet_test.go
+++ b/cli/internal/fleet/fleet_test.go
@@ -189,11 +189,11 @@
 	}
 	version := got.answer.Header.Get(api.HeaderVersion)
 	for index, event := range events[:testTokens] {
-		var token engine.Token
+		var token engine.TokenEvent
 		if err := json.Unmarshal([]byte(strings.TrimPrefix(event, "data: ")), &token); err != nil {
 			return err
 		}
-		want := engine.Token{Request: got.id, Manifest: version, Index: index, Text: engine.TokenText(version, "prompt of "+got.id, index)}
+		want := engine.TokenEvent{Request: got.id, Manifest: version, Index: index, Text: engine.TokenText(version, "prompt of "+got.id, index)}
 		if token != want {
 			return fmt.Errorf("%s: token %+v, wanted %+v", got.id, token, want)
 		}
--- a/standin/engine/completion.go
+++ b/standin/engine/completion.go
@@ -32,9 +32,9 @@
 	Tokens   []string `json:"tokens"`
 }
 
-// Token is one server-sent event of a streaming response. The stream ends with
+// TokenEvent is one server-sent event of a streaming response. The stream ends with
 // the line "data: [DONE]".
-type Token struct {
+type TokenEvent struct {
 	Request  string `json:"request"`
 	Manifest string `json:"manifest"`
 	Index    int    `json:"index"`
@@ -178,7 +178,7 @@
 		text := TokenText(g.state.Manifest, g.request.Prompt, index)
 		texts = append(texts, text)
 		if g.request.Stream {
-			g.sendToken(w, Token{Request: g.id, Manifest: g.state.Manifest, Index: index, Text: text})
+			g.sendToken(w, TokenEvent{Request: g.id, Manifest: g.state.Manifest, Index: index, Text: text})
 		}
 	}
 	if g.fault.Stall {
@@ -193,7 +193,7 @@
 	serve.JSON(w, http.StatusOK, Response{Request: g.id, Manifest: g.state.Manifest, Tokens: texts})
 }
 
-func (g *generation) sendToken(w http.ResponseWriter, token Token) {
+func (g *generation) sendToken(w http.ResponseWriter, token TokenEvent) {
 	data, err := json.Marshal(token)
 	if err != nil {
 		panic(http.ErrAbortHandler)
