--- a/standin/engine/completion.go
+++ b/standin/engine/completion.go
@@ -48,8 +48,8 @@
 	return manifest.Sum(fmt.Appendf(nil, "%s\n%s\n%d", version, prompt, index)).String()[:tokenDigits]
 }
 
-// begin records a run and returns the loaded version with its context. It reports
-// false if no version is loaded.
+// begin records a run and returns the loaded version with a context that is cancelled
+// when the version is replaced. It reports false if no version is loaded.
 func (s *Server) begin(id string) (State, context.Context, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,14 +89,14 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	state, version, ok := s.begin(id)
+	state, versionCtx, ok := s.begin(id)
 	if !ok {
 		http.Error(w, "no version is loaded", http.StatusServiceUnavailable)
 		return
 	}
 	s.reports.add(s.now(), 1)
 	defer func() { s.reports.add(s.now(), -1) }()
-	g := generation{server: s, id: id, request: request, state: state, version: version, fault: fault}
+	g := generation{server: s, id: id, request: request, state: state, versionCtx: versionCtx, fault: fault}
 	if !g.acquireSlot(r.Context()) {
 		s.markCancelled(id)
 		return
@@ -107,12 +107,12 @@
 
 // generation is one running completion.
 type generation struct {
-	server  *Server
-	id      string
-	request Completion
-	state   State
-	version context.Context //nolint:containedctx // cancelled when the version is replaced
-	fault   Fault
+	server     *Server
+	id         string
+	request    Completion
+	state      State
+	versionCtx context.Context //nolint:containedctx // cancelled when the version is replaced
+	fault      Fault
 }
 
 func (g *generation) acquireSlot(ctx context.Context) bool {
@@ -142,10 +142,10 @@
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
-		case <-g.version.Done():
+		case <-g.versionCtx.Done():
 		}
 	}
-	if g.version.Err() != nil {
+	if g.versionCtx.Err() != nil {
 		g.server.mu.Lock()
 		g.server.aborted++
 		g.server.mu.Unlock()
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -41,7 +41,7 @@
 
 // State describes the loaded version.
 type State struct {
-	// Manifest is the version's name from the order; "" means none.
+	// Manifest identifies the version as in the order; "" means that none is loaded.
 	Manifest string `json:"manifest"`
 	// Digest is the BLAKE3 digest of the downloaded bytes.
 	Digest string `json:"digest"`
@@ -92,14 +92,14 @@
 	reports loadReports
 
 	// mu guards the fields below.
-	mu      sync.Mutex
-	state   State
-	highest uint64 // highest fencing token accepted
-	runs    map[string]Run
+	mu           sync.Mutex
+	state        State
+	highestToken uint64 // highest fencing token received
+	runs         map[string]Run
 	// current is cancelled when the loaded version is replaced, which aborts
 	// the requests that still run on it.
-	current context.Context //nolint:containedctx // its lifetime is that of a version, not of a call
-	replace context.CancelFunc
+	current       context.Context //nolint:containedctx // its lifetime is that of a version, not of a call
+	cancelCurrent context.CancelFunc
 	// aborted counts the requests that a load aborted.
 	aborted int
 	// history lists all versions in service so far, in order, for checks of rollouts.
@@ -172,10 +172,10 @@
 func (s *Server) checkFence(token uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if token < s.highest && !s.IgnoreFence {
+	if token < s.highestToken && !s.IgnoreFence {
 		return false
 	}
-	s.highest = max(s.highest, token)
+	s.highestToken = max(s.highestToken, token)
 	return true
 }
 
@@ -213,10 +213,10 @@
 func (s *Server) install(state State) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.replace != nil {
-		s.replace()
+	if s.cancelCurrent != nil {
+		s.cancelCurrent()
 	}
-	s.current, s.replace = context.WithCancel(context.Background())
+	s.current, s.cancelCurrent = context.WithCancel(context.Background())
 	s.state = state
 	s.history = append(s.history, state)
 }
@@ -224,20 +224,23 @@
 func downloadWeights(ctx context.Context, order Order) (manifest.Digest, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, order.Weights, nil)
 	if err != nil {
-		return manifest.Digest{}, fmt.Errorf("read weights: %w", err)
+		return manifest.Digest{}, fmt.Errorf("download weights: %w", err)
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return manifest.Digest{}, fmt.Errorf("read weights: %w", err)
+		return manifest.Digest{}, fmt.Errorf("download weights: %w", err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return manifest.Digest{}, fmt.Errorf("read weights from %s: %s", order.Weights, resp.Status)
+		return manifest.Digest{}, fmt.Errorf("download weights from %s: %s", order.Weights, resp.Status)
 	}
 	hash := blake3.New()
 	n, err := io.Copy(hash, resp.Body)
-	if err != nil || n != order.Size {
-		return manifest.Digest{}, fmt.Errorf("read weights: %d of %d bytes: %w", n, order.Size, err)
+	if err != nil {
+		return manifest.Digest{}, fmt.Errorf("download weights from %s: got %d of %d bytes: %w", order.Weights, n, order.Size, err)
+	}
+	if n != order.Size {
+		return manifest.Digest{}, fmt.Errorf("download weights from %s: got %d of %d bytes", order.Weights, n, order.Size)
 	}
 	var digest manifest.Digest
 	hash.Sum(digest[:0])
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -25,9 +25,9 @@
 // harness is an engine with a server for its weights.
 type harness struct {
 	*testing.T
-	engine  *Server
-	url     string
-	weights string
+	engine     *Server
+	engineURL  string
+	weightsURL string
 }
 
 func start(t *testing.T, s *Server) *harness {
@@ -46,9 +46,9 @@
 func (h *harness) load(name string, token uint64) int {
 	h.Helper()
 	path := "/" + name
-	body, err := json.Marshal(Order{Manifest: name, Weights: h.weights + path, Size: int64(len(path)), Token: token})
+	body, err := json.Marshal(Order{Manifest: name, Weights: h.weightsURL + path, Size: int64(len(path)), Token: token})
 	require.NoError(h, err)
-	response, err := http.Post(h.url+"/admin/load", "application/json", bytes.NewReader(body))
+	response, err := http.Post(h.engineURL+"/admin/load", "application/json", bytes.NewReader(body))
 	require.NoError(h, err)
 	defer func() { _ = response.Body.Close() }()
 	return response.StatusCode
@@ -57,7 +57,7 @@
 func (h *harness) complete(ctx context.Context, id string, request Completion) (*http.Response, string, error) {
 	body, err := json.Marshal(request)
 	require.NoError(h, err)
-	call, err := http.NewRequestWithContext(ctx, http.MethodPost, h.url+"/v1/completions", bytes.NewReader(body))
+	call, err := http.NewRequestWithContext(ctx, http.MethodPost, h.engineURL+"/v1/completions", bytes.NewReader(body))
 	require.NoError(h, err)
 	call.Header.Set(api.HeaderRequestID, id)
 	response, err := http.DefaultClient.Do(call)
@@ -122,8 +122,8 @@
 	assert.Equal(t, http.StatusInternalServerError, h.load("bad", 1))
 	assert.Empty(t, s.State().Manifest)
 	assert.Equal(t, http.StatusOK, h.load("v1", 2))
-	body, _ := json.Marshal(Order{Manifest: "v2", Weights: h.weights + "/v2", Size: 99, Token: 3})
-	response, err := http.Post(h.url+"/admin/load", "", bytes.NewReader(body))
+	body, _ := json.Marshal(Order{Manifest: "v2", Weights: h.weightsURL + "/v2", Size: 99, Token: 3})
+	response, err := http.Post(h.engineURL+"/admin/load", "", bytes.NewReader(body))
 	require.NoError(t, err)
 	_ = response.Body.Close()
 	assert.Equal(t, http.StatusBadGateway, response.StatusCode, "a truncated download is rejected")
--- a/standin/engine/report.go
+++ b/standin/engine/report.go
@@ -68,7 +68,7 @@
 	Events []CacheEvent `json:"events"`
 }
 
-// Sizes of the prefix cache.
+// Limits and delay of the prefix cache.
 const (
 	// PrefixBytes is the length of the prefixes that are the cache's keys.
 	PrefixBytes   = 32
--- a/standin/kv/kv.go
+++ b/standin/kv/kv.go
@@ -82,7 +82,7 @@
 	return time.Now()
 }
 
-// init initializes the maps. The caller holds mu.
+// init makes the zero value usable. The caller holds mu.
 func (s *Store) init() {
 	if s.items == nil {
 		s.items = map[string]Item{}
@@ -234,7 +234,7 @@
 	s.revoke(id)
 }
 
-// Expire ends the expired leases, as every other call does first.
+// Expire ends the expired leases, as calls that read or write keys or renew leases do first.
 func (s *Store) Expire() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -277,7 +277,7 @@
 	}
 }
 
-// Compact discards the history, so that watches from older revisions get 410.
+// Compact discards the history, so that later watches from older revisions get 410.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/kv/server.go
+++ b/standin/kv/server.go
@@ -271,7 +271,7 @@
 		case <-timer.C:
 		case <-r.Context().Done():
 			timer.Stop()
-			return badRequest
+			return badRequest // not received, since the client has disconnected
 		}
 		timer.Stop()
 	}
