--- a/api/client/client.go
+++ b/api/client/client.go
@@ -23,7 +23,7 @@
 // to one. A request that may have reached an entry is not sent to another, because
 // a write may have taken effect.
 type Client struct {
-	// Entries are base addresses such as "http://127.0.0.1:7002".
+	// Entries are the base URLs of the entries, such as "http://127.0.0.1:7002".
 	Entries []string
 	// Key is the operator's bearer key; "" sends none.
 	Key string
@@ -52,30 +52,30 @@
 		call.query = url.Values{"dryRun": {"true"}}
 	}
 	accepted := &api.Resource{}
-	return accepted, c.decode(ctx, call, accepted)
+	return accepted, c.doJSON(ctx, call, accepted)
 }
 
 // Get returns one resource.
 func (c *Client) Get(ctx context.Context, kind api.Kind, name string) (*api.Resource, error) {
 	found := &api.Resource{}
-	return found, c.decode(ctx, request{method: http.MethodGet, path: resourcePath(kind, name)}, found)
+	return found, c.doJSON(ctx, request{method: http.MethodGet, path: resourcePath(kind, name)}, found)
 }
 
 // List returns all resources of a kind, sorted by name.
 func (c *Client) List(ctx context.Context, kind api.Kind) (*api.List, error) {
 	list := &api.List{}
-	return list, c.decode(ctx, request{method: http.MethodGet, path: "/v1/resources/" + kind.Plural()}, list)
+	return list, c.doJSON(ctx, request{method: http.MethodGet, path: "/v1/resources/" + kind.Plural()}, list)
 }
 
 // Delete deletes a resource. An ifRevision of 0 deletes any revision.
 func (c *Client) Delete(ctx context.Context, kind api.Kind, name string, ifRevision uint64) error {
-	return c.decode(ctx, request{method: http.MethodDelete, path: resourcePath(kind, name), ifRevision: ifRevision}, nil)
+	return c.doJSON(ctx, request{method: http.MethodDelete, path: resourcePath(kind, name), ifRevision: ifRevision}, nil)
 }
 
 // Rollout returns the progress of the rollout of a service's declared version.
 func (c *Client) Rollout(ctx context.Context, service string) (*api.RolloutStatus, error) {
 	status := &api.RolloutStatus{}
-	return status, c.decode(ctx, request{method: http.MethodGet, path: "/v1/rollouts/" + url.PathEscape(service)}, status)
+	return status, c.doJSON(ctx, request{method: http.MethodGet, path: "/v1/rollouts/" + url.PathEscape(service)}, status)
 }
 
 // Watch calls handle for each event after the given revision until ctx is
@@ -96,7 +96,7 @@
 		}
 		var event api.Event
 		if err := json.Unmarshal(line, &event); err != nil {
-			return fmt.Errorf("watch: read event: %w", err)
+			return fmt.Errorf("watch: decode event: %w", err)
 		}
 		if err := handle(event); err != nil {
 			return err
@@ -118,8 +118,8 @@
 	return "/v1/resources/" + kind.Plural() + "/" + url.PathEscape(name)
 }
 
-// decode sends a request and decodes the response into target unless that is nil.
-func (c *Client) decode(ctx context.Context, call request, target any) error {
+// doJSON sends a request and decodes the response into target unless that is nil.
+func (c *Client) doJSON(ctx context.Context, call request, target any) error {
 	resp, err := c.do(ctx, call)
 	if err != nil {
 		return err
@@ -129,7 +129,7 @@
 		return nil
 	}
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(target); err != nil {
-		return fmt.Errorf("%s %s: read response: %w", call.method, call.path, err)
+		return fmt.Errorf("%s %s: decode response: %w", call.method, call.path, err)
 	}
 	return nil
 }
@@ -190,16 +190,16 @@
 		return resp, nil
 	}
 	defer func() { _ = resp.Body.Close() }()
-	return nil, readProblem(resp, call)
+	return nil, readProblem(resp, call.method, target)
 }
 
 // readProblem returns the *api.Problem of an error response, or another error if the body
 // is not a problem.
-func readProblem(resp *http.Response, call request) error {
+func readProblem(resp *http.Response, method, target string) error {
 	problem := &api.Problem{}
 	err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(problem)
 	if err != nil || problem.Code == "" {
-		return fmt.Errorf("%s %s: entry answered %s", call.method, call.path, resp.Status)
+		return fmt.Errorf("%s %s: entry answered %s", method, target, resp.Status)
 	}
 	return problem
 }
--- a/api/headers.go
+++ b/api/headers.go
@@ -10,8 +10,7 @@
 	HeaderRepeatable = "Wheelcleat-Repeatable"
 	// HeaderRequestID identifies the request. It is generated if the client sends none.
 	HeaderRequestID = "Wheelcleat-Request-Id"
-	// HeaderVersion identifies the version that served the request, as
-	// model/adapter/version digest.
+	// HeaderVersion is the digest of the manifest of the version that served the request.
 	HeaderVersion = "Wheelcleat-Version"
 	// HeaderHost is the name of the host that served the request.
 	HeaderHost = "Wheelcleat-Host"
--- a/api/manifest/manifest_test.go
+++ b/api/manifest/manifest_test.go
@@ -39,10 +39,10 @@
 	zero := strings.Repeat("00", 32)
 	tests := []struct{ name, data, want string }{
 		{"not JSON", `{`, "decode manifest"},
-		{"bad whole", `{"size":1,"chunkBytes":1,"whole":"x","chunks":""}`, "whole"},
-		{"half a digest", `{"size":1,"chunkBytes":1,"whole":"` + zero + `","chunks":"abcd"}`, "do not fit"},
+		{"invalid file digest", `{"size":1,"chunkBytes":1,"whole":"x","chunks":""}`, "whole"},
+		{"truncated chunk digest", `{"size":1,"chunkBytes":1,"whole":"` + zero + `","chunks":"abcd"}`, "do not fit"},
 		{"too few chunks", `{"size":2,"chunkBytes":1,"whole":"` + zero + `","chunks":"` + zero + `"}`, "do not fit"},
-		{"chunk of nothing", `{"size":0,"chunkBytes":1,"whole":"` + zero + `","chunks":"` + zero + `"}`, "do not fit"},
+		{"chunk of an empty file", `{"size":0,"chunkBytes":1,"whole":"` + zero + `","chunks":"` + zero + `"}`, "do not fit"},
 		{"no chunk size", `{"size":1,"chunkBytes":0,"whole":"` + zero + `","chunks":"` + zero + `"}`, "do not fit"},
 		{"overflow", `{"size":9223372036854775807,"chunkBytes":9223372036854775807,"whole":"` + zero + `","chunks":"` + zero + zero + `"}`, "do not fit"},
 		{"too long", strings.Repeat(" ", MaxBytes+1), "more than"},
