--- a/cli/internal/bench/route.go
+++ b/cli/internal/bench/route.go
@@ -203,7 +203,7 @@
 	// truncated reports whether the connection ended early, endMarker whether the event that ends
 	// an answer was received.
 	truncated bool
-	tokens    []engine.Token
+	tokens    []engine.TokenEvent
 	endMarker bool
 }
 
@@ -307,7 +307,7 @@
 			answer.endMarker = true
 		default:
 			now := time.Now()
-			var token engine.Token
+			var token engine.TokenEvent
 			if json.Unmarshal([]byte(data), &token) != nil {
 				return false
 			}
@@ -371,7 +371,7 @@
 		return false
 	}
 	for i, token := range answer.tokens {
-		want := engine.Token{Request: answer.id, Manifest: answer.version, Index: i, Text: engine.TokenText(answer.version, "prompt of "+answer.id, i)}
+		want := engine.TokenEvent{Request: answer.id, Manifest: answer.version, Index: i, Text: engine.TokenText(answer.version, "prompt of "+answer.id, i)}
 		if token != want {
 			return false
 		}
