--- a/daemon/router/crash_test.go
+++ b/daemon/router/crash_test.go
@@ -165,7 +165,7 @@
 	f.store.configure(baseConfiguration(1))
 	for _, id := range []string{"u1", "u2", "u3", "u4", "u5", "u6"} {
 		u := startCrashingUpstream(t, id)
-		f.store.list(u.record())
+		f.store.register(u.record())
 		f.upstreams = append(f.upstreams, u)
 	}
 	first := startRouterIn(t, f.store, "hall", "r1")
@@ -208,8 +208,9 @@
 	assert.Equal(t, http.StatusOK, unrelated.status)
 }
 
-// TestNewRoutersReceiveQuarantine starts a router that can read the record only from the store,
-// and one that can receive it only from a peer.
+// TestNewRoutersReceiveQuarantine guards against routers that start during a quarantine and send
+// the crashing request: one can read the record only from the store, and one can receive it only
+// from a peer.
 func TestNewRoutersReceiveQuarantine(t *testing.T) {
 	f := startCrashFleet(t)
 	for _, cfg := range f.routers {
--- a/daemon/router/fixture_test.go
+++ b/daemon/router/fixture_test.go
@@ -170,7 +170,7 @@
 	s.put("c", encodeRecord(provider.Record{Configuration: &configuration}))
 }
 
-func (s *testStore) list(upstream provider.Upstream) {
+func (s *testStore) register(upstream provider.Upstream) {
 	s.put("u/"+upstream.ID, encodeRecord(provider.Record{Upstream: &upstream}))
 }
 
@@ -258,11 +258,11 @@
 	return provider.Upstream{ID: u.id, Service: "s", Address: u.address, Hall: "hall", Places: 4}
 }
 
-// listBeforeAnswering makes the upstream, on receiving a request, list another upstream and
-// answer only once the router has applied that.
-func (u *upstream) listBeforeAnswering(s *testStore, cfg settings.Router, other *upstream, answer upstreamFunc) {
+// registerBeforeAnswering makes the upstream, on receiving a request, register another upstream
+// and answer only once the router lists it.
+func (u *upstream) registerBeforeAnswering(s *testStore, cfg settings.Router, other *upstream, answer upstreamFunc) {
 	wrapped := upstreamFunc(func(req *http.Request, conn net.Conn) {
-		s.list(other.record())
+		s.register(other.record())
 		awaitListed(s, cfg, "u/"+other.id)
 		answer(req, conn)
 	})
@@ -270,9 +270,9 @@
 }
 
 // writeAnswer writes an answer with a Content-Length, followed by surplus bytes.
-func writeAnswer(req *http.Request, conn net.Conn, status int, body, extra string) {
+func writeAnswer(req *http.Request, conn net.Conn, status int, body, surplus string) {
 	_, _ = fmt.Fprintf(conn, "HTTP/1.1 %d X\r\nRequest-Id: %s\r\nSignature: sig\r\nContent-Length: %d\r\n\r\n%s%s",
-		status, req.Header.Get("Request-Id"), len(body), body, extra)
+		status, req.Header.Get("Request-Id"), len(body), body, surplus)
 }
 
 // answerOK answers with the request's ID in the body.
@@ -326,7 +326,7 @@
 	s := &testStore{}
 	s.configure(baseConfiguration(1))
 	u := startUpstream(t, id, answer)
-	s.list(u.record())
+	s.register(u.record())
 	cfg := startRouter(t, s, "r1")
 	await(t, "ready", func() bool { return ready(cfg) })
 	return s, u, cfg
--- a/daemon/router/hedge_test.go
+++ b/daemon/router/hedge_test.go
@@ -45,7 +45,7 @@
 				answerNotRun(req, conn)
 				close(requested)
 			})
-			first.listBeforeAnswering(s, cfg, second, test.first(requested))
+			first.registerBeforeAnswering(s, cfg, second, test.first(requested))
 
 			got := call(t, cfg, "id-1", "POST", test.target, "body")
 			require.NoError(t, got.err)
@@ -84,7 +84,7 @@
 			t.Cleanup(func() { close(release) })
 			s, first, cfg := startServing(t, "first", answerOK)
 			second := startUpstream(t, "second", test.second)
-			first.listBeforeAnswering(s, cfg, second, test.first(release))
+			first.registerBeforeAnswering(s, cfg, second, test.first(release))
 
 			got := call(t, cfg, "id-1", "POST", test.target, "body")
 			require.NoError(t, got.err)
@@ -103,7 +103,7 @@
 	breaking := upstreamFunc(func(req *http.Request, conn net.Conn) {
 		sendEvents(req, conn, 3)
 		_ = conn.Close()
-		s.list(second.record())
+		s.register(second.record())
 	})
 	first.answer.Store(&breaking)
 
@@ -113,7 +113,8 @@
 	assert.Equal(t, "3", second.lastRequest().Header.Get("Last-Event-Id"))
 }
 
-// awaitClose gives a router time to close a connection that it must keep open.
+// awaitClose waits until the router closes the connection, or for 300 ms if it correctly keeps it
+// open.
 func awaitClose(conn net.Conn) {
 	const waitTime = 300 * time.Millisecond
 	_ = conn.SetReadDeadline(time.Now().Add(waitTime))
@@ -127,7 +128,7 @@
 }
 
 // TestHedgeOutlivesBrokenFirst breaks the first upstream while a second one has received the
-// request but has not answered. Canceling the second send would use up the last attempt that the
+// request but has not answered. Canceling the hedge would use up the last attempt that the
 // route allows.
 func TestHedgeOutlivesBrokenFirst(t *testing.T) {
 	s, first, cfg := startServing(t, "first", answerOK)
@@ -139,7 +140,7 @@
 		awaitClose(conn)
 		rest(req, conn)
 	})
-	first.listBeforeAnswering(s, cfg, second, func(req *http.Request, conn net.Conn) {
+	first.registerBeforeAnswering(s, cfg, second, func(req *http.Request, conn net.Conn) {
 		sendEvents(req, conn, 2)
 		<-requested
 		_ = conn.Close()
--- a/daemon/router/limit_test.go
+++ b/daemon/router/limit_test.go
@@ -120,7 +120,7 @@
 			configuration.Services[0].Engine = &provider.EngineSpec{Model: "m", Places: record.Places}
 			record.Models = []provider.LoadedModel{{Model: "m", Version: 1}}
 		}
-		s.list(record)
+		s.register(record)
 	}
 	s.configure(configuration)
 	names := []string{"r1", "r2", "r3"}
@@ -181,8 +181,8 @@
 	}
 }
 
-// TestLimitHoldsForRetries fails all requests at one upstream, so that all are retried at the one
-// with a limit.
+// TestLimitHoldsForRetries guards against retries that exceed the limit of an upstream: all requests
+// fail at the other one, so that all are retried there.
 func TestLimitHoldsForRetries(t *testing.T) {
 	const limit, each = 1.0, 20
 	f := startLimitFleet(t, fmt.Sprint(limit), 0)
@@ -255,8 +255,8 @@
 	assert.Equal(t, "u1", all[0].Upstream.ID)
 }
 
-// startLoader serves place queries for all engines of this host, which are idle, and returns its
-// port.
+// startLoader serves requests for places at all engines of this host, which are idle, and returns
+// its port.
 func startLoader(t *testing.T) uint16 {
 	t.Helper()
 	ledger := &places.Ledger{}
--- a/daemon/router/limits.go
+++ b/daemon/router/limits.go
@@ -122,31 +122,31 @@
 // limit, because its version predates limits.
 var errLimitNotEnforced = errors.New("the loader does not support the engine's limit")
 
-// requestPlace requests a place at an engine from the loader beside it. The query carries the
-// limit that this router holds for the engine, and the answer the limit that the loader holds.
+// requestPlace requests a place at an engine from the loader beside it. The request carries the
+// limit that this router holds for the engine, and the response the limit that the loader holds.
 func (p *Process) requestPlace(ctx context.Context, engine *provider.Upstream, limit places.Limit) (places.EngineLoad, bool, error) {
 	upstream := instanceOf(engine)
-	query := places.Request{Limit: limit, Engine: ratelimit.Upstream{ID: upstream.ID, Started: upstream.Started}}
+	request := places.Request{Limit: limit, Engine: ratelimit.Upstream{ID: upstream.ID, Started: upstream.Started}}
 	p.limits.withTable(func(table *ratelimit.Table, now time.Time) {
 		if report, known := table.Report(upstream, now); known {
-			query.RateLimit = &report
+			request.RateLimit = &report
 		}
-		query.Cold = p.coldLimit(engine, now)
+		request.Cold = p.coldLimit(engine, now)
 	})
 	loader := netip.AddrPortFrom(engine.Address.Addr(), p.current.Load().LoaderPort)
-	answer, err := p.placeClient.Reserve(ctx, loader, query)
+	response, err := p.placeClient.Reserve(ctx, loader, request)
 	switch {
 	case err != nil:
-		return answer.EngineLoad, false, err
-	case answer.RateLimit != nil:
-		p.applyLimit(ratelimit.UpstreamReport{Upstream: upstream, Report: *answer.RateLimit}, sourceLoader, loader)
-	case query.RateLimit != nil && !query.RateLimit.Lifted:
-		return answer.EngineLoad, false, errLimitNotEnforced
+		return response.EngineLoad, false, err
+	case response.RateLimit != nil:
+		p.applyLimit(ratelimit.UpstreamReport{Upstream: upstream, Report: *response.RateLimit}, sourceLoader, loader)
+	case request.RateLimit != nil && !request.RateLimit.Lifted:
+		return response.EngineLoad, false, errLimitNotEnforced
 	}
-	if answer.RetryAfter > 0 {
+	if response.RetryAfter > 0 {
 		p.recorder.limitDenied(dispatch.PathLoader)
 	}
-	return answer.EngineLoad, answer.Granted, nil
+	return response.EngineLoad, response.Granted, nil
 }
 
 // newLimitNotifier returns the sender of limits to other routers.
--- a/daemon/router/listeners.go
+++ b/daemon/router/listeners.go
@@ -45,7 +45,7 @@
 	bounds := p.current.Load().Bounds
 	connect := dial.WithTimeout(upstreamConnectTimeout, p.options.Dial)
 	p.upstreamTransport = dial.NewHostTransport(connect, upstreamIdleTimeout)
-	p.budget = &dispatch.RetryBudget{
+	p.retryBudget = &dispatch.RetryBudget{
 		Ratio: bounds.RetryRatio, Slack: bounds.RetrySlack, Window: bounds.RetryWindow.Std(),
 		Processes: func() int { return max(len(p.compiler.View().Members), len(p.current.Load().Seeds)) },
 	}
@@ -56,7 +56,7 @@
 			Pooled:   p.upstreamTransport,
 			Unpooled: dial.NewHostTransport(connect, 0),
 		},
-		Pool: p.pool, RetryBudget: p.budget, LoadTracker: &dispatch.LoadTracker{}, RetryDetector: &admission.RetryDetector{}, View: p.compiler.View, Stale: p.isStale,
+		Pool: p.pool, RetryBudget: p.retryBudget, LoadTracker: &dispatch.LoadTracker{}, RetryDetector: &admission.RetryDetector{}, View: p.compiler.View, Stale: p.isStale,
 		Buffers:       buffer.Budget{MaxBytes: p.maxBufferedBytes()},
 		Region:        func(hall string) string { return p.current.Load().RegionOf(hall) },
 		VersionPolicy: p.versionPolicy, Report: p.recorder.request, RequestPlace: p.requestPlace, OnDisconnect: p.connectionBroke,
--- a/daemon/router/recorder.go
+++ b/daemon/router/recorder.go
@@ -108,15 +108,15 @@
 
 // connectionBroke logs a broken connection to an upstream: whether the upstream crashed, and the
 // content that ran there, which identifies retries of the same request.
-func (r *recorder) connectionBroke(b dispatch.Disconnect, crashed bool) {
+func (r *recorder) connectionBroke(disconnect dispatch.Disconnect, crashed bool) {
 	r.scope.Tagged(map[string]string{"ended": strconv.FormatBool(crashed)}).Counter("connections_broke").Inc(1)
 	if !r.failed.Allow() {
 		r.suppressed.Add(1)
 		return
 	}
 	r.log.WithFields(log.Fields{
-		fieldDecision: "witness", "request": b.Request, "content": b.Content, "upstream": b.Upstream.ID,
-		"address": b.Upstream.Address, "ended": crashed, "after": b.After.Round(time.Millisecond).String(),
+		fieldDecision: "witness", "request": disconnect.Request, "content": disconnect.Content, "upstream": disconnect.Upstream.ID,
+		"address": disconnect.Upstream.Address, "ended": crashed, "after": disconnect.After.Round(time.Millisecond).String(),
 	}).Info("connection to upstream broke")
 }
 
--- a/daemon/router/replication.go
+++ b/daemon/router/replication.go
@@ -7,6 +7,7 @@
 
 	"github.com/wheelcleat/wheelcleat/daemon/internal/connection/peering"
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/fanout"
+	"github.com/wheelcleat/wheelcleat/daemon/internal/process/replica"
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
@@ -99,7 +100,7 @@
 	after := storeProbeInterval + p.debounce() + storeResponseSlack
 	if p.hasHallPeers() {
 		hops := max(p.follower.Status().Hops, 1)
-		after += time.Duration(hops) * peering.LongPollWait
+		after += time.Duration(hops) * replica.HopWait
 	}
 	return after
 }
--- a/daemon/router/replication_test.go
+++ b/daemon/router/replication_test.go
@@ -18,7 +18,7 @@
 	s := &testStore{}
 	s.configure(baseConfiguration(1))
 	u := startUpstream(t, "u1", answerOK)
-	s.list(u.record())
+	s.register(u.record())
 	var cfgs []settings.Router
 	for i := range routers {
 		cfgs = append(cfgs, startRouter(t, s, fmt.Sprintf("router-%d", i)))
--- a/daemon/router/residency_test.go
+++ b/daemon/router/residency_test.go
@@ -31,7 +31,7 @@
 	for _, u := range []*upstream{r.north, r.south} {
 		record := u.record()
 		record.Hall = u.id
-		r.list(record)
+		r.register(record)
 	}
 	p, cfg := newRouter(t, r.testStore, settings.Router{Name: "r1", Hall: "north", Regions: []settings.HallRegion{
 		{Hall: "north", Region: "region of north"}, {Hall: "south", Region: "region of south"},
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -9,7 +9,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -52,11 +51,11 @@
 	probeConnectTimeout = 50 * time.Millisecond
 	// storeIdleTimeout closes idle connections to the store and to peers.
 	storeIdleTimeout = 30 * time.Second
-	// expiryGracePeriod is how long after the store is reachable again a removed entry may still
-	// have expired during the outage. expiredRecheckDelay is the pause before the upstreams that
-	// were kept for that reason are checked again.
-	expiryGracePeriod   = 2 * time.Second
-	expiredRecheckDelay = 500 * time.Millisecond
+	// unreliableExpiryPeriod is how long after the store is reachable again a removed entry may
+	// still have expired because of the outage. expiredRecheckDelay is the pause before the
+	// upstreams that were kept for that reason are checked again.
+	unreliableExpiryPeriod = 2 * time.Second
+	expiredRecheckDelay    = 500 * time.Millisecond
 	// drainResponseMargin is how long before the drain deadline the router itself answers the
 	// requests that no upstream has begun to answer. At the deadline their connections are cut.
 	drainResponseMargin = 400 * time.Millisecond
@@ -69,7 +68,7 @@
 	// Provider builds the adapter from the store's address and the clients for calls to the store
 	// and to hosts.
 	Provider func(store netip.AddrPort, storeClient, hostClient *http.Client) provider.Provider
-	// LogOutput receives the log lines; nil means standard error.
+	// LogOutput receives the log lines; nil discards them.
 	LogOutput io.Writer
 	// LameDuck overrides how long a stopping router keeps serving; 0 means the default.
 	LameDuck time.Duration
@@ -97,7 +96,7 @@
 	loadReader  *loadfeed.Reader
 	placeClient *places.Client
 	pool        *balance.Pool
-	budget      *dispatch.RetryBudget
+	retryBudget *dispatch.RetryBudget
 	// probe detects crashed upstreams, suspects holds the contents of the requests that ran
 	// there, and crashNotifier sends crash reports to the other routers.
 	probe         *livenessprobe.Probe
@@ -126,7 +125,7 @@
 // New prepares a router; Start runs it.
 func New(s settings.Router, options Options) (*Process, error) {
 	if options.Provider == nil {
-		return nil, errors.New("router: no provider")
+		return nil, fmt.Errorf("router %s: Options.Provider is not set", s.Name)
 	}
 	s.SetDefaults()
 	t, output, err := telemetry.NewWithBoundedWriter(telemetry.Options{
@@ -232,7 +231,7 @@
 	return func() { timer.Stop() }
 }
 
-// Done is closed when the router has stopped.
+// Done returns a channel that is closed when the router has stopped.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
 // closeServers closes all listeners and connections at once.
@@ -259,6 +258,6 @@
 		return
 	}
 	p.current.Store(&next)
-	p.budget.SetBounds(next.Bounds.RetryRatio, next.Bounds.RetrySlack, next.Bounds.RetryWindow.Std())
+	p.retryBudget.SetBounds(next.Bounds.RetryRatio, next.Bounds.RetrySlack, next.Bounds.RetryWindow.Std())
 	p.recorder.reloaded("", true)
 }
--- a/daemon/router/router_test.go
+++ b/daemon/router/router_test.go
@@ -73,7 +73,7 @@
 				s, bad, cfg := startServing(t, "bad", fault)
 				// The healthy upstream is listed only after the bad one has received the request.
 				healthy := startUpstream(t, "good", answerOK)
-				bad.listBeforeAnswering(s, cfg, healthy, fault)
+				bad.registerBeforeAnswering(s, cfg, healthy, fault)
 
 				got := call(t, cfg, "id-1", "POST", "/"+route+"/x", "body")
 				repeatable := route == "safe" || route == "stream"
@@ -178,7 +178,7 @@
 		t.Run(name, func(t *testing.T) {
 			s, first, cfg := startServing(t, "first", events(3, false, partial))
 			second := startUpstream(t, "second", events(6, true, ""))
-			first.listBeforeAnswering(s, cfg, second, events(3, false, partial))
+			first.registerBeforeAnswering(s, cfg, second, events(3, false, partial))
 
 			got := call(t, cfg, "id-1", "POST", "/stream/x", "body")
 			require.NoError(t, got.err)
@@ -224,7 +224,7 @@
 	s := &testStore{}
 	s.configure(baseConfiguration(1))
 	u := startUpstream(t, "u1", answerOK)
-	s.list(u.record())
+	s.register(u.record())
 	first := startRouter(t, s, "first")
 	second := startRouterIn(t, s, "another hall", "second", first.Listen.Peers)
 	await(t, "ready", func() bool { return ready(first) && ready(second) })
@@ -250,7 +250,7 @@
 			s := &testStore{}
 			s.configure(baseConfiguration(1))
 			u := startUpstream(t, "u1", answerOK)
-			s.list(u.record())
+			s.register(u.record())
 			first := startRouter(t, s, "first")
 			second := startRouter(t, s, "second", first.Listen.Peers)
 			await(t, "both routers list each other", func() bool {
@@ -278,7 +278,7 @@
 	s := &testStore{}
 	s.configure(baseConfiguration(1))
 	u := startUpstream(t, "u1", answerOK)
-	s.list(u.record())
+	s.register(u.record())
 	first := startRouter(t, s, "first")
 	await(t, "ready", func() bool { return ready(first) })
 	s.unreachable.Store("second", true)
@@ -293,14 +293,14 @@
 	s := &testStore{}
 	s.configure(baseConfiguration(1))
 	leaving, staying := startUpstream(t, "leaving", answerOK), startUpstream(t, "staying", answerOK)
-	s.list(leaving.record())
+	s.register(leaving.record())
 	cfg := startRouter(t, s, "r1")
 	await(t, "ready", func() bool { return ready(cfg) })
 	require.Equal(t, http.StatusOK, call(t, cfg, "id-0", "GET", "/safe/x", "").status)
 	record := leaving.record()
 	record.Leaving = true
-	s.list(record)
-	s.list(staying.record())
+	s.register(record)
+	s.register(staying.record())
 	awaitListed(s, cfg, "u/staying")
 	before := leaving.received.Load()
 	for i := range 10 {
@@ -322,10 +322,10 @@
 		awaitApplied(s, cfg, `"key":"u/other","revision"`, "after/other-gone")
 		breaking(req, conn)
 	})
-	s.list(first.record())
+	s.register(first.record())
 	record := other.record()
 	record.Places = 1 // makes it unlikely to be chosen first
-	s.list(record)
+	s.register(record)
 	cfg = startRouter(t, s, "r1")
 	await(t, "ready", func() bool { return ready(cfg) })
 	for i := 0; first.received.Load() == 0 && i < 50; i++ {
@@ -355,7 +355,7 @@
 	release := make(chan struct{})
 	u := startUpstream(t, "u1", func(*http.Request, net.Conn) { <-release })
 	t.Cleanup(func() { close(release) })
-	s.list(u.record())
+	s.register(u.record())
 	cfg := startRouter(t, s, "r1")
 	await(t, "ready", func() bool { return ready(cfg) })
 	got := call(t, cfg, "id-1", "POST", "/unsafe/x", "body")
--- a/daemon/router/stop_test.go
+++ b/daemon/router/stop_test.go
@@ -29,7 +29,7 @@
 	}
 	const engines = 400
 	for i := range engines {
-		s.list(engine(i))
+		s.register(engine(i))
 	}
 	p, cfg := newRouter(t, s, settings.Router{Name: "r1", Hall: "hall", LoaderPort: 1})
 	require.NoError(t, p.Start())
@@ -47,7 +47,7 @@
 			}
 			changed := engine(i % engines)
 			changed.Leaving = i/engines%2 == 0
-			s.list(changed)
+			s.register(changed)
 		}
 	}()
 	go func() {
@@ -81,7 +81,7 @@
 			s := &testStore{}
 			s.configure(baseConfiguration(1))
 			u := startUpstream(t, "u1", hang)
-			s.list(u.record())
+			s.register(u.record())
 			p, cfg := newRouter(t, s, settings.Router{Name: "r1", Hall: "hall"})
 			require.NoError(t, p.Start())
 			await(t, "ready", func() bool { return ready(cfg) })
--- a/daemon/router/suspects.go
+++ b/daemon/router/suspects.go
@@ -102,11 +102,11 @@
 
 // attributeCrash returns the crash of an upstream whose connection broke, and reports whether it
 // counts against the content of the request.
-func (s *suspects) attributeCrash(b dispatch.Disconnect) (quarantine.Crash, bool) {
+func (s *suspects) attributeCrash(disconnect dispatch.Disconnect) (quarantine.Crash, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Now()
-	sent := quarantine.Attempt{Content: b.Content, Upstream: b.Upstream.ID, Started: b.Upstream.Started, SentAt: now.Add(-b.After)}
+	sent := quarantine.Attempt{Content: disconnect.Content, Upstream: disconnect.Upstream.ID, Started: disconnect.Upstream.Started, SentAt: now.Add(-disconnect.After)}
 	return s.table.Attribute(sent, now)
 }
 
@@ -136,17 +136,17 @@
 
 // connectionBroke probes an upstream after a connection to it broke during a request, and
 // publishes a crash. The request waits for the probe, one round trip, before it is retried.
-func (p *Process) connectionBroke(b dispatch.Disconnect) {
-	crashed := p.probe.Crashed(context.Background(), b.Upstream.Address)
-	p.recorder.connectionBroke(b, crashed)
+func (p *Process) connectionBroke(disconnect dispatch.Disconnect) {
+	crashed := p.probe.Crashed(context.Background(), disconnect.Upstream.Address)
+	p.recorder.connectionBroke(disconnect, crashed)
 	if !crashed {
 		return
 	}
-	crash, counts := p.suspects.attributeCrash(b)
+	crash, counts := p.suspects.attributeCrash(disconnect)
 	if !counts {
 		return
 	}
-	p.publish(quarantine.Report{Content: b.Content, Crashes: []quarantine.Crash{crash}}, sourceLocal)
+	p.publish(quarantine.Report{Content: disconnect.Content, Crashes: []quarantine.Crash{crash}}, sourceLocal)
 }
 
 // admitContent returns the verdict for a new request.
--- a/daemon/router/upstreams.go
+++ b/daemon/router/upstreams.go
@@ -50,7 +50,7 @@
 // expired in an outage of the store: while this router cannot reach it, or shortly afterwards.
 func (p *Process) expiryUnreliable() bool {
 	ago, ever := p.follower.SinceReconnect()
-	return p.isStale() || ever && ago < expiryGracePeriod
+	return p.isStale() || ever && ago < unreliableExpiryPeriod
 }
 
 // engines returns the upstreams of services that run models.
