--- a/daemon/loader/events.go
+++ b/daemon/loader/events.go
@@ -50,13 +50,13 @@
 	p.ledger.Observe(places.EngineLoad{Running: report.Running, Waiting: report.Waiting, Loading: loading}, true)
 }
 
-// countAnswer counts an answer to a router's place query.
-func (p *Process) countAnswer(answer places.Response) {
+// countResponse counts a response to a router's request for a place.
+func (p *Process) countResponse(response places.Response) {
 	name := "places_given"
 	switch {
-	case answer.RetryAfter > 0:
+	case response.RetryAfter > 0:
 		name = "places_denied_by_limit"
-	case !answer.Granted:
+	case !response.Granted:
 		name = "places_denied"
 	}
 	p.telemetry.Scope.Counter(name).Inc(1)
--- a/daemon/loader/events_test.go
+++ b/daemon/loader/events_test.go
@@ -16,19 +16,20 @@
 	"github.com/wheelcleat/wheelcleat/daemon/settings"
 )
 
-// TestEngineWithoutVersionGrantsNoPlace: an engine that has just started refuses every request.
+// TestEngineWithoutVersionGrantsNoPlace guards against places at an engine that has just started,
+// which refuses every request.
 func TestEngineWithoutVersionGrantsNoPlace(t *testing.T) {
 	events, output, err := telemetry.NewWithBoundedWriter(telemetry.Options{Role: "loader", Name: "l", Level: "error"})
 	require.NoError(t, err)
 	t.Cleanup(output.Close)
 	p := &Process{telemetry: events, feed: loadfeed.NewFeed(), ledger: &places.Ledger{}, reconciler: &reconcile.Reconciler{}}
-	query := places.Request{Limit: places.Limit{Waiting: 9, InUse: 9}}
+	request := places.Request{Limit: places.Limit{Waiting: 9, InUse: 9}}
 
 	p.publishReport(provider.EngineReport{}, nil)
-	_, granted := p.ledger.Reserve(query)
+	_, granted := p.ledger.Reserve(request)
 	assert.False(t, granted)
 	p.publishReport(provider.EngineReport{Models: []provider.LoadedModel{{Model: "m", Version: 1}}}, nil)
-	_, granted = p.ledger.Reserve(query)
+	_, granted = p.ledger.Reserve(request)
 	assert.True(t, granted)
 }
 
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -8,7 +8,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -41,10 +40,10 @@
 )
 
 const (
-	// versionsPollInterval is the interval of stale reads of the declared versions from the
-	// store, which are far cheaper than watches. They cover routers that the store rejects,
-	// and watches that never return after an outage of the store.
-	versionsPollInterval = 4 * time.Second
+	// versionsRecheckInterval is the interval of stale reads of the declared versions from the
+	// store, which are far cheaper than watches. They find changes that routers miss while the
+	// store rejects them, and those hidden by a watch that never returns after an outage.
+	versionsRecheckInterval = 4 * time.Second
 	// versionsWatchWait is how long one watch for declared versions waits. Dead connections
 	// are detected sooner. With a shorter wait nearly every watch would return without a
 	// change, and a longer one would exceed the revision history of some stores.
@@ -65,8 +64,8 @@
 	// of upstreams and the engine's configuration: all loaders may start at once after a power
 	// loss, and routers have both within seconds.
 	startupPeriod = 8 * time.Second
-	// hostIdleTimeout closes idle connections to the store and to other loaders.
-	hostIdleTimeout = 30 * time.Second
+	// storeIdleTimeout closes idle connections to the store and to other loaders.
+	storeIdleTimeout = 30 * time.Second
 	// originIdleTimeout closes idle connections to the origin, which accepts few connections
 	// from all hosts together and also counts those of hosts that have lost power.
 	originIdleTimeout = 300 * time.Millisecond
@@ -124,7 +123,7 @@
 // New returns a loader, which Start runs.
 func New(s settings.Loader, options Options) (*Process, error) {
 	if options.Provider == nil {
-		return nil, errors.New("loader: no provider")
+		return nil, fmt.Errorf("loader %s: Options.Provider is not set", s.Name)
 	}
 	s.SetDefaults()
 	t, output, err := telemetry.NewWithBoundedWriter(telemetry.Options{
@@ -139,7 +138,7 @@
 	p := &Process{
 		telemetry: t, output: output, log: t.Log,
 		table: &replica.Table{}, copies: &swarm.Copies{}, feed: loadfeed.NewFeed(), ledger: &places.Ledger{}, limitLog: rate.NewLimiter(limitLogRate, limitLogRate), done: make(chan struct{}),
-		client:    &http.Client{Transport: dial.NewHostTransport(options.Dial, hostIdleTimeout)},
+		client:    &http.Client{Transport: dial.NewHostTransport(options.Dial, storeIdleTimeout)},
 		createdAt: clock.Now(),
 	}
 	p.current.Store(&s)
@@ -173,7 +172,7 @@
 	p.versions = follower(p.provider.Prefixes.Versions)
 	p.versions.StaleFirstList = true
 	p.versions.WatchWait = func() time.Duration { return versionsWatchWait }
-	p.versions.RecheckInterval = versionsPollInterval
+	p.versions.RecheckInterval = versionsRecheckInterval
 	p.versions.QueryPeer = p.newRouterClient().FetchUpdate
 	hall := p.current.Load().Hall
 	p.upstreams = follower(p.provider.Prefixes.Upstreams)
@@ -220,7 +219,7 @@
 	routes := bunrouter.New()
 	(&swarm.Server{Copies: p.copies, Uplink: swarm.Uplink{BytesPerSecond: p.linkRate}}).Register(routes)
 	routes.Compat().GET(loadfeed.Path, p.feed.ServeHTTP)
-	routes.Compat().GET(places.Path, places.Handler(p.ledger, p.countAnswer))
+	routes.Compat().GET(places.Path, places.Handler(p.ledger, p.countResponse))
 	var err error
 	p.peers, err = server.Listen(server.Options{Name: "peers", Address: p.current.Load().Listen.Peers, Handler: routes})
 	if err != nil {
--- a/daemon/loader/loader_test.go
+++ b/daemon/loader/loader_test.go
@@ -18,8 +18,8 @@
 	"github.com/wheelcleat/wheelcleat/daemon/settings"
 )
 
-// TestIdleConnectionsToOriginAreClosed: the origin accepts few connections. After a power loss of
-// all hosts it would go on counting idle ones, and accept no others.
+// TestIdleConnectionsToOriginAreClosed guards against idle connections that use up the few that the
+// origin accepts. After a power loss of all hosts it would still count them and accept no others.
 func TestIdleConnectionsToOriginAreClosed(t *testing.T) {
 	closed := make(chan struct{}, 1)
 	origin := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "chunk") }))
