--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -51,9 +51,9 @@
 type Options struct {
 	// LogOutput receives the log lines; nil means standard error.
 	LogOutput io.Writer
-	// WatchInterval is the mean interval between key-value watches while changes
-	// arrive, and LameDuck how long a draining entry still serves; 0 means the
-	// defaults.
+	// WatchInterval is the minimum interval between key-value watches while changes
+	// arrive, after the first few, and LameDuck how long a draining entry still
+	// serves; 0 means the defaults.
 	WatchInterval, LameDuck time.Duration
 	// LeaseTTL is the time to live of the placer's lease, PlacementInterval the
 	// minimum interval between its writes, and ReplaceAfter how long a host must
@@ -75,13 +75,13 @@
 	options   Options
 	telemetry *telemetry.Telemetry
 
-	table   *tables.Table
-	members *members.Table
-	hosts   *hosts.Poller
-	watcher *kvwatch.Watcher
-	puller  *gossip.Puller
-	placer  *placer.Placer
-	router  *route.Selector
+	table    *tables.Table
+	members  *members.Table
+	hosts    *hosts.Poller
+	watcher  *kvwatch.Watcher
+	puller   *gossip.Puller
+	placer   *placer.Placer
+	selector *route.Selector
 	// transport carries requests, and control carries all other calls, whose
 	// bytes meter counts.
 	transport, control *http.Transport
@@ -109,7 +109,7 @@
 	p := &Process{
 		settings: s, options: options, telemetry: t,
 		table: &tables.Table{}, members: &members.Table{HeartbeatTimeout: options.HeartbeatTimeout},
-		router:    &route.Selector{Hall: s.Hall},
+		selector:  &route.Selector{Hall: s.Hall},
 		transport: upstream.NewTransport(options.Dial),
 		stopping:  make(chan struct{}), done: make(chan struct{}),
 	}
@@ -124,7 +124,7 @@
 	p.hosts = &hosts.Poller{List: platform.NewHostList(p.settings.Platform.HostList, client), Interval: p.options.HostsInterval}
 	p.addFollowers(kv, client)
 	if err := p.listen(kv); err != nil {
-		p.killServers()
+		p.closeServers()
 		return fmt.Errorf("entry %s: %w", p.settings.Name, err)
 	}
 	p.hosts.Start()
@@ -175,7 +175,7 @@
 func (p *Process) callerRoutes() http.Handler {
 	router := bunrouter.New()
 	handler := &intake.Handler{
-		Table: p.table, Members: p.members, Selector: p.router,
+		Table: p.table, Members: p.members, Selector: p.selector,
 		Accounts: &account.Limiter{}, RetryBudgets: &intake.RetryBudgets{},
 		Transport: p.transport, Telemetry: p.telemetry, MaxBodyBytes: p.settings.Requests.MaxBodyBytes,
 	}
@@ -243,14 +243,14 @@
 	}
 }
 
-// prune drops the router's state of hosts that are no longer members.
+// prune drops the selector's state of hosts that are no longer members.
 func (p *Process) prune() {
 	ticker := time.NewTicker(pruneInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			p.router.Prune(p.members.View())
+			p.selector.Prune(p.members.View())
 		case <-p.done:
 			return
 		}
@@ -310,12 +310,12 @@
 // Kill stops the entry at once, like a crash of its host.
 func (p *Process) Kill() {
 	p.stopOnce.Do(func() {
-		p.killServers()
+		p.closeServers()
 		p.close()
 	})
 }
 
-func (p *Process) killServers() {
+func (p *Process) closeServers() {
 	for _, s := range []*server.Server{p.callers, p.operators, p.peers} {
 		if s != nil {
 			s.Close()
--- a/daemon/internal/process/kvwatch/kvwatch.go
+++ b/daemon/internal/process/kvwatch/kvwatch.go
@@ -41,8 +41,9 @@
 type Watcher struct {
 	KV    *platform.KV
 	Table *tables.Table
-	// PollTimeout is the timeout of a long poll, MinInterval the mean interval between calls
-	// after changes, and MaxBackoff the maximum backoff after an error. 0 means the default.
+	// PollTimeout is the timeout of a long poll, MinInterval the minimum interval between calls
+	// after changes once pollBurst calls were made, and MaxBackoff the maximum backoff after an
+	// error. 0 means the default.
 	PollTimeout, MinInterval, MaxBackoff time.Duration
 	// OnResult, if set, is called after each call of the service with its error, or with nil
 	// if the service answered.
