--- a/daemon/internal/process/balance/balance.go
+++ b/daemon/internal/process/balance/balance.go
@@ -91,7 +91,7 @@
 	// report is the last report of the upstream's host.
 	report     LoadReport
 	reportedAt time.Time
-	// modelsReportedAt is when the host last reported the models. An answer to a request
+	// modelsReportedAt is when the host last reported the models. A response to a request
 	// for a place reports the load alone.
 	modelsReportedAt time.Time
 	// closesAt is when the upstream closes to load a version, zero if none is scheduled.
@@ -99,7 +99,7 @@
 	// sentSinceReport counts the requests of this process since the last report.
 	sentSinceReport int
 	// throttledUntil is until when the upstream gets no requests, because the rate limit
-	// that it named is used up.
+	// that it announced is used up.
 	throttledUntil time.Time
 	usedAt         time.Time
 }
@@ -283,7 +283,7 @@
 	}
 }
 
-// ReportLoad records the load in an answer to a request for a place, which includes all
+// ReportLoad records the load in a response to a request for a place, which includes all
 // places that the host has granted.
 func (p *Pool) ReportLoad(id string, running, waiting int, loading bool) {
 	p.mu.Lock()
--- a/daemon/internal/process/balance/balance_test.go
+++ b/daemon/internal/process/balance/balance_test.go
@@ -329,7 +329,7 @@
 	assert.False(t, pool.Throttled("a"))
 }
 
-// TestLoadWithoutModelsKeepsTheVersion guards against an answer to a request for a place,
+// TestLoadWithoutModelsKeepsTheVersion guards against a response to a request for a place,
 // which names no versions, making the engine look as if it held none.
 func TestLoadWithoutModelsKeepsTheVersion(t *testing.T) {
 	now := time.Unix(1000, 0)
--- a/daemon/internal/process/fanout/fanout_test.go
+++ b/daemon/internal/process/fanout/fanout_test.go
@@ -171,8 +171,8 @@
 	}
 }
 
-// TestOnlyRoutersWithWideLinksAreFollowed uses a hall where one router in ten has a wide
-// link.
+// TestOnlyRoutersWithWideLinksAreFollowed guards against a fan-out over narrow links in a
+// hall where one router in ten has a wide one.
 func TestOnlyRoutersWithWideLinksAreFollowed(t *testing.T) {
 	routers := hall(117)
 	wide := map[string]bool{}
--- a/daemon/internal/process/kvwrite/kvwrite.go
+++ b/daemon/internal/process/kvwrite/kvwrite.go
@@ -78,7 +78,7 @@
 	delays := p.writer.newBackoff()
 	var last error
 	for {
-		revision, settled, err := p.try(ctx)
+		revision, settled, err := p.attempt(ctx)
 		if settled {
 			return revision, err
 		}
@@ -98,8 +98,8 @@
 	return fmt.Errorf("write %s: timed out: %w (last error: %s)", p.write.Key, kind, last) //nolint:errorlint // only kind is wrapped on purpose
 }
 
-// try sends the write once. If the write is in doubt, it first looks for its result.
-func (p *putOperation) try(ctx context.Context) (revision uint64, settled bool, err error) {
+// attempt sends the write once. If the write is in doubt, it first looks for its result.
+func (p *putOperation) attempt(ctx context.Context) (revision uint64, settled bool, err error) {
 	if p.inDoubt {
 		revision, settled, err = p.readBack(ctx)
 		if settled || err != nil {
--- a/daemon/internal/process/kvwrite/kvwrite_test.go
+++ b/daemon/internal/process/kvwrite/kvwrite_test.go
@@ -98,8 +98,8 @@
 
 func tookEffect(service *kv.Server, id string) bool { return effectAt(service, id) != 0 }
 
-// Covers both ways in which no connection is made: it is refused, or the timeout expires
-// before.
+// Guards against ErrUnknownResult for a write that was never sent, because the connection was
+// refused or the timeout expired before it was made.
 func TestWritesWithoutConnectionAreUnavailable(t *testing.T) {
 	refused := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
 	hangs := func(ctx context.Context, _, _ string) (net.Conn, error) { <-ctx.Done(); return nil, ctx.Err() }
@@ -122,7 +122,9 @@
 	require.ErrorIs(t, err, platform.ErrUnavailable)
 }
 
-func TestDelete(t *testing.T) {
+// Guards against a failure of Delete although the key is gone, and against success although a lost
+// response leaves open whether it took effect.
+func TestDeleteSurvivesFaultsOfTheService(t *testing.T) {
 	tests := []struct {
 		name    string
 		faults  []kv.Fault
--- a/daemon/internal/process/placement/plan_test.go
+++ b/daemon/internal/process/placement/plan_test.go
@@ -173,7 +173,8 @@
 	assert.Len(t, h.document.FindService("t").Hosts, 2)
 }
 
-// Checks the documents of random sequences of declarations, host changes and failures.
+// Guards against a host in two services, decreasing tokens of a host, and hosts of open waves
+// without the target, over random sequences of declarations, host changes and failures.
 func TestPlanInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := &hall{hosts: liveHosts("h0", "h1", "h2", "h3", "h4", "h5")}
--- a/daemon/internal/process/replica/view.go
+++ b/daemon/internal/process/replica/view.go
@@ -132,9 +132,9 @@
 	synced bool
 }
 
-// expiryGrace is how long an upstream stays in use after its entry expired. A running
-// upstream registers again within two seconds of the store's recovery, and one that
-// leaves keeps serving for as long after its entry is removed.
+// expiryGrace is how long an upstream stays in use after its entry expired, so that a
+// running upstream can register again after the store's recovery. An upstream that leaves
+// keeps serving for as long after its entry is removed.
 const expiryGrace = 1500 * time.Millisecond
 
 // registeredUpstream is an upstream and the revision that created its entry.
--- a/daemon/internal/process/resource/handler.go
+++ b/daemon/internal/process/resource/handler.go
@@ -245,7 +245,7 @@
 	return nil
 }
 
-// watch streams events as JSON lines until the caller disconnects.
+// watch streams events as JSON lines until the client disconnects.
 func (h *Handler) watch(w http.ResponseWriter, r bunrouter.Request) error {
 	after, err := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	if err != nil {
@@ -277,7 +277,7 @@
 		changed := h.Store.Table.Changed()
 		events, upTo, kept := h.Store.Table.EventsAfter(stream.after)
 		if !kept {
-			return nil // the caller must resume, which fails with 410
+			return nil // the client must resume, which fails with 410
 		}
 		if !stream.send(events, upTo) {
 			return nil
--- a/daemon/internal/process/tables/tables.go
+++ b/daemon/internal/process/tables/tables.go
@@ -24,7 +24,7 @@
 
 // Table is the configuration of one entry. The zero value is empty and ready to use.
 //
-// Lock order: mu is the only lock, and no callback is called under it.
+// Lock order: mu is the only lock.
 type Table struct {
 	view atomic.Pointer[View]
 
