--- a/daemon/simulation/caller.go
+++ b/daemon/simulation/caller.go
@@ -154,7 +154,7 @@
 
 func (s *loadSim) readTime() time.Duration {
 	prompt := s.mean(func(k Kind) float64 { return k.Prompt })
-	return time.Duration(prompt / s.Engine.PrefillRate * float64(time.Second))
+	return time.Duration(prompt / s.Engine.PromptRate * float64(time.Second))
 }
 
 func (s *loadSim) mean(value func(Kind) float64) float64 {
--- a/daemon/simulation/engine.go
+++ b/daemon/simulation/engine.go
@@ -16,10 +16,10 @@
 type EngineSpec struct {
 	// Places is the number of requests that run concurrently.
 	Places int
-	// PrefillRate is the number of prompt tokens read per second; MaxPrefill limits the prompt
+	// PromptRate is the number of prompt tokens read per second; MaxPromptTokens limits the prompt
 	// tokens of one pass.
-	PrefillRate float64
-	MaxPrefill  int
+	PromptRate      float64
+	MaxPromptTokens int
 	// TokenTime is the time to generate one token for the whole batch; TokenTimePerRequest is
 	// added for each request in the batch.
 	TokenTime, TokenTimePerRequest time.Duration
@@ -33,7 +33,7 @@
 // DefaultEngine returns an engine of 12 places that reads 19,100 prompt tokens per second.
 func DefaultEngine() EngineSpec {
 	return EngineSpec{
-		Places: 12, PrefillRate: 19100, MaxPrefill: 10240, TokenTime: 8870 * time.Microsecond, TokenTimePerRequest: 60 * time.Microsecond,
+		Places: 12, PromptRate: 19100, MaxPromptTokens: 10240, TokenTime: 8870 * time.Microsecond, TokenTimePerRequest: 60 * time.Microsecond,
 		TokensPerPass: 5, LoadTime: 300 * time.Millisecond,
 	}
 }
@@ -151,7 +151,7 @@
 // startPass starts the next pass.
 func (e *engine) startPass() {
 	spec, tokens := e.sim.Engine, 0
-	for len(e.waiting) > 0 && len(e.running)+len(e.reading) < spec.Places && tokens < spec.MaxPrefill {
+	for len(e.waiting) > 0 && len(e.running)+len(e.reading) < spec.Places && tokens < spec.MaxPromptTokens {
 		tokens += e.waiting[0].prompt
 		e.reading = append(e.reading, e.waiting[0])
 		e.waiting = e.waiting[1:]
@@ -162,7 +162,7 @@
 		e.loadVersion()
 		return
 	}
-	passTime := time.Duration(float64(tokens) / spec.PrefillRate * float64(time.Second))
+	passTime := time.Duration(float64(tokens) / spec.PromptRate * float64(time.Second))
 	passTime += time.Duration(spec.TokensPerPass) * (spec.TokenTime + time.Duration(batch)*spec.TokenTimePerRequest)
 	generation := e.generation
 	e.sim.events.after(passTime, func() {
--- a/daemon/simulation/fleet.go
+++ b/daemon/simulation/fleet.go
@@ -122,7 +122,7 @@
 	StoreCalls int `json:"storeCalls"`
 	Readers    int `json:"readers"`
 	// RegionBytes is the number of bytes over the busiest link between regions, SenderBytes that
-	// of the busiest router's uplink, and WastedBytes the bytes of answers whose call had timed
+	// of the busiest router's uplink, and WastedBytes the bytes of responses whose call had timed
 	// out.
 	RegionBytes int `json:"regionBytes"`
 	SenderBytes int `json:"senderBytes"`
--- a/daemon/simulation/fleet_model.go
+++ b/daemon/simulation/fleet_model.go
@@ -14,24 +14,24 @@
 	// compressionRatio is that of a snapshot, configurationCompressionRatio that of a
 	// configuration.
 	compressionRatio, configurationCompressionRatio = 3, 6
-	// callBytes is the size of a request and an empty answer.
+	// callBytes is the size of a request and an empty response.
 	callBytes = 300
 	// hallDelay and regionDelay are one-way delays within a hall and between regions, storeDelay
 	// the store's response time.
 	hallDelay, regionDelay = 100 * time.Microsecond, time.Millisecond
 	storeDelay             = 4 * time.Millisecond
-	// firstByteTimeout is the wait limit for the first byte of a store answer.
+	// firstByteTimeout bounds the wait for the first byte of a response of the store.
 	firstByteTimeout = 1500 * time.Millisecond
-	// pollHold and snapshotPollHold are the times after which a follower's call is answered
-	// without an update, pollGrace the additional time that the follower waits.
-	pollHold, snapshotPollHold = 500 * time.Millisecond, time.Second
+	// pollWait and snapshotPollWait are the times after which a router responds to a follower's
+	// call without an update, pollGrace the additional time that the follower waits.
+	pollWait, snapshotPollWait = 500 * time.Millisecond, time.Second
 	pollGrace                  = 400 * time.Millisecond
-	// muteTime is how long an unreachable router is skipped, startingMuteTime how long one
-	// without a snapshot is.
-	muteTime, startingMuteTime = 2 * time.Second, 250 * time.Millisecond
+	// defaultBackoff is the backoff of an unreachable router, startingBackoff that of one without
+	// a snapshot.
+	defaultBackoff, startingBackoff = 2 * time.Second, 250 * time.Millisecond
 	// Pauses after an update from the store, after one from another router, and between
 	// decisions.
-	afterStorePause, afterPeerPause, decidePause = 500 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond
+	storeDebounce, peerDebounce, decidePause = 500 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond
 	// listInterval is the interval between listings of the hall, maxListTime the time after which
 	// a starting router stops listing.
 	listInterval, maxListTime = 300 * time.Millisecond, 2 * time.Second
@@ -93,7 +93,7 @@
 	router := &fleetRouter{
 		Router: fanout.Router{Name: fmt.Sprintf("%s-%d", h.name, index), LinkMbps: rate},
 		hall:   h, uplink: fleetLink{rate: mbps(rate)},
-		peers: map[string]bool{}, muted: map[string]mutedRouter{},
+		peers: map[string]bool{}, backoffs: map[string]backoff{},
 	}
 	if h.byName == nil {
 		h.byName = map[string]*fleetRouter{}
@@ -111,8 +111,8 @@
 	return all
 }
 
-// read requests an answer from the store. It calls onDone when the last byte has arrived, or
-// onTimeout if the first byte was late; the answer still occupies the link then.
+// read makes a call to the store. It calls onDone when the last byte of the response has arrived,
+// or onTimeout if the first byte was late; the response still occupies the link then.
 func (h *fleetHall) read(bytes int, onDone, onTimeout func()) {
 	s := h.sim
 	s.store.calls++
@@ -159,8 +159,8 @@
 	}, retry)
 }
 
-// mutedRouter is a router that is not contacted until a time.
-type mutedRouter struct {
+// backoff is a period in which a router is not called, because of its state.
+type backoff struct {
 	until time.Duration
 	state fanout.State
 }
@@ -174,19 +174,18 @@
 	uplink fleetLink
 	// announced is set once the router's record is in the store.
 	announced, crashed bool
-	// peers are the hall's routers that this one has listed, muted those that it does not
-	// contact.
-	peers map[string]bool
-	muted map[string]mutedRouter
+	// peers are the hall's routers that this one has listed, backoffs those in backoff.
+	peers    map[string]bool
+	backoffs map[string]backoff
 	// revision is the router's revision of the store, revisionAt when it was received, and
-	// storeSeen when the router, or the one that it follows, last had an answer of the store.
+	// storeSeen when the router, or the one that it follows, last had a response of the store.
 	revision              int
 	revisionAt, storeSeen time.Duration
 	// pendingPolls are the followers' calls that await an update.
 	pendingPolls []func()
 	readsStore   bool
 	// following caches the last decision while nothing that it depends on has changed: no new
-	// peers and no muted routers. It is nil otherwise.
+	// peers and no routers in backoff. It is nil otherwise.
 	following *fleetRouter
 	started   time.Duration
 }
@@ -235,8 +234,8 @@
 	r.listNames(names, r.hall.sim.Halls, r.decide)
 }
 
-// listNames reads the records of some routers. The answer holds as many records for each name as
-// factor says.
+// listNames reads the records of some routers. The response holds as many records for each name
+// as factor says.
 func (r *fleetRouter) listNames(names []string, factor int, then func()) {
 	s := r.hall.sim
 	r.hall.read(callBytes+factor*len(names)*memberBytes, func() {
@@ -269,10 +268,10 @@
 			continue
 		}
 		other := r.hall.byName[name].Router
-		if m, ok := r.muted[name]; ok && m.until > now {
+		if m, ok := r.backoffs[name]; ok && m.until > now {
 			other.State = m.state
 		} else {
-			delete(r.muted, name)
+			delete(r.backoffs, name)
 		}
 		view = append(view, other)
 	}
@@ -292,7 +291,7 @@
 	action, name := s.Strategy.Decide(r.Router, r.view(), s.events.now-r.storeSeen)
 	switch action {
 	case fanout.Follow:
-		if len(r.muted) == 0 {
+		if len(r.backoffs) == 0 {
 			r.following = r.hall.byName[name]
 		}
 		r.follow(r.hall.byName[name])
@@ -310,7 +309,7 @@
 	retry := func() { s.events.after(decidePause, r.decide) }
 	if r.revision == 0 {
 		at := s.store.revision
-		r.hall.read(s.snapshotBytes(), func() { r.apply(at, s.events.now, afterStorePause) }, retry)
+		r.hall.read(s.snapshotBytes(), func() { r.apply(at, s.events.now, storeDebounce) }, retry)
 		return
 	}
 	r.storeSeen = s.events.now
@@ -329,12 +328,12 @@
 		return
 	}
 	at := s.store.revision
-	r.hall.read(s.ConfigurationBytes*4/3, func() { r.apply(at, s.events.now, afterStorePause) },
+	r.hall.read(s.ConfigurationBytes*4/3, func() { r.apply(at, s.events.now, storeDebounce) },
 		func() { s.events.after(decidePause, r.decide) })
 }
 
-// apply records a revision and when the store was seen with it, answers pending polls and decides
-// again after a pause.
+// apply records a revision and when the store was seen with it, responds to pending polls and
+// decides again after a pause.
 func (r *fleetRouter) apply(revision int, seenAt, pause time.Duration) {
 	s := r.hall.sim
 	if r.crashed {
@@ -350,8 +349,8 @@
 	}
 	pendingPolls := r.pendingPolls
 	r.pendingPolls = nil
-	for _, answer := range pendingPolls {
-		answer()
+	for _, respond := range pendingPolls {
+		respond()
 	}
 	s.events.after(pause, r.decide)
 }
@@ -359,55 +358,55 @@
 // follow long-polls another router for updates.
 func (r *fleetRouter) follow(other *fleetRouter) {
 	s := r.hall.sim
-	hold := pollHold
+	wait := pollWait
 	if r.revision == 0 {
-		hold = snapshotPollHold
+		wait = snapshotPollWait
 	}
 	if other.crashed {
-		s.events.after(hold+pollGrace, func() { r.mute(other, muteTime, fanout.Unreachable) })
+		s.events.after(wait+pollGrace, func() { r.backOff(other, defaultBackoff, fanout.Unreachable) })
 		return
 	}
-	answered := false
-	answer := func() {
-		if answered || r.crashed {
+	responded := false
+	respond := func() {
+		if responded || r.crashed {
 			return
 		}
-		answered = true
-		r.handleAnswer(other)
+		responded = true
+		r.handleResponse(other)
 	}
 	s.events.after(hallDelay, func() {
 		if other.revision > r.revision {
-			answer()
+			respond()
 			return
 		}
-		other.pendingPolls = append(other.pendingPolls, answer)
-		s.events.after(hold, answer)
+		other.pendingPolls = append(other.pendingPolls, respond)
+		s.events.after(wait, respond)
 	})
 }
 
-// handleAnswer processes the answer of another router, with or without an update.
-func (r *fleetRouter) handleAnswer(other *fleetRouter) {
+// handleResponse processes the response of another router, with or without an update.
+func (r *fleetRouter) handleResponse(other *fleetRouter) {
 	s := r.hall.sim
 	if other.crashed {
-		r.mute(other, muteTime, fanout.Unreachable)
+		r.backOff(other, defaultBackoff, fanout.Unreachable)
 		return
 	}
 	switch {
 	case other.revision == 0:
-		r.mute(other, startingMuteTime, fanout.Stale)
+		r.backOff(other, startingBackoff, fanout.Stale)
 	case other.revision > r.revision:
 		bytes, revision, seenAt := s.updateBytes(r.revision == 0), other.revision, other.storeSeen
 		_, end := other.uplink.send(s.events.now, bytes)
-		s.events.at(end+hallDelay, func() { r.apply(revision, seenAt, afterPeerPause) })
+		s.events.at(end+hallDelay, func() { r.apply(revision, seenAt, peerDebounce) })
 	default:
 		r.storeSeen = max(r.storeSeen, other.storeSeen)
 		r.decide()
 	}
 }
 
-// mute skips another router for a time.
-func (r *fleetRouter) mute(other *fleetRouter, length time.Duration, state fanout.State) {
-	r.muted[other.Name] = mutedRouter{until: r.hall.sim.events.now + length, state: state}
+// backOff makes no calls to another router for a time.
+func (r *fleetRouter) backOff(other *fleetRouter, length time.Duration, state fanout.State) {
+	r.backoffs[other.Name] = backoff{until: r.hall.sim.events.now + length, state: state}
 	r.following = nil
 	r.decide()
 }
--- a/daemon/simulation/limit.go
+++ b/daemon/simulation/limit.go
@@ -82,7 +82,7 @@
 	limitFaultTo                          = 17 * time.Second
 	limitedOneIn                          = 3 // one in limitedOneIn upstreams is limited
 	frozenOneIn                           = 4 // one in frozenOneIn routers freezes
-	loaderMuteTime                        = 600 * time.Millisecond
+	loaderBackoff                         = 600 * time.Millisecond
 	limitMinResponse, limitResponseJitter = 30 * time.Millisecond, 300 * time.Millisecond // response time
 	limitResyncDelay                      = 200 * time.Millisecond                        // after a restart
 	limitSettleTime                       = 3 * time.Second                               // excluded from the utilization
@@ -127,11 +127,11 @@
 
 // limitUpstream is an upstream and its loader.
 type limitUpstream struct {
-	upstream *provider.Upstream
-	limited  bool
-	loader   ratelimit.Table
-	answers  int
-	arrivals []time.Duration
+	upstream    *provider.Upstream
+	limited     bool
+	loaderTable ratelimit.Table
+	responses   int
+	arrivals    []time.Duration
 }
 
 // limitRouter is a router with its own table of limits.
@@ -140,10 +140,10 @@
 	hall  string
 	pool  balance.Pool
 	table ratelimit.Table
-	// muted is the time, by upstream, until which its loader is not contacted.
-	muted    map[string]time.Duration
-	frozen   bool
-	deferred []func()
+	// backoffUntil is the end of the backoff of each upstream's loader.
+	backoffUntil map[string]time.Duration
+	frozen       bool
+	deferred     []func()
 }
 
 // RunLimit simulates a setup.
@@ -157,11 +157,11 @@
 			upstream: &provider.Upstream{ID: fmt.Sprintf("u%d", i), Hall: hallOf(i, setup.Halls)},
 			limited:  i%limitedOneIn == 0 || setup.Fault == LimitAllLimited,
 		}
-		u.loader.Draw = s.rng.Float64
+		u.loaderTable.Draw = s.rng.Float64
 		s.upstreams, s.records = append(s.upstreams, u), append(s.records, u.upstream)
 	}
 	for i := range setup.Routers {
-		r := &limitRouter{sim: s, hall: hallOf(i, setup.Halls), muted: map[string]time.Duration{}}
+		r := &limitRouter{sim: s, hall: hallOf(i, setup.Halls), backoffUntil: map[string]time.Duration{}}
 		r.pool.Hall, r.pool.Now, r.pool.Rand, r.table.Draw = r.hall, s.now, s.rng.Float64, s.rng.Float64
 		s.routers = append(s.routers, r)
 	}
@@ -191,7 +191,7 @@
 	case LimitLoaderDown:
 		s.events.at(limitFaultTo, func() {
 			for _, u := range s.upstreams {
-				u.loader = ratelimit.Table{Draw: s.rng.Float64}
+				u.loaderTable = ratelimit.Table{Draw: s.rng.Float64}
 			}
 		})
 	case LimitRoutersRestart:
@@ -289,22 +289,22 @@
 	if r.sim.Fault == LimitNoLoaders {
 		return r.table.Allow(key, ratelimit.NoLoaderShare.Among(routers), now)
 	}
-	if r.sim.faultActive(LimitLoaderDown) || r.muted[key.ID] > r.sim.events.now {
-		if r.muted[key.ID] <= r.sim.events.now {
-			r.muted[key.ID] = r.sim.events.now + loaderMuteTime
+	if r.sim.faultActive(LimitLoaderDown) || r.backoffUntil[key.ID] > r.sim.events.now {
+		if r.backoffUntil[key.ID] <= r.sim.events.now {
+			r.backoffUntil[key.ID] = r.sim.events.now + loaderBackoff
 		}
 		return r.table.Allow(key, ratelimit.LoaderUnreachableShare.Among(routers), now)
 	}
 	if report, known := r.table.Report(key, now); known {
-		u.loader.Merge(key, report, now)
+		u.loaderTable.Merge(key, report, now)
 	}
-	if report, known := u.loader.Report(key, now); known {
+	if report, known := u.loaderTable.Report(key, now); known {
 		r.applyLimit(key, report)
 	}
-	return u.loader.Allow(key, ratelimit.LoaderShare, now)
+	return u.loaderTable.Allow(key, ratelimit.LoaderShare, now)
 }
 
-// send delivers a request to an upstream and schedules its answer.
+// send delivers a request to an upstream and schedules its response.
 func (r *limitRouter) send(u *limitUpstream, choice balance.Choice) {
 	s, sent := r.sim, r.sim.events.now
 	s.served++
@@ -319,21 +319,21 @@
 	})
 }
 
-// announcedLimit returns the limit that an answer announces.
+// announcedLimit returns the limit that a response announces.
 func (u *limitUpstream) announcedLimit(s *limitSim) ratelimit.ResponseLimit {
-	u.answers++
+	u.responses++
 	now := s.events.now
 	switch {
 	case !u.limited || now < limitFrom || now >= limitTo || s.Fault == LimitFlapping && now%time.Second >= time.Second/2:
 		return ratelimit.ResponseLimit{Kind: ratelimit.Unlimited}
-	case s.Fault == LimitMalformed && u.answers%2 == 0:
+	case s.Fault == LimitMalformed && u.responses%2 == 0:
 		return ratelimit.Parse([]string{"x"})
 	default:
 		return ratelimit.ResponseLimit{Kind: ratelimit.Limited, PerSecond: s.PerSecond}
 	}
 }
 
-// recordLimit applies the limit of an answer and propagates changes to the other routers.
+// recordLimit applies the limit of a response and propagates changes to the other routers.
 func (r *limitRouter) recordLimit(u *limitUpstream, announced ratelimit.ResponseLimit, sent time.Duration) {
 	s, key := r.sim, ratelimit.Upstream{ID: u.upstream.ID}
 	change := r.table.Observe(key, announced, epoch.Add(sent), s.now())
--- a/daemon/simulation/oracle.go
+++ b/daemon/simulation/oracle.go
@@ -16,7 +16,7 @@
 // engineTime returns the engine time that the request needs on a fully occupied engine.
 func (c *caller) engineTime() time.Duration {
 	spec := c.sim.Engine
-	read := time.Duration(float64(c.prompt) / spec.PrefillRate * float64(time.Second))
+	read := time.Duration(float64(c.prompt) / spec.PromptRate * float64(time.Second))
 	step := spec.TokenTime + time.Duration(spec.Places)*spec.TokenTimePerRequest
 	return read + time.Duration(c.answer)*step/time.Duration(spec.Places)
 }
--- a/daemon/simulation/policy.go
+++ b/daemon/simulation/policy.go
@@ -12,9 +12,9 @@
 // Policy is a set of decision parameters. The zero value is the policy of the production router.
 type Policy struct {
 	Name string
-	// NewRetryDetector creates, for each run, the function that classifies requests as first
+	// NewRetryClassifier creates, for each run, the function that classifies requests as first
 	// attempts or retries; nil selects that of the router.
-	NewRetryDetector func() retryDetector
+	NewRetryClassifier func() retryClassifier
 	// Search holds the parameters of the search for a place; nil selects those of the router.
 	Search *admission.Policy
 	// RetryDelay returns the delay after which a refused caller retries; nil selects that of the
@@ -22,21 +22,21 @@
 	RetryDelay func(rng *rand.Rand, remaining time.Duration) time.Duration
 }
 
-// retryDetector reports whether a router classifies a request as a retry.
-type retryDetector func(r *router, c *caller) bool
+// retryClassifier reports whether a router classifies a request as a retry.
+type retryClassifier func(r *router, c *caller) bool
 
 // byRemainingTime is the classification of the production router, by the remaining time of the
 // request.
 func byRemainingTime(r *router, c *caller) bool {
-	return r.callers.IsRetry(admission.Arrival{Route: c.kind.Name, Remaining: c.remaining(), Declared: c.kind.Deadline})
+	return r.retryDetector.IsRetry(admission.Arrival{Route: c.kind.Name, Remaining: c.remaining(), Declared: c.kind.Deadline})
 }
 
-// newDetector returns the retry detector for one run.
-func (p Policy) newDetector() retryDetector {
-	if p.NewRetryDetector == nil {
+// newClassifier returns the classifier for one run.
+func (p Policy) newClassifier() retryClassifier {
+	if p.NewRetryClassifier == nil {
 		return byRemainingTime
 	}
-	return p.NewRetryDetector()
+	return p.NewRetryClassifier()
 }
 
 // detectRetry classifies a request and records whether the result is correct.
@@ -77,10 +77,10 @@
 	const second = time.Second
 	return []Policy{
 		{Name: "now"},
-		{Name: "back-unknown", NewRetryDetector: func() retryDetector { return neverRetry }},
-		{Name: "back-same-time", NewRetryDetector: byLongestTime},
-		{Name: "back-sketch", NewRetryDetector: bySharedRefusals},
-		{Name: "back-known", NewRetryDetector: func() retryDetector { return exactRetry }},
+		{Name: "back-unknown", NewRetryClassifier: func() retryClassifier { return neverRetry }},
+		{Name: "back-same-time", NewRetryClassifier: byLongestTime},
+		{Name: "back-sketch", NewRetryClassifier: bySharedRefusals},
+		{Name: "back-known", NewRetryClassifier: func() retryClassifier { return exactRetry }},
 		{Name: "return-soon", RetryDelay: uniformDelay(second*3/10, second*9/10)},
 		{Name: "return-late", RetryDelay: uniformDelay(second*16/10, second*2)},
 		{Name: "return-wide", RetryDelay: uniformDelay(second*3/10, second*2)},
@@ -117,7 +117,7 @@
 
 // byLongestTime classifies a request as a retry if it has less time than the longest seen on its
 // route, provided that at least half of the route's requests have that time.
-func byLongestTime() retryDetector {
+func byLongestTime() retryClassifier {
 	type routeStats struct {
 		longest          time.Duration
 		total, atLongest int
@@ -144,7 +144,7 @@
 // bySharedRefusals models routers that exchange the digests of refused requests, which all of them
 // have received after exchangeDelay. The exchange is lossless; with a compact sketch, such as a
 // Bloom filter, some first attempts would be classified as retries.
-func bySharedRefusals() retryDetector {
+func bySharedRefusals() retryClassifier {
 	const exchangeDelay = 40 * time.Millisecond
 	refused := map[uint64]time.Duration{}
 	return func(_ *router, c *caller) bool {
--- a/daemon/simulation/router.go
+++ b/daemon/simulation/router.go
@@ -14,17 +14,17 @@
 // router runs the decision packages of a router. Its loop over the engines stands in for the one
 // in package dispatch.
 type router struct {
-	sim         *loadSim
-	pool        balance.Pool
-	loadTracker dispatch.LoadTracker
-	callers     admission.RetryDetector
-	upstreams   []*provider.Upstream
+	sim           *loadSim
+	pool          balance.Pool
+	loadTracker   dispatch.LoadTracker
+	retryDetector admission.RetryDetector
+	upstreams     []*provider.Upstream
 }
 
 func newRouter(s *loadSim, index int) *router {
 	r := &router{sim: s}
 	r.pool.Hall, r.pool.Now, r.pool.Rand = hallOf(index, s.Halls), s.now, s.rng.Float64
-	r.loadTracker.Now, r.callers.Now = s.now, s.now
+	r.loadTracker.Now, r.retryDetector.Now = s.now, s.now
 	for _, e := range s.engines {
 		r.upstreams = append(r.upstreams, e.upstream)
 	}
@@ -76,7 +76,7 @@
 	c.detectedRetry = r.sim.detectRetry(r, c)
 	e, choice, ok := r.acquirePlace(c)
 	if !ok {
-		r.callers.RecordRefusal()
+		r.retryDetector.RecordRefusal()
 		r.refuse(c)
 		return
 	}
--- a/daemon/simulation/simulation.go
+++ b/daemon/simulation/simulation.go
@@ -53,7 +53,7 @@
 	switch {
 	case s.Engines < 1 || s.Routers < 1 || s.Halls < 1:
 		return fmt.Errorf("%w: at least one engine, one router and one hall are required", ErrSetup)
-	case s.Engine.Places < 1 || s.Engine.PrefillRate <= 0 || s.Engine.TokensPerPass < 1:
+	case s.Engine.Places < 1 || s.Engine.PromptRate <= 0 || s.Engine.TokensPerPass < 1:
 		return fmt.Errorf("%w: places, prompt token rate and tokens per pass of engines must be positive", ErrSetup)
 	case len(s.Kinds) == 0 || s.Rate <= 0 || s.Duration <= s.WarmUp:
 		return fmt.Errorf("%w: kinds of callers, a positive rate and a duration above the warm-up of %s are required", ErrSetup, s.WarmUp)
@@ -67,7 +67,7 @@
 type loadSim struct {
 	Setup
 	policy      Policy
-	isRetry     retryDetector
+	isRetry     retryClassifier
 	events      eventLoop
 	engines     []*engine
 	routers     []*router
@@ -88,7 +88,7 @@
 		return nil, err
 	}
 	s := &loadSim{
-		Setup: setup, policy: policy, isRetry: policy.newDetector(),
+		Setup: setup, policy: policy, isRetry: policy.newClassifier(),
 		arrivalRand: rand.New(rand.NewPCG(setup.Seed, 1)), rng: rand.New(rand.NewPCG(setup.Seed, 2)),
 	}
 	for i := range setup.Engines {
