--- a/daemon/internal/version/activate/activate.go
+++ b/daemon/internal/version/activate/activate.go
@@ -79,28 +79,28 @@
 	return e
 }
 
-func call(ctx context.Context, client *http.Client, method string, peer netip.AddrPort, path string, body []byte) (State, error) {
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+peer.String()+path, bytes.NewReader(body))
+func call(ctx context.Context, client *http.Client, method string, engine netip.AddrPort, path string, body []byte) (State, error) {
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+engine.String()+path, bytes.NewReader(body))
 	if err != nil {
-		return State{}, fmt.Errorf("engine %s: %w", peer, err)
+		return State{}, fmt.Errorf("engine %s: %w", engine, err)
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		return State{}, fmt.Errorf("engine %s: %w", peer, err)
+		return State{}, fmt.Errorf("engine %s: %w", engine, err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	reply := io.LimitReader(response.Body, maxResponseBytes)
+	limitedBody := io.LimitReader(response.Body, maxResponseBytes)
 	switch response.StatusCode {
 	case http.StatusOK:
 	case http.StatusConflict:
-		return State{}, fmt.Errorf("engine %s: %w: %w", peer, ErrRefused, ErrFenced)
+		return State{}, fmt.Errorf("engine %s: %w: %w", engine, ErrRefused, ErrFenced)
 	default:
-		message, _ := io.ReadAll(reply)
-		return State{}, fmt.Errorf("engine %s: %w: %s: %s", peer, ErrRefused, response.Status, bytes.TrimSpace(message))
+		message, _ := io.ReadAll(limitedBody)
+		return State{}, fmt.Errorf("engine %s: %w: %s: %s", engine, ErrRefused, response.Status, bytes.TrimSpace(message))
 	}
 	var state State
-	if err := json.NewDecoder(reply).Decode(&state); err != nil {
-		return State{}, fmt.Errorf("engine %s: decode state: %w", peer, err)
+	if err := json.NewDecoder(limitedBody).Decode(&state); err != nil {
+		return State{}, fmt.Errorf("engine %s: decode state: %w", engine, err)
 	}
 	return state, nil
 }
--- a/daemon/internal/version/fetch/fetch_test.go
+++ b/daemon/internal/version/fetch/fetch_test.go
@@ -155,12 +155,12 @@
 	require.NoError(t, err)
 	var mu sync.Mutex
 	requests := map[string]int{}
-	newSource := func(name string, reply func(offset int64, good []byte) ([]byte, error)) *source.Source {
+	newSource := func(name string, respond func(offset int64, good []byte) ([]byte, error)) *source.Source {
 		return &source.Source{Name: name, FetchRange: func(_ context.Context, _ manifest.Digest, offset, length int64) ([]byte, error) {
 			mu.Lock()
 			requests[name]++
 			mu.Unlock()
-			return reply(offset, bytes.Clone(data[offset:offset+length]))
+			return respond(offset, bytes.Clone(data[offset:offset+length]))
 		}}
 	}
 	store := newSource("store", func(offset int64, good []byte) ([]byte, error) {
--- a/daemon/internal/version/fetch/schedule.go
+++ b/daemon/internal/version/fetch/schedule.go
@@ -18,15 +18,17 @@
 
 type digest = manifest.Digest
 
-// otherHallsDelayFactor is the multiple of the takeover delay without a new chunk after
-// which a hall uses the origin even though primaries of other halls respond.
+// otherHallsDelayFactor is the multiple of the takeover delay without a new
+// chunk after which a hall uses the origin even though primaries of other halls
+// respond.
 const otherHallsDelayFactor = 2
 
 // rarestSampleSize is the number of random chunks from which the rarest is picked.
 const rarestSampleSize = 2
 
-// lastResortFactor is the multiple of the takeover delay without a new chunk after
-// which any host fetches any chunk from the origin, regardless of the gateways.
+// lastResortFactor is the multiple of the takeover delay without a new chunk
+// after which any host fetches any chunk from the origin, regardless of the
+// gateways.
 const lastResortFactor = 6
 
 // schedule starts all transfers that the policy and the free slots allow.
@@ -341,7 +343,7 @@
 // of them is busy or does not hold the chunk yet, the transfer is retried later;
 // it falls back to the sources only if all of them fail.
 func (f *Fetcher) fetchFromOtherHalls(ctx context.Context, version *stage.Version, t transfer, result *transferResult) ([]byte, error) {
-	var replyErr error
+	var retryErr error
 	for _, peer := range t.peers {
 		result.source = peer.Address.String()
 		data, err := f.Downloader.FetchChunk(ctx, chunkRequest(version, t.chunk, peer, helpers.OrDefault(f.PeerWait, DefaultPeerWait)))
@@ -351,7 +353,7 @@
 		case ctx.Err() != nil:
 			return nil, ctx.Err()
 		case errors.Is(err, source.ErrBusy), errors.Is(err, source.ErrAbsent):
-			replyErr = err
+			retryErr = err
 			continue
 		case err == nil:
 			err = fmt.Errorf("chunk %d from %s: %w", t.chunk, peer.Address, stage.ErrCorrupt)
@@ -362,8 +364,8 @@
 			Details: map[string]any{"version": version.ID.Short(), "chunk": t.chunk},
 		})
 	}
-	if replyErr != nil {
-		return nil, replyErr
+	if retryErr != nil {
+		return nil, retryErr
 	}
 	return f.fetchFromSources(ctx, version, t.chunk, result)
 }
--- a/daemon/internal/version/reconcile/manifest.go
+++ b/daemon/internal/version/reconcile/manifest.go
@@ -60,14 +60,14 @@
 	PeerQueries int
 }
 
-// reply is the result of one query. Its peer is invalid if the origin was queried.
-type reply struct {
+// queryResult is the result of one query. Its peer is invalid if the origin was queried.
+type queryResult struct {
 	peer     netip.AddrPort
 	manifest provider.Manifest
 	err      error
 }
 
-func (r reply) source() string {
+func (r queryResult) source() string {
 	if r.peer.IsValid() {
 		return r.peer.String()
 	}
@@ -80,7 +80,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	l.pending = map[netip.AddrPort]bool{}
-	replies := make(chan reply)
+	results := make(chan queryResult)
 	originTimer := time.NewTimer(l.originDelay())
 	defer originTimer.Stop()
 	peerTimer := time.NewTimer(0)
@@ -88,14 +88,14 @@
 	for {
 		select {
 		case <-originTimer.C:
-			go l.query(ctx, replies, netip.AddrPort{})
+			go l.query(ctx, results, netip.AddrPort{})
 		case <-peerTimer.C:
 			if peer, ok := l.nextPeer(); ok {
 				l.pending[peer] = true
-				go l.query(ctx, replies, peer)
+				go l.query(ctx, results, peer)
 			}
 			peerTimer.Reset(peerHedgeDelay)
-		case r := <-replies:
+		case r := <-results:
 			if r.err == nil {
 				return LookupResult{Manifest: r.manifest, From: r.source(), PeerQueries: l.queries}, nil
 			}
@@ -110,12 +110,12 @@
 	}
 }
 
-// query makes one call, to the origin if the peer is invalid, and sends the reply unless
+// query makes one call, to the origin if the peer is invalid, and sends the result unless
 // the lookup has ended.
-func (l *ManifestLookup) query(ctx context.Context, replies chan<- reply, peer netip.AddrPort) {
+func (l *ManifestLookup) query(ctx context.Context, results chan<- queryResult, peer netip.AddrPort) {
 	callCtx, cancel := context.WithTimeout(ctx, manifestTimeout)
 	defer cancel()
-	r := reply{peer: peer}
+	r := queryResult{peer: peer}
 	if peer.IsValid() {
 		r.manifest, r.err = l.QueryPeer(callCtx, peer)
 	} else {
@@ -125,7 +125,7 @@
 		r.err = l.Check(r.manifest)
 	}
 	select {
-	case replies <- r:
+	case results <- r:
 	case <-ctx.Done():
 	}
 }
--- a/daemon/internal/version/reconcile/manifest_test.go
+++ b/daemon/internal/version/reconcile/manifest_test.go
@@ -58,7 +58,7 @@
 	f.calls.Add(1)
 	defer f.open.Add(-1)
 	if f.open.Add(1) > f.maxOpen {
-		return provider.Manifest{}, errReplyLost
+		return provider.Manifest{}, errResponseLost
 	}
 	if !helpers.Pause(responseTime, ctx.Done()) {
 		return provider.Manifest{}, ctx.Err()
--- a/daemon/internal/version/reconcile/reconcile.go
+++ b/daemon/internal/version/reconcile/reconcile.go
@@ -1,12 +1,13 @@
 // Package reconcile brings an engine to the declared version of its model. It fetches the
 // version, writes it to the engine's staging area, verifies it there, and orders the
-// engine to load it at its scheduled load time. Package loader runs one instance for
-// the engine on its host.
+// engine to load it at its scheduled load time. The staging area is the engine's own;
+// package stage is that of agents. Package loader runs one instance for the engine on its
+// host.
 //
 // The package is a reconciliation loop: each round starts from the engine's own report
-// and compares it with the declared versions. Nothing depends on the reply to an order,
-// so a lost reply, a restarted engine and a restarted loader need no handling of their
-// own.
+// and compares it with the declared versions. Nothing depends on the response to an
+// order, so a lost response, a restarted engine and a restarted loader need no handling
+// of their own.
 package reconcile
 
 import (
@@ -57,7 +58,7 @@
 type Goal struct {
 	Model   string
 	Version int
-	// FencingToken is the token of the order: an engine refuses an order whose token is lower
+	// FencingToken is the token of the order: an engine rejects an order whose token is lower
 	// than the highest one that it has seen.
 	FencingToken provider.Revision
 	// LoadAt is the earliest time to order an engine that serves an older version.
--- a/daemon/internal/version/reconcile/reconcile_test.go
+++ b/daemon/internal/version/reconcile/reconcile_test.go
@@ -20,8 +20,8 @@
 )
 
 var (
-	errReplyLost = errors.New("reply lost")
-	host         = netip.MustParseAddrPort("127.0.0.1:9")
+	errResponseLost = errors.New("response lost")
+	host            = netip.MustParseAddrPort("127.0.0.1:9")
 )
 
 const chunks = 4
@@ -52,8 +52,8 @@
 	fenced int
 	// fence is the highest fencing token that the engine has seen.
 	fence provider.Revision
-	// lostReplies is the number of orders that take effect but whose reply is lost.
-	lostReplies int
+	// lostResponses is the number of orders that take effect but whose response is lost.
+	lostResponses int
 	// draining holds whether the engine was draining at the last report, and rounds counts
 	// the reports.
 	draining atomic.Bool
@@ -125,9 +125,9 @@
 	e.loaded = order.Version
 	e.sequence++
 	e.orders++
-	if e.lostReplies > 0 {
-		e.lostReplies--
-		return provider.OrderUnknown, errReplyLost
+	if e.lostResponses > 0 {
+		e.lostResponses--
+		return provider.OrderUnknown, errResponseLost
 	}
 	return provider.OrderStarted, nil
 }
@@ -276,8 +276,8 @@
 	assert.False(t, e.draining.Load(), "an idle engine was drained")
 }
 
-func TestLostReplyCausesNoSecondLoad(t *testing.T) {
-	e := &engine{t: t, staged: map[int][]byte{}, lostReplies: 1}
+func TestLostResponseCausesNoSecondLoad(t *testing.T) {
+	e := &engine{t: t, staged: map[int][]byte{}, lostResponses: 1}
 	r := start(t, e, func() reconcile.Plan { return planOf(goal(2, time.Time{})) })
 	await(t, "version 2", func() bool { return e.version() == 2 })
 	r.Stop()
--- a/daemon/internal/version/share/share.go
+++ b/daemon/internal/version/share/share.go
@@ -1,5 +1,6 @@
-// Package share serves staged chunks to other agents, and complete versions to
-// the engine on the same host.
+// Package share serves staged chunks to other agents, where package fetch
+// requests them, and complete versions to the engine on the same host. Package
+// agent registers its routes.
 //
 //	GET /chunks/{digest}?wait=2s      one chunk; 404, or 503 without a free slot
 //	GET /manifests/{digest}           a version's manifest
@@ -7,7 +8,8 @@
 //	twirp Peer.Have                   the chunks gained since a cursor
 //
 // The number of concurrent uploads is limited by slots, so that each upload gets
-// a useful share of the link; a client that gets no slot asks another peer.
+// a useful part of the link; an agent that gets no slot requests the chunk from
+// another peer.
 package share
 
 import (
@@ -253,10 +255,10 @@
 	return remote.IsLoopback() || remote.Equal(local.IP)
 }
 
-// errNotStaged is the reply to a poll for a version that is not staged.
+// errNotStaged is the response to a poll for a version that is not staged.
 var errNotStaged = errors.New("the version is not staged here")
 
-// Have returns the chunks of a version gained after the caller's cursor. It waits
+// Have returns the chunks of a version gained after the cursor of the request. It waits
 // for at least one chunk, up to the requested time.
 func (s *Server) Have(ctx context.Context, request *wire.HaveRequest) (*wire.HaveResponse, error) {
 	id, err := manifest.ParseDigest(request.GetManifest())
--- a/daemon/internal/version/source/source_test.go
+++ b/daemon/internal/version/source/source_test.go
@@ -46,6 +46,8 @@
 	require.ErrorContains(t, err, peer.String())
 }
 
+// A truncated or oversized chunk must not be accepted, and callers must be able to
+// tell a busy peer from one that lacks the chunk.
 func TestFetchChunkStatusAndLength(t *testing.T) {
 	tests := []struct {
 		name    string
--- a/daemon/internal/version/swarm/assignment.go
+++ b/daemon/internal/version/swarm/assignment.go
@@ -152,9 +152,9 @@
 	return a.isPrimary() || f.timeline.OriginOverdue(index, now) > wait
 }
 
-// minEarlyWait returns the minimum time for which an early host waits for an overdue chunk: the time
-// in which the origin sends all chunks that are requested from it at once, and a margin for
-// the hop through another host. A shorter wait would fetch chunks twice from a slow origin.
+// minEarlyWait returns the minimum time for which an early host waits for an overdue chunk: the
+// time in which the origin sends all chunks that are requested from it at once, and a margin
+// for the hop through another host. A shorter wait would fetch chunks twice from a slow origin.
 func (f *Fetch) minEarlyWait() time.Duration {
 	const margin = 1.2
 	return time.Duration(margin * float64(f.timeline.InFlightTime()))
--- a/daemon/internal/version/swarm/fromorigin.go
+++ b/daemon/internal/version/swarm/fromorigin.go
@@ -66,7 +66,7 @@
 	now := clock.Now()
 	f.assign(f.liveHosts(now))
 	have := f.Copy.Present()
-	backup := -1
+	takeover := -1
 	candidates := 0
 	for index := range have[:f.timeline.DueChunks(now, f.seen())] {
 		if have[index] || f.inFlight[index] || !f.fetchesFromOrigin(index, now) {
@@ -76,14 +76,14 @@
 			f.inFlight[index] = true
 			return index, true
 		}
-		// A backup host chooses at random: otherwise all of them would fetch the same chunk.
+		// Hosts that take over choose at random: otherwise all would fetch the same chunk.
 		if candidates++; rand.IntN(candidates) == 0 {
-			backup = index
+			takeover = index
 		}
 	}
-	if backup < 0 {
+	if takeover < 0 {
 		return 0, false
 	}
-	f.inFlight[backup] = true
-	return backup, true
+	f.inFlight[takeover] = true
+	return takeover, true
 }
