--- a/api/client/client.go
+++ b/api/client/client.go
@@ -199,7 +199,7 @@
 	problem := &api.Problem{}
 	err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(problem)
 	if err != nil || problem.Code == "" {
-		return fmt.Errorf("%s %s: entry answered %s", method, target, resp.Status)
+		return fmt.Errorf("%s %s: entry responded with %s", method, target, resp.Status)
 	}
 	return problem
 }
--- a/api/headers.go
+++ b/api/headers.go
@@ -4,11 +4,11 @@
 const (
 	// HeaderOutcome reports whether the request ran; see Outcome.
 	HeaderOutcome = "Wheelcleat-Outcome"
-	// HeaderTimeout is the time until the client's deadline as a duration, such as "1.2s".
+	// HeaderTimeout is the time until the caller's deadline as a duration, such as "1.2s".
 	HeaderTimeout = "Wheelcleat-Timeout"
 	// HeaderRepeatable is "no" for a request that must run at most once.
 	HeaderRepeatable = "Wheelcleat-Repeatable"
-	// HeaderRequestID identifies the request. It is generated if the client sends none.
+	// HeaderRequestID identifies the request. It is generated if the caller sends none.
 	HeaderRequestID = "Wheelcleat-Request-Id"
 	// HeaderVersion is the digest of the manifest of the version that served the request.
 	HeaderVersion = "Wheelcleat-Version"
--- a/api/manifest/manifest_test.go
+++ b/api/manifest/manifest_test.go
@@ -57,6 +57,7 @@
 	require.ErrorContains(t, err, "corrupt")
 }
 
+// TestPlanChunkBytes guards against plans with too many or too small chunks.
 func TestPlanChunkBytes(t *testing.T) {
 	for _, size := range []int64{1, 16 << 20, 64 << 20, 5 << 30, 700 << 30} {
 		chunk := PlanChunkBytes(size)
--- a/daemon/provider/configuration.go
+++ b/daemon/provider/configuration.go
@@ -14,7 +14,7 @@
 	ModeUnsafe Mode = iota
 	// ModeSafe requests may run more than once.
 	ModeSafe
-	// ModeStream requests may run more than once, and their answers are event streams; see
+	// ModeStream requests may run more than once, and their responses are event streams; see
 	// Route.Resumable.
 	ModeStream
 )
@@ -48,7 +48,7 @@
 	Prefix string
 	Mode   Mode
 	// Timeout bounds how long a request may take. Objective is the latency target of the first
-	// byte of an answer.
+	// byte of a response.
 	Timeout, Objective time.Duration
 	// Priority ranks requests; 0 is the most urgent.
 	Priority int
--- a/daemon/provider/engine.go
+++ b/daemon/provider/engine.go
@@ -43,10 +43,10 @@
 	Sequence uint64
 }
 
-// OrderResult is the answer of an engine to an order.
+// OrderResult is the response of an engine to an order.
 type OrderResult int
 
-// The results. The zero value means that the order got no answer.
+// The results. The zero value means that the order got no response.
 const (
 	OrderUnknown OrderResult = iota
 	// OrderStarted means that the engine has started to load the version.
--- a/daemon/provider/progress.go
+++ b/daemon/provider/progress.go
@@ -8,13 +8,13 @@
 // progressKey is the context key of the progress function.
 type progressKey struct{}
 
-// WithProgress returns a context whose calls report the bytes of an answer as they arrive, so
-// that a caller can distinguish a slow answer from an unresponsive server.
+// WithProgress returns a context whose calls report the bytes of a response as they arrive, so
+// that a caller can distinguish a slow response from an unresponsive server.
 func WithProgress(ctx context.Context, report func(bytes int)) context.Context {
 	return context.WithValue(ctx, progressKey{}, report)
 }
 
-// Progress returns the function to which adapters report each part of an answer that they read.
+// Progress returns the function to which adapters report each part of a response that they read.
 // It is never nil.
 func Progress(ctx context.Context) func(bytes int) {
 	if report, ok := ctx.Value(progressKey{}).(func(int)); ok {
@@ -23,7 +23,7 @@
 	return func(int) {}
 }
 
-// ReadAll reads at most limit bytes of an answer and reports progress. On an error it also
+// ReadAll reads at most limit bytes of a response and reports progress. On an error it also
 // returns the bytes read so far.
 func ReadAll(ctx context.Context, body io.Reader, limit int64) ([]byte, error) {
 	return io.ReadAll(io.LimitReader(reportingReader{body, Progress(ctx)}, limit))
--- a/daemon/provider/provider.go
+++ b/daemon/provider/provider.go
@@ -154,18 +154,18 @@
 	Version int
 }
 
-// Headers are the names of the headers of requests and answers.
+// Headers are the names of the headers of requests and responses.
 type Headers struct {
 	RequestID, Deadline, LastEvent, Signature, Account string
 	ExpectedUpstream, ExpectedVersion, Priority        string
-	// NotRun is set in the answer of an upstream that guarantees that the request has not run and
-	// never will.
+	// NotRun is set in the response of an upstream that guarantees that the request has not run
+	// and never will.
 	NotRun string
 	// Tokens carries the number of prompt tokens and the maximum number of output tokens,
 	// separated by a comma. LengthHint carries the caller's estimate of the output tokens.
 	Tokens, LengthHint string
-	// Limit is set in the answers of an overloaded upstream. Its value, a decimal number, is the
-	// rate in requests per second that the upstream accepts from all routers together, until an
-	// answer comes without it.
+	// Limit is set in the responses of an overloaded upstream. Its value, a decimal number, is the
+	// rate in requests per second that the upstream accepts from all routers together, until a
+	// response comes without it.
 	Limit string
 }
--- a/daemon/settings/settings.go
+++ b/daemon/settings/settings.go
@@ -1,6 +1,6 @@
 // Package settings defines the settings file of each role, decodes it strictly
 // from JSON and validates it before the process opens a port. The daemon's main
-// package calls it, and the command for examples and tests.
+// package loads its file with it; the CLI validates files and prints examples.
 //
 // All errors in a file are reported at once, each with its JSON path and a hint,
 // so that an operator can fix the file in one pass. The standard decoder stops at
--- a/daemon/settings/settings_test.go
+++ b/daemon/settings/settings_test.go
@@ -88,6 +88,7 @@
 	}
 }
 
+// FuzzParse checks that Parse returns either the settings of one role or the invalid fields.
 func FuzzParse(f *testing.F) {
 	for _, role := range []Role{RoleEntry, RoleAgent} {
 		data, _ := Example(role)
--- a/daemon/simulation/caller.go
+++ b/daemon/simulation/caller.go
@@ -15,7 +15,7 @@
 	// Prompt and Answer are mean lengths in tokens, MaxPrompt and MaxAnswer their upper limits.
 	Prompt, Answer       float64
 	MaxPrompt, MaxAnswer float64
-	// Objective is the time limit for the first byte, Deadline the time after which callers
+	// Objective is the latency target of the first byte, Deadline the time after which callers
 	// abandon the request.
 	Objective, Deadline time.Duration
 	// Worth is the value of an answer whose first byte met the objective, LateWorth that of a later
--- a/daemon/simulation/fleet_model.go
+++ b/daemon/simulation/fleet_model.go
@@ -29,8 +29,8 @@
 	// defaultBackoff is the backoff of an unreachable router, startingBackoff that of one without
 	// a snapshot.
 	defaultBackoff, startingBackoff = 2 * time.Second, 250 * time.Millisecond
-	// Pauses after an update from the store, after one from another router, and between
-	// decisions.
+	// storeDebounce and peerDebounce are the pauses after an update from the store and from another
+	// router, decidePause that between decisions.
 	storeDebounce, peerDebounce, decidePause = 500 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond
 	// listInterval is the interval between listings of the hall, maxListTime the time after which
 	// a starting router stops listing.
@@ -190,7 +190,7 @@
 	started   time.Duration
 }
 
-// start registers the router in the store and lists the others.
+// start announces the router in the store and lists the others.
 func (r *fleetRouter) start() {
 	s := r.hall.sim
 	r.started, r.storeSeen = s.events.now, s.events.now
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,7 +1,7 @@
 // Package engine simulates a model engine: it loads versions on orders with a
 // fencing token, serves only completely loaded versions, streams tokens, and
-// records each request that it ran, so that tests can check what the router
-// reported about it.
+// records each request that it ran, so that tests can check the outcomes that
+// the daemons report.
 //
 //	POST /admin/load       Order; returns State, or 409 for an outdated fencing token
 //	GET  /admin/state      State
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -100,9 +100,9 @@
 	assert.Equal(t, manifest.Sum([]byte("/v1")).String(), h.engine.State().Digest, "the digest of the downloaded bytes")
 	_, body, err := h.complete(t.Context(), "one", Completion{Prompt: "p", MaxTokens: 2})
 	require.NoError(t, err)
-	var answer Response
-	require.NoError(t, json.Unmarshal([]byte(body), &answer))
-	assert.Equal(t, Response{"one", "v1", []string{TokenText("v1", "p", 0), TokenText("v1", "p", 1)}}, answer)
+	var decoded Response
+	require.NoError(t, json.Unmarshal([]byte(body), &decoded))
+	assert.Equal(t, Response{"one", "v1", []string{TokenText("v1", "p", 0), TokenText("v1", "p", 1)}}, decoded)
 	_, body, err = h.complete(t.Context(), "two", Completion{Prompt: "p", MaxTokens: 2, Stream: true})
 	require.NoError(t, err)
 	assert.Equal(t, 3, strings.Count(body, "data: "))
--- a/standin/kv/kv_test.go
+++ b/standin/kv/kv_test.go
@@ -163,6 +163,7 @@
 	assert.Equal(t, "lost after", string(item.Value))
 }
 
+// TestRateLimits checks that requests beyond the limits get 429 and are counted as refused only.
 func TestRateLimits(t *testing.T) {
 	s := &Server{WritesPerSecond: 0.001, ReadsPerSecond: 0.001}
 	url := start(t, s)
--- a/standin/plain/plain_test.go
+++ b/standin/plain/plain_test.go
@@ -14,7 +14,9 @@
 	"github.com/wheelcleat/wheelcleat/standin/serve"
 )
 
-func TestRunsAndFaults(t *testing.T) {
+// TestFaultsBeforeAndAfterRun guards against a request that is recorded as run although the
+// connection was closed before it, or is not recorded although it was closed after it.
+func TestFaultsBeforeAndAfterRun(t *testing.T) {
 	var fault atomic.Value
 	fault.Store(Fault{})
 	s := &Server{Fault: func(string) Fault { return fault.Load().(Fault) }}
--- a/standin/weights/weights_test.go
+++ b/standin/weights/weights_test.go
@@ -32,6 +32,8 @@
 	return resp.StatusCode, data, err
 }
 
+// TestRangesAndFaults checks that a range is served or rejected by its bounds, and that faults
+// corrupt, truncate or stall only what is sent.
 func TestRangesAndFaults(t *testing.T) {
 	s := &Server{BytesPerSecond: 1 << 30}
 	server, err := serve.Loopback(s)
