--- a/daemon/internal/version/reconcile/reconcile.go
+++ b/daemon/internal/version/reconcile/reconcile.go
@@ -132,7 +132,7 @@
 	StepManifest = "manifest"
 	StepFetch    = "fetch"
 	StepStage    = "stage"
-	StepCheck    = "check"
+	StepVerify   = "check"
 	StepOrder    = "order"
 )
 
@@ -158,7 +158,7 @@
 }
 
 func (r *Reconciler) run() error {
-	ctx := r.tomb.Context(nil) //nolint:staticcheck // nil asks the tomb for its own context
+	ctx := r.tomb.Context(nil) //nolint:staticcheck // tomb takes nil for "no parent"
 	pause := roundInterval
 	for helpers.Pause(pause, r.tomb.Dying()) {
 		pause = roundInterval
--- a/daemon/internal/version/reconcile/reconcile_test.go
+++ b/daemon/internal/version/reconcile/reconcile_test.go
@@ -48,7 +48,7 @@
 	waiting  int
 	running  int
 	orders   int
-	// fenced counts the orders that were refused for their fencing token.
+	// fenced counts the orders that were rejected for their fencing token.
 	fenced int
 	// fence is the highest fencing token that the engine has seen.
 	fence provider.Revision
@@ -285,7 +285,7 @@
 }
 
 // TestFencedOrderIsRetriedWithNewerToken: an engine that has seen a higher fencing token
-// refuses the order until this loader's view of the store is as new.
+// rejects the order until this loader's view of the store is as new.
 func TestFencedOrderIsRetriedWithNewerToken(t *testing.T) {
 	e := &engine{t: t, staged: map[int][]byte{}, fence: 9}
 	var fence atomic.Uint64
@@ -295,7 +295,7 @@
 		next.FencingToken = provider.Revision(fence.Load())
 		return planOf(next)
 	})
-	await(t, "a refusal", func() bool {
+	await(t, "a rejection", func() bool {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		return e.fenced > 0
--- a/daemon/internal/version/reconcile/stage.go
+++ b/daemon/internal/version/reconcile/stage.go
@@ -92,7 +92,7 @@
 	repaired, err := r.repairStaged(ctx, goal, c)
 	if repaired > 0 || err != nil {
 		reason := fmt.Sprintf("%d corrupt or missing chunks", repaired)
-		r.OnStep(Step{Name: StepCheck, Version: goal.Version, Reason: reason, Err: err, Took: clock.Since(started)})
+		r.OnStep(Step{Name: StepVerify, Version: goal.Version, Reason: reason, Err: err, Took: clock.Since(started)})
 	}
 	return err == nil
 }
