--- a/daemon/internal/connection/places/client.go
+++ b/daemon/internal/connection/places/client.go
@@ -86,34 +86,34 @@
 	if req.RateLimit, err = parseRateLimit(query); err != nil {
 		return req, err
 	}
-	req.Cold, err = parseCold(query)
+	req.Warmup, err = parseWarmup(query)
 	return req, err
 }
 
-// The optional query parameters for the engine and its rate limit.
+// The optional query parameters for the engine, its rate limit and its warm-up.
 const (
-	engineParam  = "of"
-	startedParam = "started"
-	limitParam   = "limit"
-	ageParam     = "age" // in milliseconds
-	endedValue   = "ended"
-	coldParam    = "cold"    // requests a second
-	coldForParam = "coldFor" // in milliseconds
+	engineParam    = "of"
+	startedParam   = "started"
+	limitParam     = "limit"
+	ageParam       = "age" // in milliseconds
+	endedValue     = "ended"
+	warmupParam    = "cold"    // requests a second
+	warmupForParam = "coldFor" // in milliseconds
 )
 
-// parseCold parses the rate and the remaining time of a warm-up; nil if there is none.
-func parseCold(query url.Values) (*ratelimit.Warmup, error) {
-	text := query.Get(coldParam)
+// parseWarmup parses the engine's warm-up state as known to the router; nil if it is warm.
+func parseWarmup(query url.Values) (*ratelimit.Warmup, error) {
+	text := query.Get(warmupParam)
 	if text == "" {
 		return nil, nil //nolint:nilnil // the parameter is optional
 	}
 	perSecond, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(perSecond > 0) {
-		return nil, fmt.Errorf("%s: %w: %q", coldParam, errInvalidRate, text)
+		return nil, fmt.Errorf("%s: %w: %q", warmupParam, errInvalidRate, text)
 	}
-	remaining, err := strconv.ParseInt(query.Get(coldForParam), 10, 64)
+	remaining, err := strconv.ParseInt(query.Get(warmupForParam), 10, 64)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", coldForParam, err)
+		return nil, fmt.Errorf("%s: %w", warmupForParam, err)
 	}
 	return &ratelimit.Warmup{PerSecond: perSecond, Remaining: time.Duration(remaining) * time.Millisecond}, nil
 }
@@ -149,7 +149,7 @@
 	if err != nil {
 		return Limit{}, fmt.Errorf("waiting: %w", err)
 	}
-	taken, err := strconv.Atoi(query.Get("taken"))
+	inUse, err := strconv.Atoi(query.Get("taken"))
 	if err != nil {
 		return Limit{}, fmt.Errorf("taken: %w", err)
 	}
@@ -157,7 +157,7 @@
 	if err != nil {
 		return Limit{}, fmt.Errorf("lasts: %w", err)
 	}
-	return Limit{Waiting: waiting, InUse: taken, Duration: time.Duration(duration) * time.Millisecond}, nil
+	return Limit{Waiting: waiting, InUse: inUse, Duration: time.Duration(duration) * time.Millisecond}, nil
 }
 
 // ErrBackoff reports that no call was made, because the loader is in backoff.
@@ -182,9 +182,9 @@
 	if !r.Engine.Started.IsZero() {
 		query += "&" + startedParam + "=" + strconv.FormatInt(r.Engine.Started.UnixNano(), 10)
 	}
-	if r.Cold != nil {
-		query += "&" + coldParam + "=" + strconv.FormatFloat(r.Cold.PerSecond, 'f', -1, 64)
-		query += "&" + coldForParam + "=" + strconv.FormatInt(r.Cold.Remaining.Milliseconds(), 10)
+	if r.Warmup != nil {
+		query += "&" + warmupParam + "=" + strconv.FormatFloat(r.Warmup.PerSecond, 'f', -1, 64)
+		query += "&" + warmupForParam + "=" + strconv.FormatInt(r.Warmup.Remaining.Milliseconds(), 10)
 	}
 	if r.RateLimit == nil {
 		return query
--- a/daemon/internal/connection/places/ledger.go
+++ b/daemon/internal/connection/places/ledger.go
@@ -25,7 +25,7 @@
 
 // EngineLoad is the load of an engine.
 type EngineLoad struct {
-	// Running is the number of requests in execution, Waiting the number queued.
+	// Running is the number of requests that run, Waiting the number queued.
 	Running, Waiting int
 	// Loading reports that the engine admits no requests, because it loads a version, is about
 	// to, or has none loaded.
@@ -52,8 +52,8 @@
 	// the router; nil if there is none.
 	Engine    ratelimit.Upstream
 	RateLimit *ratelimit.Report
-	// Cold is the warm-up state of the engine as known to the router; nil if it is warm.
-	Cold *ratelimit.Warmup
+	// Warmup is the warm-up state of the engine as known to the router; nil if it is warm.
+	Warmup *ratelimit.Warmup
 }
 
 // Ledger counts the places of one engine. The zero value grants no place until a load was
@@ -137,8 +137,8 @@
 
 // mergeLimits merges the engine's limits as known to the router. The caller holds mu.
 func (l *Ledger) mergeLimits(req Request) {
-	if req.Cold != nil {
-		l.warmup.Merge(req.Engine, *req.Cold, helpers.Now(l.Now))
+	if req.Warmup != nil {
+		l.warmup.Merge(req.Engine, *req.Warmup, helpers.Now(l.Now))
 	}
 	if req.RateLimit == nil {
 		return
--- a/daemon/internal/connection/places/places_test.go
+++ b/daemon/internal/connection/places/places_test.go
@@ -224,7 +224,7 @@
 		req := request(places.Limit{Waiting: 100, InUse: 100})
 		req.Engine = ratelimit.Upstream{ID: "e"}
 		if step%2 == 0 {
-			req.Cold = &ratelimit.Warmup{PerSecond: 10, Remaining: time.Second - time.Duration(step)*10*time.Millisecond}
+			req.Warmup = &ratelimit.Warmup{PerSecond: 10, Remaining: time.Second - time.Duration(step)*10*time.Millisecond}
 		}
 		if _, ok := ledger.Reserve(req); ok {
 			granted++
--- a/daemon/router/limits.go
+++ b/daemon/router/limits.go
@@ -131,7 +131,7 @@
 		if report, known := table.Report(upstream, now); known {
 			query.RateLimit = &report
 		}
-		query.Cold = p.coldLimit(engine, now)
+		query.Warmup = p.coldLimit(engine, now)
 	})
 	loader := netip.AddrPortFrom(engine.Address.Addr(), p.current.Load().LoaderPort)
 	answer, err := p.placeClient.Reserve(ctx, loader, query)
