--- a/daemon/internal/connection/peering/packed.go
+++ b/daemon/internal/connection/peering/packed.go
@@ -21,7 +21,7 @@
 	maxValue = maxResponse
 )
 
-// packedEntry is an entry on the wire. One of Value and Packed is empty.
+// packedEntry is the encoded form of an entry. One of Value and Packed is empty.
 type packedEntry struct {
 	provider.Entry
 	// Packed is the compressed value.
@@ -36,7 +36,7 @@
 	packed map[string]packedEntry
 }
 
-// pack returns entries in their wire form.
+// pack returns the encoded form of entries.
 func (p *packer) pack(entries []provider.Entry) []packedEntry {
 	packed := make([]packedEntry, 0, len(entries))
 	for _, entry := range entries {
--- a/daemon/internal/connection/peering/packed_test.go
+++ b/daemon/internal/connection/peering/packed_test.go
@@ -47,9 +47,9 @@
 		rec := httptest.NewRecorder()
 		source.ServeHTTP(rec, httptest.NewRequest(http.MethodGet, "/copy?after=0", http.NoBody))
 		sent += rec.Body.Len()
-		var message packedMessage
-		require.NoError(t, json.Unmarshal(rec.Body.Bytes(), &message))
-		unpacked, err := unpack(message.Entries)
+		var resp wireResponse
+		require.NoError(t, json.Unmarshal(rec.Body.Bytes(), &resp))
+		unpacked, err := unpack(resp.Entries)
 		require.NoError(t, err)
 		assert.Equal(t, []provider.Entry{{Key: "c", Value: value, Revision: 7}}, unpacked)
 	}
@@ -96,26 +96,26 @@
 	table := &replica.Table{}
 	table.Apply(entries)
 	source := &Source{Table: table, Status: func() replica.Status { return replica.Status{Revision: 1007} }}
-	get := func(target string) (packedMessage, int) {
+	get := func(target string) (wireResponse, int) {
 		rec := httptest.NewRecorder()
 		source.ServeHTTP(rec, httptest.NewRequest(http.MethodGet, target, http.NoBody))
-		var message packedMessage
-		require.NoError(t, json.Unmarshal(rec.Body.Bytes(), &message))
-		return message, rec.Body.Len()
+		var resp wireResponse
+		require.NoError(t, json.Unmarshal(rec.Body.Bytes(), &resp))
+		return resp, rec.Body.Len()
 	}
 	plain, plainSize := get("/copy?after=0")
 	assert.Len(t, plain.Entries, len(entries))
 	for range 117 {
-		message, size := get("/copy?after=0&form=packed")
+		resp, size := get("/copy?after=0&form=packed")
 		assert.Less(t, size, plainSize/3)
-		unpacked, err := message.unpacked()
+		unpacked, err := resp.unpacked()
 		require.NoError(t, err)
 		assert.ElementsMatch(t, entries, unpacked)
 	}
 	assert.Len(t, source.listings.cache, 1, "all followers share one listing")
 	table.Apply([]provider.Entry{{Key: "u/new", Revision: 2000}})
-	message, _ := get("/copy?after=1007&form=packed")
-	unpacked, err := message.unpacked()
+	resp, _ := get("/copy?after=1007&form=packed")
+	unpacked, err := resp.unpacked()
 	require.NoError(t, err)
 	assert.Len(t, unpacked, 1, "a changed table is listed again")
 }
--- a/daemon/internal/connection/peering/peering.go
+++ b/daemon/internal/connection/peering/peering.go
@@ -61,8 +61,8 @@
 	callTimeout = 10 * time.Second
 )
 
-// message is a response with plain entries.
-type message struct {
+// response is the response to a call, with plain entries.
+type response struct {
 	provider.Listing
 	// The fields below are the status of the responding daemon's replica, without its
 	// revision.
@@ -74,15 +74,15 @@
 }
 
 // status returns the status of the responding daemon's replica.
-func (m *message) status() replica.Status {
+func (r *response) status() replica.Status {
 	return replica.Status{
-		Revision: m.Revision, SinceAnswer: m.SinceAnswer, SinceData: m.SinceData, Disconnected: m.Disconnected, Generation: m.Generation, Hops: m.Hops,
+		Revision: r.Revision, SinceAnswer: r.SinceAnswer, SinceData: r.SinceData, Disconnected: r.Disconnected, Generation: r.Generation, Hops: r.Hops,
 	}
 }
 
-// packedMessage is the wire form of a message. Its Entries replace those of message.
-type packedMessage struct {
-	message
+// wireResponse is the encoded form of a response. Its Entries replace those of response.
+type wireResponse struct {
+	response
 	Entries []packedEntry `json:"entries"`
 	// Packed holds the output of packAll in place of Entries, if the request asks for the
 	// packed form.
@@ -90,11 +90,11 @@
 }
 
 // unpacked returns the entries of either form.
-func (m *packedMessage) unpacked() ([]provider.Entry, error) {
-	if len(m.Packed) == 0 {
-		return unpack(m.Entries)
+func (r *wireResponse) unpacked() ([]provider.Entry, error) {
+	if len(r.Packed) == 0 {
+		return unpack(r.Entries)
 	}
-	return unpackAll(m.Packed)
+	return unpackAll(r.Packed)
 }
 
 // Source serves the replica of a daemon.
@@ -121,26 +121,26 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	reply := packedMessage{message: resp}
+	encoded := wireResponse{response: resp}
 	if req.packed && len(resp.Entries) > 0 {
 		// The table may be newer by now. It then still has all entries up to resp.Revision.
-		reply.Packed = s.listings.list(s.Table, req.prefix, req.after).packed(&s.packer)
+		encoded.Packed = s.listings.list(s.Table, req.prefix, req.after).packed(&s.packer)
 	} else {
-		reply.Entries = s.packer.pack(resp.Entries)
+		encoded.Entries = s.packer.pack(resp.Entries)
 	}
-	_ = json.NewEncoder(w).Encode(reply)
+	_ = json.NewEncoder(w).Encode(encoded)
 }
 
-// await returns the response to a long poll, or false if the client disconnected.
-func (s *Source) await(ctx context.Context, req request) (message, bool) {
+// await returns the response to a long poll, or false if the caller disconnected.
+func (s *Source) await(ctx context.Context, req request) (response, bool) {
 	timer := time.NewTimer(req.wait)
 	defer timer.Stop()
 	for {
 		changed := s.Table.Changed()
-		resp := s.response(req)
+		resp := s.currentResponse(req)
 		ready := resp.Revision > 0
-		update := len(resp.Entries) > 0 || resp.status().Stale()
-		if req.wait == 0 || ready && update {
+		due := len(resp.Entries) > 0 || resp.status().Stale()
+		if req.wait == 0 || ready && due {
 			return resp, true
 		}
 		recheck := statusPollInterval
@@ -151,19 +151,19 @@
 		case <-changed:
 		case <-time.After(recheck):
 		case <-timer.C:
-			return s.response(req), true
+			return s.currentResponse(req), true
 		case <-ctx.Done():
-			return message{}, false
+			return response{}, false
 		}
 	}
 }
 
-// response returns the current response to a request. It reads the status before the table, so
-// that the entries are complete up to the status's revision.
-func (s *Source) response(req request) message {
+// currentResponse returns the response to a request as of now. It reads the status before the
+// table, so that the entries are complete up to the status's revision.
+func (s *Source) currentResponse(req request) response {
 	status := s.Status()
 	listed := s.listings.list(s.Table, req.prefix, req.after)
-	resp := message{
+	resp := response{
 		Listing:     provider.Listing{Entries: listed.entries, Revision: status.Revision},
 		SinceAnswer: status.SinceAnswer, SinceData: status.SinceData, Disconnected: status.Disconnected, Generation: status.Generation,
 		Hops: status.Hops,
@@ -223,7 +223,7 @@
 	}
 	ctx, end := limit.Context(ctx)
 	defer end()
-	var resp packedMessage
+	var resp wireResponse
 	if err := call.GetJSON(ctx, client, req.url(peer), maxResponse, &resp); err != nil {
 		return replica.Update{}, fmt.Errorf("fetch update from peer %s: %w", peer, timeout.Explain(ctx, err))
 	}
--- a/daemon/internal/connection/peering/peering_test.go
+++ b/daemon/internal/connection/peering/peering_test.go
@@ -72,7 +72,7 @@
 			return replica.Status{Revision: at, SinceAnswer: 30 * time.Millisecond, SinceData: 20 * time.Millisecond}
 		}}
 		table.Apply(entries(3, 4))
-		var resp message
+		var resp response
 		responded := false
 		req := request{after: 4, prefix: "f", wait: LongPollWait}
 		poll := func() {
@@ -87,7 +87,7 @@
 		table.Apply(entries(5))
 		synctest.Wait()
 		assert.True(t, responded)
-		want := message{Listing: provider.Listing{Entries: entries(5), Revision: 6}, SinceAnswer: 30 * time.Millisecond, SinceData: 20 * time.Millisecond}
+		want := response{Listing: provider.Listing{Entries: entries(5), Revision: 6}, SinceAnswer: 30 * time.Millisecond, SinceData: 20 * time.Millisecond}
 		assert.Equal(t, want, resp)
 
 		started := time.Now()
@@ -170,7 +170,7 @@
 // that is starting.
 func TestStartingDaemonRespondsOnceReplicaIsReady(t *testing.T) {
 	d := startDaemon(t, replica.Status{})
-	responses := make(chan message, 1)
+	responses := make(chan response, 1)
 	source := &Source{Table: d.table, Status: d.currentStatus}
 	go func() {
 		resp, _ := source.await(t.Context(), request{wait: maxWait})
