--- a/daemon/internal/clock/clock_test.go
+++ b/daemon/internal/clock/clock_test.go
@@ -39,7 +39,8 @@
 	assert.Equal(t, 8*time.Second, c.Now().Sub(start))
 }
 
-// TestClockIsMonotonic checks random sequences of suspensions.
+// TestClockIsMonotonic guards, for random sequences of suspensions, against a clock that goes back
+// or misses suspended time.
 func TestClockIsMonotonic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := &host{monotonic: time.Second, boot: time.Duration(rapid.Int64Range(0, 1e12).Draw(t, "boot"))}
--- a/daemon/internal/connection/backoff/backoff.go
+++ b/daemon/internal/connection/backoff/backoff.go
@@ -26,7 +26,7 @@
 	l.until[daemon] = helpers.Now(clock).Add(duration)
 }
 
-// Has reports whether a daemon is in backoff, and drops its entry once the backoff is over.
+// Has reports whether a daemon is in backoff, and removes it from the list once the backoff is over.
 func (l *List) Has(daemon netip.AddrPort, clock func() time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/daemon/internal/connection/broadcast/broadcast.go
+++ b/daemon/internal/connection/broadcast/broadcast.go
@@ -31,8 +31,8 @@
 // URL paths, one for each kind of report. GET returns all reports of a router, POST sends it
 // reports.
 const (
-	SuspectsPath = "/suspects"
-	LimitsPath   = "/limits"
+	SuspectsPath = "/suspects" // quarantine.Report
+	LimitsPath   = "/limits"   // ratelimit.UpstreamReport
 )
 
 const (
@@ -234,7 +234,7 @@
 }
 
 // ServeAll responds with all reports.
-func (r *Receiver[R]) ServeAll(w http.ResponseWriter, _ *http.Request) { reply(w, r.All()) }
+func (r *Receiver[R]) ServeAll(w http.ResponseWriter, _ *http.Request) { writeReports(w, r.All()) }
 
 // ServeReports merges the reports of a message, and responds with the reports that this router
 // held before about the same contents or upstreams.
@@ -246,10 +246,10 @@
 	}
 	related := r.Related(message.Reports)
 	r.Merge(message.Reports)
-	reply(w, related)
+	writeReports(w, related)
 }
 
-func reply[R any](w http.ResponseWriter, reports []R) {
+func writeReports[R any](w http.ResponseWriter, reports []R) {
 	w.Header()["Date"] = nil
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(Message[R]{Reports: reports})
--- a/daemon/internal/connection/gossip/gossip.go
+++ b/daemon/internal/connection/gossip/gossip.go
@@ -89,17 +89,17 @@
 
 // round pulls from a few random entries.
 func (p *Puller) round(ctx context.Context) {
-	var local, others []platform.Host
+	var local, remote []platform.Host
 	for _, host := range p.Entries() {
 		switch {
 		case host.Name == p.Name:
 		case host.Hall == p.Hall:
 			local = append(local, host)
 		default:
-			others = append(others, host)
+			remote = append(remote, host)
 		}
 	}
-	for _, host := range append(randomHosts(local, PeersPerRound), randomHosts(others, 1)...) {
+	for _, host := range append(randomHosts(local, PeersPerRound), randomHosts(remote, 1)...) {
 		if p.tomb.Alive() {
 			p.pull(ctx, host)
 		}
--- a/daemon/internal/connection/linestream/linestream.go
+++ b/daemon/internal/connection/linestream/linestream.go
@@ -27,7 +27,7 @@
 // ErrNotServed reports that the other daemon does not serve the requested stream.
 var ErrNotServed = errors.New("stream not served by peer")
 
-// Serve streams states until the client disconnects. State returns the current
+// Serve streams states until the reader disconnects. State returns the current
 // state as a line, nil for none, and a channel that is closed at the next change.
 // Changes within the time that batchDelay returns are sent as one line.
 func Serve(w http.ResponseWriter, r *http.Request, batchDelay func() time.Duration, state func() ([]byte, <-chan struct{})) {
--- a/daemon/internal/connection/loadfeed/loadfeed.go
+++ b/daemon/internal/connection/loadfeed/loadfeed.go
@@ -95,7 +95,7 @@
 	return f.line, f.changed
 }
 
-// ServeHTTP streams lines until the client disconnects.
+// ServeHTTP streams lines until the reader disconnects.
 func (f *Feed) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.readers.Add(1)
 	defer f.readers.Add(-1)
--- a/daemon/internal/connection/report/report.go
+++ b/daemon/internal/connection/report/report.go
@@ -1,4 +1,5 @@
-// Package report sends the heartbeats of an agent to a few entries of its hall.
+// Package report sends the reports of an agent, which are its heartbeats, to a few
+// entries of its hall.
 //
 // A report carries the complete member record if the entry does not have its
 // newest version, and otherwise only name, incarnation and sequence. Changes
@@ -21,7 +22,7 @@
 )
 
 const (
-	// DefaultInterval is the interval between heartbeats.
+	// DefaultInterval is the interval between reports.
 	DefaultInterval = time.Second
 	// fanOut is the number of entries that an agent reports to, so that two of
 	// them may fail at once.
@@ -42,7 +43,7 @@
 	Incarnation uint64
 	// Member returns the current record without incarnation and sequence.
 	Member func() *wire.Member
-	// Interval is the interval between heartbeats; 0 means DefaultInterval.
+	// Interval is the interval between reports; 0 means DefaultInterval.
 	Interval time.Duration
 
 	tomb tomb.Tomb
@@ -59,13 +60,13 @@
 	acked map[string]uint64
 }
 
-// Start starts the heartbeats.
+// Start starts to send reports.
 func (r *Reporter) Start() {
 	r.acked = map[string]uint64{}
 	r.tomb.Go(r.run)
 }
 
-// Stop stops the heartbeats and waits for the one in progress.
+// Stop stops sending reports and waits for those in progress.
 func (r *Reporter) Stop() {
 	r.tomb.Kill(nil)
 	_ = r.tomb.Wait()
--- a/daemon/internal/connection/report/report_test.go
+++ b/daemon/internal/connection/report/report_test.go
@@ -9,8 +9,8 @@
 )
 
 // TestNotifyChangeDuringStart guards against a data race between Start and
-// NotifyChange, and against a change that is lost in it. Updates of the host list
-// cause it.
+// NotifyChange, and against a change that is lost in it. An update of the host list
+// may call NotifyChange before Start has returned.
 func TestNotifyChangeDuringStart(*testing.T) {
 	reported := make(chan struct{}, 8)
 	reporter := &Reporter{
