--- a/daemon/internal/request/dispatch/limit_test.go
+++ b/daemon/internal/request/dispatch/limit_test.go
@@ -99,8 +99,8 @@
 	assert.Equal(t, 2, queried[first])
 }
 
-// TestEveryAdmissionPathChecksLimit: without an answer from a loader, and without a loader,
-// this router's share of the limit is checked, also for retries.
+// TestEveryAdmissionPathChecksLimit: without a response of a loader, and without a loader,
+// this router's share of the limit is checked, also for a request that was sent before.
 func TestEveryAdmissionPathChecksLimit(t *testing.T) {
 	errNoAnswer := errors.New("no answer")
 	for name, c := range map[string]struct {
--- a/daemon/internal/request/dispatch/overload_test.go
+++ b/daemon/internal/request/dispatch/overload_test.go
@@ -29,7 +29,7 @@
 		{"many prompts are read first", engine, 400 * time.Millisecond, 0, 3, 0, true},
 		{"a long objective", engine, 4 * time.Second, 16, 3, 0, false},
 		{"no objective", engine, 0, 16, 9, 0, false},
-		{"retry: the work done would be lost", engine, 400 * time.Millisecond, 16, 9, 1, false},
+		{"sent before: the work done would be lost", engine, 400 * time.Millisecond, 16, 9, 1, false},
 		{"no engine", nil, 400 * time.Millisecond, 16, 9, 0, false},
 	}
 	for _, test := range tests {
--- a/daemon/internal/request/dispatch/place.go
+++ b/daemon/internal/request/dispatch/place.go
@@ -13,7 +13,7 @@
 	"github.com/wheelcleat/wheelcleat/daemon/provider"
 )
 
-// maxReportAge is how old a load report may be to replace the answer of a loader. Reports stay
+// maxReportAge is how old a load report may be to replace the response of a loader. Reports stay
 // younger than that while a host downloads weights, and grow older if the host is cut off.
 const maxReportAge = 150 * time.Millisecond
 
--- a/daemon/internal/request/dispatch/place_test.go
+++ b/daemon/internal/request/dispatch/place_test.go
@@ -122,7 +122,7 @@
 }
 
 // TestUnresponsiveLoaderFallsBackToLoadReport: a loader that does not answer does not count as a
-// refusal.
+// denial.
 func TestUnresponsiveLoaderFallsBackToLoadReport(t *testing.T) {
 	f := newFleet(t, 3, func(int) (bool, error) { return false, errors.New("no answer") })
 	choice, err := f.request("hasty", 0).choosePlace(context.Background())
--- a/daemon/internal/request/dispatch/response.go
+++ b/daemon/internal/request/dispatch/response.go
@@ -231,11 +231,11 @@
 }
 
 // amendAttempt records why the response of an attempt was not forwarded.
-func (q *request) amendAttempt(choice balance.Choice, number int, err error) {
+func (q *request) amendAttempt(choice balance.Choice, index int, err error) {
 	if errors.Is(err, io.EOF) {
 		return
 	}
-	attempt := &q.trace.Attempts[number]
+	attempt := &q.trace.Attempts[index]
 	q.recordInterrupt(attempt, err)
 	q.reportDisconnect(choice, *attempt, err)
 }
--- a/daemon/internal/request/dispatch/retry_test.go
+++ b/daemon/internal/request/dispatch/retry_test.go
@@ -34,9 +34,9 @@
 	}
 }
 
-// TestIgnoresInvalidTimes: an invalid deadline counts as none, and does not mark the request
-// as a retry.
-func TestIgnoresInvalidTimes(t *testing.T) {
+// TestIgnoresInvalidDeadlineAndLengthHint: an invalid value counts as none, and an invalid
+// deadline does not mark the request as a retry.
+func TestIgnoresInvalidDeadlineAndLengthHint(t *testing.T) {
 	for _, text := range []string{"", "soon", "-1", "0", "NaN", "+Inf", "1e300", "3600001"} {
 		q := &request{
 			Dispatcher: &Dispatcher{Headers: provider.Headers{Deadline: "Left", LengthHint: "Hint"}},
--- a/daemon/internal/request/dispatch/retrybudget.go
+++ b/daemon/internal/request/dispatch/retrybudget.go
@@ -19,7 +19,7 @@
 // sliding window and all processes together. This process counts its own requests and gets
 // an equal part of the fixed number. The zero value allows none.
 type RetryBudget struct {
-	// Ratio, Slack and Window are the limits for all processes together.
+	// Ratio, Slack and Window are the bounds for all processes together.
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
@@ -38,7 +38,7 @@
 	bucket            int64
 }
 
-// SetBounds replaces the limits.
+// SetBounds replaces Ratio, Slack and Window.
 func (b *RetryBudget) SetBounds(ratio, slack float64, window time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/daemon/internal/request/dispatch/send.go
+++ b/daemon/internal/request/dispatch/send.go
@@ -79,8 +79,9 @@
 	}
 }
 
-// settle records the result of a send.
-func (q *request) settle(s *pendingSend, result exchange.Result) {
+// endSend records the result of a send and, unless it has a response, reports it to the load
+// balancing.
+func (q *request) endSend(s *pendingSend, result exchange.Result) {
 	q.recordSend(s, result)
 	switch {
 	case errors.Is(result.Err, errSuperseded) || errors.Is(result.Err, errQuarantined) || errors.Is(result.Err, errStopping):
@@ -131,21 +132,21 @@
 			stopping = nil
 		case result := <-first.result:
 			if result.Kind != exchange.Answered && second != nil {
-				q.settle(first, result)
+				q.endSend(first, result)
 				first, second = second, nil
 				continue
 			}
 			q.supersede(second, balance.Canceled)
-			q.settle(first, result)
+			q.endSend(first, result)
 			return first.choice, result
 		case result := <-resultOf(second):
 			if result.Kind != exchange.Answered {
-				q.settle(second, result)
+				q.endSend(second, result)
 				second = nil
 				continue
 			}
 			q.supersede(first, balance.Failed)
-			q.settle(second, result)
+			q.endSend(second, result)
 			return second.choice, result
 		case now := <-ticker.C:
 			q.cancelOutdated(first, second)
--- a/daemon/internal/request/exchange/exchange.go
+++ b/daemon/internal/request/exchange/exchange.go
@@ -1,10 +1,10 @@
 // Package exchange sends one request to one upstream and classifies the result. The
 // dispatcher calls it for every attempt and decides on retries by the classification.
 //
-// Whether a request may be sent again depends on whether it may have been executed. It
-// was not if no connection was established, if the response carries the upstream's
-// not-run header, or if its status is 421 (misdirected request). In all other cases (a
-// reset, a closed connection, a response to another request) it may have been executed.
+// Whether a request may be sent again depends on whether it may have run. It did not
+// if no connection was established, if the response carries the upstream's not-run
+// header, or if its status is 421 (misdirected request). In all other cases (a reset, a
+// closed connection, a response to another request) it may have run.
 // Kind holds the classification, so that the dispatcher need not inspect errors.
 package exchange
 
@@ -29,15 +29,15 @@
 
 // Values of Kind. The zero value permits the fewest retries.
 const (
-	// Unknown means that the request may have been executed or may still be.
+	// Unknown means that the request may have run or may still run.
 	Unknown Kind = iota
-	// Answered means that a valid response header was received from the upstream.
+	// Answered means that a valid response head was received from the upstream.
 	Answered
-	// Unsent means that no connection was established, so the request was not executed.
+	// Unsent means that no connection was established, so the request did not run.
 	Unsent
-	// Refused means that the upstream declares that the request was not executed.
+	// Refused means that the upstream declares that the request did not run.
 	Refused
-	// Misdirected means that the request was not executed because another upstream or
+	// Misdirected means that the request did not run, because another upstream or
 	// another version serves at the address.
 	Misdirected
 )
@@ -47,7 +47,7 @@
 	return [...]string{"unknown", "answered", "unsent", "refused", "misdirected"}[k]
 }
 
-// NotRun reports whether the request was not and will not be executed.
+// NotRun reports whether the request did not run and will not.
 func (k Kind) NotRun() bool { return k >= Unsent }
 
 // Result is the result of one attempt. Response is set only if Kind is Answered; the
@@ -98,7 +98,7 @@
 	Pooled, Unpooled http.RoundTripper
 }
 
-// Do sends a request and waits for the response header.
+// Do sends a request and waits for the response head.
 func (c *Client) Do(ctx context.Context, attempt Attempt) Result {
 	connected := false
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
@@ -116,7 +116,7 @@
 		return Result{Kind: kind, Err: fmt.Errorf("send to %s at %s: %w", attempt.Upstream.ID, attempt.Upstream.Address, err)}
 	}
 	result := c.classify(attempt.Incoming, response)
-	result.Limit = c.advertisedLimit(result, response.Header)
+	result.Limit = c.statedLimit(result, response.Header)
 	if result.Kind != Answered {
 		_ = response.Body.Close()
 		result.Err = fmt.Errorf("response from %s at %s: %w", attempt.Upstream.ID, attempt.Upstream.Address, result.Err)
@@ -149,10 +149,10 @@
 	}
 }
 
-// advertisedLimit parses the rate limit that a response states. It ignores responses of
+// statedLimit parses the rate limit that a response states. It ignores responses of
 // other upstreams, and those to other requests, which may be old. The absence of a limit
 // counts only if the result is known, since an invalid response may lack the header.
-func (c *Client) advertisedLimit(result Result, header http.Header) ratelimit.ResponseLimit {
+func (c *Client) statedLimit(result Result, header http.Header) ratelimit.ResponseLimit {
 	if result.Kind == Misdirected || errors.Is(result.Err, errRequestIDMismatch) {
 		return ratelimit.ResponseLimit{}
 	}
--- a/daemon/internal/request/intake/intake.go
+++ b/daemon/internal/request/intake/intake.go
@@ -70,11 +70,11 @@
 }
 
 type handlerMetrics struct {
-	requests tally.Counter
-	retries  tally.Counter
-	outcomes map[api.Outcome]tally.Counter
-	cut      tally.Counter
-	seconds  tally.Timer
+	requests  tally.Counter
+	retries   tally.Counter
+	outcomes  map[api.Outcome]tally.Counter
+	truncated tally.Counter
+	seconds   tally.Timer
 }
 
 var methods = []string{
@@ -87,7 +87,7 @@
 	scope := h.Telemetry.Scope
 	h.metrics = handlerMetrics{
 		requests: scope.Counter("requests"), retries: scope.Counter("retries"),
-		cut: scope.Counter("answers_cut"), seconds: scope.Timer("request_seconds"),
+		truncated: scope.Counter("answers_cut"), seconds: scope.Timer("request_seconds"),
 		outcomes: map[api.Outcome]tally.Counter{},
 	}
 	for _, o := range []api.Outcome{api.OutcomeDone, api.OutcomeNotRun, api.OutcomeUnknown} {
@@ -378,7 +378,7 @@
 	}
 	p.handler.Selector.Done(choice.Host, result)
 	if err != nil {
-		p.handler.metrics.cut.Inc(1)
+		p.handler.metrics.truncated.Inc(1)
 		p.logDecision(choice.Host, "cut", err.Error(), choice.Candidates)
 		panic(http.ErrAbortHandler)
 	}
--- a/daemon/internal/request/outcome/outcome.go
+++ b/daemon/internal/request/outcome/outcome.go
@@ -1,9 +1,9 @@
 // Package outcome writes the error responses that entries and agents generate
 // themselves. Each states in a header and in its JSON body whether the request
-// was executed.
+// ran.
 //
 // "not-run" guarantees that no upstream received a byte of the request, so even a
-// request that must not be executed twice may be retried. "unknown" means that the
+// request that must not run twice may be retried. "unknown" means that the
 // request was forwarded and its response was lost. The third outcome, "done",
 // accompanies upstream responses only. A request that cannot be served now is
 // refused at once with a Retry-After instead of being queued.
