--- a/daemon/internal/request/admission/admission.go
+++ b/daemon/internal/request/admission/admission.go
@@ -125,17 +125,17 @@
 // Limit returns the maximum load at which the next engine may admit the request, after the given
 // number of engines have denied it. Last means that no further engine will be queried.
 func (p Policy) Limit(s Service, r Request, denied int, last bool) places.Limit {
-	free := max(0, s.Places-1-Reserve(s, r))
+	maxInUse := max(0, s.Places-1-Reserve(s, r))
 	switch {
 	case last && (r.Sent || s.Objective <= 0):
 		return Unlimited
 	case r.Retry && !r.Sent:
-		return places.Limit{InUse: max(0, free-p.retryReserve(s))}
+		return places.Limit{InUse: max(0, maxInUse-p.retryReserve(s))}
 	case last:
-		return places.Limit{Waiting: s.maxWaiting(), InUse: free + p.overcommit(s)}
+		return places.Limit{Waiting: s.maxWaiting(), InUse: maxInUse + p.overcommit(s)}
 	default:
 		step := denied / max(p.QueriesPerStep, 1)
-		return places.Limit{Waiting: min(step, s.maxWaiting()), InUse: free + min(step, p.overcommit(s))}
+		return places.Limit{Waiting: min(step, s.maxWaiting()), InUse: maxInUse + min(step, p.overcommit(s))}
 	}
 }
 
--- a/daemon/internal/request/admission/admission_test.go
+++ b/daemon/internal/request/admission/admission_test.go
@@ -15,14 +15,14 @@
 // wait of up to the full objective.
 var (
 	current  = policy{queries: admission.DefaultPolicy().MaxQueries, limit: admission.DefaultPolicy().Limit}
-	baseline = policy{queries: 3, limit: func(s admission.Service, _ admission.Request, queried int, last bool) places.Limit {
-		free := s.Places - 1
+	baseline = policy{queries: 3, limit: func(s admission.Service, _ admission.Request, denied int, last bool) places.Limit {
+		maxInUse := s.Places - 1
 		if !last {
-			return places.Limit{Waiting: queried, InUse: free}
+			return places.Limit{Waiting: denied, InUse: maxInUse}
 		}
-		part := min(max((s.Saturation-0.2)/0.4, 0), 1)
-		wait := (1 - 0.7*part) * float64(s.Objective)
-		return places.Limit{Waiting: max(queried, int(wait/float64(s.ReadTime))), InUse: free + int(wait/float64(s.PlaceInterval))}
+		overloadShare := min(max((s.Saturation-0.2)/0.4, 0), 1)
+		wait := (1 - 0.7*overloadShare) * float64(s.Objective)
+		return places.Limit{Waiting: max(denied, int(wait/float64(s.ReadTime))), InUse: maxInUse + int(wait/float64(s.PlaceInterval))}
 	}}
 )
 
--- a/daemon/internal/request/admission/retryafter.go
+++ b/daemon/internal/request/admission/retryafter.go
@@ -27,7 +27,7 @@
 	// a power failure engines are ready and empty before the retries of an overload arrive.
 	minNotReady = 500 * time.Millisecond
 	maxNotReady = 1300 * time.Millisecond
-	// maxWaitDivisor bounds Retry-After for a caller: it waits for at most its timeout divided
+	// A refused caller is assumed to wait for Retry-After, but at most for its timeout divided
 	// by maxWaitDivisor.
 	maxWaitDivisor = 3
 )
--- a/daemon/internal/request/admission/simulation_test.go
+++ b/daemon/internal/request/admission/simulation_test.go
@@ -130,7 +130,7 @@
 type policy struct {
 	queries int
 	rollout rollout
-	limit   func(s admission.Service, r admission.Request, queried int, last bool) places.Limit
+	limit   func(s admission.Service, r admission.Request, denied int, last bool) places.Limit
 }
 
 // result holds the fractions of requests by result.
@@ -197,8 +197,8 @@
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return score(a) - score(b) })
 	allFull := 1.0
-	for queried, i := range order[:p.queries] {
-		limit := p.limit(s, admission.Request{Retry: req.refusals > 0}, queried, queried == p.queries-1)
+	for denied, i := range order[:p.queries] {
+		limit := p.limit(s, admission.Request{Retry: req.refusals > 0}, denied, denied == p.queries-1)
 		load := fleet[i].load()
 		if load.Running+load.Waiting < enginePlaces {
 			allFull = 0
--- a/daemon/internal/request/quarantine/quarantine_test.go
+++ b/daemon/internal/request/quarantine/quarantine_test.go
@@ -30,8 +30,8 @@
 }
 
 // attribute returns the crash of an attempt, which must count against the content.
-func attribute(table *quarantine.Table, sent quarantine.Attempt, now time.Time) quarantine.Crash {
-	observed, counts := table.Attribute(sent, now)
+func attribute(table *quarantine.Table, attempt quarantine.Attempt, now time.Time) quarantine.Crash {
+	observed, counts := table.Attribute(attempt, now)
 	if !counts {
 		panic("the crash does not count against the content")
 	}
@@ -89,31 +89,31 @@
 	table := &quarantine.Table{}
 	now := start
 	for depth, want := range []quarantine.Verdict{quarantine.Unrestricted, quarantine.SingleAttempt, quarantine.Quarantined} {
-		sent := quarantine.Attempt{Content: digest(1), Upstream: fmt.Sprint("u", depth), SentAt: now.Add(time.Millisecond)}
+		attempt := quarantine.Attempt{Content: digest(1), Upstream: fmt.Sprint("u", depth), SentAt: now.Add(time.Millisecond)}
 		now = now.Add(2 * time.Millisecond)
-		table.Merge(report(1, attribute(table, sent, now)), now)
+		table.Merge(report(1, attribute(table, attempt, now)), now)
 		assert.Equal(t, want, table.Verdict(digest(1), now))
 	}
 }
 
-// TestCrashAfterRestartUnderStaleRegistrationIsDistinct guards against dropping a second crash as
+// TestCrashAfterRestartUnderOldStartTimeIsDistinct guards against dropping a second crash as
 // a duplicate because the router has not yet read the new start time of the upstream.
-func TestCrashAfterRestartUnderStaleRegistrationIsDistinct(t *testing.T) {
+func TestCrashAfterRestartUnderOldStartTimeIsDistinct(t *testing.T) {
 	table := &quarantine.Table{}
 	at := func(seconds int) time.Time { return start.Add(time.Duration(seconds) * time.Second) }
-	sent := func(seconds int, started int64) quarantine.Attempt {
+	sentAt := func(seconds int, started int64) quarantine.Attempt {
 		return quarantine.Attempt{Content: digest(1), Upstream: "a", Started: time.UnixMilli(started), SentAt: at(seconds)}
 	}
-	first := attribute(table, sent(0, 1), at(1))
+	first := attribute(table, sentAt(0, 1), at(1))
 	assert.Equal(t, crash("a", 1, 1), first)
 	table.Merge(report(1, first), at(1))
-	assert.Zero(t, attribute(table, sent(1, 1), at(1)).Recurrence, "sent before the crash was received")
-	second := attribute(table, sent(2, 1), at(3))
+	assert.Zero(t, attribute(table, sentAt(1, 1), at(1)).Recurrence, "sent before the crash was received")
+	second := attribute(table, sentAt(2, 1), at(3))
 	assert.Equal(t, 1, second.Recurrence)
 	assert.True(t, table.Merge(report(1, second), at(3)))
 	assert.Equal(t, quarantine.SingleAttempt, table.Verdict(digest(1), at(3)))
-	assert.Equal(t, 2, attribute(table, sent(4, 1), at(5)).Recurrence)
-	assert.Zero(t, attribute(table, sent(4, 2), at(5)).Recurrence)
+	assert.Equal(t, 2, attribute(table, sentAt(4, 1), at(5)).Recurrence)
+	assert.Zero(t, attribute(table, sentAt(4, 2), at(5)).Recurrence)
 }
 
 // TestQuarantineExpiresIntoTrialAndGrows checks that one router tries the content once after each
@@ -201,7 +201,7 @@
 	assert.Empty(t, table.Reports())
 
 	next := attribute(table, quarantine.Attempt{Content: digest(1), Upstream: "a", Started: time.UnixMilli(1), SentAt: at(400)}, at(500))
-	assert.Equal(t, quarantine.Crash{Upstream: "a", Started: time.UnixMilli(1), Recurrence: 1, Depth: 1}, next, "a new crash under the same registration")
+	assert.Equal(t, quarantine.Crash{Upstream: "a", Started: time.UnixMilli(1), Recurrence: 1, Depth: 1}, next, "a new crash with the same id and start time")
 	assert.True(t, table.Merge(report(1, next), at(500)))
 	for depth := 2; depth <= 3; depth++ {
 		assert.True(t, table.Merge(report(1, crash("d", int64(depth), depth)), at(500+depth)), "crashes after the clearing count")
--- a/daemon/internal/request/ratelimit/ratelimit.go
+++ b/daemon/internal/request/ratelimit/ratelimit.go
@@ -2,7 +2,7 @@
 // is the limit for all routers together. Routers and loaders each keep a Table.
 //
 // One process counts the requests of all routers: the loader beside the upstream, which grants
-// the places there anyway (package places). If the loader is unresponsive or there is none, each
+// the places there anyway (package places). If a router cannot reach the loader or there is none, the
 // router uses periodic time slots: an equal share of a part of the limit, with a random phase.
 // An unused slot expires, since hundreds of idle routers would otherwise save up a burst.
 //
@@ -110,8 +110,8 @@
 var (
 	// LoaderShare is the share of a loader, which counts for all routers.
 	LoaderShare = Share{Processes: 1, Fraction: 1}
-	// LoaderUnreachableShare is the share of routers whose loader is unresponsive. It is small, because
-	// the loader may still grant requests to other routers.
+	// LoaderUnreachableShare is the share of routers that cannot reach the loader. It is small,
+	// because the loader may still grant places to other routers.
 	LoaderUnreachableShare = Share{Fraction: 0.25}
 	// NoLoaderShare is the share of routers whose upstream has no loader.
 	NoLoaderShare = Share{Fraction: 0.7}
--- a/daemon/internal/request/ratelimit/ratelimit_test.go
+++ b/daemon/internal/request/ratelimit/ratelimit_test.go
@@ -45,10 +45,10 @@
 
 var unlimited = ratelimit.ResponseLimit{Kind: ratelimit.Unlimited}
 
-// load describes routers that compete for one upstream and honour the delays that Allow returns.
+// load describes routers that compete for one upstream and honor the delays that Allow returns.
 type load struct {
 	routers int
-	// unreachable is the share of the routers whose calls the loader does not answer.
+	// unreachable is the share of the routers that cannot reach the loader.
 	unreachable float64
 	// noLoader means that the upstream has no loader.
 	noLoader bool
--- a/daemon/internal/request/relay/relay_test.go
+++ b/daemon/internal/request/relay/relay_test.go
@@ -56,11 +56,11 @@
 		if !first {
 			return
 		}
-		answer := "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n"
+		response := "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n"
 		if request.Method != http.MethodHead {
-			answer += "ok"
+			response += "ok"
 		}
-		_, _ = io.WriteString(conn, answer)
+		_, _ = io.WriteString(conn, response)
 	}
 }
 
--- a/daemon/internal/request/route/route_test.go
+++ b/daemon/internal/request/route/route_test.go
@@ -12,7 +12,7 @@
 	"github.com/wheelcleat/wheelcleat/daemon/internal/process/members"
 )
 
-// fixture is a router with a fake clock and a membership table.
+// fixture is a selector with a fake clock and a membership table.
 type fixture struct {
 	selector *Selector
 	table    *members.Table
