--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -176,7 +176,7 @@
 	router := bunrouter.New()
 	handler := &intake.Handler{
 		Table: p.table, Members: p.members, Selector: p.router,
-		Accounts: &account.Limiter{}, RetryBudgets: &intake.RetryBudgets{},
+		AccountLimiter: &account.Limiter{}, RetryBudgets: &intake.RetryBudgets{},
 		Transport: p.transport, Telemetry: p.telemetry, MaxBodyBytes: p.settings.Requests.MaxBodyBytes,
 	}
 	handler.Register(router)
--- a/daemon/internal/request/admission/admission.go
+++ b/daemon/internal/request/admission/admission.go
@@ -19,9 +19,9 @@
 // All routes of a service share one limit. With limits per route, the route that tolerates the
 // longest wait would occupy every place of a full engine.
 //
-// Rejected: overcommitting an engine by more than one request, or the more the less it was full
-// recently, and treating retries like first attempts, since each makes more requests late in a
-// sustained overload; more queries per search, which serve no more requests.
+// Rejected: overcommitting an engine by more than one request, or by more requests the less it
+// was full recently, and treating retries like first attempts, since each of these makes more
+// requests late in a sustained overload; more queries per search, which serve no more requests.
 package admission
 
 import (
@@ -54,8 +54,8 @@
 	// passFactor is the factor by which interleaved decoding passes extend the reading of a
 	// prompt on a full engine.
 	passFactor = 1.6
-	// minReads is the time to the first byte on an engine with an empty queue, in such reading
-	// times: the pass under way and the request's own prompt.
+	// minReads is the time to the first byte on an engine with an empty queue, as a multiple of
+	// the time to read a prompt: the pass under way and the request's own prompt.
 	minReads = 2
 	// If only load reports are known, a request may wait for a fraction of the objective. It
 	// falls from maxWaitFraction at a saturation of lowSaturation to minWaitFraction at
--- a/daemon/internal/request/dispatch/admit.go
+++ b/daemon/internal/request/dispatch/admit.go
@@ -126,7 +126,7 @@
 		limit = defaultMaxBody
 	}
 	_ = http.NewResponseController(q.writer).SetReadDeadline(time.Now().Add(bodyTimeout))
-	q.bodyReader = &buffer.Body{Reader: http.MaxBytesReader(q.writer, q.Body, limit), Budget: &q.Buffers}
+	q.bodyReader = &buffer.Body{Reader: http.MaxBytesReader(q.writer, q.Body, limit), Budget: &q.BufferBudget}
 	body, err := io.ReadAll(q.bodyReader)
 	_ = http.NewResponseController(q.writer).SetReadDeadline(time.Time{})
 	var tooLarge *http.MaxBytesError
--- a/daemon/internal/request/dispatch/dispatch.go
+++ b/daemon/internal/request/dispatch/dispatch.go
@@ -48,8 +48,8 @@
 	// they may be out of date.
 	View  func() *replica.View
 	Stale func() bool
-	// Buffers bounds the bytes that are buffered for slow callers and upstreams.
-	Buffers buffer.Budget
+	// BufferBudget bounds the bytes that are buffered for slow callers and upstreams.
+	BufferBudget buffer.Budget
 	// Region returns the region of a data hall, "" if unknown. It may be nil.
 	Region func(hall string) string
 	// VersionPolicy returns on which versions of a model requests may run.
--- a/daemon/internal/request/dispatch/stream.go
+++ b/daemon/internal/request/dispatch/stream.go
@@ -79,7 +79,7 @@
 // copyEvents forwards one upstream's events until its stream ends; a nil error means a complete
 // stream. If the stream has resumed at another upstream meanwhile, it returns the resumption.
 func (s *stream) copyEvents(ctx context.Context, choice balance.Choice, response *http.Response) (*resumption, error) {
-	response.Body = buffer.Prefetch(response.Body, &s.Buffers, maxReadAhead)
+	response.Body = buffer.Prefetch(response.Body, &s.BufferBudget, maxReadAhead)
 	defer func() { _ = response.Body.Close() }()
 	watch := s.watchStall(ctx, response)
 	defer func() { watch.cancel() }()
--- a/daemon/internal/request/intake/intake.go
+++ b/daemon/internal/request/intake/intake.go
@@ -56,13 +56,13 @@
 
 // Handler serves callers' requests at an entry.
 type Handler struct {
-	Table        *tables.Table
-	Members      *members.Table
-	Selector     *route.Selector
-	Accounts     *account.Limiter
-	RetryBudgets *RetryBudgets
-	Transport    *http.Transport
-	Telemetry    *telemetry.Telemetry
+	Table          *tables.Table
+	Members        *members.Table
+	Selector       *route.Selector
+	AccountLimiter *account.Limiter
+	RetryBudgets   *RetryBudgets
+	Transport      *http.Transport
+	Telemetry      *telemetry.Telemetry
 	// MaxBodyBytes bounds a request's body.
 	MaxBodyBytes int64
 
@@ -174,7 +174,7 @@
 	if p.r.ContentLength > p.handler.MaxBodyBytes {
 		return outcome.NotRun(http.StatusRequestEntityTooLarge, outcome.ReasonTooLarge, fmt.Sprintf("the body may take %d bytes", p.handler.MaxBodyBytes))
 	}
-	release, refusal := p.handler.Accounts.Admit(callerAccount, now)
+	release, refusal := p.handler.AccountLimiter.Admit(callerAccount, now)
 	if refusal != nil {
 		return refusal
 	}
--- a/daemon/internal/request/intake/intake_test.go
+++ b/daemon/internal/request/intake/intake_test.go
@@ -104,7 +104,7 @@
 	memberTable.Merge(hosts)
 	router := bunrouter.New()
 	(&Handler{
-		Table: table, Members: memberTable, Selector: &route.Selector{}, Accounts: &account.Limiter{}, RetryBudgets: &RetryBudgets{},
+		Table: table, Members: memberTable, Selector: &route.Selector{}, AccountLimiter: &account.Limiter{}, RetryBudgets: &RetryBudgets{},
 		Transport: &http.Transport{}, Telemetry: discardTelemetry(t), MaxBodyBytes: 1 << 20,
 	}).Register(router)
 	server := httptest.NewServer(router)
--- a/daemon/router/listeners.go
+++ b/daemon/router/listeners.go
@@ -57,7 +57,7 @@
 			Unpooled: dial.NewHostTransport(connect, 0),
 		},
 		Pool: p.pool, RetryBudget: p.budget, LoadTracker: &dispatch.LoadTracker{}, RetryDetector: &admission.RetryDetector{}, View: p.compiler.View, Stale: p.isStale,
-		Buffers:       buffer.Budget{MaxBytes: p.maxBufferedBytes()},
+		BufferBudget:  buffer.Budget{MaxBytes: p.maxBufferedBytes()},
 		Region:        func(hall string) string { return p.current.Load().RegionOf(hall) },
 		VersionPolicy: p.versionPolicy, Report: p.recorder.request, RequestPlace: p.requestPlace, OnDisconnect: p.connectionBroke,
 		OnLimit: p.limitReported, AllowSend: p.allowSend,
