--- a/daemon/internal/request/dispatch/limit_test.go
+++ b/daemon/internal/request/dispatch/limit_test.go
@@ -33,14 +33,14 @@
 func TestUsedUpLimitDoesNotCountAsQuery(t *testing.T) {
 	engines := 2 * admission.DefaultPolicy().MaxQueries
 	f := newFleet(t, engines, nil)
-	q := f.request("hasty", 0)
+	q := f.request("short-objective", 0)
 	f.limitAllExcept(q, "u3")
 	choice, err := q.choosePlace(context.Background())
 	require.NoError(t, err)
 	assert.Equal(t, "u3", choice.Upstream.ID)
 	queried := len(q.trace.PlaceRequests)
 
-	second := f.request("hasty", 0)
+	second := f.request("short-objective", 0)
 	f.limitAllExcept(second, "u3")
 	for range engines {
 		choice, err = second.choosePlace(context.Background())
@@ -54,7 +54,7 @@
 // TestRefusesWhenAllLimitsAreUsedUp: nothing is sent past the limits.
 func TestRefusesWhenAllLimitsAreUsedUp(t *testing.T) {
 	f := newFleet(t, 5, nil)
-	q := f.request("patient", 1)
+	q := f.request("long-objective", 1)
 	f.limitAllExcept(q, "")
 	_, err := q.choosePlace(context.Background())
 	require.ErrorIs(t, err, errLimitsUsedUp)
@@ -69,7 +69,7 @@
 func TestManyUsedUpLimitsEndSearch(t *testing.T) {
 	const engines, maxQueries = 200, 20
 	f := newFleet(t, engines, nil)
-	q := f.request("patient", 0)
+	q := f.request("long-objective", 0)
 	f.limitAllExcept(q, "")
 	_, err := q.choosePlace(context.Background())
 	require.ErrorIs(t, err, errLimitsUsedUp)
@@ -80,7 +80,7 @@
 // loosest limit, is at its rate limit, the one that denied a place before is queried again.
 func TestDenyingEngineIsQueriedAgain(t *testing.T) {
 	f := newFleet(t, 2, nil)
-	q := f.request("hasty", 0)
+	q := f.request("short-objective", 0)
 	queried := map[string]int{}
 	first := ""
 	q.RequestPlace = func(_ context.Context, engine *provider.Upstream, limit places.Limit) (places.EngineLoad, bool, error) {
@@ -117,7 +117,7 @@
 	} {
 		for sent := range 2 {
 			f := newFleet(t, 4, func(int) (bool, error) { return false, errNoAnswer })
-			q := f.request("patient", sent)
+			q := f.request("long-objective", sent)
 			c.prepare(q)
 			var paths []AdmissionPath
 			q.AllowSend = func(upstream *provider.Upstream, path AdmissionPath) (time.Duration, bool) {
--- a/daemon/internal/request/dispatch/place_test.go
+++ b/daemon/internal/request/dispatch/place_test.go
@@ -34,8 +34,8 @@
 	f := &fleet{pool: &balance.Pool{}, grant: grant}
 	configuration := &provider.Configuration{
 		Routes: []provider.Route{
-			{Name: "hasty", Objective: 300 * time.Millisecond, Shares: []provider.Share{{Service: "s", Weight: 1}}},
-			{Name: "patient", Objective: 900 * time.Millisecond, Shares: []provider.Share{{Service: "s", Weight: 1}}},
+			{Name: "short-objective", Objective: 300 * time.Millisecond, Shares: []provider.Share{{Service: "s", Weight: 1}}},
+			{Name: "long-objective", Objective: 900 * time.Millisecond, Shares: []provider.Share{{Service: "s", Weight: 1}}},
 		},
 		Services: []provider.Service{{Name: "s", Engine: &provider.EngineSpec{Model: "m", PromptRate: 20000, MeanPromptTokens: 1000}}},
 	}
@@ -95,7 +95,7 @@
 // TestQueriesEnginesUntilOneGrantsPlace: a denial leads to another engine.
 func TestQueriesEnginesUntilOneGrantsPlace(t *testing.T) {
 	f := newFleet(t, 5, func(n int) (bool, error) { return n == 2, nil })
-	q := f.request("hasty", 0)
+	q := f.request("short-objective", 0)
 	choice, err := q.choosePlace(context.Background())
 	require.NoError(t, err)
 	require.Len(t, q.trace.PlaceRequests, 2)
@@ -114,7 +114,7 @@
 func TestRefusesWhenNoEngineGrantsPlace(t *testing.T) {
 	for engines, want := range map[int]int{1: 1, 2: 2, 9: admission.DefaultPolicy().MaxQueries} {
 		f := newFleet(t, engines, func(int) (bool, error) { return false, nil })
-		_, err := f.request("hasty", 0).choosePlace(context.Background())
+		_, err := f.request("short-objective", 0).choosePlace(context.Background())
 		require.ErrorIs(t, err, errOverloaded)
 		assert.Len(t, f.queries, want)
 		assert.Zero(t, f.inFlight(t))
@@ -125,7 +125,7 @@
 // denial.
 func TestUnresponsiveLoaderFallsBackToLoadReport(t *testing.T) {
 	f := newFleet(t, 3, func(int) (bool, error) { return false, errors.New("no answer") })
-	choice, err := f.request("hasty", 0).choosePlace(context.Background())
+	choice, err := f.request("short-objective", 0).choosePlace(context.Background())
 	require.NoError(t, err)
 	assert.NotNil(t, choice.Upstream)
 	assert.Len(t, f.queries, 1)
@@ -142,7 +142,7 @@
 			return true, nil
 		})
 		f.pool.Now = func() time.Time { return time.Now().Add(maxReportAge) }
-		choice, err := f.request("hasty", 0).choosePlace(context.Background())
+		choice, err := f.request("short-objective", 0).choosePlace(context.Background())
 		require.NoError(t, err)
 		assert.NotNil(t, choice.Upstream)
 		assert.Len(t, f.queries, want)
@@ -160,7 +160,7 @@
 		return true, nil
 	})
 	f.pool = &balance.Pool{}
-	choice, err := f.request("hasty", 0).choosePlace(context.Background())
+	choice, err := f.request("short-objective", 0).choosePlace(context.Background())
 	require.NoError(t, err)
 	assert.NotNil(t, choice.Upstream)
 	assert.Len(t, f.queries, 2)
@@ -169,7 +169,7 @@
 // TestRetriedSendIsAdmittedByAnyEngine: otherwise the work done for the request would be lost.
 func TestRetriedSendIsAdmittedByAnyEngine(t *testing.T) {
 	f := newFleet(t, 9, func(int) (bool, error) { return false, nil })
-	_, _ = f.request("hasty", 1).choosePlace(context.Background())
+	_, _ = f.request("short-objective", 1).choosePlace(context.Background())
 	assert.Equal(t, places.Limit{Waiting: math.MaxInt32, InUse: math.MaxInt32}, f.queries[len(f.queries)-1])
 }
 
@@ -177,8 +177,8 @@
 // before the others may.
 func TestRoutesOfServiceShareLimits(t *testing.T) {
 	f := newFleet(t, 1, func(int) (bool, error) { return false, nil })
-	_, _ = f.request("hasty", 0).choosePlace(context.Background())
-	_, _ = f.request("patient", 0).choosePlace(context.Background())
+	_, _ = f.request("short-objective", 0).choosePlace(context.Background())
+	_, _ = f.request("long-objective", 0).choosePlace(context.Background())
 	require.Len(t, f.queries, 2)
 	assert.Equal(t, f.queries[0], f.queries[1])
 }
--- a/daemon/internal/request/dispatch/retry_test.go
+++ b/daemon/internal/request/dispatch/retry_test.go
@@ -19,11 +19,11 @@
 // those refused because engines are full.
 func TestBackoffDependsOnReason(t *testing.T) {
 	full := newFleet(t, 9, func(int) (bool, error) { return false, nil })
-	_, err := full.request("hasty", 0).choosePlace(context.Background())
+	_, err := full.request("short-objective", 0).choosePlace(context.Background())
 	require.ErrorIs(t, err, errOverloaded)
 	assert.Equal(t, admission.EnginesFull, unplacedReason(err))
 	empty := newFleet(t, 0, nil)
-	_, err = empty.request("hasty", 0).choosePlace(context.Background())
+	_, err = empty.request("short-objective", 0).choosePlace(context.Background())
 	require.ErrorIs(t, err, errNoUpstream)
 	assert.Equal(t, admission.NotReady, unplacedReason(err))
 	assert.Equal(t, admission.EnginesFull, notRunReason(exchange.Refused))
