--- a/daemon/internal/request/dispatch/retry_test.go
+++ b/daemon/internal/request/dispatch/retry_test.go
@@ -19,11 +19,11 @@
 // those refused because engines are full.
 func TestBackoffDependsOnReason(t *testing.T) {
 	full := newFleet(t, 9, func(int) (bool, error) { return false, nil })
-	_, err := full.request("hasty", 0).choosePlace(context.Background())
+	_, err := full.request("short-objective", 0).choosePlace(context.Background())
 	require.ErrorIs(t, err, errOverloaded)
 	assert.Equal(t, admission.EnginesFull, unplacedReason(err))
 	empty := newFleet(t, 0, nil)
-	_, err = empty.request("hasty", 0).choosePlace(context.Background())
+	_, err = empty.request("short-objective", 0).choosePlace(context.Background())
 	require.ErrorIs(t, err, errNoUpstream)
 	assert.Equal(t, admission.NotReady, unplacedReason(err))
 	assert.Equal(t, admission.EnginesFull, notRunReason(exchange.Refused))
@@ -34,9 +34,9 @@
 	}
 }
 
-// TestIgnoresInvalidTimes: an invalid deadline counts as none, and does not mark the request
-// as a retry.
-func TestIgnoresInvalidTimes(t *testing.T) {
+// TestIgnoresInvalidDeadlineAndLengthHint: an invalid value counts as none, and an invalid
+// deadline does not mark the request as a retry.
+func TestIgnoresInvalidDeadlineAndLengthHint(t *testing.T) {
 	for _, text := range []string{"", "soon", "-1", "0", "NaN", "+Inf", "1e300", "3600001"} {
 		q := &request{
 			Dispatcher: &Dispatcher{Headers: provider.Headers{Deadline: "Left", LengthHint: "Hint"}},
--- a/daemon/router/limits.go
+++ b/daemon/router/limits.go
@@ -131,7 +131,7 @@
 		if report, known := table.Report(upstream, now); known {
 			request.RateLimit = &report
 		}
-		request.Cold = p.coldLimit(engine, now)
+		request.Warmup = p.coldLimit(engine, now)
 	})
 	loader := netip.AddrPortFrom(engine.Address.Addr(), p.current.Load().LoaderPort)
 	response, err := p.placeClient.Reserve(ctx, loader, request)
