--- a/cli/internal/bench/control.go
+++ b/cli/internal/bench/control.go
@@ -20,7 +20,7 @@
 // Control configures a run of the control plane bench: an idle fleet first, then concurrent
 // declarations through different entries while the key-value service has a fault.
 type Control struct {
-	Halls, EntriesPerHall, Agents int
+	Halls, EntriesPerHall, Hosts int
 	// IdleDuration is the duration of the measurement on the idle fleet.
 	IdleDuration time.Duration
 	// Changes is the number of declarations, Interval the time between two of them.
@@ -121,7 +121,7 @@
 }
 
 func (r *controlRun) start(ctx context.Context) error {
-	config := fleet.Config{Halls: fleet.HallNames(r.Halls), EntriesPerHall: r.EntriesPerHall, Agents: r.Agents, LogOutput: r.LogOutput, LogLevel: "error"}
+	config := fleet.Config{Halls: fleet.HallNames(r.Halls), EntriesPerHall: r.EntriesPerHall, EngineHosts: r.Hosts, LogOutput: r.LogOutput, LogLevel: "error"}
 	config.SetUpKV = func(s *kv.Server) {
 		s.Fault = func(kv.Op, string) kv.Fault {
 			r.mu.Lock()
@@ -141,7 +141,7 @@
 	if err := r.fleet.AwaitReady(ctx); err != nil {
 		return err
 	}
-	return r.fleet.AwaitMembers(ctx, r.Agents)
+	return r.fleet.AwaitMembers(ctx, r.Hosts)
 }
 
 // measureIdle measures the fleet while nothing changes.
--- a/cli/internal/bench/control_test.go
+++ b/cli/internal/bench/control_test.go
@@ -14,7 +14,7 @@
 	for fault := range controlFaults {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
-			run := &Control{Halls: 2, EntriesPerHall: 2, Agents: 4, IdleDuration: time.Second, Changes: 12, Interval: 10 * time.Millisecond, Fault: fault, Timeout: time.Minute}
+			run := &Control{Halls: 2, EntriesPerHall: 2, Hosts: 4, IdleDuration: time.Second, Changes: 12, Interval: 10 * time.Millisecond, Fault: fault, Timeout: time.Minute}
 			result, err := run.Run(t.Context())
 			require.NoError(t, err)
 			assert.Zero(t, result.Reverts)
--- a/cli/internal/bench/distribute.go
+++ b/cli/internal/bench/distribute.go
@@ -114,7 +114,7 @@
 func (d *Distribute) fleetConfig() fleet.Config {
 	rateOf := func(copies int64) int64 { return int64(float64(copies*d.ModelBytes) / d.Unit.Seconds()) }
 	config := fleet.Config{
-		Halls: fleet.HallNames(d.Halls), EntriesPerHall: 1, Agents: d.Hosts, LogOutput: d.LogOutput, HalfDuplex: d.HalfDuplex,
+		Halls: fleet.HallNames(d.Halls), EntriesPerHall: 1, EngineHosts: d.Hosts, LogOutput: d.LogOutput, HalfDuplex: d.HalfDuplex,
 		OriginBytesPerSecond: rateOf(originCopies),
 		UploadBytesPerSecond: rateOf(hostCopies), DownloadBytesPerSecond: rateOf(hostCopies),
 	}
--- a/cli/internal/bench/distribute_test.go
+++ b/cli/internal/bench/distribute_test.go
@@ -42,6 +42,8 @@
 	}
 }
 
+// TestPoliciesMeetOriginCopyLimits guards against a policy that sends more copies over the origin's
+// link than it is meant to.
 func TestPoliciesMeetOriginCopyLimits(t *testing.T) {
 	for policy, copies := range map[string][2]float64{"swarm": {1, 1.5}, "tree": {3, 3.5}, "naive-swarm": {1, 9}, "origin-only": {9, 9}} {
 		t.Run(policy, func(t *testing.T) {
@@ -57,7 +59,8 @@
 	}
 }
 
-func TestBound(t *testing.T) {
+// TestBoundIsSetByScarcestLinks checks the minimum time with full-duplex and half-duplex links.
+func TestBoundIsSetByScarcestLinks(t *testing.T) {
 	tests := []struct {
 		hosts int
 		half  bool
@@ -74,7 +77,7 @@
 	}
 }
 
-func TestTimeTo(t *testing.T) {
+func TestTimeToRequiresShareOfHosts(t *testing.T) {
 	series := []Point{{0, 0}, {1, 3}, {2, 9}, {4, 10}}
 	assert.InDelta(t, 2, timeTo(series, 10, 50), 0)
 	assert.InDelta(t, 2, timeTo(series, 10, 90), 0)
--- a/cli/internal/bench/route.go
+++ b/cli/internal/bench/route.go
@@ -112,7 +112,7 @@
 
 func (r *routeRun) start(ctx context.Context) error {
 	config := fleet.Config{
-		Halls: fleet.HallNames(r.Halls), EntriesPerHall: r.EntriesPerHall, Agents: r.Hosts, LogOutput: r.LogOutput, LogLevel: "error",
+		Halls: fleet.HallNames(r.Halls), EntriesPerHall: r.EntriesPerHall, EngineHosts: r.Hosts, LogOutput: r.LogOutput, LogLevel: "error",
 		SetUpEngine: func(e *engine.Server) { e.Prefill, e.PerToken = r.Prefill, r.PerToken },
 	}
 	if r.LogOutput != nil {
--- a/cli/internal/command/bench.go
+++ b/cli/internal/command/bench.go
@@ -76,7 +76,7 @@
 	if err != nil {
 		return err
 	}
-	output, closeLog, err := openLog(command.String("log"))
+	output, closeLog, err := createLog(command.String("log"))
 	if err != nil {
 		return err
 	}
@@ -136,11 +136,11 @@
 
 func benchControl(ctx context.Context, command *cli.Command) error {
 	run := bench.Control{
-		Halls: command.Int("data-halls"), EntriesPerHall: command.Int("entries"), Agents: command.Int("hosts"),
+		Halls: command.Int("data-halls"), EntriesPerHall: command.Int("entries"), Hosts: command.Int("hosts"),
 		IdleDuration: command.Duration("rest"), Changes: command.Int("changes"), Interval: command.Duration("every"),
 		Fault: command.String("fault"), Timeout: command.Duration("timeout"),
 	}
-	if run.Halls < 1 || run.EntriesPerHall < 1 || run.Agents < run.Halls {
+	if run.Halls < 1 || run.EntriesPerHall < 1 || run.Hosts < run.Halls {
 		return fmt.Errorf("%w: --entries must be at least 1, and --hosts at least --data-halls", errUsage)
 	}
 	r, err := run.Run(ctx)
@@ -190,7 +190,7 @@
 	if !slices.Contains(bench.RouteFaults(), run.Fault) {
 		return fmt.Errorf("%w: unknown --fault %q; use one of %s", errUsage, run.Fault, strings.Join(bench.RouteFaults(), ", "))
 	}
-	output, closeLog, err := openLog(command.String("log"))
+	output, closeLog, err := createLog(command.String("log"))
 	if err != nil {
 		return err
 	}
--- a/cli/internal/command/command_test.go
+++ b/cli/internal/command/command_test.go
@@ -57,6 +57,8 @@
 	assert.Equal(t, ExitFailed, run(t.Context(), "settings", "check", "/does/not/exist").code)
 }
 
+// TestExamplesReferToManifestOfSampleModel guards against a manifest digest in cli/examples that
+// the command standins doesn't serve.
 func TestExamplesReferToManifestOfSampleModel(t *testing.T) {
 	samples, err := examples.Load()
 	require.NoError(t, err)
@@ -111,7 +113,7 @@
 // selects it.
 func startFleet(t *testing.T) (*fleet.Fleet, []string) {
 	t.Helper()
-	config := fleet.Config{Halls: []string{"hall-1"}, EntriesPerHall: 1, Agents: 2}
+	config := fleet.Config{Halls: []string{"hall-1"}, EntriesPerHall: 1, EngineHosts: 2}
 	config.Entry.HostsInterval, config.Agent.HostsInterval = 50*time.Millisecond, 50*time.Millisecond
 	f, err := fleet.Start(config)
 	require.NoError(t, err)
@@ -177,8 +179,8 @@
 	tests := []struct{ name, text, want string }{
 		{"not JSON", `{"kind":`, "f.json:1: resource 0"},
 		{"second resource", "{\"kind\":\"Model\",\"name\":\"m\",\"spec\":{}}\n{\"kind\":\"Pod\"}", "f.json:2: resource 1: kind: unknown kind"},
-		{"breaks a rule", `{"kind":"Model","name":"m","spec":{}}`, `resource 0 (Model "m"): spec.versions: empty`},
-		{"twice", `{"kind":"Account","name":"a","spec":{"keyDigests":["` + strings.Repeat("ab", 32) + `"]}}` + `{"kind":"Account","name":"a","spec":{"keyDigests":["` + strings.Repeat("ab", 32) + `"]}}`, "declare each resource once"},
+		{"invalid spec", `{"kind":"Model","name":"m","spec":{}}`, `resource 0 (Model "m"): spec.versions: empty`},
+		{"declared twice", `{"kind":"Account","name":"a","spec":{"keyDigests":["` + strings.Repeat("ab", 32) + `"]}}` + `{"kind":"Account","name":"a","spec":{"keyDigests":["` + strings.Repeat("ab", 32) + `"]}}`, "declare each resource once"},
 		{"empty", ``, "no declarations"},
 	}
 	for _, test := range tests {
--- a/cli/internal/command/daemon_test.go
+++ b/cli/internal/command/daemon_test.go
@@ -56,8 +56,8 @@
 	return server.Address
 }
 
-// TestDaemonsServeWithExampleSettings starts an entry and an agent as processes. They use the example
-// settings, with free addresses instead of the fixed ones.
+// TestDaemonsServeWithExampleSettings guards against example settings with which an entry or an
+// agent doesn't start, serve or drain. Free addresses replace the fixed ones.
 func TestDaemonsServeWithExampleSettings(t *testing.T) {
 	daemon := buildDaemon(t)
 	list := &hostlist.Server{}
--- a/cli/internal/command/dev.go
+++ b/cli/internal/command/dev.go
@@ -85,7 +85,7 @@
 	if run.hosts < 1 || run.halls < 1 || run.hosts < run.halls || command.Int("entries") < 1 {
 		return fmt.Errorf("%w: --hosts, --data-halls and --entries must be at least 1, and --hosts at least --data-halls", errUsage)
 	}
-	logOutput, closeLog, err := openLog(command.String("log"))
+	logOutput, closeLog, err := createLog(command.String("log"))
 	if err != nil {
 		return err
 	}
@@ -107,20 +107,21 @@
 	return err
 }
 
-func openLog(path string) (io.Writer, func(), error) {
+// createLog creates the file that receives the logs, or returns io.Discard if the path is empty.
+func createLog(path string) (io.Writer, func(), error) {
 	if path == "" {
 		return io.Discard, func() {}, nil
 	}
 	file, err := os.Create(path) //nolint:gosec // the operator names the file
 	if err != nil {
-		return nil, nil, fmt.Errorf("open log: %w", err)
+		return nil, nil, fmt.Errorf("create log: %w", err)
 	}
 	return file, func() { _ = file.Close() }, nil
 }
 
 func (d *devRun) start(entries int, logOutput io.Writer) error {
 	config := fleet.Config{
-		Halls: fleet.HallNames(d.halls), EntriesPerHall: entries, Agents: d.hosts, LogOutput: logOutput,
+		Halls: fleet.HallNames(d.halls), EntriesPerHall: entries, EngineHosts: d.hosts, LogOutput: logOutput,
 		SetUpEngine: func(e *engine.Server) { e.Prefill, e.PerToken = devPrefill, devPerToken },
 	}
 	var err error
@@ -224,17 +225,17 @@
 	return body
 }
 
-func (d *devRun) call(ctx context.Context, e *fleet.Entry, text string) (fleet.Answer, error) {
+func (d *devRun) call(ctx context.Context, e *fleet.Entry, text string) (fleet.Response, error) {
 	return fleet.Call(ctx, e, fleet.CallOptions{Service: d.service, Path: "/v1/completions", Key: d.key, Body: completionBody(text)})
 }
 
 func (d *devRun) sendSampleRequest(ctx context.Context) error {
-	answer, err := d.call(ctx, d.fleet.Entries()[0], "a summary of the book")
+	response, err := d.call(ctx, d.fleet.Entries()[0], "a summary of the book")
 	if err != nil {
 		return fmt.Errorf("sample request: %w", err)
 	}
-	_, _ = fmt.Fprintf(d.out, "one streaming answer, from host %s (outcome %s):\n", answer.Header.Get(api.HeaderHost), answer.Header.Get(api.HeaderOutcome))
-	lines := strings.Split(strings.TrimSpace(string(answer.Body)), "\n\n")
+	_, _ = fmt.Fprintf(d.out, "one streaming answer, from host %s (outcome %s):\n", response.Header.Get(api.HeaderHost), response.Header.Get(api.HeaderOutcome))
+	lines := strings.Split(strings.TrimSpace(string(response.Body)), "\n\n")
 	for i, line := range lines {
 		if i < 2 || i == len(lines)-1 {
 			_, _ = fmt.Fprintln(d.out, "  "+line)
@@ -255,9 +256,9 @@
 	for i := range onceRequests {
 		group.Go(func() {
 			text := fmt.Sprintf("question %d", i)
-			answer, err := d.call(ctx, entries[i%len(entries)], text)
+			response, err := d.call(ctx, entries[i%len(entries)], text)
 			if err == nil {
-				err = CheckAnswer(answer.Body, d.model.String(), text, devTokens)
+				err = CheckAnswer(response.Body, d.model.String(), text, devTokens)
 			}
 			mu.Lock()
 			defer mu.Unlock()
--- a/cli/internal/command/suspects.go
+++ b/cli/internal/command/suspects.go
@@ -71,18 +71,18 @@
 		return err
 	}
 	var listing struct {
-		Notes []suspect `json:"notes"`
+		Reports []suspect `json:"notes"`
 	}
 	if err := json.Unmarshal(body, &listing); err != nil {
 		return fmt.Errorf("decode response of router %s: %w", command.String("router"), err)
 	}
-	slices.SortFunc(listing.Notes, func(a, b suspect) int { return b.depth() - a.depth() })
+	slices.SortFunc(listing.Reports, func(a, b suspect) int { return b.depth() - a.depth() })
 	if wantsJSON(command) {
-		return writeJSON(command.Root().Writer, listing.Notes)
+		return writeJSON(command.Root().Writer, listing.Reports)
 	}
 	return table(command.Root().Writer, func(t *tabwriter.Writer) {
 		_, _ = fmt.Fprintln(t, "CONTENT\tDEPTH\tCRASHED UPSTREAMS")
-		for _, s := range listing.Notes {
+		for _, s := range listing.Reports {
 			names := make([]string, 0, len(s.Crashes))
 			for _, crash := range s.Crashes {
 				names = append(names, crash.Upstream)
--- a/cli/internal/fleet/control_test.go
+++ b/cli/internal/fleet/control_test.go
@@ -40,7 +40,9 @@
 	return startTestFleet(t, config), fault
 }
 
-func TestKeyValueServiceOutage(t *testing.T) {
+// TestFleetServesDuringKeyValueOutage guards against an outage of the key-value service that stops
+// requests, the start of an entry or the detection of a crashed host.
+func TestFleetServesDuringKeyValueOutage(t *testing.T) {
 	r, fault := startTestFleetWithKVFault(t, quickConfig(2, 2, 4))
 	r.serve(nil)
 	fault.Store(&kv.Fault{Down: true})
@@ -54,7 +56,7 @@
 	require.NoError(t, Await(r.ctx, "readiness of the new entry", func() bool { return fresh.Process.NotReady() == "" }))
 	require.NoError(t, Await(r.ctx, "membership of the new entry", func() bool {
 		got := r.call(fresh, fmt.Sprint("fresh-", time.Now().UnixNano()))
-		return got.err == nil && got.answer.Status == http.StatusOK
+		return got.err == nil && got.response.Status == http.StatusOK
 	}))
 	listing, err := (&client.Client{Entries: []string{"http://" + fresh.Process.Addresses().Operators.String()}}).List(r.ctx, api.KindService)
 	require.NoError(t, err)
@@ -95,12 +97,12 @@
 	require.NoError(t, fleet.AwaitReady(ctx))
 }
 
-func TestWriteSucceedsWhenAnswerIsLost(t *testing.T) {
+func TestWriteSucceedsWhenResponseIsLost(t *testing.T) {
 	config := quickConfig(1, 2, 2)
 	var calls atomic.Int64
 	config.SetUpKV = func(s *kv.Server) {
 		s.Fault = func(op kv.Op, _ string) kv.Fault {
-			// Drop the answer of every second write.
+			// Drop the response to every second write.
 			return kv.Fault{DropResponse: op == kv.OpPut && calls.Add(1)%2 == 1}
 		}
 	}
@@ -110,7 +112,7 @@
 		account := r.account()
 		account.Account.Concurrency = i + 1
 		accepted, err := r.ResourceClient().Put(r.ctx, account, client.PutOptions{})
-		require.NoError(t, err, "a write whose answer was lost is recognized by its id")
+		require.NoError(t, err, "a write whose response was lost is recognized by its id")
 		item, ok := r.KV.Store.Get("wheelcleat/resources/accounts/till")
 		require.True(t, ok)
 		assert.Equal(t, accepted.Revision, item.Revision)
@@ -118,12 +120,14 @@
 	}
 }
 
-func TestConcurrentWritesConflict(t *testing.T) {
+// TestOneOfConcurrentWritesWins guards against lost updates: of writes that are conditional on the
+// same revision, one succeeds and the others report a conflict.
+func TestOneOfConcurrentWritesWins(t *testing.T) {
 	r := startTestFleet(t, quickConfig(2, 2, 2))
 	r.declare(r.account())
-	present, err := r.ResourceClient().Get(r.ctx, api.KindAccount, "till")
+	current, err := r.ResourceClient().Get(r.ctx, api.KindAccount, "till")
 	require.NoError(t, err)
-	require.NoError(t, r.AwaitRevision(r.ctx, present.Revision))
+	require.NoError(t, r.AwaitRevision(r.ctx, current.Revision))
 	var group sync.WaitGroup
 	var won, lost atomic.Int64
 	var accepted atomic.Uint64
@@ -132,7 +136,7 @@
 			account := r.account()
 			account.Account.Concurrency = 100 + i
 			c := &client.Client{Entries: []string{address}}
-			got, err := c.Put(r.ctx, account, client.PutOptions{IfRevision: present.Revision})
+			got, err := c.Put(r.ctx, account, client.PutOptions{IfRevision: current.Revision})
 			switch {
 			case err == nil:
 				won.Add(1)
@@ -141,7 +145,7 @@
 				lost.Add(1)
 				var problem *api.Problem
 				errors.As(err, &problem)
-				assert.Greater(r, problem.Revision, present.Revision, "the conflict reports the current revision")
+				assert.Greater(r, problem.Revision, current.Revision, "the conflict reports the current revision")
 			default:
 				assert.NoError(r, err)
 			}
@@ -208,7 +212,9 @@
 	})
 }
 
-func TestWatchAcrossEntries(t *testing.T) {
+// TestWatchResumesAtOtherEntry guards against lost, repeated or reordered changes when a watch
+// resumes at another entry, and against a gap that an entry without the history doesn't report.
+func TestWatchResumesAtOtherEntry(t *testing.T) {
 	r := startTestFleet(t, quickConfig(1, 2, 0))
 	list, err := r.ResourceClient().List(r.ctx, api.KindAccount)
 	require.NoError(t, err)
@@ -254,7 +260,9 @@
 	assert.GreaterOrEqual(t, problem.Revision, after, "the error names a revision to list from")
 }
 
-func TestLeaseHolderCrash(t *testing.T) {
+// TestRolloutCompletesAfterLeaseHolderCrash guards against a rollout that stalls because the entry
+// with the placement lease crashed.
+func TestRolloutCompletesAfterLeaseHolderCrash(t *testing.T) {
 	r := startTestFleet(t, quickConfig(1, 3, 2))
 	r.serve(nil)
 	item, ok := r.KV.Store.Get("wheelcleat/lease/placement/hall-1")
@@ -270,9 +278,10 @@
 	assert.Equal(t, 2, r.ReadyEngines(r.versions[1]))
 }
 
-// Deleting the lease's key lets a second entry acquire the lease while the first
-// one still acts as its holder. Fencing tokens must keep orders from going back.
-func TestTwoLeaseHolders(t *testing.T) {
+// TestSecondLeaseHolderRevertsNoOrder guards against engines that follow an outdated order.
+// Deleting the lease's key lets a second entry acquire the lease while the first one still acts
+// as its holder.
+func TestSecondLeaseHolderRevertsNoOrder(t *testing.T) {
 	r := startTestFleet(t, quickConfig(1, 3, 4))
 	r.serve(nil)
 	for i := range 6 {
@@ -281,10 +290,10 @@
 	}
 	r.declare(r.service("v2", nil))
 	r.awaitDone()
-	r.checkTokens()
+	r.checkFencingTokens()
 }
 
-func TestCrashedHostIsReplaced(t *testing.T) {
+func TestSpareHostReplacesCrashedHost(t *testing.T) {
 	r := startTestFleet(t, quickConfig(1, 2, 3))
 	r.serve(nil)
 	var serving *Host
@@ -298,7 +307,7 @@
 	r.awaitDone()
 }
 
-func TestFailingVersionHaltsAndRollsBack(t *testing.T) {
+func TestFailingVersionHaltsRolloutUntilRollback(t *testing.T) {
 	config := quickConfig(1, 1, 3)
 	var bad atomic.Value
 	bad.Store("")
@@ -328,7 +337,7 @@
 	r.checkAllDone(stop(), r.Hosts())
 }
 
-func TestOperatorKeys(t *testing.T) {
+func TestOperatorKeyIsRequired(t *testing.T) {
 	r := startTestFleet(t, quickConfig(1, 1, 0))
 	settings := r.EntrySettings("guarded", "hall-1")
 	settings.OperatorKeyDigests = r.account().Account.KeyDigests
--- a/cli/internal/fleet/fleet.go
+++ b/cli/internal/fleet/fleet.go
@@ -39,10 +39,10 @@
 	Halls []string
 	// EntriesPerHall is the number of entries in each hall.
 	EntriesPerHall int
-	// Agents is the number of engine hosts in all halls together, PlainAgents the
-	// number of hosts with a plain upstream in each hall.
-	Agents      int
-	PlainAgents int
+	// EngineHosts is the number of engine hosts in all halls together,
+	// PlainHostsPerHall the number of hosts with a plain upstream in each hall.
+	EngineHosts       int
+	PlainHostsPerHall int
 	// PlainServices are the services that the plain upstreams serve.
 	PlainServices []string
 	// LogOutput receives the log lines of all processes; nil discards them.
@@ -173,13 +173,13 @@
 				return err
 			}
 		}
-		for i := range f.Config.PlainAgents {
+		for i := range f.Config.PlainHostsPerHall {
 			if _, err := f.AddPlainHost(fmt.Sprintf("%s-plain-%d", hall, i+1), hall); err != nil {
 				return err
 			}
 		}
 	}
-	for i := range f.Config.Agents {
+	for i := range f.Config.EngineHosts {
 		hall := f.Config.Halls[i%len(f.Config.Halls)]
 		if _, err := f.AddEngineHost(fmt.Sprintf("%s-host-%03d", hall, i/len(f.Config.Halls)+1), hall); err != nil {
 			return err
@@ -440,11 +440,11 @@
 }
 
 // AwaitMembers waits until every entry's membership has the given number of
-// agents.
-func (f *Fleet) AwaitMembers(ctx context.Context, agents int) error {
+// hosts.
+func (f *Fleet) AwaitMembers(ctx context.Context, hosts int) error {
 	return Await(ctx, "membership of all hosts", func() bool {
 		for _, e := range f.Entries() {
-			if e.Process.Members() < agents {
+			if e.Process.Members() < hosts {
 				return false
 			}
 		}
@@ -488,8 +488,8 @@
 	return ready
 }
 
-// Answer is the response to a request.
-type Answer struct {
+// Response is a complete response.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
@@ -497,11 +497,11 @@
 
 // Call sends one request to an entry and reads the complete response. It returns
 // an error if the response is truncated.
-func Call(ctx context.Context, e *Entry, call CallOptions) (Answer, error) {
+func Call(ctx context.Context, e *Entry, call CallOptions) (Response, error) {
 	url := "http://" + e.Process.Addresses().Callers.String() + "/v1/services/" + call.Service + call.Path
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(call.Body))
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	request.Header.Set("Authorization", "Bearer "+call.Key)
 	for name, value := range call.Header {
@@ -509,11 +509,11 @@
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
-	return Answer{Status: response.StatusCode, Header: response.Header, Body: body}, err
+	return Response{Status: response.StatusCode, Header: response.Header, Body: body}, err
 }
 
 // CallOptions describe one request.
--- a/cli/internal/fleet/fleet_test.go
+++ b/cli/internal/fleet/fleet_test.go
@@ -30,8 +30,8 @@
 )
 
 // quickConfig returns the configuration of a fleet with short timeouts.
-func quickConfig(halls, entries, agents int) Config {
-	config := Config{Halls: HallNames(halls), EntriesPerHall: entries, Agents: agents, PlainServices: []string{"loans"}, PeerWait: 300 * time.Millisecond}
+func quickConfig(halls, entriesPerHall, engineHosts int) Config {
+	config := Config{Halls: HallNames(halls), EntriesPerHall: entriesPerHall, EngineHosts: engineHosts, PlainServices: []string{"loans"}, PeerWait: 300 * time.Millisecond}
 	config.Entry.WatchInterval, config.Entry.LameDuck = 10*time.Millisecond, 100*time.Millisecond
 	config.Entry.LeaseTTL, config.Entry.PlacementInterval, config.Entry.ReplaceAfter = time.Second, 20*time.Millisecond, time.Second
 	config.Entry.HeartbeatTimeout = 1500 * time.Millisecond
@@ -45,7 +45,7 @@
 type testFleet struct {
 	*testing.T
 	*Fleet
-	ctx      context.Context //nolint:containedctx // cancelled at the end of the test
+	ctx      context.Context //nolint:containedctx // canceled at the end of the test
 	versions []manifest.Digest
 	// loadCount counts the calls of load, so that request ids are unique.
 	loadCount atomic.Int64
@@ -126,9 +126,9 @@
 
 // result is the response to one request, or its error.
 type result struct {
-	id     string
-	answer Answer
-	err    error
+	id       string
+	response Response
+	err      error
 }
 
 func (r *testFleet) call(e *Entry, id string) result {
@@ -183,11 +183,11 @@
 // checkComplete checks that the response is the complete answer to the request
 // by the version that its header names.
 func checkComplete(got result) error {
-	events := strings.Split(strings.TrimSuffix(string(got.answer.Body), "\n\n"), "\n\n")
+	events := strings.Split(strings.TrimSuffix(string(got.response.Body), "\n\n"), "\n\n")
 	if len(events) != testTokens+1 || events[testTokens] != "data: [DONE]" {
 		return fmt.Errorf("%s: got %d events, want %d tokens and the end marker", got.id, len(events), testTokens)
 	}
-	version := got.answer.Header.Get(api.HeaderVersion)
+	version := got.response.Header.Get(api.HeaderVersion)
 	for index, event := range events[:testTokens] {
 		var token engine.TokenEvent
 		if err := json.Unmarshal([]byte(strings.TrimPrefix(event, "data: ")), &token); err != nil {
@@ -195,7 +195,7 @@
 		}
 		want := engine.TokenEvent{Request: got.id, Manifest: version, Index: index, Text: engine.TokenText(version, "prompt of "+got.id, index)}
 		if token != want {
-			return fmt.Errorf("%s: token %+v, wanted %+v", got.id, token, want)
+			return fmt.Errorf("%s: token %+v, want %+v", got.id, token, want)
 		}
 	}
 	return nil
@@ -208,7 +208,7 @@
 	ran := runs(hosts)
 	for _, got := range results {
 		require.LessOrEqual(r, ran[got.id], 1, "%s ran twice", got.id)
-		outcome := api.Outcome(got.answer.Header.Get(api.HeaderOutcome))
+		outcome := api.Outcome(got.response.Header.Get(api.HeaderOutcome))
 		switch {
 		case got.err != nil:
 		case outcome == api.OutcomeDone:
@@ -216,9 +216,9 @@
 			require.Equal(r, 1, ran[got.id], got.id)
 			done++
 		case outcome == api.OutcomeNotRun:
-			require.Zero(r, ran[got.id], "%s was reported as not run but ran: %s", got.id, got.answer.Body)
+			require.Zero(r, ran[got.id], "%s was reported as not run but ran: %s", got.id, got.response.Body)
 		default:
-			require.Equal(r, api.OutcomeUnknown, outcome, "%d %s", got.answer.Status, got.answer.Body)
+			require.Equal(r, api.OutcomeUnknown, outcome, "%d %s", got.response.Status, got.response.Body)
 		}
 	}
 	return done
@@ -230,7 +230,7 @@
 	require.NotEmpty(r, results)
 	for _, got := range results {
 		require.NoError(r, got.err, "%s was truncated", got.id)
-		require.Equal(r, http.StatusOK, got.answer.Status, "%s: %s", got.id, got.answer.Body)
+		require.Equal(r, http.StatusOK, got.response.Status, "%s: %s", got.id, got.response.Body)
 	}
 	require.Equal(r, len(results), r.checkOutcomes(results, hosts))
 }
@@ -245,9 +245,9 @@
 	for i, e := range r.Entries() {
 		got := r.call(e, fmt.Sprint("id-", i))
 		require.NoError(t, got.err)
-		require.NoError(t, checkComplete(got), "%s", got.answer.Body)
-		assert.Equal(t, got.id, got.answer.Header.Get(api.HeaderRequestID))
-		assert.True(t, strings.HasPrefix(got.answer.Header.Get(api.HeaderHost), e.Hall), "hosts of the entry's hall are preferred")
+		require.NoError(t, checkComplete(got), "%s", got.response.Body)
+		assert.Equal(t, got.id, got.response.Header.Get(api.HeaderRequestID))
+		assert.True(t, strings.HasPrefix(got.response.Header.Get(api.HeaderHost), e.Hall), "hosts of the entry's hall are preferred")
 	}
 }
 
@@ -294,7 +294,9 @@
 	require.NoError(t, Await(r.ctx, "the cancel at the engine", func() bool { return r.EngineHosts()[0].Engine.Runs()["late"].Cancelled }))
 }
 
-func TestVersionChangeUnderLoad(t *testing.T) {
+// TestVersionChangeLosesNoRequest guards against requests that fail, are aborted or get mixed
+// answers while the version changes under load.
+func TestVersionChangeLosesNoRequest(t *testing.T) {
 	r := startTestFleet(t, quickConfig(2, 1, 4))
 	r.serve(nil)
 	stop := r.load(8)
@@ -374,9 +376,9 @@
 	assert.Len(t, leaving.Engine.Runs(), count)
 }
 
-// After a crash under load, no request may run twice or be falsely reported as
-// not run, and the remaining processes must keep serving.
-func TestKilledProcessUnderLoad(t *testing.T) {
+// TestCrashUnderLoadRepeatsNoRequest guards against requests that run twice or are falsely
+// reported as not run after a crash, and against remaining processes that stop serving.
+func TestCrashUnderLoadRepeatsNoRequest(t *testing.T) {
 	tests := []struct {
 		name string
 		kill func(r *testFleet)
@@ -406,7 +408,9 @@
 	}
 }
 
-func TestEngineBreaksConnection(t *testing.T) {
+// TestBrokenEngineConnectionIsReported guards against a truncated stream that looks complete, and
+// against reporting a request as not run although the engine may have run it.
+func TestBrokenEngineConnectionIsReported(t *testing.T) {
 	config := quickConfig(1, 1, 1)
 	config.SetUpEngine = func(e *engine.Server) {
 		e.Fault = func(id string) engine.Fault {
@@ -424,17 +428,18 @@
 	r.serve(func(s *api.ServiceSpec) { s.Replicas = 1 })
 	e := r.Entries()[0]
 	got := r.call(e, "midway")
-	require.Error(t, got.err, "a truncated stream is an error at the client")
+	require.Error(t, got.err, "a truncated stream is an error at the caller")
 	got = r.call(e, "before")
 	require.NoError(t, got.err)
-	assert.Equal(t, http.StatusBadGateway, got.answer.Status)
-	assert.Equal(t, string(api.OutcomeUnknown), got.answer.Header.Get(api.HeaderOutcome), "the entry cannot know whether the request ran")
+	assert.Equal(t, http.StatusBadGateway, got.response.Status)
+	assert.Equal(t, string(api.OutcomeUnknown), got.response.Header.Get(api.HeaderOutcome), "the entry cannot know whether the request ran")
 	r.checkAllDone([]result{r.call(e, "fine")}, r.Hosts())
 }
 
+// TestPlainServiceRunsAtMostOnce kills a host while calls run there.
 func TestPlainServiceRunsAtMostOnce(t *testing.T) {
 	config := quickConfig(2, 2, 0)
-	config.PlainAgents = 2
+	config.PlainHostsPerHall = 2
 	r := startTestFleet(t, config)
 	r.declare(r.account(), &api.Resource{Kind: api.KindService, Name: "loans", Service: &api.ServiceSpec{Plain: true, NotRepeatable: true}})
 	require.NoError(t, Await(r.ctx, "the plain hosts", func() bool {
@@ -449,7 +454,7 @@
 	}
 	var group sync.WaitGroup
 	var mu sync.Mutex
-	answers := map[string]Answer{}
+	responses := map[string]Response{}
 	for i := range 200 {
 		group.Go(func() {
 			id := fmt.Sprint("loan-", i)
@@ -460,7 +465,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if err == nil {
-				answers[id] = got
+				responses[id] = got
 			}
 		})
 		if i == 100 {
@@ -478,15 +483,15 @@
 	for id, count := range total {
 		require.Equal(t, 1, count, id)
 	}
-	for id, answer := range answers {
-		switch api.Outcome(answer.Header.Get(api.HeaderOutcome)) {
+	for id, response := range responses {
+		switch api.Outcome(response.Header.Get(api.HeaderOutcome)) {
 		case api.OutcomeDone:
-			assert.Contains(t, string(answer.Body), id)
+			assert.Contains(t, string(response.Body), id)
 			assert.Equal(t, 1, total[id], id)
 		case api.OutcomeNotRun:
 			assert.Zero(t, total[id], id)
 		case api.OutcomeUnknown:
 		}
 	}
-	assert.Greater(t, len(answers), 150)
+	assert.Greater(t, len(responses), 150)
 }
--- a/cli/internal/fleet/partition_test.go
+++ b/cli/internal/fleet/partition_test.go
@@ -28,14 +28,14 @@
 	return &client.Client{Entries: []string{"http://" + e.Process.Addresses().Operators.String()}}
 }
 
-// A hall that is cut off from the other hall, the platform or both keeps serving
-// its current version. Without the platform it accepts no writes. After the
-// partition heals, it applies the changes made in the meantime.
+// TestPartitionedHallKeepsServing cuts a hall off from the other hall, the platform or both. It
+// must keep serving its version, accept no writes without the platform, and apply the changes
+// made in the meantime once the partition heals.
 func TestPartitionedHallKeepsServing(t *testing.T) {
 	tests := []struct {
-		name     string
-		cut      func(r *testFleet)
-		platform bool // whether the platform is unreachable
+		name       string
+		cut        func(r *testFleet)
+		noPlatform bool // the platform is unreachable
 	}{
 		{"from the other hall", func(r *testFleet) { r.CutHall("hall-2", false) }, false},
 		{"from the platform", func(r *testFleet) { r.Cut("hall-2", Platform) }, true},
@@ -53,7 +53,7 @@
 			_, err := r.resourceClientAt(r.entriesOf("hall-1")[0]).Put(r.ctx, r.service("v2", nil), client.PutOptions{})
 			require.NoError(t, err, "the other hall accepts writes")
 			require.NoError(t, Await(r.ctx, "the new version in the other hall", func() bool { return r.ReadyEngines(r.versions[1]) >= 2 }))
-			if test.platform {
+			if test.noPlatform {
 				_, err = r.resourceClientAt(inside[0]).Put(r.ctx, r.account(), client.PutOptions{IfRevision: 1})
 				assert.Equal(t, api.CodeUnavailable, problemCode(err), "a hall without the platform accepts no writes: %v", err)
 				for _, host := range r.EngineHosts() {
@@ -70,14 +70,14 @@
 			r.HealHall("hall-2")
 			r.awaitDone()
 			assert.Equal(t, 4, r.ReadyEngines(r.versions[1]), "the hall applies the new version after the partition heals")
-			r.checkTokens()
+			r.checkFencingTokens()
 		})
 	}
 }
 
-// checkTokens checks that no engine received an order with a lower fencing token
+// checkFencingTokens checks that no engine received an order with a lower fencing token
 // after a higher one.
-func (r *testFleet) checkTokens() {
+func (r *testFleet) checkFencingTokens() {
 	r.Helper()
 	for _, host := range r.EngineHosts() {
 		last := uint64(0)
@@ -88,9 +88,9 @@
 	}
 }
 
-// A host that crashes in a hall that is cut off from everything must fail no more
-// than the requests in flight.
-func TestHostCrashInPartitionedHall(t *testing.T) {
+// TestHostCrashInPartitionedHallFailsOnlyRequestsInFlight guards against entries that keep sending
+// to a crashed host because the hall is cut off from the platform and the other hall.
+func TestHostCrashInPartitionedHallFailsOnlyRequestsInFlight(t *testing.T) {
 	config := quickConfig(2, 2, 6)
 	config.SetUpEngine = func(e *engine.Server) { e.PerToken = 0 }
 	r := startTestFleet(t, config)
@@ -109,7 +109,7 @@
 	r.checkOutcomes(results, hosts)
 	failed := 0
 	for _, got := range results {
-		if got.err != nil || got.answer.Status != http.StatusOK {
+		if got.err != nil || got.response.Status != http.StatusOK {
 			failed++
 		}
 	}
