--- a/cli/internal/soak/caller.go
+++ b/cli/internal/soak/caller.go
@@ -70,7 +70,7 @@
 	for ctx.Err() == nil {
 		outcome := c.send(ctx, c.nextRequest())
 		if ctx.Err() != nil {
-			return // the end of the run cancelled the request
+			return // the end of the run canceled the request
 		}
 		c.oracle.RecordOutcome(outcome)
 		c.tally.recordOutcome(outcome)
--- a/cli/internal/soak/crashing.go
+++ b/cli/internal/soak/crashing.go
@@ -24,7 +24,7 @@
 	defer cancel()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: callTimeout}
 	f.injectOnce(RequestsCrash, path, func() {
-		for i := 0; ctx.Err() == nil && !f.isCancelled(); i++ {
+		for i := 0; ctx.Err() == nil && !f.isCanceled(); i++ {
 			router := f.routers[i%len(f.routers)]
 			c := &caller{router: router.process, address: router.callers, oracle: f.oracle, requestCount: &f.crashingSent, client: client}
 			c.send(ctx, request{path: path, key: constantKey})
@@ -33,9 +33,9 @@
 	})
 }
 
-func (f *fleet) isCancelled() bool {
+func (f *fleet) isCanceled() bool {
 	select {
-	case <-f.cancelled:
+	case <-f.canceled:
 		return true
 	default:
 		return false
--- a/cli/internal/soak/fleet.go
+++ b/cli/internal/soak/fleet.go
@@ -22,7 +22,7 @@
 const (
 	callersPort, readyPort, peersPort, metricsPort = 7000, 7001, 7002, 7003
 	loaderPort, loaderMetricsPort                  = 7010, 7011
-	// upstreamPort is the upstream's own port. linkPort is its proxy's, which the store lists.
+	// upstreamPort is the upstream's own port, linkPort that of its proxy, which the store lists.
 	upstreamPort, linkPort = 7020, 7021
 	// storePort is the store's own port, storeLinkPort that of a daemon's proxy to it.
 	storePort, storeLinkPort = 7030, 7031
@@ -61,12 +61,12 @@
 	crashingRequests, crashingSent atomic.Int64
 	// version is the newest published version of the model.
 	version int
-	// cancelled is closed when the run is cancelled, which ends all waits. done is closed by
+	// canceled is closed when the run is canceled, which ends all waits. done is closed by
 	// close, which ends the expiry of leases in the store.
-	cancelled <-chan struct{}
-	done      chan struct{}
-	servers   []*serve.Server
-	proxies   []*Proxy
+	canceled <-chan struct{}
+	done     chan struct{}
+	servers  []*serve.Server
+	proxies  []*Proxy
 
 	// declareMu serializes the changes of operators.
 	declareMu sync.Mutex
@@ -120,7 +120,7 @@
 var errSize = errors.New("each number must be at least 1, and all halls together may have at most 250 hosts")
 
 // newFleet builds a fleet and starts its stand-ins and proxies, but not the daemons.
-func newFleet(options *Options, oracle *Oracle, cancelled <-chan struct{}) (*fleet, error) {
+func newFleet(options *Options, oracle *Oracle, canceled <-chan struct{}) (*fleet, error) {
 	size := options.Size
 	const maxHosts = 250
 	hosts := size.Halls * (size.Routers + size.Loaders + size.Plain)
@@ -128,7 +128,7 @@
 		return nil, fmt.Errorf("%d halls of %d routers, %d loaders and %d plain upstreams: %w", size.Halls, size.Routers, size.Loaders, size.Plain, errSize)
 	}
 	f := &fleet{
-		folder: options.Folder, daemon: options.Daemon, size: size, oracle: oracle, cancelled: cancelled, done: make(chan struct{}),
+		folder: options.Folder, daemon: options.Daemon, size: size, oracle: oracle, canceled: canceled, done: make(chan struct{}),
 		store: &standin.Store{}, origin: &standin.Origin{Model: modelName, Chunks: chunks, ChunkBytes: chunkBytes},
 	}
 	const platformHost = 1
@@ -287,8 +287,8 @@
 	return h.upstream
 }
 
-// wait waits for a duration, or until the run is cancelled.
-func (f *fleet) wait(d time.Duration) { wait(d, f.cancelled) }
+// wait waits for a duration, or until the run is canceled.
+func (f *fleet) wait(d time.Duration) { wait(d, f.canceled) }
 
 func wait(d time.Duration, stop <-chan struct{}) {
 	select {
--- a/cli/internal/soak/inject.go
+++ b/cli/internal/soak/inject.go
@@ -13,9 +13,9 @@
 	// drainTime is how long a leaving upstream keeps serving: longer than routers may send
 	// to it.
 	drainTime = leaveBound + 2*time.Second
-	// answerDelay is the delay of each answer of a slow store or origin, chunkDelay the mean
+	// responseDelay is the delay of each response of a slow store or origin, chunkDelay the mean
 	// delay of each chunk that a proxy forwards.
-	answerDelay, chunkDelay = 400 * time.Millisecond, 40 * time.Millisecond
+	responseDelay, chunkDelay = 400 * time.Millisecond, 40 * time.Millisecond
 	// narrowLinkRate is the rate of a narrow link in bytes per second.
 	narrowLinkRate = 20 << 10
 	// storeRefuseShare is the share of calls that a refusing store refuses.
@@ -161,7 +161,7 @@
 	case StoreUnresponsive:
 		return standin.StoreFault{Unresponsive: true}
 	case StoreSlow:
-		return standin.StoreFault{Delay: answerDelay}
+		return standin.StoreFault{Delay: responseDelay}
 	case StoreRefuse:
 		return standin.StoreFault{Refuse: storeRefuseShare}
 	default:
@@ -196,7 +196,7 @@
 	case step.Kind == OriginCorrupt:
 		return standin.OriginFault{Corrupt: step.Strength}
 	default:
-		return standin.OriginFault{Delay: answerDelay}
+		return standin.OriginFault{Delay: responseDelay}
 	}
 }
 
--- a/cli/internal/soak/oracle.go
+++ b/cli/internal/soak/oracle.go
@@ -126,8 +126,8 @@
 	crashingRuns map[string][]time.Time
 	// limits are the limits that upstreams announce, by upstream id.
 	limits map[string]*upstreamLimit
-	// inForce is the newest configuration that each run of a router process has answered by,
-	// by the router's name and the number of its start.
+	// inForce is the newest configuration that a router has answered by since each of its
+	// starts, by the router's name and the number of the start.
 	inForce map[string]observedConfiguration
 }
 
@@ -252,31 +252,31 @@
 	}
 }
 
-// checkQuarantine counts the upstreams that started a crashing request. It must be called
-// with mu held.
+// checkQuarantine records that an upstream started a crashing request, and checks the number and
+// the times of such starts. It must be called with mu held.
 func (o *Oracle) checkQuarantine(run standin.Run) {
-	starts := o.crashingRuns[run.Path]
-	starts = append(starts, run.At)
-	set(&o.crashingRuns, run.Path, starts)
-	if o.faultActive(starts[0], run.At, o.routerOf[run.ID], "store", "router", "all", "link") {
+	runs := o.crashingRuns[run.Path]
+	runs = append(runs, run.At)
+	set(&o.crashingRuns, run.Path, runs)
+	if o.faultActive(runs[0], run.At, o.routerOf[run.ID], "store", "router", "all", "link") {
 		return
 	}
-	if len(starts) > maxCrashingRuns {
-		o.violatef(CheckQuarantine, run.ID, "%s started a request that had crashed %d upstreams", run.Upstream, len(starts)-1)
+	if len(runs) > maxCrashingRuns {
+		o.violatef(CheckQuarantine, run.ID, "%s started a request that had crashed %d upstreams", run.Upstream, len(runs)-1)
 		return
 	}
-	if len(starts) <= quarantineAfter {
+	if len(runs) <= quarantineAfter {
 		return
 	}
 	lateRuns := 0
-	for _, at := range starts[quarantineAfter:] {
-		if at.Sub(starts[quarantineAfter-1]) > quarantineBound+o.Slack {
+	for _, at := range runs[quarantineAfter:] {
+		if at.Sub(runs[quarantineAfter-1]) > quarantineBound+o.Slack {
 			lateRuns++
 		}
 	}
 	if lateRuns > maxLateRuns {
 		o.violatef(CheckQuarantine, run.ID, "%s started a request %s after it had crashed three upstreams; late start number %d",
-			run.Upstream, run.At.Sub(starts[quarantineAfter-1]).Round(time.Millisecond), lateRuns)
+			run.Upstream, run.At.Sub(runs[quarantineAfter-1]).Round(time.Millisecond), lateRuns)
 	}
 }
 
--- a/cli/internal/soak/oracle_test.go
+++ b/cli/internal/soak/oracle_test.go
@@ -74,8 +74,8 @@
 // sleep waits on the fake clock of synctest.
 func sleep(d time.Duration) { <-time.After(d) }
 
-// Each case feeds the oracle with the events of a daemon that violates one check, and with
-// similar events that violate none. It guards against checks that never fail.
+// TestEachCheckReportsItsViolation guards against checks that never fail, and against false
+// violations: each case records events that violate one check, and similar ones that violate none.
 func TestEachCheckReportsItsViolation(t *testing.T) {
 	unsafeRun := standin.Run{ID: "id", Upstream: "u", Path: unsafePath + "x"}
 	cases := map[string]struct {
@@ -91,7 +91,7 @@
 			},
 			func(o *Oracle) { o.RecordOutcome(outcomeOf(safePath+"x", http.StatusOK, standin.ResponseBody("id"))) },
 		},
-		"an event twice": {
+		"a repeated event": {
 			CheckComplete,
 			func(o *Oracle) {
 				o.RecordOutcome(outcomeOf(standin.StreamPath+"x", http.StatusOK, streamBody()+standin.Event("id", standin.StreamEvents)))
--- a/cli/internal/soak/plan.go
+++ b/cli/internal/soak/plan.go
@@ -4,8 +4,8 @@
 //
 // A run follows a plan, which is generated from a seed and saved as a file, so that it can
 // be replayed and reduced to the steps that still fail. The oracle shares nothing with the
-// daemons but the messages on the wire. A deterministic simulation in one process was
-// rejected: it would leave out sockets, signals and the scheduler.
+// daemons but the messages on the wire. A simulation in one process could be deterministic,
+// but would leave out sockets, signals and the scheduler.
 package soak
 
 import (
@@ -36,13 +36,13 @@
 	LoaderFreeze Kind = "loader-freeze"
 	AllKill      Kind = "all-kill"
 	// Faults of the store.
-	StoreDown         Kind = "store-down"
-	StoreUnresponsive Kind = "store-silent"
-	StoreSlow         Kind = "store-slow"
-	StoreRefuse       Kind = "store-refuse"
-	StoreLoseAnswers  Kind = "store-lose"     // a share of writes is applied, but not answered
-	StoreDropHistory  Kind = "store-forget"   // watches cannot resume and have to list again
-	StoreBlockRouter  Kind = "store-turn-off" // the store's answers to one router are blocked
+	StoreDown          Kind = "store-down"
+	StoreUnresponsive  Kind = "store-silent"
+	StoreSlow          Kind = "store-slow"
+	StoreRefuse        Kind = "store-refuse"
+	StoreDropResponses Kind = "store-lose"     // a share of writes is applied, but gets no response
+	StoreDropHistory   Kind = "store-forget"   // watches cannot resume and have to list again
+	StoreBlockRouter   Kind = "store-turn-off" // the store's responses to one router are blocked
 	// Faults of the links to upstreams.
 	LinkDelay        Kind = "link-delay"
 	LinkReset        Kind = "link-reset"
@@ -78,7 +78,7 @@
 // kinds lists the kinds to draw from. Changes are listed twice, which doubles their frequency.
 var kinds = []Kind{
 	RouterStop, RouterKill, RouterFreeze, RouterReload, LoaderStop, LoaderKill, LoaderFreeze, AllKill,
-	StoreDown, StoreUnresponsive, StoreSlow, StoreRefuse, StoreLoseAnswers, StoreDropHistory, StoreBlockRouter,
+	StoreDown, StoreUnresponsive, StoreSlow, StoreRefuse, StoreDropResponses, StoreDropHistory, StoreBlockRouter,
 	LinkDelay, LinkReset, LinkOneWay, LinkUnresponsive, LinkNarrow,
 	UpstreamCrash, UpstreamLeave, UpstreamShed, UpstreamFail, UpstreamHang, UpstreamReset, UpstreamCut, UpstreamSurplus, UpstreamLimited, EngineCorrupt,
 	RequestsCrash, EntriesCorrupt,
--- a/cli/internal/soak/process_test.go
+++ b/cli/internal/soak/process_test.go
@@ -19,8 +19,8 @@
 	return &process{name: "p", binary: path, folder: folder, settings: struct{}{}}
 }
 
-// A process that SIGTERM terminates before it has written anything was stopped during its
-// startup and has not failed.
+// TestSignalBeforeStartupIsNoFailure guards against a violation for a process that SIGTERM
+// terminates during its startup, before it has written anything.
 func TestSignalBeforeStartupIsNoFailure(t *testing.T) {
 	const timeout, loop = time.Minute, "; echo begun; while :; do sleep 0.01; done"
 	for _, c := range []struct {
--- a/cli/internal/soak/report.go
+++ b/cli/internal/soak/report.go
@@ -18,7 +18,7 @@
 	"github.com/wheelcleat/wheelcleat/api"
 )
 
-// RequestCounts counts requests that have ended, by result.
+// RequestCounts counts requests that have ended, by outcome.
 type RequestCounts struct {
 	Requested int `json:"asked"`
 	Served    int `json:"served"`
--- a/cli/internal/soak/soak_test.go
+++ b/cli/internal/soak/soak_test.go
@@ -11,11 +11,11 @@
 	"github.com/wheelcleat/wheelcleat/api"
 )
 
-// planFiles matches the plans that TestPlans runs: regression plans, and one with faults of every
-// component.
+// planFiles matches regression plans, and one with faults of every component.
 const planFiles = "seeds/*.json"
 
-func TestPlans(t *testing.T) {
+// TestSavedPlansFindNoViolation guards against the return of defects that soak runs have found.
+func TestSavedPlansFindNoViolation(t *testing.T) {
 	daemon := filepath.Join(t.TempDir(), "wheelcleatd")
 	require.NoError(t, Build(t.Context(), daemon))
 	paths, err := filepath.Glob(planFiles)
