--- a/api/manifest/manifest_test.go
+++ b/api/manifest/manifest_test.go
@@ -57,7 +57,7 @@
 	require.ErrorContains(t, err, "corrupt")
 }
 
-func TestPlanChunkBytes(t *testing.T) {
+func TestPlanChunkBytesBoundsCountAndSize(t *testing.T) {
 	for _, size := range []int64{1, 16 << 20, 64 << 20, 5 << 30, 700 << 30} {
 		chunk := PlanChunkBytes(size)
 		assert.LessOrEqual(t, (size+chunk-1)/chunk, int64(TargetChunks))
--- a/api/resource_test.go
+++ b/api/resource_test.go
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestValidateReferences(t *testing.T) {
+func TestServiceMustReferToDeclaredVersion(t *testing.T) {
 	models := map[string]*ModelSpec{"m": {
 		Versions: []Version{{"v1", validDigest}},
 		Adapters: []Adapter{{Name: "legal", Versions: []Version{{"v7", validDigest}}}},
--- a/daemon/internal/connection/broadcast/broadcast_test.go
+++ b/daemon/internal/connection/broadcast/broadcast_test.go
@@ -103,7 +103,7 @@
 	return sender
 }
 
-func waitFor(t *testing.T, what string, condition func() bool) {
+func await(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	require.Eventually(t, condition, 10*time.Second, time.Millisecond, what)
 }
@@ -119,7 +119,7 @@
 	require.True(t, sender.Send(reportOf("a")))
 	require.True(t, sender.Send(reportOf("b", "c")))
 	for _, p := range []*peer{second, third} {
-		waitFor(t, "the content is quarantined", func() bool { return p.verdict() == quarantine.Quarantined })
+		await(t, "the content is quarantined", func() bool { return p.verdict() == quarantine.Quarantined })
 	}
 }
 
@@ -131,7 +131,7 @@
 	sender := startSender(t, own, other.address)
 	own.merge([]quarantine.Report{reportOf("a")})
 	require.True(t, sender.Send(reportOf("a")))
-	waitFor(t, "the content is quarantined", func() bool { return own.verdict() == quarantine.Quarantined })
+	await(t, "the content is quarantined", func() bool { return own.verdict() == quarantine.Quarantined })
 }
 
 // TestStartingRouterFetchesReports checks that a starting router has the reports of another one,
@@ -147,7 +147,7 @@
 	}
 	sender.Start()
 	t.Cleanup(sender.Stop)
-	waitFor(t, "the content is quarantined", func() bool { return own.verdict() == quarantine.Quarantined })
+	await(t, "the content is quarantined", func() bool { return own.verdict() == quarantine.Quarantined })
 }
 
 // TestStopDoesNotWaitForUnresponsiveRouter also checks that a full queue drops reports instead
--- a/daemon/internal/helpers/helpers_test.go
+++ b/daemon/internal/helpers/helpers_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestPause(t *testing.T) {
+func TestPauseWaitsUnlessStopped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		started := time.Now()
 		assert.True(t, Pause(time.Hour, nil))
@@ -20,7 +20,7 @@
 	})
 }
 
-func TestOrDefault(t *testing.T) {
+func TestOrDefaultReplacesOnlyZeroValues(t *testing.T) {
 	assert.Equal(t, 3, OrDefault(0, 3))
 	assert.Equal(t, 2, OrDefault(2, 3))
 	assert.Equal(t, "x", OrDefault("", "x"))
--- a/daemon/internal/process/balance/balance_test.go
+++ b/daemon/internal/process/balance/balance_test.go
@@ -187,7 +187,7 @@
 	assert.Equal(t, []int{0, 1}, []int{urgent.Excess, lessUrgent.Excess}, "places are reserved for more urgent requests")
 }
 
-func TestReportedLoadCounts(t *testing.T) {
+func TestReportedLoadDeterminesTheChoice(t *testing.T) {
 	pool := &balance.Pool{}
 	candidates := upstreams(3)
 	pool.Report("u0", balance.LoadReport{Waiting: 3, Models: candidates[0].Models})
--- a/daemon/internal/process/kvwrite/kvwrite_test.go
+++ b/daemon/internal/process/kvwrite/kvwrite_test.go
@@ -122,14 +122,16 @@
 	require.ErrorIs(t, err, platform.ErrUnavailable)
 }
 
-func TestDelete(t *testing.T) {
+// Guards against a deletion that fails after a transient fault, or that is reported as done
+// although the key exists again.
+func TestDeleteReportsWhetherKeyIsGone(t *testing.T) {
 	tests := []struct {
 		name    string
 		faults  []kv.Fault
 		rewrite bool // another operator creates the key again after a lost response
 		wantErr error
 	}{
-		{"plain", nil, false, nil},
+		{"no fault", nil, false, nil},
 		{"down, then up", []kv.Fault{{Down: true}}, false, nil},
 		{"response lost", []kv.Fault{{DropResponse: true}}, false, nil},
 		{"response lost and created again", []kv.Fault{{DropResponse: true}}, true, platform.ErrUnknownResult},
--- a/daemon/internal/process/members/members_test.go
+++ b/daemon/internal/process/members/members_test.go
@@ -91,7 +91,7 @@
 	assert.Empty(t, table.View().Agents)
 }
 
-func TestViewByService(t *testing.T) {
+func TestViewListsMembersOfEachService(t *testing.T) {
 	var table Table
 	table.Merge([]*wire.Member{member("b", 1, 1), member("a", 1, 1), {Name: "c", PlainServices: []string{"loans"}}})
 	view := table.View()
--- a/daemon/internal/process/placement/plan_test.go
+++ b/daemon/internal/process/placement/plan_test.go
@@ -69,7 +69,7 @@
 	return manifests
 }
 
-func TestFirstPlacement(t *testing.T) {
+func TestFirstPlacementFillsReplicas(t *testing.T) {
 	h := &hall{targets: []Target{{Service: "s", Version: version("v1"), Replicas: 2}}, hosts: liveHosts("a", "b", "c")}
 	h.settle(t)
 	placed := h.document.FindService("s")
@@ -116,7 +116,7 @@
 	assert.Len(t, h.document.FindService("s").Versions, 2, "the previous version is kept for a rollback")
 }
 
-func TestPauseBetweenWaves(t *testing.T) {
+func TestNextWaveWaitsForPause(t *testing.T) {
 	h := &hall{targets: []Target{{Service: "s", Version: version("v1"), Replicas: 2, WaveSize: 1}}, hosts: liveHosts("a", "b")}
 	h.plan()
 	h.applyAssignments()
--- a/daemon/internal/version/source/source_test.go
+++ b/daemon/internal/version/source/source_test.go
@@ -46,7 +46,7 @@
 	require.ErrorContains(t, err, peer.String())
 }
 
-func TestFetchChunkStatusAndLength(t *testing.T) {
+func TestFetchChunkRejectsWrongStatusOrLength(t *testing.T) {
 	tests := []struct {
 		name    string
 		status  int
@@ -54,12 +54,12 @@
 		want    error
 		message string
 	}{
-		{"whole", 200, "four", nil, ""},
+		{"complete", 200, "four", nil, ""},
 		{"absent", 404, "", ErrAbsent, ""},
 		{"busy", 503, "", ErrBusy, ""},
 		{"too short", 200, "fou", io.ErrUnexpectedEOF, ""},
 		{"too long", 200, "fours", nil, "more than the requested 4"},
-		{"broken", 500, "", nil, "status 500"},
+		{"server error", 500, "", nil, "status 500"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/daemon/router/hedge_test.go
+++ b/daemon/router/hedge_test.go
@@ -127,7 +127,7 @@
 }
 
 // TestHedgeOutlivesBrokenFirst breaks the first upstream while a second one has received the
-// request but has not answered. Canceling the second send would use up the last attempt that the
+// request but has not answered. Canceling the hedge would use up the last attempt that the
 // route allows.
 func TestHedgeOutlivesBrokenFirst(t *testing.T) {
 	s, first, cfg := startServing(t, "first", answerOK)
--- a/daemon/settings/settings_test.go
+++ b/daemon/settings/settings_test.go
@@ -88,6 +88,8 @@
 	}
 }
 
+// FuzzParse checks that a file either has settings of exactly one role or is rejected with field
+// errors.
 func FuzzParse(f *testing.F) {
 	for _, role := range []Role{RoleEntry, RoleAgent} {
 		data, _ := Example(role)
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -157,7 +157,9 @@
 	require.Eventually(t, func() bool { return h.engine.Runs()["left"].Cancelled }, 5*time.Second, time.Millisecond)
 }
 
-func TestInjectedFaults(t *testing.T) {
+// TestFaultsBreakConnections checks that a request cut before the engine read it does not count as
+// run, and that one cut midway does.
+func TestFaultsBreakConnections(t *testing.T) {
 	var fault atomic.Value
 	s := &Server{Fault: func(string) Fault { return fault.Load().(Fault) }}
 	h := start(t, s)
@@ -184,7 +186,7 @@
 	assert.Equal(t, 1, reports.asOf(at.Add(time.Hour)).Running)
 }
 
-func TestCacheEvictsAndEventsHaveGaps(t *testing.T) {
+func TestPrefixCacheAndItsEventsAreBounded(t *testing.T) {
 	var cache prefixCache
 	at := time.Now().Add(-time.Hour)
 	assert.False(t, cache.use("a prompt", at))
@@ -197,5 +199,5 @@
 		cache.use(fmt.Sprint("y", i), at)
 	}
 	assert.Len(t, cache.events, maxEvents)
-	assert.Greater(t, cache.events[0].Sequence, uint64(1), "a lagging client sees a gap")
+	assert.Greater(t, cache.events[0].Sequence, uint64(1), "a lagging reader sees a gap")
 }
--- a/standin/kv/kv_test.go
+++ b/standin/kv/kv_test.go
@@ -41,7 +41,7 @@
 	return resp.StatusCode, decoded, nil
 }
 
-func TestCompareAndSwap(t *testing.T) {
+func TestWritesCheckTheExpectedRevision(t *testing.T) {
 	url := start(t, &Server{})
 	steps := []struct {
 		method, path, body string
@@ -145,7 +145,7 @@
 	assert.Len(t, body["events"], 1)
 }
 
-func TestInjectedFaults(t *testing.T) {
+func TestFaultsLoseRequestsOrResponses(t *testing.T) {
 	var fault atomic.Value
 	fault.Store(Fault{})
 	s := &Server{Fault: func(Op, string) Fault { return fault.Load().(Fault) }}
@@ -163,7 +163,7 @@
 	assert.Equal(t, "lost after", string(item.Value))
 }
 
-func TestRateLimits(t *testing.T) {
+func TestRateLimitsRefuseReadsAndWrites(t *testing.T) {
 	s := &Server{WritesPerSecond: 0.001, ReadsPerSecond: 0.001}
 	url := start(t, s)
 	for _, method := range []string{"PUT", "GET"} {
--- a/standin/plain/plain_test.go
+++ b/standin/plain/plain_test.go
@@ -14,7 +14,7 @@
 	"github.com/wheelcleat/wheelcleat/standin/serve"
 )
 
-func TestRunsAndFaults(t *testing.T) {
+func TestOnlyExecutedRequestsAreCounted(t *testing.T) {
 	var fault atomic.Value
 	fault.Store(Fault{})
 	s := &Server{Fault: func(string) Fault { return fault.Load().(Fault) }}
--- a/standin/weights/weights_test.go
+++ b/standin/weights/weights_test.go
@@ -32,7 +32,7 @@
 	return resp.StatusCode, data, err
 }
 
-func TestRangesAndFaults(t *testing.T) {
+func TestRangesAreServedWithInjectedFaults(t *testing.T) {
 	s := &Server{BytesPerSecond: 1 << 30}
 	server, err := serve.Loopback(s)
 	require.NoError(t, err)
