--- a/cli/internal/fleet/control_test.go
+++ b/cli/internal/fleet/control_test.go
@@ -66,7 +66,7 @@
 	hosts := r.Hosts()
 	r.KillHost(r.EngineHosts()[0])
 	target := len(runs(hosts)) + 100
-	require.NoError(t, Await(r.ctx, "more requests", func() bool { return len(runs(hosts)) > target }))
+	require.NoError(t, Await(r.ctx, "100 more requests at engines", func() bool { return len(runs(hosts)) > target }))
 	fault.Store(&kv.Fault{})
 	done := r.checkOutcomes(stop(), hosts)
 	assert.Greater(t, done, 100)
@@ -325,7 +325,7 @@
 	stop := r.load(4)
 	r.declare(r.service("v2", func(s *api.ServiceSpec) { s.Replicas = 3 }))
 	var status *api.RolloutStatus
-	require.NoError(t, Await(r.ctx, "the halt", func() bool {
+	require.NoError(t, Await(r.ctx, "the halt of the rollout", func() bool {
 		var err error
 		status, err = r.ResourceClient().Rollout(r.ctx, "s")
 		return err == nil && status.Halls[0].Halted != ""
--- a/cli/internal/fleet/partition_test.go
+++ b/cli/internal/fleet/partition_test.go
@@ -63,7 +63,7 @@
 				}
 			}
 			target := len(runs(hosts)) + 100
-			require.NoError(t, Await(r.ctx, "requests", func() bool { return len(runs(hosts)) > target }))
+			require.NoError(t, Await(r.ctx, "100 more requests at engines", func() bool { return len(runs(hosts)) > target }))
 			r.checkAllDone(stopInside(), hosts)
 			r.checkAllDone(stopOutside(), hosts)
 
@@ -104,7 +104,7 @@
 		}
 	}
 	stop := r.load(2, r.entriesOf("hall-2")...)
-	require.NoError(t, Await(r.ctx, "requests", func() bool { return len(runs(hosts)) > 100 }))
+	require.NoError(t, Await(r.ctx, "100 requests at engines", func() bool { return len(runs(hosts)) > 100 }))
 	results := stop()
 	r.checkOutcomes(results, hosts)
 	failed := 0
--- a/cli/internal/soak/fleet.go
+++ b/cli/internal/soak/fleet.go
@@ -59,8 +59,8 @@
 	newestConfiguration atomic.Int64
 	// crashingRequests counts the distinct crashing requests, crashingSent their sends.
 	crashingRequests, crashingSent atomic.Int64
-	// version is the newest published version of the model.
-	version int
+	// newestVersion is the newest published version of the model.
+	newestVersion int
 	// canceled is closed when the run is canceled, which ends all waits. done is closed by
 	// close, which ends the expiry of leases in the store.
 	canceled <-chan struct{}
@@ -334,9 +334,9 @@
 func (f *fleet) publishVersion() {
 	f.declareMu.Lock()
 	defer f.declareMu.Unlock()
-	f.version++
-	f.store.DeclareTarget(provider.Target{Model: modelName, Version: f.version})
-	f.oracle.RecordVersion(f.version)
+	f.newestVersion++
+	f.store.DeclareTarget(provider.Target{Model: modelName, Version: f.newestVersion})
+	f.oracle.RecordVersion(f.newestVersion)
 }
 
 // processes returns all daemons, routers first.
--- a/cli/internal/soak/oracle.go
+++ b/cli/internal/soak/oracle.go
@@ -116,11 +116,11 @@
 	// leaving is the time at which each upstream announced that it leaves, by its id.
 	leaving map[string]time.Time
 	// declared holds the times at which configurations were acknowledged, published those at
-	// which versions were. newestConfiguration and version are the last of each.
+	// which versions were. newestConfiguration and newestVersion are the last of each.
 	declared            map[int]time.Time
 	published           map[int]time.Time
 	newestConfiguration int
-	version             int
+	newestVersion       int
 	// crashingRuns holds the times at which each crashing request started at an upstream, by
 	// path.
 	crashingRuns map[string][]time.Time
@@ -194,7 +194,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	set(&o.published, version, time.Now())
-	o.version = version
+	o.newestVersion = version
 }
 
 // RecordLeaving records that an upstream announced that it leaves.
@@ -244,11 +244,11 @@
 	if count > 1 && strings.HasPrefix(run.Path, unsafePath) {
 		o.violatef(CheckAtMostOnce, run.ID, "%s started a request that may run at most once; start number %d", run.Upstream, count)
 	}
-	published := o.published[o.version]
-	if run.Version > 0 && run.Version < o.version && run.At.Sub(published) > versionBound+o.Slack &&
+	published := o.published[o.newestVersion]
+	if run.Version > 0 && run.Version < o.newestVersion && run.At.Sub(published) > versionBound+o.Slack &&
 		!o.faultActive(published, run.At, o.routerOf[run.ID], "store", "router", "loader", "all", "link", "upstream", "engine", "origin") {
 		o.violatef(CheckVersion, run.ID, "%s started a request on version %d, %s after version %d was published",
-			run.Upstream, run.Version, run.At.Sub(published).Round(time.Millisecond), o.version)
+			run.Upstream, run.Version, run.At.Sub(published).Round(time.Millisecond), o.newestVersion)
 	}
 }
 
--- a/cli/internal/soak/report.go
+++ b/cli/internal/soak/report.go
@@ -131,13 +131,13 @@
 func (r *run) report() *Report {
 	report := &Report{
 		Seed: r.Plan.Seed, Length: r.Plan.Length, Size: r.Size, Folder: r.Folder,
-		Processes: len(r.fleet.processes()), Versions: r.fleet.version, Configurations: int(r.fleet.newestConfiguration.Load()),
+		Processes: len(r.fleet.processes()), Versions: r.fleet.newestVersion, Configurations: int(r.fleet.newestConfiguration.Load()),
 		Violations: r.oracle.Violations(),
 	}
 	for _, p := range r.fleet.processes() {
 		report.Starts += p.condition().starts
 	}
-	report.OriginCopiesPerVersion = float64(r.fleet.origin.SentChunks()) / chunks / float64(r.fleet.version)
+	report.OriginCopiesPerVersion = float64(r.fleet.origin.SentChunks()) / chunks / float64(r.fleet.newestVersion)
 	r.tally.mu.Lock()
 	defer r.tally.mu.Unlock()
 	report.Seconds, report.Steps = slices.Clone(r.tally.seconds), slices.Clone(r.tally.steps)
--- a/cli/internal/soak/run.go
+++ b/cli/internal/soak/run.go
@@ -171,8 +171,8 @@
 		}
 	}
 	for _, h := range r.fleet.engineHosts() {
-		if loaded := h.currentUpstream().LoadedVersion(); loaded != r.fleet.version {
-			add(CheckVersion, "the engine on %s holds version %d at the end of the run, version %d was published", h.address, loaded, r.fleet.version)
+		if loaded := h.currentUpstream().LoadedVersion(); loaded != r.fleet.newestVersion {
+			add(CheckVersion, "the engine on %s holds version %d at the end of the run, version %d was published", h.address, loaded, r.fleet.newestVersion)
 		}
 	}
 	return found
