--- a/cli/internal/soak/oracle.go
+++ b/cli/internal/soak/oracle.go
@@ -116,18 +116,18 @@
 	// leaving is the time at which each upstream announced that it leaves, by its id.
 	leaving map[string]time.Time
 	// declared holds the times at which configurations were acknowledged, published those at
-	// which versions were. newestConfiguration and version are the last of each.
+	// which versions were. newestConfiguration and newestVersion are the last of each.
 	declared            map[int]time.Time
 	published           map[int]time.Time
 	newestConfiguration int
-	version             int
+	newestVersion       int
 	// crashingRuns holds the times at which each crashing request started at an upstream, by
 	// path.
 	crashingRuns map[string][]time.Time
 	// limits are the limits that upstreams announce, by upstream id.
 	limits map[string]*upstreamLimit
-	// inForce is the newest configuration that each run of a router process has answered by,
-	// by the router's name and the number of its start.
+	// inForce is the newest configuration that a router has answered by since each of its
+	// starts, by the router's name and the number of the start.
 	inForce map[string]observedConfiguration
 }
 
@@ -194,7 +194,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	set(&o.published, version, time.Now())
-	o.version = version
+	o.newestVersion = version
 }
 
 // RecordLeaving records that an upstream announced that it leaves.
@@ -244,39 +244,39 @@
 	if count > 1 && strings.HasPrefix(run.Path, unsafePath) {
 		o.violatef(CheckAtMostOnce, run.ID, "%s started a request that may run at most once; start number %d", run.Upstream, count)
 	}
-	published := o.published[o.version]
-	if run.Version > 0 && run.Version < o.version && run.At.Sub(published) > versionBound+o.Slack &&
+	published := o.published[o.newestVersion]
+	if run.Version > 0 && run.Version < o.newestVersion && run.At.Sub(published) > versionBound+o.Slack &&
 		!o.faultActive(published, run.At, o.routerOf[run.ID], "store", "router", "loader", "all", "link", "upstream", "engine", "origin") {
 		o.violatef(CheckVersion, run.ID, "%s started a request on version %d, %s after version %d was published",
-			run.Upstream, run.Version, run.At.Sub(published).Round(time.Millisecond), o.version)
+			run.Upstream, run.Version, run.At.Sub(published).Round(time.Millisecond), o.newestVersion)
 	}
 }
 
-// checkQuarantine counts the upstreams that started a crashing request. It must be called
-// with mu held.
+// checkQuarantine records that an upstream started a crashing request, and checks the number and
+// the times of such starts. It must be called with mu held.
 func (o *Oracle) checkQuarantine(run standin.Run) {
-	starts := o.crashingRuns[run.Path]
-	starts = append(starts, run.At)
-	set(&o.crashingRuns, run.Path, starts)
-	if o.faultActive(starts[0], run.At, o.routerOf[run.ID], "store", "router", "all", "link") {
+	runs := o.crashingRuns[run.Path]
+	runs = append(runs, run.At)
+	set(&o.crashingRuns, run.Path, runs)
+	if o.faultActive(runs[0], run.At, o.routerOf[run.ID], "store", "router", "all", "link") {
 		return
 	}
-	if len(starts) > maxCrashingRuns {
-		o.violatef(CheckQuarantine, run.ID, "%s started a request that had crashed %d upstreams", run.Upstream, len(starts)-1)
+	if len(runs) > maxCrashingRuns {
+		o.violatef(CheckQuarantine, run.ID, "%s started a request that had crashed %d upstreams", run.Upstream, len(runs)-1)
 		return
 	}
-	if len(starts) <= quarantineAfter {
+	if len(runs) <= quarantineAfter {
 		return
 	}
 	lateRuns := 0
-	for _, at := range starts[quarantineAfter:] {
-		if at.Sub(starts[quarantineAfter-1]) > quarantineBound+o.Slack {
+	for _, at := range runs[quarantineAfter:] {
+		if at.Sub(runs[quarantineAfter-1]) > quarantineBound+o.Slack {
 			lateRuns++
 		}
 	}
 	if lateRuns > maxLateRuns {
 		o.violatef(CheckQuarantine, run.ID, "%s started a request %s after it had crashed three upstreams; late start number %d",
-			run.Upstream, run.At.Sub(starts[quarantineAfter-1]).Round(time.Millisecond), lateRuns)
+			run.Upstream, run.At.Sub(runs[quarantineAfter-1]).Round(time.Millisecond), lateRuns)
 	}
 }
 
--- a/daemon/internal/version/source/source_test.go
+++ b/daemon/internal/version/source/source_test.go
@@ -48,7 +48,7 @@
 
 // A truncated or oversized chunk must not be accepted, and callers must be able to
 // tell a busy peer from one that lacks the chunk.
-func TestFetchChunkStatusAndLength(t *testing.T) {
+func TestFetchChunkRejectsWrongStatusOrLength(t *testing.T) {
 	tests := []struct {
 		name    string
 		status  int
@@ -56,12 +56,12 @@
 		want    error
 		message string
 	}{
-		{"whole", 200, "four", nil, ""},
+		{"complete", 200, "four", nil, ""},
 		{"absent", 404, "", ErrAbsent, ""},
 		{"busy", 503, "", ErrBusy, ""},
 		{"too short", 200, "fou", io.ErrUnexpectedEOF, ""},
 		{"too long", 200, "fours", nil, "more than the requested 4"},
-		{"broken", 500, "", nil, "status 500"},
+		{"server error", 500, "", nil, "status 500"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/standin/plain/plain_test.go
+++ b/standin/plain/plain_test.go
@@ -14,9 +14,9 @@
 	"github.com/wheelcleat/wheelcleat/standin/serve"
 )
 
-// TestFaultsBeforeAndAfterRun guards against a request that is recorded as run although the
+// TestOnlyExecutedRequestsAreCounted guards against a request that is recorded as run although the
 // connection was closed before it, or is not recorded although it was closed after it.
-func TestFaultsBeforeAndAfterRun(t *testing.T) {
+func TestOnlyExecutedRequestsAreCounted(t *testing.T) {
 	var fault atomic.Value
 	fault.Store(Fault{})
 	s := &Server{Fault: func(string) Fault { return fault.Load().(Fault) }}
